--- a/runs/model_test.go
+++ b/runs/model_test.go
@@ -44,7 +44,7 @@
 	term    uint64
 	leadAt  time.Time // the present leader's election
 	contact time.Time // of its quorum
-	leases  map[rudderfork.VMID]*runs.Grantor
+	leases  map[rudderfork.VMID]*runs.Lessor
 	vms     []*vm
 	faulty  bool
 
@@ -117,7 +117,7 @@
 func newSite(t *testing.T, seed uint64, vms int) *site {
 	s := &site{
 		t: t, rng: rand.New(rand.NewPCG(seed, 11)), now: time.Unix(1000, 0), state: queue.New(), term: 1,
-		leases: map[rudderfork.VMID]*runs.Grantor{}, active: map[rudderfork.TaskID]rudderfork.VMID{}, done: map[rudderfork.TaskID]bool{},
+		leases: map[rudderfork.VMID]*runs.Lessor{}, active: map[rudderfork.TaskID]rudderfork.VMID{}, done: map[rudderfork.TaskID]bool{},
 		crashed: map[rudderfork.TaskID]int{},
 	}
 	s.leadAt, s.contact = s.now, s.now
@@ -273,9 +273,9 @@
 func (s *site) elect() {
 	s.term++
 	s.leadAt, s.contact = s.now, s.now
-	s.leases = map[rudderfork.VMID]*runs.Grantor{}
+	s.leases = map[rudderfork.VMID]*runs.Lessor{}
 	for _, vm := range s.state.VMs() {
-		s.grantor(vm.ID).Assume(s.now.Add(s.lease))
+		s.grantor(vm.ID).AssumeLease(s.now.Add(s.lease))
 	}
 	for _, v := range s.vms {
 		v.closeSession()
@@ -283,9 +283,9 @@
 	}
 }
 
-func (s *site) grantor(id rudderfork.VMID) *runs.Grantor {
+func (s *site) grantor(id rudderfork.VMID) *runs.Lessor {
 	if s.leases[id] == nil {
-		s.leases[id] = &runs.Grantor{}
+		s.leases[id] = &runs.Lessor{}
 	}
 	return s.leases[id]
 }
@@ -293,7 +293,7 @@
 // lead does the leader's round: it gives up VMs and starts tasks.
 func (s *site) lead() {
 	for _, vm := range s.state.VMs() {
-		if vm.Live && s.grantor(vm.ID).Expire(s.now, s.lease) {
+		if vm.Live && s.grantor(vm.ID).TryExpire(s.now, s.lease) {
 			s.apply(queue.Command{Lost: &queue.Lost{VM: vm.ID, Life: vm.Life}})
 		}
 	}
@@ -406,13 +406,13 @@
 	v.spoken = number
 	s, g := v.s, v.s.grantor(v.id)
 	known := s.state.VM(v.id)
-	if known == nil || !known.Live || !known.Same(desc) || g.Expiring() {
-		if g.Expiring() && known != nil && known.Live {
+	if known == nil || !known.Live || !known.Same(desc) || g.Expired() {
+		if g.Expired() && known != nil && known.Live {
 			return
 		}
-		g.Assume(s.now.Add(s.lease))
+		g.AssumeLease(s.now.Add(s.lease))
 		s.apply(queue.Command{Register: &desc, Crash: crash})
-		g.Renew()
+		g.AllowGrants()
 		known = s.state.VM(v.id)
 	}
 	if v.epoch != known.Epoch || has != known.Epoch && !s.now.Before(v.fullBy) {
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -68,7 +68,7 @@
 
 // vmInfo is one VM at the moment.
 type vmInfo struct {
-	lease   runs.Grantor
+	lease   runs.Lessor
 	session *session
 	// spoken is the number of the latest session in which the VM's agent has sent a
 	// heartbeat; registering says that one of them registers the VM.
@@ -213,8 +213,8 @@
 // that was lost. The answer to its registration may have been missed. vm is nil if the VM
 // is not known.
 func (v *vmInfo) renew(vm *queue.VM) {
-	if vm != nil && v.lease.Expiring() && !v.losing && vm.Live && vm.Epoch > v.lostEpoch {
-		v.lease.Renew()
+	if vm != nil && v.lease.Expired() && !v.losing && vm.Live && vm.Epoch > v.lostEpoch {
+		v.lease.AllowGrants()
 	}
 }
 
--- a/scheduler/learning_test.go
+++ b/scheduler/learning_test.go
@@ -63,7 +63,7 @@
 	defer s.sched.mu.Unlock()
 	v := s.sched.fleet.vm(id)
 	v.session = ses
-	v.lease.Assume(steady.Now().Add(time.Hour))
+	v.lease.AssumeLease(steady.Now().Add(time.Hour))
 	s.sched.fleet.take(v, wire.VMBeat{VM: vm}, steady.Now())
 	return ses
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -145,7 +145,7 @@
 	s.fleet = newFleet()
 	s.fleet.moved.At = rudderfork.Millis(now) // the leader before may have just moved a task
 	for _, vm := range vms {
-		s.fleet.vm(vm).lease.Assume(now.Add(s.cfg.Lease))
+		s.fleet.vm(vm).lease.AssumeLease(now.Add(s.cfg.Lease))
 	}
 	s.log.Info().Uint64("term", term).Int("vms", len(vms)).Msg("queues_leading")
 }
@@ -235,7 +235,7 @@
 		}
 		for _, vm := range st.Queues().VMs() {
 			v := s.fleet.vm(vm.ID)
-			if !vm.Live || v.losing || !v.lease.Expire(now, s.cfg.Lease) {
+			if !vm.Live || v.losing || !v.lease.TryExpire(now, s.cfg.Lease) {
 				continue
 			}
 			v.losing = true
--- a/scheduler/simfleet_test.go
+++ b/scheduler/simfleet_test.go
@@ -153,8 +153,8 @@
 func (s *simFleet) admit(v *simVM) {
 	info := s.f.vm(v.id)
 	info.session = &session{epoch: 1}
-	info.lease.Renew()
-	info.lease.Assume(s.clock().Add(time.Hour))
+	info.lease.AllowGrants()
+	info.lease.AssumeLease(s.clock().Add(time.Hour))
 	s.beat(v)
 }
 
--- a/scheduler/vm.go
+++ b/scheduler/vm.go
@@ -225,7 +225,7 @@
 	ses.s.log.Info().Str("registered_vm", string(vm.ID)).Str("life", vm.Life).Stringer("capacity", vm.Capacity).
 		Strs("labels", vm.Labels).Msg("vm_registered")
 	ses.s.mu.Lock()
-	ses.s.fleet.vm(vm.ID).lease.Renew()
+	ses.s.fleet.vm(vm.ID).lease.AllowGrants()
 	ses.s.mu.Unlock()
 	if !ses.registered(vm) {
 		return errNotLeading
@@ -262,7 +262,7 @@
 		ses.s.mu.Lock()
 		defer ses.s.mu.Unlock()
 		known := st.Queues().VM(vm.ID)
-		ok = known.LiveAs(vm) && ses.epoch == known.Epoch && !ses.s.fleet.vm(vm.ID).lease.Expiring()
+		ok = known.LiveAs(vm) && ses.epoch == known.Epoch && !ses.s.fleet.vm(vm.ID).lease.Expired()
 	})
 	return ok
 }
@@ -289,10 +289,10 @@
 		v = ses.s.fleet.vm(id)
 		known := st.Queues().VM(id)
 		v.renew(known)
-		ok = !ses.outlived(v) && !v.registering && (!v.lease.Expiring() || known == nil || !known.Live)
+		ok = !ses.outlived(v) && !v.registering && (!v.lease.Expired() || known == nil || !known.Live)
 		if ok {
 			v.registering = true
-			v.lease.Assume(steady.Now().Add(ses.s.cfg.Lease))
+			v.lease.AssumeLease(steady.Now().Add(ses.s.cfg.Lease))
 		}
 	})
 	return v, ok
@@ -314,7 +314,7 @@
 		defer ses.s.mu.Unlock()
 		known, v := st.Queues().VM(vm.ID), ses.s.fleet.vm(vm.ID)
 		v.renew(known)
-		ok = known.LiveAs(vm) && !v.lease.Expiring()
+		ok = known.LiveAs(vm) && !v.lease.Expired()
 		if !ok {
 			return
 		}
