--- a/bench/crashes.go
+++ b/bench/crashes.go
@@ -132,7 +132,7 @@
 func (s *crashSim) register(v *crashVM) {
 	v.life++
 	c := queue.Command{Register: &queue.VM{
-		ID: v.id, Life: fmt.Sprintf("%s-%d", v.id, v.life), Service: "desk", Capacity: rudderfork.Resources{CPUMilli: crashCPU, MemoryMB: 1},
+		ID: v.id, Incarnation: fmt.Sprintf("%s-%d", v.id, v.life), Service: "desk", Capacity: rudderfork.Resources{CPUMilli: crashCPU, MemoryMB: 1},
 	}}
 	if s.policy.told {
 		c.Crash = v.crashed
@@ -201,7 +201,7 @@
 		s.crash(v, at, cause)
 		return
 	}
-	list := queue.Ends{VM: v.id, Life: s.state.VM(v.id).Life}
+	list := queue.Ends{VM: v.id, Incarnation: s.state.VM(v.id).Incarnation}
 	for _, k := range sortedRuns(v.began) {
 		s.seen[k] = dispatch.RunView{SeenAt: v.began[k], MovedAt: s.now}
 		if s.state.Job(k.Job).Status.Final() {
@@ -249,7 +249,7 @@
 		v.backAt = at + s.flapSpan()
 		v.flapAt = v.backAt + s.flapSpan()
 	}
-	v.crashed = &queue.Crash{Life: s.state.VM(v.id).Life}
+	v.crashed = &queue.Crash{Incarnation: s.state.VM(v.id).Incarnation}
 	for _, k := range sortedRuns(v.began) {
 		if v.began[k] > at {
 			continue
--- a/bench/fleetagent.go
+++ b/bench/fleetagent.go
@@ -52,7 +52,7 @@
 		p: p, kicked: wakeup.New(), runs: map[rudderfork.RunRef]*fleetRun{}, told: map[rudderfork.RunRef]rudderfork.RunRow{},
 		unsent: map[uint64]queue.Ends{}, rng: rand.New(rand.NewPCG(p.cfg.Seed, uint64(i)+100)),
 		vm: queue.VM{
-			ID: rudderfork.VMID(id), Life: id + "-1", Domain: rudderfork.Domain(fmt.Sprint("d", i%domains)), Rack: fmt.Sprint("rack", i/rackSize),
+			ID: rudderfork.VMID(id), Incarnation: id + "-1", Domain: rudderfork.Domain(fmt.Sprint("d", i%domains)), Rack: fmt.Sprint("rack", i/rackSize),
 			Service: fleetService, Capacity: rudderfork.Resources{CPUMilli: fleetVMCPU, MemoryMB: fleetVMMemory}, Labels: []string{"a"},
 		},
 	}
@@ -169,7 +169,7 @@
 		return
 	}
 	a.seq++
-	e := queue.Ends{VM: a.vm.ID, Life: a.vm.Life, List: list}
+	e := queue.Ends{VM: a.vm.ID, Incarnation: a.vm.Incarnation, List: list}
 	a.unsent[a.seq] = e
 	a.session.Send(wire.FromNode{Ends: &wire.EndsReport{Seq: a.seq, Ends: e}})
 }
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -22,7 +22,7 @@
 	for i := range vms {
 		id := rudderfork.VMID(fmt.Sprintf("vm%04d", i))
 		w.s.Apply(queue.Command{Register: &queue.VM{
-			ID: id, Life: "life", Service: "desk", Rack: fmt.Sprintf("rack%d", i/3),
+			ID: id, Incarnation: "life", Service: "desk", Rack: fmt.Sprintf("rack%d", i/3),
 			Capacity: rudderfork.Resources{CPUMilli: 16_000, MemoryMB: 64_000}, Labels: []string{"a"},
 		}}, 1)
 		w.view.VMs[id] = VMView{Usable: true, Changes: 1}
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -300,7 +300,7 @@
 
 func (p *planner) add(cl *class, k queue.TaskKey, v *vmNote, reason string, group int) {
 	p.plan.Starts = append(p.plan.Starts, Start{queue.Start{
-		Task: k, VM: v.vm.ID, Life: v.vm.Life, Group: group, Ticket: cl.tickets[v.vm.ID],
+		Task: k, VM: v.vm.ID, Incarnation: v.vm.Incarnation, Group: group, Ticket: cl.tickets[v.vm.ID],
 	}, kindOf(cl.step), reason, p.waited(cl, k)})
 	p.reserve.slots -= p.reserve.taken(cl, v)
 	v.add(p, cl)
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -44,7 +44,7 @@
 func (w *world) addVM(n int) {
 	id := rudderfork.VMID(fmt.Sprintf("vm%d", n))
 	w.s.Apply(queue.Command{Register: &queue.VM{
-		ID: id, Life: "life", Service: "desk", Rack: fmt.Sprintf("rack%d", (n-1)/2+1),
+		ID: id, Incarnation: "life", Service: "desk", Rack: fmt.Sprintf("rack%d", (n-1)/2+1),
 		Capacity: rudderfork.Resources{CPUMilli: 4000, MemoryMB: 4000}, Labels: []string{"a"},
 	}}, 1)
 	w.view.VMs[id] = VMView{Usable: true}
@@ -376,7 +376,7 @@
 		w, k := begun(t, twice)
 		w.progress(k, 20, 80, 80)
 		w.run()
-		w.s.Apply(queue.Command{Ends: &queue.Ends{VM: "vm4", Life: "life", List: []queue.End{{Task: k, Run: 2, How: queue.EndDone}}}}, w.view.Now)
+		w.s.Apply(queue.Command{Ends: &queue.Ends{VM: "vm4", Incarnation: "life", List: []queue.End{{Task: k, Run: 2, How: queue.EndDone}}}}, w.view.Now)
 		assert.DeepEqual(t, stops(w), map[string]string{"j.0.0.0": "another run has done the task"})
 	})
 }
@@ -454,7 +454,7 @@
 			other := k
 			other.Index = i
 			w.s.Apply(queue.Command{Ends: &queue.Ends{
-				VM: rudderfork.VMID(fmt.Sprintf("vm%d", i+1)), Life: "life", List: []queue.End{{Task: other, Run: 1, How: queue.EndDone}},
+				VM: rudderfork.VMID(fmt.Sprintf("vm%d", i+1)), Incarnation: "life", List: []queue.End{{Task: other, Run: 1, How: queue.EndDone}},
 			}}, w.view.Now+500)
 		}
 		w.progress(k, 20)
@@ -525,7 +525,7 @@
 	for i, ahead := range []float64{-1.2, 0.1} {
 		k := w.submit("urgent", fmt.Sprintf("feed%d", i), 1000, servingStep("audio", 1000))
 		vm := rudderfork.VMID(fmt.Sprintf("vm%d", i+1))
-		w.s.Apply(queue.Command{Starts: []queue.Start{{Task: k, VM: vm, Life: "life"}}}, 1000)
+		w.s.Apply(queue.Command{Starts: []queue.Start{{Task: k, VM: vm, Incarnation: "life"}}}, 1000)
 		w.view.Runs[k.Run(1)] = RunView{Percent: 100, Load: int64(6 + i), Ahead: ahead}
 	}
 	k := w.submit("later", "roster", 1000, fillerStep("roster", 400))
--- a/dispatch/drawn_test.go
+++ b/dispatch/drawn_test.go
@@ -49,7 +49,7 @@
 	id := rudderfork.VMID(fmt.Sprintf("vm%02d", n))
 	labels := [][]string{{"a"}, {"a"}, {"b"}}
 	w.s.Apply(queue.Command{Register: &queue.VM{
-		ID: id, Life: fmt.Sprint("life", w.rnd.Uint32()), Service: "desk", Rack: fmt.Sprintf("rack%d", n/3),
+		ID: id, Incarnation: fmt.Sprint("life", w.rnd.Uint32()), Service: "desk", Rack: fmt.Sprintf("rack%d", n/3),
 		Capacity: rudderfork.Resources{CPUMilli: 8_000 + int64(w.rnd.IntN(3))*4_000, MemoryMB: 16_000}, Labels: labels[w.rnd.IntN(3)],
 	}}, w.view.Now)
 	w.view.VMs[id] = VMView{Usable: true, Changes: w.rnd.Uint64()}
@@ -132,7 +132,7 @@
 			}
 		}
 		slices.SortFunc(ends, func(a, b queue.End) int { return a.Task.Compare(b.Task) })
-		w.s.Apply(queue.Command{Ends: &queue.Ends{VM: vm.ID, Life: vm.Life, List: ends}}, w.view.Now)
+		w.s.Apply(queue.Command{Ends: &queue.Ends{VM: vm.ID, Incarnation: vm.Incarnation, List: ends}}, w.view.Now)
 	}
 }
 
--- a/dispatch/moves_test.go
+++ b/dispatch/moves_test.go
@@ -21,7 +21,7 @@
 		st := fillerStep("loud", 500)
 		st.ExpectedMS, st.Checkpoints = 3_000, true
 		k := w.submit("later", fmt.Sprint("f", i), 1, st)
-		numbers := w.s.Apply(queue.Command{Starts: []queue.Start{{Task: k, VM: vm, Life: "life"}}}, w.view.Now).Numbers
+		numbers := w.s.Apply(queue.Command{Starts: []queue.Start{{Task: k, VM: vm, Incarnation: "life"}}}, w.view.Now).Numbers
 		assert.Equal(t, numbers[0], uint32(1))
 		run.SeenAt, run.HeldAt = w.view.Now, w.view.Now
 		w.view.Runs[k.Run(1)] = run
--- a/dispatch/quarantine_test.go
+++ b/dispatch/quarantine_test.go
@@ -15,11 +15,11 @@
 func (w *world) crash(id rudderfork.VMID, life string) {
 	w.t.Helper()
 	vm := *w.s.VM(id)
-	c := queue.Crash{Life: vm.Life}
+	c := queue.Crash{Incarnation: vm.Incarnation}
 	for k, run := range vm.Runs() {
 		c.Runs = append(c.Runs, queue.RunAge{Task: k, Run: run, Seen: true})
 	}
-	vm.Life = life
+	vm.Incarnation = life
 	assert.Equal(w.t, w.s.Apply(queue.Command{Register: &vm, Crash: &c}, w.view.Now).Code, queue.OK)
 }
 
@@ -67,7 +67,7 @@
 		for i := range 3 {
 			vm := w.s.VM(rudderfork.VMID(fmt.Sprintf("vm%d", i+1)))
 			k := w.submit("later", fmt.Sprintf("beside%d", i), 1, cpu(100))
-			assert.Assert(t, w.s.Apply(queue.Command{Starts: []queue.Start{{Task: k, VM: vm.ID, Life: vm.Life}}}, 1).Numbers[0] > 0)
+			assert.Assert(t, w.s.Apply(queue.Command{Starts: []queue.Start{{Task: k, VM: vm.ID, Incarnation: vm.Incarnation}}}, 1).Numbers[0] > 0)
 		}
 		assert.Equal(t, w.run()["s0.0.0.0"], rudderfork.VMID("vm4"))
 	})
--- a/dispatch/regroup_test.go
+++ b/dispatch/regroup_test.go
@@ -21,7 +21,7 @@
 	var c queue.Command
 	for i, vm := range on {
 		k.Index = i
-		c.Starts = append(c.Starts, queue.Start{Task: k, VM: vm, Life: "life"})
+		c.Starts = append(c.Starts, queue.Start{Task: k, VM: vm, Incarnation: "life"})
 	}
 	for i, n := range w.s.Apply(c, 1).Numbers {
 		assert.Assert(w.t, n > 0)
@@ -62,7 +62,7 @@
 		w, stray := mixedWorld(t)
 		assert.DeepEqual(t, regroupings(Make(w.s, w.view)), []queue.TaskKey{stray})
 		w.s.Apply(queue.Command{Ends: &queue.Ends{
-			VM: "vm1", Life: "life", List: []queue.End{{Task: stray, Run: 1, How: queue.EndStopped}},
+			VM: "vm1", Incarnation: "life", List: []queue.End{{Task: stray, Run: 1, How: queue.EndStopped}},
 		}}, w.view.Now)
 		w.view.Moved = Move{Task: stray, Run: 1, At: w.view.Now}
 		assert.Equal(t, w.run()[stray.String()], rudderfork.VMID("vm2"))
--- a/dispatch/room_test.go
+++ b/dispatch/room_test.go
@@ -35,7 +35,7 @@
 	assert.Equal(t, starts(), 4)
 	resize(2000)
 	assert.Equal(t, starts(), 0)
-	assert.Assert(t, w.s.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Life: "life", List: []queue.End{
+	assert.Assert(t, w.s.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Incarnation: "life", List: []queue.End{
 		{Task: queue.TaskKey{Job: "j1"}, Run: 1, How: queue.EndDone},
 	}}}, w.view.Now).Taken[0])
 	assert.Equal(t, starts(), 0)
--- a/executor.go
+++ b/executor.go
@@ -81,8 +81,8 @@
 	WaitMS    int64  // waits so long for an end that is not acknowledged
 }
 
-// ErrOtherLife means that what was meant has been replaced by a newer life.
-var ErrOtherLife = errors.New("the executor has another life now")
+// ErrStaleIncarnation means that what was meant has been replaced by a newer life.
+var ErrStaleIncarnation = errors.New("the executor has another life now")
 
 // ErrNoAccount means that an executor has answered a look, but not with its account.
 var ErrNoAccount = errors.New("the executor answered without its account")
--- a/life.go
+++ b/life.go
@@ -14,17 +14,17 @@
 // bornMark is between id and begin in a life's name.
 const bornMark = "@"
 
-// LifeName names the start of an executor that began at a time, Unix ms. Of executors
+// IncarnationName names the start of an executor that began at a time, Unix ms. Of executors
 // that do not tell (0) the id alone is the name.
-func LifeName(id string, bornMS int64) string {
+func IncarnationName(id string, bornMS int64) string {
 	if bornMS == 0 {
 		return id
 	}
 	return id + bornMark + strconv.FormatInt(bornMS, 10)
 }
 
-// SplitLife is the inverse of LifeName.
-func SplitLife(life string) (id string, bornMS int64) {
+// SplitIncarnation is the inverse of LifeName.
+func SplitIncarnation(life string) (id string, bornMS int64) {
 	i := strings.LastIndex(life, bornMark)
 	if i < 0 {
 		return life, 0
--- a/life_test.go
+++ b/life_test.go
@@ -12,7 +12,7 @@
 		id     string
 		bornMS int64
 	}{{"i-1", 0}, {"i-1", 1_783_502_653_021}, {"i@1", 5}, {"i@", 0}, {"i@x", 0}, {"", 7}, {"i-1", -3}} {
-		id, born := SplitLife(LifeName(want.id, want.bornMS))
+		id, born := SplitIncarnation(IncarnationName(want.id, want.bornMS))
 		assert.Equal(t, id, want.id)
 		assert.Equal(t, born, want.bornMS)
 	}
--- a/queue/apply.go
+++ b/queue/apply.go
@@ -210,7 +210,7 @@
 
 func (s *State) startable(st Start, at int64) bool {
 	j, vm := s.jobs[st.Task.Job], s.vms[st.VM]
-	if j == nil || vm == nil || vm.Life != st.Life || !s.Runnable(j, st.Task, at) {
+	if j == nil || vm == nil || vm.Incarnation != st.Incarnation || !s.Runnable(j, st.Task, at) {
 		return false
 	}
 	t := j.Task(st.Task)
@@ -227,7 +227,7 @@
 func (s *State) takeEnds(c Ends, at int64) Result {
 	res := Result{Code: OK, Taken: make([]bool, len(c.List))}
 	vm := s.vms[c.VM]
-	if vm == nil || vm.Life != c.Life {
+	if vm == nil || vm.Incarnation != c.Incarnation {
 		return res // its runs were counted as lost with that life
 	}
 	for i, e := range c.List {
@@ -337,7 +337,7 @@
 	v.Epoch, v.Leaving = 1, false
 	v.Doubtful, v.DoubtfulAt, v.Settled, v.Silent, v.Crashes = nil, 0, false, false, CrashHistory{}
 	if old := s.vms[v.ID]; old != nil {
-		same := continues(old.Life, v.Life)
+		same := continues(old.Incarnation, v.Incarnation)
 		how := endingOf(old, seen)
 		how.over = true
 		switch {
@@ -359,7 +359,7 @@
 
 // endingOf is how the life of a VM's executor has ended, by what its agent has seen.
 func endingOf(vm *VM, seen *Crash) ending {
-	seen = seen.Of(vm.Life)
+	seen = seen.Of(vm.Incarnation)
 	return ending{planned: vm.Leaving || seen.announced(), seen: seen}
 }
 
@@ -367,7 +367,7 @@
 // follows; crashed is false if v follows none, or one that was to end.
 func (s *State) CrashedUnder(v VM, seen *Crash) (tasks []TaskKey, crashed bool) {
 	old := s.vms[v.ID]
-	if old == nil || continues(old.Life, v.Life) {
+	if old == nil || continues(old.Incarnation, v.Incarnation) {
 		return nil, false
 	}
 	how := endingOf(old, seen)
@@ -384,13 +384,13 @@
 // before. Agents of earlier releases named lives by their ids alone; what runs in one may
 // not be taken for over because it gets to say when it began.
 func continues(before, now string) bool {
-	id, _ := rudderfork.SplitLife(now)
+	id, _ := rudderfork.SplitIncarnation(now)
 	return before == now || before == id
 }
 
 func (s *State) lose(c Lost, at int64) Result {
 	vm := s.vms[c.VM]
-	if vm == nil || vm.Life != c.Life || c.Epoch != 0 && c.Epoch != vm.Epoch {
+	if vm == nil || vm.Incarnation != c.Incarnation || c.Epoch != 0 && c.Epoch != vm.Epoch {
 		return Result{Code: Stale}
 	}
 	how := endingOf(vm, c.Crash)
--- a/queue/blame_test.go
+++ b/queue/blame_test.go
@@ -20,13 +20,13 @@
 func (w *world) crash(vm rudderfork.VMID, life string, runs ...RunAge) Result {
 	w.n += 3_000
 	old := w.s.VM(vm)
-	v := VM{ID: vm, Life: life, Domain: old.Domain, Rack: old.Rack, Service: old.Service, Capacity: old.Capacity, Labels: old.Labels}
-	return w.apply(Command{Register: &v, Crash: &Crash{Life: old.Life, Runs: runs}})
+	v := VM{ID: vm, Incarnation: life, Domain: old.Domain, Rack: old.Rack, Service: old.Service, Capacity: old.Capacity, Labels: old.Labels}
+	return w.apply(Command{Register: &v, Crash: &Crash{Incarnation: old.Incarnation, Runs: runs}})
 }
 
 func (w *world) lose(vm rudderfork.VMID, c Lost) Result {
 	w.n += 5_000
-	c.VM, c.Life = vm, w.s.VM(vm).Life
+	c.VM, c.Incarnation = vm, w.s.VM(vm).Incarnation
 	return w.apply(Command{Lost: &c})
 }
 
@@ -104,7 +104,7 @@
 		w, bad, _ := two(t, copied)
 		w.crash("vm1", "life-2", aged(bad, 1, 0))
 		w.start(bad, "vm2")
-		assert.Equal(t, w.apply(Command{Starts: []Start{{Task: bad, VM: "vm3", Life: oldLife, Copy: true}}}).Numbers[0], uint32(0))
+		assert.Equal(t, w.apply(Command{Starts: []Start{{Task: bad, VM: "vm3", Incarnation: oldLife, Copy: true}}}).Numbers[0], uint32(0))
 	})
 	t.Run("an operator clears a suspect", func(t *testing.T) {
 		w, bad, good := two(t, one)
@@ -136,14 +136,14 @@
 	t.Run("an executor that was about to leave", func(t *testing.T) {
 		w, bad, _ := two(t, one)
 		old := *w.s.VM("vm1")
-		old.Life = "life-2"
-		w.apply(Command{Register: &old, Crash: &Crash{Life: oldLife, Draining: true, Runs: []RunAge{aged(bad, 1, 0)}}})
+		old.Incarnation = "life-2"
+		w.apply(Command{Register: &old, Crash: &Crash{Incarnation: oldLife, Draining: true, Runs: []RunAge{aged(bad, 1, 0)}}})
 		checkCounts(t, w.task(bad), 0, 0)
 	})
 	t.Run("upkeep", func(t *testing.T) {
 		w, bad, _ := two(t, one)
 		w.apply(Command{Wave: &Wave{ID: 1, Machines: []string{"m1"}, MaxDown: 1}})
-		w.apply(Command{Upkeep: &UpkeepNote{Wave: 1, Machine: "m1", Life: oldLife}})
+		w.apply(Command{Upkeep: &UpkeepNote{Wave: 1, Machine: "m1", Incarnation: oldLife}})
 		w.crash("vm1", "life-2", aged(bad, 1, 0))
 		checkCounts(t, w.task(bad), 0, 0)
 		assert.Assert(t, !w.s.VM("vm1").Leaving)
@@ -160,7 +160,7 @@
 // TestCrashFoundLate has the VM's lease run out before its executor is back.
 func TestCrashFoundLate(t *testing.T) {
 	w, bad, good := two(t, one)
-	w.lose("vm1", Lost{Crash: &Crash{Life: oldLife, Runs: []RunAge{aged(bad, 1, 0), aged(good, 1, 900)}}})
+	w.lose("vm1", Lost{Crash: &Crash{Incarnation: oldLife, Runs: []RunAge{aged(bad, 1, 0), aged(good, 1, 900)}}})
 	checkCounts(t, w.task(bad), 0, 1)
 	run := w.start(bad, "vm2")
 	t.Run("what is open outlives a snapshot", func(t *testing.T) {
--- a/queue/command.go
+++ b/queue/command.go
@@ -52,11 +52,11 @@
 // start together, or not at all. Copy allows a second run beside one that is
 // active.
 type Start struct {
-	Task  TaskKey         `cbor:"1,keyasint"`
-	VM    rudderfork.VMID `cbor:"2,keyasint"`
-	Life  string          `cbor:"3,keyasint"`
-	Copy  bool            `cbor:"4,keyasint,omitempty"`
-	Group int             `cbor:"5,keyasint,omitempty"` // 0 means none
+	Task        TaskKey         `cbor:"1,keyasint"`
+	VM          rudderfork.VMID `cbor:"2,keyasint"`
+	Incarnation string          `cbor:"3,keyasint"`
+	Copy        bool            `cbor:"4,keyasint,omitempty"`
+	Group       int             `cbor:"5,keyasint,omitempty"` // 0 means none
 
 	// Ticket is the adviser's leave, where the queue has an adviser.
 	Ticket string `cbor:"6,keyasint,omitempty"`
@@ -73,16 +73,16 @@
 
 // Ends is what one life of a VM reports as ended.
 type Ends struct {
-	VM   rudderfork.VMID `cbor:"1,keyasint"`
-	Life string          `cbor:"2,keyasint"`
-	List []End           `cbor:"3,keyasint"`
+	VM          rudderfork.VMID `cbor:"1,keyasint"`
+	Incarnation string          `cbor:"2,keyasint"`
+	List        []End           `cbor:"3,keyasint"`
 }
 
 // Lost says that whatever ran on this life of a VM runs no more, since its
 // lease has run out. Checkpoints are the newest known.
 type Lost struct {
 	VM          rudderfork.VMID    `cbor:"1,keyasint"`
-	Life        string             `cbor:"2,keyasint"`
+	Incarnation string             `cbor:"2,keyasint"`
 	Checkpoints map[TaskKey]string `cbor:"3,keyasint,omitempty"`
 
 	// Left says that the life has said farewell, Crash what the VM's agent has seen of
--- a/queue/crash.go
+++ b/queue/crash.go
@@ -7,7 +7,7 @@
 // Crash is what a VM's agent knows of a life of the executor that answers no more, or
 // that another has followed without a farewell.
 type Crash struct {
-	Life string `cbor:"1,keyasint"`
+	Incarnation string `cbor:"1,keyasint"`
 	// Runs are those that were at work when the executor was first found silent, or that
 	// may have been. A run of the VM that is not among them never began.
 	Runs []RunAge `cbor:"2,keyasint,omitempty"`
@@ -27,7 +27,7 @@
 
 // Of returns the crash if it is of a life, else nil.
 func (c *Crash) Of(life string) *Crash {
-	if c == nil || c.Life != life {
+	if c == nil || c.Incarnation != life {
 		return nil
 	}
 	return c
--- a/queue/crash_test.go
+++ b/queue/crash_test.go
@@ -94,7 +94,7 @@
 		}
 		crashes++
 		run := w.task(k).LastRun
-		w.lose(vm, Lost{Crash: &Crash{Life: w.s.VM(vm).Life, Runs: []RunAge{aged(k, run, 0)}}})
+		w.lose(vm, Lost{Crash: &Crash{Incarnation: w.s.VM(vm).Incarnation, Runs: []RunAge{aged(k, run, 0)}}})
 		if down = append(down, vm); len(down) > away {
 			back(down[0])
 			down = down[1:]
@@ -149,7 +149,7 @@
 	for name, outage := range map[string]func(w *world){
 		"a crash": func(w *world) { w.crash("vm1", "life-2") },
 		"a crash that was a loss first": func(w *world) {
-			w.lose("vm1", Lost{Crash: &Crash{Life: oldLife}})
+			w.lose("vm1", Lost{Crash: &Crash{Incarnation: oldLife}})
 			w.crash("vm1", "life-2")
 		},
 	} {
--- a/queue/evacuation_test.go
+++ b/queue/evacuation_test.go
@@ -50,7 +50,7 @@
 		assert.Equal(t, w.start(key("j", 0, 0), "vm1"), uint32(1))
 		assert.Equal(t, w.start(key("j", 0, 1), "vm2"), uint32(1))
 		w.evacuate("north", false)
-		res := w.apply(Command{Starts: []Start{{Task: key("j", 0, 1), VM: "vm1", Life: w.s.VM("vm1").Life, Copy: true}}})
+		res := w.apply(Command{Starts: []Start{{Task: key("j", 0, 1), VM: "vm1", Incarnation: w.s.VM("vm1").Incarnation, Copy: true}}})
 		assert.DeepEqual(t, res.Numbers, []uint32{0})
 		assert.Assert(t, w.end(key("j", 0, 0), "vm1", 1, EndDone))
 	})
@@ -58,14 +58,14 @@
 		w := begin(t)
 		w.evacuate("north", false)
 		res := w.apply(Command{Starts: []Start{
-			{Task: key("j", 1, 0), VM: "vm2", Life: w.s.VM("vm2").Life, Group: 1},
-			{Task: key("j", 1, 1), VM: "vm1", Life: w.s.VM("vm1").Life, Group: 1},
+			{Task: key("j", 1, 0), VM: "vm2", Incarnation: w.s.VM("vm2").Incarnation, Group: 1},
+			{Task: key("j", 1, 1), VM: "vm1", Incarnation: w.s.VM("vm1").Incarnation, Group: 1},
 		}})
 		assert.DeepEqual(t, res.Numbers, []uint32{0, 0})
 	})
 	t.Run("a start that was decided before is refused after", func(t *testing.T) {
 		w := begin(t)
-		decided := Command{Starts: []Start{{Task: key("j", 0, 0), VM: "vm1", Life: w.s.VM("vm1").Life}}}
+		decided := Command{Starts: []Start{{Task: key("j", 0, 0), VM: "vm1", Incarnation: w.s.VM("vm1").Incarnation}}}
 		w.evacuate("north", false)
 		assert.DeepEqual(t, w.apply(decided).Numbers, []uint32{0})
 	})
--- a/queue/lifeend.go
+++ b/queue/lifeend.go
@@ -77,7 +77,7 @@
 // endPlanned notes that a life ends since its VM was told to go.
 func (s *State) endPlanned(life string) {
 	for _, vm := range s.vms {
-		if life != "" && vm.Life == life {
+		if life != "" && vm.Incarnation == life {
 			vm.Leaving = true
 		}
 	}
--- a/queue/model.go
+++ b/queue/model.go
@@ -317,14 +317,14 @@
 
 // VM is a machine that runs tasks, as it last described itself.
 type VM struct {
-	ID       rudderfork.VMID      `cbor:"1,keyasint"`
-	Life     string               `cbor:"2,keyasint"` // new with each start of what runs the tasks
-	Domain   rudderfork.Domain    `cbor:"3,keyasint"`
-	Rack     string               `cbor:"4,keyasint,omitempty"`
-	Service  rudderfork.Service   `cbor:"5,keyasint"`
-	Capacity rudderfork.Resources `cbor:"6,keyasint"`
-	Labels   []string             `cbor:"7,keyasint,omitempty"`
-	Live     bool                 `cbor:"8,keyasint"` // may hold runs
+	ID          rudderfork.VMID      `cbor:"1,keyasint"`
+	Incarnation string               `cbor:"2,keyasint"` // new with each start of what runs the tasks
+	Domain      rudderfork.Domain    `cbor:"3,keyasint"`
+	Rack        string               `cbor:"4,keyasint,omitempty"`
+	Service     rudderfork.Service   `cbor:"5,keyasint"`
+	Capacity    rudderfork.Resources `cbor:"6,keyasint"`
+	Labels      []string             `cbor:"7,keyasint,omitempty"`
+	Live        bool                 `cbor:"8,keyasint"` // may hold runs
 
 	// Epoch rises with each registration that starts with no runs.
 	Epoch uint64 `cbor:"9,keyasint,omitempty"`
@@ -360,7 +360,7 @@
 
 // Same reports whether o describes the same life in the same way.
 func (v *VM) Same(o VM) bool {
-	return v.Life == o.Life && v.Domain == o.Domain && v.Rack == o.Rack && v.Service == o.Service &&
+	return v.Incarnation == o.Incarnation && v.Domain == o.Domain && v.Rack == o.Rack && v.Service == o.Service &&
 		v.Capacity == o.Capacity && slices.Equal(v.Labels, o.Labels)
 }
 
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -81,7 +81,7 @@
 
 func (w *world) register(id rudderfork.VMID, life string) {
 	w.apply(Command{Register: &VM{
-		ID: id, Life: life, Domain: "hall", Rack: "r-" + string(id), Service: "desk",
+		ID: id, Incarnation: life, Domain: "hall", Rack: "r-" + string(id), Service: "desk",
 		Capacity: rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}, Labels: []string{"a"},
 	}})
 }
@@ -91,11 +91,11 @@
 }
 
 func (w *world) start(k TaskKey, vm rudderfork.VMID) uint32 {
-	return w.apply(Command{Starts: []Start{{Task: k, VM: vm, Life: w.s.VM(vm).Life}}}).Numbers[0]
+	return w.apply(Command{Starts: []Start{{Task: k, VM: vm, Incarnation: w.s.VM(vm).Incarnation}}}).Numbers[0]
 }
 
 func (w *world) end(k TaskKey, vm rudderfork.VMID, run uint32, how Ending) bool {
-	return w.apply(Command{Ends: &Ends{VM: vm, Life: w.s.VM(vm).Life, List: []End{{Task: k, Run: run, How: how}}}}).Taken[0]
+	return w.apply(Command{Ends: &Ends{VM: vm, Incarnation: w.s.VM(vm).Incarnation, List: []End{{Task: k, Run: run, How: how}}}}).Taken[0]
 }
 
 func (w *world) status(id rudderfork.JobID) Status { return w.s.Job(id).Status }
@@ -223,15 +223,15 @@
 	assert.Equal(t, w.start(key("j", 0, 0), "vm1"), uint32(1))
 	assert.Equal(t, w.status("j"), Running)
 	for name, st := range map[string]Start{
-		"it has a run":                {Task: key("j", 0, 0), VM: "vm2", Life: "life-1"},
-		"the VM is full":              {Task: key("j", 0, 1), VM: "vm1", Life: "life-1"},
-		"the VM has another life":     {Task: key("j", 0, 1), VM: "vm2", Life: "life-0"},
-		"the VM is unknown":           {Task: key("j", 0, 1), VM: "vm9", Life: "life-1"},
-		"an earlier step is not done": {Task: key("j", 1, 0), VM: "vm2", Life: "life-1"},
-		"the VM lacks a label":        {Task: key("j", 2, 0), VM: "vm2", Life: "life-1"},
-		"there is no such task":       {Task: key("j", 0, 7), VM: "vm2", Life: "life-1"},
-		"there is no such job":        {Task: key("k", 0, 0), VM: "vm2", Life: "life-1"},
-		"copies are not allowed":      {Task: key("j", 0, 0), VM: "vm2", Life: "life-1", Copy: true},
+		"it has a run":                {Task: key("j", 0, 0), VM: "vm2", Incarnation: "life-1"},
+		"the VM is full":              {Task: key("j", 0, 1), VM: "vm1", Incarnation: "life-1"},
+		"the VM has another life":     {Task: key("j", 0, 1), VM: "vm2", Incarnation: "life-0"},
+		"the VM is unknown":           {Task: key("j", 0, 1), VM: "vm9", Incarnation: "life-1"},
+		"an earlier step is not done": {Task: key("j", 1, 0), VM: "vm2", Incarnation: "life-1"},
+		"the VM lacks a label":        {Task: key("j", 2, 0), VM: "vm2", Incarnation: "life-1"},
+		"there is no such task":       {Task: key("j", 0, 7), VM: "vm2", Incarnation: "life-1"},
+		"there is no such job":        {Task: key("k", 0, 0), VM: "vm2", Incarnation: "life-1"},
+		"copies are not allowed":      {Task: key("j", 0, 0), VM: "vm2", Incarnation: "life-1", Copy: true},
 	} {
 		t.Run("refused since "+name, func(t *testing.T) {
 			assert.Equal(t, w.apply(Command{Starts: []Start{st}}).Numbers[0], uint32(0))
@@ -261,7 +261,7 @@
 	together := func(vms ...rudderfork.VMID) []uint32 {
 		var starts []Start
 		for i, vm := range vms {
-			starts = append(starts, Start{Task: key("g", 0, i), VM: vm, Life: "life-1", Group: 1})
+			starts = append(starts, Start{Task: key("g", 0, i), VM: vm, Incarnation: "life-1", Group: 1})
 		}
 		return w.apply(Command{Starts: starts}).Numbers
 	}
@@ -271,7 +271,7 @@
 		assert.DeepEqual(t, together("vm1", "vm1", "vm2"), []uint32{1, 1, 1})
 	})
 	t.Run("a checkpoint of one serves all", func(t *testing.T) {
-		w.apply(Command{Ends: &Ends{VM: "vm1", Life: "life-1", List: []End{
+		w.apply(Command{Ends: &Ends{VM: "vm1", Incarnation: "life-1", List: []End{
 			{Task: key("g", 0, 0), Run: 1, How: EndFailed, Checkpoint: "half"}, {Task: key("g", 0, 1), Run: 1, How: EndBroken},
 		}}})
 		w.end(key("g", 0, 2), "vm2", 1, EndBroken)
@@ -324,7 +324,7 @@
 		w.start(key("j", 0, 0), "vm1")
 		assert.Assert(t, !w.end(key("j", 0, 0), "vm1", 2, EndDone))
 		assert.Assert(t, !w.end(key("j", 0, 0), "vm2", 1, EndDone))
-		res := w.apply(Command{Ends: &Ends{VM: "vm1", Life: "life-0", List: []End{{Task: key("j", 0, 0), Run: 1, How: EndDone}}}})
+		res := w.apply(Command{Ends: &Ends{VM: "vm1", Incarnation: "life-0", List: []End{{Task: key("j", 0, 0), Run: 1, How: EndDone}}}})
 		assert.Assert(t, !res.Taken[0])
 	})
 	t.Run("checkpoints are kept where the step has them", func(t *testing.T) {
@@ -334,7 +334,7 @@
 		w.submit("j", saving, one)
 		for step, want := range []string{"c1", ""} {
 			w.start(key("j", step, 0), "vm1")
-			w.apply(Command{Ends: &Ends{VM: "vm1", Life: "life-1", List: []End{{Task: key("j", step, 0), Run: 1, How: EndLapsed, Checkpoint: "c1"}}}})
+			w.apply(Command{Ends: &Ends{VM: "vm1", Incarnation: "life-1", List: []End{{Task: key("j", step, 0), Run: 1, How: EndLapsed, Checkpoint: "c1"}}}})
 			assert.Equal(t, w.s.Job("j").Task(key("j", step, 0)).Checkpoint, want)
 		}
 	})
@@ -373,7 +373,7 @@
 		assert.Equal(t, w.s.Job("j").ActiveRuns, 1)
 	})
 	t.Run("a lost VM runs nothing, and takes nothing until it registers", func(t *testing.T) {
-		w.apply(Command{Lost: &Lost{VM: "vm1", Life: "life-1", Checkpoints: map[TaskKey]string{key("j", 0, 0): "c"}}})
+		w.apply(Command{Lost: &Lost{VM: "vm1", Incarnation: "life-1", Checkpoints: map[TaskKey]string{key("j", 0, 0): "c"}}})
 		assert.Equal(t, w.s.Job("j").Task(key("j", 0, 0)).Checkpoint, "c")
 		assert.Equal(t, w.start(key("j", 0, 0), "vm1"), uint32(0))
 		w.register("vm1", "life-1")
@@ -381,7 +381,7 @@
 		assert.Equal(t, w.start(key("j", 0, 0), "vm1"), uint32(2))
 	})
 	t.Run("a loss of an earlier life is not taken", func(t *testing.T) {
-		assert.Equal(t, w.apply(Command{Lost: &Lost{VM: "vm1", Life: "life-0"}}).Code, Stale)
+		assert.Equal(t, w.apply(Command{Lost: &Lost{VM: "vm1", Incarnation: "life-0"}}).Code, Stale)
 		assert.Equal(t, w.s.Job("j").ActiveRuns, 1)
 	})
 	t.Run("a new life runs nothing", func(t *testing.T) {
@@ -441,7 +441,7 @@
 	}
 	assert.Equal(t, count(), [3]int{2, 1, 1})
 	assert.Equal(t, count("a"), [3]int{1, 0, 1})
-	w.apply(Command{Starts: []Start{{Task: key("b", 0, 0), VM: "vm1", Life: oldLife}}, Begun: []rudderfork.JobID{"a", "none"}})
+	w.apply(Command{Starts: []Start{{Task: key("b", 0, 0), VM: "vm1", Incarnation: oldLife}}, Begun: []rudderfork.JobID{"a", "none"}})
 	assert.Equal(t, count(), [3]int{1, 1, 1})
 	w.end(key("b", 0, 0), "vm1", 1, EndFailed)
 	assert.Equal(t, count(), [3]int{0, 0, 1})
--- a/queue/second_start_test.go
+++ b/queue/second_start_test.go
@@ -11,7 +11,7 @@
 // TestSecondStart has an executor start again under its id. What the replicated state
 // keeps of the start before says nothing of the one after it.
 func TestSecondStart(t *testing.T) {
-	first, second := rudderfork.LifeName("i-1", 1000), rudderfork.LifeName("i-1", 2000)
+	first, second := rudderfork.IncarnationName("i-1", 1000), rudderfork.IncarnationName("i-1", 2000)
 	s := New()
 	apply := func(c Command) Result { return s.Apply(c, 1) }
 	apply(Command{Document: &Document{
@@ -20,14 +20,14 @@
 	apply(Command{Submit: &Submit{Host: "h", Path: "/q/j", Spec: Spec{Steps: []Step{{Count: 1}}}}})
 	k := TaskKey{Job: "j"}
 	start := func(life string) uint32 {
-		return apply(Command{Starts: []Start{{Task: k, VM: "vm1", Life: life}}}).Numbers[0]
+		return apply(Command{Starts: []Start{{Task: k, VM: "vm1", Incarnation: life}}}).Numbers[0]
 	}
-	apply(Command{Register: &VM{ID: "vm1", Life: first, Service: "desk"}})
+	apply(Command{Register: &VM{ID: "vm1", Incarnation: first, Service: "desk"}})
 	assert.Equal(t, start(first), uint32(1))
 	epoch := s.VM("vm1").Epoch
 
-	seen := &Crash{Life: first, Runs: []RunAge{{Task: k, Run: 1, AgeMS: 5, Seen: true}}}
-	res := apply(Command{Register: &VM{ID: "vm1", Life: second, Service: "desk"}, Crash: seen})
+	seen := &Crash{Incarnation: first, Runs: []RunAge{{Task: k, Run: 1, AgeMS: 5, Seen: true}}}
+	res := apply(Command{Register: &VM{ID: "vm1", Incarnation: second, Service: "desk"}, Crash: seen})
 	t.Run("what ran there is over, and the crash is counted", func(t *testing.T) {
 		assert.Equal(t, len(res.Gone), 1)
 		assert.Equal(t, s.Job("j").Task(k).Witnessed, 1)
@@ -38,10 +38,10 @@
 		assert.Equal(t, start(second), uint32(2))
 	})
 	t.Run("late words of the start before change nothing", func(t *testing.T) {
-		late := apply(Command{Ends: &Ends{VM: "vm1", Life: first, List: []End{{Task: k, Run: 2, How: EndDone}}}})
+		late := apply(Command{Ends: &Ends{VM: "vm1", Incarnation: first, List: []End{{Task: k, Run: 2, How: EndDone}}}})
 		assert.Assert(t, !late.Taken[0])
-		assert.Equal(t, apply(Command{Lost: &Lost{VM: "vm1", Life: first, Left: true}}).Code, Stale)
-		apply(Command{Upkeep: &UpkeepNote{Wave: 1, Machine: "m", Life: first}})
+		assert.Equal(t, apply(Command{Lost: &Lost{VM: "vm1", Incarnation: first, Left: true}}).Code, Stale)
+		apply(Command{Upkeep: &UpkeepNote{Wave: 1, Machine: "m", Incarnation: first}})
 		assert.Assert(t, s.VM("vm1").Live && !s.VM("vm1").Leaving)
 		assert.Equal(t, len(s.VM("vm1").Runs()), 1)
 	})
@@ -51,7 +51,7 @@
 // release has registered by its id. It may be the same start, whose runs go on; and were
 // it the next one, the orders of the runs would begin them there.
 func TestLifeGetsBegin(t *testing.T) {
-	named := rudderfork.LifeName("i-1", 1000)
+	named := rudderfork.IncarnationName("i-1", 1000)
 	for _, x := range []struct {
 		before, after string
 		goesOn        bool
@@ -62,11 +62,11 @@
 			Version: 1, Queues: []Queue{{Name: "q", Host: "h", Prefix: "/q/", Service: "desk", MaxAttempts: 3}}, Pools: []Pool{{Service: "desk"}},
 		}})
 		apply(Command{Submit: &Submit{Host: "h", Path: "/q/j", Spec: Spec{Steps: []Step{{Count: 1}}}}})
-		apply(Command{Register: &VM{ID: "vm1", Life: x.before, Service: "desk"}})
-		apply(Command{Starts: []Start{{Task: TaskKey{Job: "j"}, VM: "vm1", Life: x.before}}})
+		apply(Command{Register: &VM{ID: "vm1", Incarnation: x.before, Service: "desk"}})
+		apply(Command{Starts: []Start{{Task: TaskKey{Job: "j"}, VM: "vm1", Incarnation: x.before}}})
 		epoch := s.VM("vm1").Epoch
-		res := apply(Command{Register: &VM{ID: "vm1", Life: x.after, Service: "desk"}})
-		assert.Equal(t, s.VM("vm1").Life, x.after)
+		res := apply(Command{Register: &VM{ID: "vm1", Incarnation: x.after, Service: "desk"}})
+		assert.Equal(t, s.VM("vm1").Incarnation, x.after)
 		assert.Equal(t, len(res.Gone) == 0, x.goesOn, "%v", x)
 		assert.Equal(t, s.VM("vm1").Epoch == epoch, x.goesOn, "%v", x)
 	}
@@ -75,7 +75,7 @@
 // TestOpenCaseOfStart has the lease of a start run out, under which a task had begun. The
 // next start under the id shows that it was a crash, the same one that it was none.
 func TestOpenCaseOfStart(t *testing.T) {
-	first, second := rudderfork.LifeName("i-1", 1000), rudderfork.LifeName("i-1", 2000)
+	first, second := rudderfork.IncarnationName("i-1", 1000), rudderfork.IncarnationName("i-1", 2000)
 	k := TaskKey{Job: "j"}
 	for back, crashes := range map[string]int{first: 0, second: 1} {
 		s := New()
@@ -84,12 +84,12 @@
 			Version: 1, Queues: []Queue{{Name: "q", Host: "h", Prefix: "/q/", Service: "desk", MaxAttempts: 3}}, Pools: []Pool{{Service: "desk"}},
 		}})
 		apply(Command{Submit: &Submit{Host: "h", Path: "/q/j", Spec: Spec{Steps: []Step{{Count: 1}}}}})
-		apply(Command{Register: &VM{ID: "vm1", Life: first, Service: "desk"}})
-		apply(Command{Starts: []Start{{Task: k, VM: "vm1", Life: first}}})
-		seen := &Crash{Life: first, Runs: []RunAge{{Task: k, Run: 1, AgeMS: 5, Seen: true}}}
-		apply(Command{Lost: &Lost{VM: "vm1", Life: first, Crash: seen}})
+		apply(Command{Register: &VM{ID: "vm1", Incarnation: first, Service: "desk"}})
+		apply(Command{Starts: []Start{{Task: k, VM: "vm1", Incarnation: first}}})
+		seen := &Crash{Incarnation: first, Runs: []RunAge{{Task: k, Run: 1, AgeMS: 5, Seen: true}}}
+		apply(Command{Lost: &Lost{VM: "vm1", Incarnation: first, Crash: seen}})
 		assert.Equal(t, s.Job("j").Task(k).Doubts, 1)
-		apply(Command{Register: &VM{ID: "vm1", Life: back, Service: "desk"}})
+		apply(Command{Register: &VM{ID: "vm1", Incarnation: back, Service: "desk"}})
 		assert.Equal(t, s.Job("j").Task(k).Doubts, 0)
 		assert.Equal(t, s.Job("j").Task(k).Crashes, crashes, back)
 	}
--- a/queue/vms_test.go
+++ b/queue/vms_test.go
@@ -13,12 +13,12 @@
 func TestVMs(t *testing.T) {
 	s := New()
 	for i, id := range []rudderfork.VMID{"c", "a", "b", "a", "c"} {
-		s.Apply(Command{Register: &VM{ID: id, Life: string(id) + string(rune('0'+i))}}, 1)
+		s.Apply(Command{Register: &VM{ID: id, Incarnation: string(id) + string(rune('0'+i))}}, 1)
 	}
 	lives := func(s *State) (list []string) {
 		for _, vm := range s.VMs() {
 			assert.Equal(t, s.VM(vm.ID), vm)
-			list = append(list, vm.Life)
+			list = append(list, vm.Incarnation)
 		}
 		return list
 	}
--- a/queue/wave.go
+++ b/queue/wave.go
@@ -22,10 +22,10 @@
 // UpkeepNote notes that a machine's upkeep in a wave has begun, or that the
 // machine is gone.
 type UpkeepNote struct {
-	Wave    uint64 `cbor:"1,keyasint"`
-	Machine string `cbor:"2,keyasint"`
-	Gone    bool   `cbor:"3,keyasint,omitempty"`
-	Life    string `cbor:"4,keyasint,omitempty"` // of the executor that ends with it; "" if none is known
+	Wave        uint64 `cbor:"1,keyasint"`
+	Machine     string `cbor:"2,keyasint"`
+	Gone        bool   `cbor:"3,keyasint,omitempty"`
+	Incarnation string `cbor:"4,keyasint,omitempty"` // of the executor that ends with it; "" if none is known
 }
 
 // Left returns the machines whose upkeep is still to begin.
@@ -75,7 +75,7 @@
 
 func (s *State) noteUpkeep(n UpkeepNote) Result {
 	if !n.Gone {
-		s.endPlanned(n.Life)
+		s.endPlanned(n.Incarnation)
 	}
 	w := s.Wave(n.Wave)
 	if w == nil || !slices.Contains(w.Left(), n.Machine) {
--- a/runner/calls.go
+++ b/runner/calls.go
@@ -63,7 +63,7 @@
 	if a.keeper.Life() != life {
 		return // it concerned a life that is over
 	}
-	if errors.Is(err, rudderfork.ErrOtherLife) {
+	if errors.Is(err, rudderfork.ErrStaleIncarnation) {
 		a.replaced()
 		return
 	}
--- a/runner/crash.go
+++ b/runner/crash.go
@@ -46,7 +46,7 @@
 	if at.IsZero() {
 		at = steady.Now()
 	}
-	c := &queue.Crash{Life: a.keeper.Life(), Draining: a.draining}
+	c := &queue.Crash{Incarnation: a.keeper.Life(), Draining: a.draining}
 	known := map[rudderfork.RunRef]bool{}
 	add := func(ref rudderfork.RunRef, ageMS int64, seen bool) {
 		if k, err := queue.ParseTaskKey(string(ref.Task)); err == nil && !known[ref] {
--- a/runner/late_model_test.go
+++ b/runner/late_model_test.go
@@ -74,7 +74,7 @@
 
 // sameID names a life that has the id of all others. Clocks that are set back may have a
 // later one say that it began sooner.
-func sameID(i int) string { return rudderfork.LifeName("i-1", int64((i+1)*619%1000)) }
+func sameID(i int) string { return rudderfork.IncarnationName("i-1", int64((i+1)*619%1000)) }
 
 func newLateModel(t *rapid.T, name func(life int) string) *lateModel {
 	m := &lateModel{t: t, name: name, state: queue.New(), registered: -1}
@@ -153,11 +153,11 @@
 		m.air = slices.Delete(m.air, i, i+1)
 	}
 	if c.farewell {
-		id, _ := rudderfork.SplitLife(m.name(c.life))
+		id, _ := rudderfork.SplitIncarnation(m.name(c.life))
 		m.a.Gone(id)
 		return
 	}
-	m.a.Describe(queue.VM{ID: modelVM, Life: m.name(c.life), Service: "desk"}, c.draining, time.Minute)
+	m.a.Describe(queue.VM{ID: modelVM, Incarnation: m.name(c.life), Service: "desk"}, c.draining, time.Minute)
 }
 
 // confirm has the agent ask about one of the lives that it heard of.
@@ -226,7 +226,7 @@
 	case msg.Ends != nil:
 		m.apply(queue.Command{Ends: &msg.Ends.Ends})
 		if msg.Ends.Left {
-			m.apply(queue.Command{Lost: &queue.Lost{VM: modelVM, Life: msg.Ends.Ends.Life}})
+			m.apply(queue.Command{Lost: &queue.Lost{VM: modelVM, Incarnation: msg.Ends.Ends.Incarnation}})
 		}
 		if i == len(m.sessions)-1 {
 			ses.agent.Handle(wire.ToQueueNode{Noted: &wire.Noted{Seq: msg.Ends.Seq}})
@@ -245,7 +245,7 @@
 		return
 	}
 	m.apply(queue.Command{Register: &vm})
-	m.apply(queue.Command{Starts: []queue.Start{{Task: queue.TaskKey{Job: "feed"}, VM: modelVM, Life: vm.Life}}})
+	m.apply(queue.Command{Starts: []queue.Start{{Task: queue.TaskKey{Job: "feed"}, VM: modelVM, Incarnation: vm.Incarnation}}})
 }
 
 // index returns the place of a life among all, or -1 for none.
@@ -270,7 +270,7 @@
 	if vm == nil {
 		return
 	}
-	registered := m.index(vm.Life)
+	registered := m.index(vm.Incarnation)
 	assert.Assert(t, registered >= m.registered, "the leader went from life %d back to %d", m.registered, registered)
 	m.registered = registered
 	if registered == m.life {
@@ -282,7 +282,7 @@
 // calm lets what the present life says arrive, and then all that is late.
 func (m *lateModel) calm(t *rapid.T) {
 	m.mute, m.dies = false, false
-	m.a.Describe(queue.VM{ID: modelVM, Life: m.name(m.life), Service: "desk"}, false, 0)
+	m.a.Describe(queue.VM{ID: modelVM, Incarnation: m.name(m.life), Service: "desk"}, false, 0)
 	for _, life := range m.a.unconfirmed() {
 		m.a.confirm(context.Background(), life)
 	}
@@ -296,7 +296,7 @@
 	}
 	m.forget(t)
 	for _, c := range m.air {
-		m.a.Describe(queue.VM{ID: modelVM, Life: m.name(c.life), Service: "desk"}, false, 0)
+		m.a.Describe(queue.VM{ID: modelVM, Incarnation: m.name(c.life), Service: "desk"}, false, 0)
 	}
 	for _, life := range m.a.unconfirmed() {
 		m.a.confirm(context.Background(), life)
--- a/runner/late_test.go
+++ b/runner/late_test.go
@@ -85,7 +85,7 @@
 
 // hear has the life describe itself, and the agent ask about all that have.
 func (a *Agent) hear(ctx context.Context, life string) {
-	a.Describe(queue.VM{ID: "vm1", Life: life, Service: "desk"}, false, 0)
+	a.Describe(queue.VM{ID: "vm1", Incarnation: life, Service: "desk"}, false, 0)
 	for _, l := range a.unconfirmed() {
 		a.confirm(ctx, l)
 	}
@@ -96,7 +96,7 @@
 func TestWrongAnswer(t *testing.T) {
 	wrongOnce := func(_ context.Context, n int) error {
 		if n == 1 {
-			return rudderfork.ErrOtherLife
+			return rudderfork.ErrStaleIncarnation
 		}
 		return nil
 	}
@@ -185,7 +185,7 @@
 }
 
 func (w *lateWorld) describe(life string, draining bool) {
-	w.a.Describe(queue.VM{ID: "vm1", Life: life, Service: "desk"}, draining, 0)
+	w.a.Describe(queue.VM{ID: "vm1", Incarnation: life, Service: "desk"}, draining, 0)
 }
 
 // late has a heartbeat of the old life arrive, and waits until the agent has
@@ -212,7 +212,7 @@
 	w.t.Helper()
 	for range n {
 		b := w.ses.until(isBeat).Beat
-		assert.Equal(w.t, b.VM.Life, newLife)
+		assert.Equal(w.t, b.VM.Incarnation, newLife)
 		assert.Assert(w.t, !b.Draining, "the old life drained")
 		w.ses.send(wire.ToQueueNode{Pong: 1}) // an agent leaves a silent leader
 	}
@@ -268,6 +268,6 @@
 		w.exec.Restart("")
 		left := w.ses.until(func(m wire.FromNode) bool { return m.Ends != nil }).Ends
 		assert.Assert(t, left.Left)
-		assert.Equal(t, left.Ends.Life, newLife)
+		assert.Equal(t, left.Ends.Incarnation, newLife)
 	})
 }
--- a/runner/life.go
+++ b/runner/life.go
@@ -57,17 +57,17 @@
 	now := steady.Now()
 	d := description{vm: vm, draining: draining, leaveAt: now.Add(leave), askUntil: now.Add(askSpan)}
 	switch {
-	case a.isOver(vm.Life, now):
-	case a.known && a.keeper.Life() == vm.Life:
+	case a.isOver(vm.Incarnation, now):
+	case a.known && a.keeper.Life() == vm.Incarnation:
 		if !a.consistent(vm) {
 			return false
 		}
 		a.take(d)
-	case len(a.described) < maxLives || a.described[vm.Life] != nil:
-		if old := a.described[vm.Life]; old != nil {
+	case len(a.described) < maxLives || a.described[vm.Incarnation] != nil:
+		if old := a.described[vm.Incarnation]; old != nil {
 			d.farewell = old.farewell
 		}
-		a.described[vm.Life] = &d
+		a.described[vm.Incarnation] = &d
 		a.askUp.Set()
 	}
 	return true
@@ -91,7 +91,7 @@
 		a.altered, a.alteredSeen = vm, 0
 	}
 	a.alteredSeen++
-	a.log.Warn().Str("life", vm.Life).Str("service", string(vm.Service)).Strs("labels", vm.Labels).
+	a.log.Warn().Str("life", vm.Incarnation).Str("service", string(vm.Service)).Strs("labels", vm.Labels).
 		Int("seen", a.alteredSeen).Msg("executor_altered")
 	return a.alteredSeen >= alteredAfter
 }
@@ -151,7 +151,7 @@
 	d := a.described[life]
 	switch {
 	case d == nil: // it has left meanwhile
-	case errors.Is(err, rudderfork.ErrOtherLife):
+	case errors.Is(err, rudderfork.ErrStaleIncarnation):
 		a.log.Info().Str("life", life).Msg("executor_life_over")
 		a.noteOver(life)
 	case err != nil:
@@ -192,12 +192,12 @@
 // take takes what the present life says of itself. The caller holds mu.
 func (a *Agent) take(d description) {
 	changed := !a.known || !a.vm.Same(d.vm) || a.draining != d.draining
-	if before := a.keeper.Life(); before != d.vm.Life {
-		a.log.Info().Str("life", d.vm.Life).Str("before", before).Stringer("capacity", d.vm.Capacity).
+	if before := a.keeper.Life(); before != d.vm.Incarnation {
+		a.log.Info().Str("life", d.vm.Incarnation).Str("before", before).Stringer("capacity", d.vm.Capacity).
 			Strs("labels", d.vm.Labels).Msg("executor_life")
 		a.noteOver(before)
 		a.noteCrash()
-		a.keeper.Reset(d.vm.Life)
+		a.keeper.Reset(d.vm.Incarnation)
 		a.forget()
 	}
 	if a.draining != d.draining {
@@ -233,7 +233,7 @@
 	if !a.known || a.leaving || !present.leaves(life, now) {
 		return
 	}
-	a.log.Info().Str("life", a.vm.Life).Str("farewell", life).Msg("executor_leaving")
+	a.log.Info().Str("life", a.vm.Incarnation).Str("farewell", life).Msg("executor_leaving")
 	a.leaving = true
 }
 
@@ -241,10 +241,10 @@
 // may come late, from a start before: it counts for a life that has said that it would
 // leave about now.
 func (d *description) leaves(farewell string, now time.Time) bool {
-	if farewell == d.vm.Life {
+	if farewell == d.vm.Incarnation {
 		return true
 	}
-	id, _ := rudderfork.SplitLife(d.vm.Life)
+	id, _ := rudderfork.SplitIncarnation(d.vm.Incarnation)
 	return farewell == id && d.draining && !now.Before(d.leaveAt.Add(-farewellSlack))
 }
 
@@ -253,7 +253,7 @@
 func (a *Agent) depart() {
 	life := a.keeper.Life()
 	a.log.Info().Str("life", life).Msg("executor_gone")
-	a.send(report{ends: queue.Ends{VM: a.vm.ID, Life: life}, left: true})
+	a.send(report{ends: queue.Ends{VM: a.vm.ID, Incarnation: life}, left: true})
 	a.lost()
 }
 
--- a/runner/look.go
+++ b/runner/look.go
@@ -90,7 +90,7 @@
 	if a.keeper.Life() != life {
 		return
 	}
-	if errors.Is(err, rudderfork.ErrOtherLife) {
+	if errors.Is(err, rudderfork.ErrStaleIncarnation) {
 		a.replaced()
 		return
 	}
--- a/runner/report.go
+++ b/runner/report.go
@@ -25,7 +25,7 @@
 		return
 	}
 	delete(a.reports, id)
-	if r.ends.Life != a.keeper.Life() {
+	if r.ends.Incarnation != a.keeper.Life() {
 		return
 	}
 	a.keeper.Noted(r.ends.List)
@@ -62,7 +62,7 @@
 	for _, e := range ends {
 		a.met.ends.WithLabelValues(string(e.How)).Inc()
 	}
-	a.send(report{ends: queue.Ends{VM: a.vm.ID, Life: life, List: ends}, upTo: upTo})
+	a.send(report{ends: queue.Ends{VM: a.vm.ID, Incarnation: life, List: ends}, upTo: upTo})
 }
 
 // send sends a report, and keeps it until it is noted. The caller holds mu.
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -186,8 +186,8 @@
 		a.takePressures(m.Grant.Pressures)
 		a.takeLast(m.Grant.Last)
 		if m.Grant.LeaseMS > 0 {
-			a.takeRegistered(m.Grant.Life)
-			a.keeper.Grant(m.Grant.Life, m.Grant.Epoch, leaseOf(m.Grant))
+			a.takeRegistered(m.Grant.Incarnation)
+			a.keeper.Grant(m.Grant.Incarnation, m.Grant.Epoch, leaseOf(m.Grant))
 		}
 	case m.Orders != nil:
 		a.takePressures(m.Orders.Pressures)
--- a/runner/runner_test.go
+++ b/runner/runner_test.go
@@ -109,7 +109,7 @@
 	for _, s := range a.Services() {
 		go func() { _ = s.Serve(t.Context()) }() // it ends with the test
 	}
-	a.Describe(queue.VM{ID: "vm1", Life: "life-1", Service: "desk", Capacity: room}, false, 0)
+	a.Describe(queue.VM{ID: "vm1", Incarnation: "life-1", Service: "desk", Capacity: room}, false, 0)
 	return a
 }
 
@@ -121,7 +121,7 @@
 	first := l.next()
 	first.until(isBeat)
 	learned := []wire.PairPressure{{Serving: "audio", Filler: "loud", Pressure: 9}}
-	first.send(wire.ToQueueNode{Grant: &wire.VMGrant{Life: "life-1", Pressures: learned}})
+	first.send(wire.ToQueueNode{Grant: &wire.VMGrant{Incarnation: "life-1", Pressures: learned}})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		a.mu.Lock()
 		defer a.mu.Unlock()
@@ -141,8 +141,8 @@
 // has described itself and was ordered to run the given runs.
 func newAgentAlone(running ...rudderfork.RunRef) *Agent {
 	a := New("vm1", func() []string { return nil }, nil, zerolog.Nop())
-	a.take(description{vm: queue.VM{ID: "vm1", Life: "life-1"}})
-	o := wire.Orders{Full: true, Life: "life-1"}
+	a.take(description{vm: queue.VM{ID: "vm1", Incarnation: "life-1"}})
+	o := wire.Orders{Full: true, Incarnation: "life-1"}
 	for _, r := range running {
 		o.Start = append(o.Start, wire.RunOrder{RunRef: r})
 	}
@@ -156,7 +156,7 @@
 	leftOf := func(a *Agent) (life string) {
 		for _, r := range a.reports {
 			if r.left {
-				life = r.ends.Life
+				life = r.ends.Incarnation
 			}
 		}
 		return life
--- a/runner/second_start_test.go
+++ b/runner/second_start_test.go
@@ -12,15 +12,15 @@
 
 // The two starts of the tests' executor, under one id.
 var (
-	firstStart  = rudderfork.LifeName("i-1", 1000)
-	secondStart = rudderfork.LifeName("i-1", 2000)
+	firstStart  = rudderfork.IncarnationName("i-1", 1000)
+	secondStart = rudderfork.IncarnationName("i-1", 2000)
 )
 
 // describe has the agent take what a start of its executor says.
 func describe(a *Agent, life string, draining bool, leave time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	d := description{vm: queue.VM{ID: "vm1", Life: life, Service: "desk"}, draining: draining}
+	d := description{vm: queue.VM{ID: "vm1", Incarnation: life, Service: "desk"}, draining: draining}
 	d.leaveAt = time.Now().Add(leave)
 	a.take(d)
 }
@@ -51,7 +51,7 @@
 		})
 		t.Run(x.name+", before the life is confirmed", func(t *testing.T) {
 			a := newAgentAlone()
-			a.Describe(queue.VM{ID: "vm1", Life: secondStart, Service: "desk"}, x.draining, x.leave)
+			a.Describe(queue.VM{ID: "vm1", Incarnation: secondStart, Service: "desk"}, x.draining, x.leave)
 			a.Gone(x.farewell)
 			assert.Equal(t, a.described[secondStart].farewell, x.believed)
 		})
@@ -68,7 +68,7 @@
 	a.looked(t.Context(), firstStart, rudderfork.Look{ClockMS: 90_000, Ended: []rudderfork.EndRow{end}}, time.Now())
 	assert.Equal(t, len(a.reports), 1)
 	for id, r := range a.reports {
-		assert.Equal(t, r.ends.Life, firstStart)
+		assert.Equal(t, r.ends.Incarnation, firstStart)
 		a.takeNoted(id)
 	}
 	req, life, ok := a.nextLook()
@@ -91,7 +91,7 @@
 	a.beat()
 	assert.Assert(t, a.leaving && len(a.rows) == 1 && len(a.told) == 1)
 
-	second := queue.VM{ID: "vm1", Life: secondStart, Service: "desk", Capacity: rudderfork.Resources{CPUMilli: 8000}, Labels: []string{"b"}}
+	second := queue.VM{ID: "vm1", Incarnation: secondStart, Service: "desk", Capacity: rudderfork.Resources{CPUMilli: 8000}, Labels: []string{"b"}}
 	a.take(description{vm: second})
 	vm, draining := a.Described()
 	assert.DeepEqual(t, vm.Capacity, second.Capacity)
--- a/runner/stutter_test.go
+++ b/runner/stutter_test.go
@@ -15,7 +15,7 @@
 	run := rudderfork.RunRef{Task: "5c0e7a21d94b36f8.0.0.0", Run: 1}
 	a := newAgentAlone()
 	describe(a, firstStart, false, 0)
-	a.keeper.Order(wire.Orders{Life: firstStart, Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: run}}})
+	a.keeper.Order(wire.Orders{Incarnation: firstStart, Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: run}}})
 	look := func(clockMS int64, running ...rudderfork.RunRow) {
 		a.looked(t.Context(), firstStart, rudderfork.Look{ClockMS: clockMS, Running: running}, time.Now())
 	}
--- a/runs/closed_test.go
+++ b/runs/closed_test.go
@@ -13,7 +13,7 @@
 
 // TestClosed holds what becomes of orders once control has nothing more started on the VM.
 func TestClosed(t *testing.T) {
-	closing := wire.Orders{Life: "life-1", Epoch: 1, Closed: true}
+	closing := wire.Orders{Incarnation: "life-1", Epoch: 1, Closed: true}
 	t.Run("a start that was not called is refused", func(t *testing.T) {
 		k := ready(1)
 		k.Order(closing)
@@ -28,7 +28,7 @@
 		_, ends := k.Due(t0)
 		checkEnds(t, ends, queue.EndRefused)
 		k.Grant("life-1", 1, whole(t0.Add(6*time.Second)))
-		k.Order(wire.Orders{Life: "life-1", Epoch: 1, Start: []wire.RunOrder{{RunRef: ref(2)}}})
+		k.Order(wire.Orders{Incarnation: "life-1", Epoch: 1, Start: []wire.RunOrder{{RunRef: ref(2)}}})
 		assert.Assert(t, onlyCall(t, k, t0).Start != nil)
 	})
 	t.Run("what runs is not stopped", func(t *testing.T) {
@@ -63,7 +63,7 @@
 		k.Reset("life-1")
 		k.SetTerm(3)
 		k.SetClock(10_000, t0)
-		k.Order(wire.Orders{Life: "life-1", Epoch: 1, Full: true, Closed: true, Start: []wire.RunOrder{{RunRef: ref(1)}}})
+		k.Order(wire.Orders{Incarnation: "life-1", Epoch: 1, Full: true, Closed: true, Start: []wire.RunOrder{{RunRef: ref(1)}}})
 		k.Grant("life-1", 1, Lease{Until: t0.Add(5 * time.Second), StartBy: t0.Add(5 * time.Second), Closed: true})
 		checkNothingDue(t, k, t0)
 		checkEnds(t, k.Looked(listed(1), t0))
@@ -76,7 +76,7 @@
 func TestStartBy(t *testing.T) {
 	k := ready()
 	k.Grant("life-1", 1, Lease{Until: t0.Add(6 * time.Second), StartBy: t0.Add(5 * time.Second)})
-	k.Order(wire.Orders{Life: "life-1", Epoch: 1, Start: []wire.RunOrder{{RunRef: ref(1)}}})
+	k.Order(wire.Orders{Incarnation: "life-1", Epoch: 1, Start: []wire.RunOrder{{RunRef: ref(1)}}})
 	checkNothingDue(t, k, t0.Add(5*time.Second))
 	_, leased := k.Until(t0.Add(5 * time.Second))
 	assert.Assert(t, leased)
--- a/runs/keeper.go
+++ b/runs/keeper.go
@@ -172,7 +172,7 @@
 // got a new life are for runs that are over, and so are those of an earlier epoch:
 // epochs of a VM only rise. A leader that was outranked may not know what runs.
 func (k *Keeper) Order(o wire.Orders) {
-	if k.outranked() || o.Life != k.life || o.Epoch < k.epoch {
+	if k.outranked() || o.Incarnation != k.life || o.Epoch < k.epoch {
 		return
 	}
 	unsure := o.Full && (!k.synced || k.listed != k.led)
--- a/runs/keeper_test.go
+++ b/runs/keeper_test.go
@@ -31,9 +31,9 @@
 	k.Reset("life-1")
 	k.SetTerm(3)
 	k.SetClock(10_000, t0)
-	k.Order(wire.Orders{Life: "life-1", Epoch: 1, Full: true})
+	k.Order(wire.Orders{Incarnation: "life-1", Epoch: 1, Full: true})
 	for _, run := range starts {
-		k.Order(wire.Orders{Life: "life-1", Epoch: 1, Start: []wire.RunOrder{{RunRef: ref(run), Payload: "p"}}})
+		k.Order(wire.Orders{Incarnation: "life-1", Epoch: 1, Start: []wire.RunOrder{{RunRef: ref(run), Payload: "p"}}})
 	}
 	k.Grant("life-1", 1, whole(t0.Add(5*time.Second)))
 	return k
@@ -88,7 +88,7 @@
 	t.Run("nothing starts without the executor's clock", func(t *testing.T) {
 		k := New()
 		k.Reset("life-1")
-		k.Order(wire.Orders{Life: "life-1", Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: ref(1)}}})
+		k.Order(wire.Orders{Incarnation: "life-1", Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: ref(1)}}})
 		k.Grant("life-1", 1, whole(t0.Add(5*time.Second)))
 		checkNothingDue(t, k, t0)
 	})
@@ -175,7 +175,7 @@
 		k.SetClock(1, t0)
 		k.Looked(running(7), t0)
 		checkNothingDue(t, k, t0)
-		k.Order(wire.Orders{Life: "life-1", Epoch: 1, Full: true})
+		k.Order(wire.Orders{Incarnation: "life-1", Epoch: 1, Full: true})
 		k.Looked(running(7), t0)
 		c := onlyCall(t, k, t0)
 		assert.Equal(t, c.Ref, ref(7))
@@ -213,7 +213,7 @@
 // TestLateStart has a run begin that was thought to be over: a start of it was
 // held back.
 func TestLateStart(t *testing.T) {
-	stopOrder := wire.Orders{Life: "life-1", Epoch: 1, Stop: []rudderfork.RunRef{ref(1)}}
+	stopOrder := wire.Orders{Incarnation: "life-1", Epoch: 1, Stop: []rudderfork.RunRef{ref(1)}}
 	t.Run("after its stop was confirmed it is stopped again", func(t *testing.T) {
 		k := ready(1)
 		onlyCall(t, k, t0)
@@ -300,7 +300,7 @@
 		k := New()
 		k.Reset("life-1")
 		k.SetClock(10_000, t0)
-		k.Order(wire.Orders{Life: "life-1", Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: ref(1)}}})
+		k.Order(wire.Orders{Incarnation: "life-1", Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: ref(1)}}})
 		k.Grant("life-1", 1, whole(t0.Add(5*time.Second)))
 		return k
 	}
@@ -312,7 +312,7 @@
 		k.Stopped(ref(1), nil, t0)
 		checkEnds(t, k.Looked(rudderfork.Look{}, t0.Add(time.Second)), queue.EndGone)
 	})
-	again := wire.Orders{Life: "life-1", Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: ref(1)}}}
+	again := wire.Orders{Incarnation: "life-1", Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: ref(1)}}}
 	for _, why := range []rudderfork.StartOutcome{rudderfork.StartTicket, rudderfork.StartNoRoom} {
 		t.Run("in a later session with the leader a refusal is over at once: "+why.String(), func(t *testing.T) {
 			k := ready()
@@ -351,7 +351,7 @@
 	})
 	t.Run("a run of a job that was cancelled meanwhile is stopped and not started", func(t *testing.T) {
 		k := fullList()
-		k.Order(wire.Orders{Life: "life-1", Epoch: 1, Stop: []rudderfork.RunRef{ref(1)}})
+		k.Order(wire.Orders{Incarnation: "life-1", Epoch: 1, Stop: []rudderfork.RunRef{ref(1)}})
 		checkStops(t, k, 1, t0)
 	})
 	t.Run("a run that is not listed is stopped once it begins", func(t *testing.T) {
@@ -370,7 +370,7 @@
 	k := ready(1)
 	onlyCall(t, k, t0)
 	k.Started(ref(1), rudderfork.Started, nil, t0)
-	k.Order(wire.Orders{Life: "life-1", Epoch: 2, Full: true})
+	k.Order(wire.Orders{Incarnation: "life-1", Epoch: 2, Full: true})
 	t.Run("the lease of the old epoch is void", func(t *testing.T) {
 		_, ok := k.Until(t0)
 		assert.Assert(t, !ok)
@@ -386,18 +386,18 @@
 		// runs, counted as over, began again (TestModel/162).
 		k := ready()
 		k.Reset("life-2")
-		k.Order(wire.Orders{Life: "life-1", Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: ref(1)}}})
+		k.Order(wire.Orders{Incarnation: "life-1", Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: ref(1)}}})
 		assert.Equal(t, len(k.Wanted()), 0)
 	})
 	t.Run("orders of the old one are not taken", func(t *testing.T) {
-		k.Order(wire.Orders{Life: "life-1", Epoch: 1, Start: []wire.RunOrder{{RunRef: ref(2)}}})
+		k.Order(wire.Orders{Incarnation: "life-1", Epoch: 1, Start: []wire.RunOrder{{RunRef: ref(2)}}})
 		assert.Equal(t, len(k.Wanted()), 0)
 	})
 }
 
 func TestStopBeforeStart(t *testing.T) {
 	k := ready(1)
-	k.Order(wire.Orders{Life: "life-1", Epoch: 1, Stop: []rudderfork.RunRef{ref(1)}})
+	k.Order(wire.Orders{Incarnation: "life-1", Epoch: 1, Stop: []rudderfork.RunRef{ref(1)}})
 	c := onlyCall(t, k, t0)
 	assert.Assert(t, c.Start == nil, "a run that was never sent is barred there")
 	k.Stopped(ref(1), nil, t0)
--- a/runs/late_test.go
+++ b/runs/late_test.go
@@ -17,7 +17,7 @@
 	k := ready(1)
 	k.Reset("life-2")
 	k.SetClock(10_000, t0)
-	k.Order(wire.Orders{Life: "life-2", Epoch: 3, Full: true, Start: []wire.RunOrder{{RunRef: ref(2)}}})
+	k.Order(wire.Orders{Incarnation: "life-2", Epoch: 3, Full: true, Start: []wire.RunOrder{{RunRef: ref(2)}}})
 	k.Grant("life-2", 3, whole(t0.Add(5*time.Second)))
 	onlyCall(t, k, t0)
 	k.Started(ref(2), rudderfork.Started, nil, t0)
@@ -41,7 +41,7 @@
 func TestLateOrders(t *testing.T) {
 	late := func(life string, epoch uint64, full bool) wire.Orders {
 		return wire.Orders{
-			Life: life, Epoch: epoch, Full: full,
+			Incarnation: life, Epoch: epoch, Full: full,
 			Start: []wire.RunOrder{{RunRef: ref(1)}, {RunRef: rudderfork.RunRef{Task: "j.0.0.9", Run: 1}}}, Stop: []rudderfork.RunRef{ref(2)},
 		}
 	}
@@ -74,7 +74,7 @@
 		assert.Equal(t, k.Fence(), uint64(3))
 		t.Run("and then the present one again", func(t *testing.T) {
 			k.SetTerm(3)
-			k.Order(wire.Orders{Life: "life-2", Epoch: 3, Stop: []rudderfork.RunRef{ref(2)}})
+			k.Order(wire.Orders{Incarnation: "life-2", Epoch: 3, Stop: []rudderfork.RunRef{ref(2)}})
 			assert.Assert(t, onlyCall(t, k, t0.Add(time.Second)).Start == nil)
 		})
 	})
--- a/runs/liveness_test.go
+++ b/runs/liveness_test.go
@@ -88,7 +88,7 @@
 		return nil
 	}
 	if l.one(l.odd.misleads) {
-		return rudderfork.ErrOtherLife
+		return rudderfork.ErrStaleIncarnation
 	}
 	if l.one(l.odd.partials) {
 		look.Partial = true
--- a/runs/model_test.go
+++ b/runs/model_test.go
@@ -172,7 +172,7 @@
 
 func (v *vm) nextLife() string {
 	v.lives++
-	return rudderfork.LifeName(fmt.Sprintf("%s-life-%d", v.id, v.lives), firstBorn)
+	return rudderfork.IncarnationName(fmt.Sprintf("%s-life-%d", v.id, v.lives), firstBorn)
 }
 
 func (v *vm) fate(string) executor.Fate {
@@ -294,7 +294,7 @@
 func (s *site) lead() {
 	for _, vm := range s.state.VMs() {
 		if vm.Live && s.grantor(vm.ID).TryExpire(s.now, s.lease) {
-			s.apply(queue.Command{Lost: &queue.Lost{VM: vm.ID, Life: vm.Life}})
+			s.apply(queue.Command{Lost: &queue.Lost{VM: vm.ID, Incarnation: vm.Incarnation}})
 		}
 	}
 	view := dispatch.View{Now: rudderfork.Millis(s.now), VMs: map[rudderfork.VMID]dispatch.VMView{}}
@@ -365,13 +365,13 @@
 		v.send(v.unnoted, 0) // again, as package runner does
 	}
 	sent, number, crash, has := v.now(), v.number, v.crash, v.keeper.Epoch()
-	desc := queue.VM{ID: v.id, Domain: v.domain, Life: v.keeper.Life(), Service: "desk", Capacity: rudderfork.Resources{CPUMilli: v.told}}
+	desc := queue.VM{ID: v.id, Domain: v.domain, Incarnation: v.keeper.Life(), Service: "desk", Capacity: rudderfork.Resources{CPUMilli: v.told}}
 	v.post(&v.toLeader, func() { v.leaderBeat(number, sent, desc, crash, has) })
 }
 
 // seeCrash notes what the agent knows of the life that is over, as package runner does.
 func (v *vm) seeCrash() {
-	v.crash = &queue.Crash{Life: v.keeper.Life()}
+	v.crash = &queue.Crash{Incarnation: v.keeper.Life()}
 	for _, ref := range slices.SortedFunc(maps.Keys(v.begun), byTask) {
 		k, err := queue.ParseTaskKey(string(ref.Task))
 		assert.NilError(v.s.t, err)
@@ -424,7 +424,7 @@
 	if left := g.Grant(s.contact, s.now, s.lease); left > 0 {
 		epoch := known.Epoch
 		lease := runs.Lease{Until: sent.Add(left), StartBy: sent.Add(left - s.lease + startSpan), Closed: s.state.Evacuating(v.domain)}
-		v.post(&v.toAgent, func() { v.keeper.Grant(desc.Life, epoch, lease) })
+		v.post(&v.toAgent, func() { v.keeper.Grant(desc.Incarnation, epoch, lease) })
 	}
 }
 
@@ -442,7 +442,7 @@
 }
 
 func (v *vm) sendOrders(full bool) {
-	o := wire.Orders{Life: v.s.state.VM(v.id).Life, Epoch: v.epoch, Full: full, Closed: v.s.state.Evacuating(v.domain)}
+	o := wire.Orders{Incarnation: v.s.state.VM(v.id).Incarnation, Epoch: v.epoch, Full: full, Closed: v.s.state.Evacuating(v.domain)}
 	active := map[rudderfork.RunRef]bool{}
 	for k, run := range v.s.state.VM(v.id).Runs() {
 		ref := rudderfork.RunRef{Task: rudderfork.TaskID(k.String()), Run: run}
@@ -481,7 +481,7 @@
 	if err == nil && v.s.onLook != nil {
 		err = v.s.onLook(&look)
 	}
-	if errors.Is(err, rudderfork.ErrOtherLife) {
+	if errors.Is(err, rudderfork.ErrStaleIncarnation) {
 		v.seeCrash()
 		v.keeper.Reset(v.exec.Life())
 		v.keeper.SetRoom(rudderfork.Resources{CPUMilli: v.told})
@@ -522,7 +522,7 @@
 		if number < v.spoken {
 			return // the session was left
 		}
-		res := v.s.apply(queue.Command{Ends: &queue.Ends{VM: v.id, Life: life, List: ends}})
+		res := v.s.apply(queue.Command{Ends: &queue.Ends{VM: v.id, Incarnation: life, List: ends}})
 		for i, e := range ends {
 			if res.Taken[i] && e.How == queue.EndDone {
 				v.s.done[rudderfork.TaskID(e.Task.String())] = true
--- a/runs/overdue_test.go
+++ b/runs/overdue_test.go
@@ -23,7 +23,7 @@
 	t.Run("no clock", func(t *testing.T) {
 		k := New()
 		k.Reset("life-1")
-		k.Order(wire.Orders{Life: "life-1", Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: ref(1)}}})
+		k.Order(wire.Orders{Incarnation: "life-1", Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: ref(1)}}})
 		check(t, k, "the executor's clock is not known")
 	})
 	t.Run("no lease", func(t *testing.T) {
--- a/runs/stop_test.go
+++ b/runs/stop_test.go
@@ -39,8 +39,8 @@
 	s.keeper.Reset("life-1")
 	s.keeper.SetTerm(1)
 	s.keeper.SetClock(1, s.now)
-	s.keeper.Order(wire.Orders{Life: "life-1", Epoch: 1, Full: true})
-	s.keeper.Order(wire.Orders{Life: "life-1", Epoch: 1, Start: starts})
+	s.keeper.Order(wire.Orders{Incarnation: "life-1", Epoch: 1, Full: true})
+	s.keeper.Order(wire.Orders{Incarnation: "life-1", Epoch: 1, Start: starts})
 	s.keeper.Grant("life-1", 1, runs.Lease{Until: s.now.Add(longLease), StartBy: s.now.Add(longLease)})
 	s.step()
 	assert.Equal(t, len(s.exec.Running()), len(starts))
@@ -82,9 +82,9 @@
 	}
 	for _, stopTime := range []time.Duration{200 * time.Millisecond, 400 * time.Millisecond} {
 		for name, o := range map[string]wire.Orders{
-			"ordered":                {Life: "life-1", Epoch: 1, Stop: refs},
-			"not in the next epoch":  {Life: "life-1", Epoch: 2, Full: true},
-			"no more in a full list": {Life: "life-1", Epoch: 1, Full: true},
+			"ordered":                {Incarnation: "life-1", Epoch: 1, Stop: refs},
+			"not in the next epoch":  {Incarnation: "life-1", Epoch: 2, Full: true},
+			"no more in a full list": {Incarnation: "life-1", Epoch: 1, Full: true},
 		} {
 			t.Run(fmt.Sprintf("%s, %v", name, stopTime), func(t *testing.T) {
 				s := newStopSite(t, stopTime, starts)
--- a/scheduler/advice.go
+++ b/scheduler/advice.go
@@ -77,7 +77,7 @@
 		}
 		valid := map[rudderfork.VMID]string{}
 		for id, t := range l.tickets {
-			if vm := s.VM(id); vm != nil && vm.Life == t.life && now.Before(t.until) {
+			if vm := s.VM(id); vm != nil && vm.Incarnation == t.life && now.Before(t.until) {
 				valid[id] = t.text
 			}
 		}
@@ -158,8 +158,8 @@
 	s.rep.View(func(st *state.State) {
 		for _, id := range ask.VMs {
 			if vm := st.Queues().VM(id); vm != nil {
-				vms[vm.Life] = id
-				names = append(names, vm.Life)
+				vms[vm.Incarnation] = id
+				names = append(names, vm.Incarnation)
 			}
 		}
 		j := st.Queues().Job(ask.Step.Job)
--- a/scheduler/beside_test.go
+++ b/scheduler/beside_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-var lonely = queue.VM{ID: "vm1", Life: "vm1-life-1", Domain: "hall", Service: "desk"}
+var lonely = queue.VM{ID: "vm1", Incarnation: "vm1-life-1", Domain: "hall", Service: "desk"}
 
 // TestHeartbeatWaitsForReport guards against a VM that is given up while its agent's
 // reports wait for their commits.
@@ -80,7 +80,7 @@
 	c := h.agentOf(lonely)
 	h.hold()
 	last := h.rep.Status().Last
-	ends := queue.Ends{VM: lonely.ID, Life: lonely.Life, List: []queue.End{{Task: queue.TaskKey{Job: "j"}, Run: 1, How: queue.EndDone}}}
+	ends := queue.Ends{VM: lonely.ID, Incarnation: lonely.Incarnation, List: []queue.End{{Task: queue.TaskKey{Job: "j"}, Run: 1, How: queue.EndDone}}}
 	assert.NilError(t, c.Send(h.ctx, wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: ends}}))
 	h.until("the report is proposed", func() bool { return h.rep.Status().Last > last })
 	h.beat(c, lonely, 2)
@@ -96,7 +96,7 @@
 	vm := lonely
 	vm.Capacity.CPUMilli = small.Size.CPUMilli
 	c := h.agentOf(vm)
-	h.do(queue.Command{Register: &queue.VM{ID: "gone", Life: "life"}})
+	h.do(queue.Command{Register: &queue.VM{ID: "gone", Incarnation: "life"}})
 	h.do(queue.Command{Document: &queue.Document{
 		Version: 1, Queues: []queue.Queue{{Name: "q", Host: host, Prefix: "/q/", Service: "desk", MaxAttempts: 2}},
 		Pools: []queue.Pool{{Service: "desk"}},
--- a/scheduler/calm_vm_test.go
+++ b/scheduler/calm_vm_test.go
@@ -36,7 +36,7 @@
 
 func (v *calmVM) nextLife() string {
 	v.lives++
-	return rudderfork.LifeName(fmt.Sprintf("%s-life-%d", v.name, v.lives), calmBorn)
+	return rudderfork.IncarnationName(fmt.Sprintf("%s-life-%d", v.name, v.lives), calmBorn)
 }
 
 // draw returns a time below a limit.
@@ -85,7 +85,7 @@
 		a := v.agent
 		v.mu.Unlock()
 		room := rudderfork.Resources{CPUMilli: v.room.Load(), MemoryMB: 1000}
-		a.Describe(queue.VM{ID: rudderfork.VMID(v.name), Domain: domainOf(v.name), Life: v.exec.Life(), Service: "desk", Capacity: room}, false, 0)
+		a.Describe(queue.VM{ID: rudderfork.VMID(v.name), Domain: domainOf(v.name), Incarnation: v.exec.Life(), Service: "desk", Capacity: room}, false, 0)
 		steady.Pause(v.s.ctx, 50*time.Millisecond)
 	}
 }
@@ -101,7 +101,7 @@
 // Look implements rudderfork.Executor.
 func (v *calmVM) Look(ctx context.Context, life string, req rudderfork.LookRequest) (rudderfork.Look, error) {
 	if v.isMisled() {
-		return rudderfork.Look{}, rudderfork.ErrOtherLife
+		return rudderfork.Look{}, rudderfork.ErrStaleIncarnation
 	}
 	look, err := v.exec.Look(ctx, life, req)
 	if v.s.faulty.Load() && v.draw(10) == 0 {
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -143,7 +143,7 @@
 
 // take notes a VM's heartbeat.
 func (f *fleet) take(v *vmInfo, b wire.VMBeat, now time.Time) {
-	if v.beat.VM.Life != b.VM.Life {
+	if v.beat.VM.Incarnation != b.VM.Incarnation {
 		for k := range v.rows {
 			f.dropRow(v, k)
 		}
@@ -395,8 +395,8 @@
 		return
 	}
 	// One that was lost first was counted then.
-	if v, old := f.vm(vm.ID), s.VM(vm.ID); v.crashedLife != old.Life && v.lostEpoch != old.Epoch {
-		v.crashedLife = old.Life
+	if v, old := f.vm(vm.ID), s.VM(vm.ID); v.crashedLife != old.Incarnation && v.lostEpoch != old.Epoch {
+		v.crashedLife = old.Incarnation
 		v.addCrash(now)
 	}
 	for _, k := range tasks {
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -47,7 +47,7 @@
 func TestRows(t *testing.T) {
 	key, at := queue.TaskKey{Job: "j"}, steady.Now()
 	report := func(f *fleet, life string, run uint32, percent int, checkpoint string) {
-		f.take(f.vm("vm1"), wire.VMBeat{VM: queue.VM{ID: "vm1", Life: life}, Rows: []rudderfork.RunRow{
+		f.take(f.vm("vm1"), wire.VMBeat{VM: queue.VM{ID: "vm1", Incarnation: life}, Rows: []rudderfork.RunRow{
 			{RunRef: key.Ref(run), Percent: percent, Checkpoint: checkpoint},
 		}}, at)
 	}
@@ -64,15 +64,15 @@
 	t.Run("a run that is over is forgotten, with its checkpoint", func(t *testing.T) {
 		qs, f := stateWithRun(t), newFleet()
 		report(f, "life-1", 1, 10, "old")
-		qs.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Life: "life-1", List: []queue.End{{Task: key, Run: 1, How: queue.EndStopped}}}}, 2)
-		qs.Apply(queue.Command{Starts: []queue.Start{{Task: key, VM: "vm1", Life: "life-1"}}}, 2)
+		qs.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Incarnation: "life-1", List: []queue.End{{Task: key, Run: 1, How: queue.EndStopped}}}}, 2)
+		qs.Apply(queue.Command{Starts: []queue.Start{{Task: key, VM: "vm1", Incarnation: "life-1"}}}, 2)
 		assert.Equal(t, len(f.view(qs, at).Runs), 0)
 		assert.Equal(t, len(f.vm("vm1").checkpoints()), 0)
 	})
 	t.Run("a new life has none of the old one's", func(t *testing.T) {
 		f := newFleet()
 		report(f, "life-1", 1, 10, "old")
-		f.take(f.vm("vm1"), wire.VMBeat{VM: queue.VM{ID: "vm1", Life: "life-2"}}, at)
+		f.take(f.vm("vm1"), wire.VMBeat{VM: queue.VM{ID: "vm1", Incarnation: "life-2"}}, at)
 		assert.Equal(t, len(f.runs), 0)
 		assert.Equal(t, len(f.vm("vm1").checkpoints()), 0)
 	})
--- a/scheduler/last_test.go
+++ b/scheduler/last_test.go
@@ -34,6 +34,6 @@
 func (p *speaker) end(job rudderfork.JobID, index int) {
 	p.s.t.Helper()
 	assert.NilError(p.s.t, p.conn.Send(p.s.ctx, wire.FromNode{Ends: &wire.EndsReport{Seq: uint64(index) + 1, Ends: queue.Ends{
-		VM: lateVM, Life: newLife, List: []queue.End{{Task: queue.TaskKey{Job: job, Index: index}, Run: 1, How: queue.EndDone}},
+		VM: lateVM, Incarnation: newLife, List: []queue.End{{Task: queue.TaskKey{Job: job, Index: index}, Run: 1, How: queue.EndDone}},
 	}}}))
 }
--- a/scheduler/late_model_test.go
+++ b/scheduler/late_model_test.go
@@ -63,7 +63,7 @@
 
 // farewell is the agent's report that the present life has left.
 func (m *lateSessions) farewell() {
-	m.send(wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: queue.Ends{VM: m.vm, Life: lateLife(m.life)}, Left: true}})
+	m.send(wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: queue.Ends{VM: m.vm, Incarnation: lateLife(m.life)}, Left: true}})
 	m.life++
 }
 
@@ -86,7 +86,7 @@
 	}
 	registered := -1
 	for i := range m.life + 1 {
-		if lateLife(i) == vm.Life {
+		if lateLife(i) == vm.Incarnation {
 			registered = i
 		}
 	}
--- a/scheduler/late_test.go
+++ b/scheduler/late_test.go
@@ -65,7 +65,7 @@
 
 func beatOf(life string) wire.VMBeat {
 	return wire.VMBeat{Sent: steady.Now().UnixNano(), VM: queue.VM{
-		ID: lateVM, Domain: "hall", Life: life, Service: "desk", Capacity: rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000},
+		ID: lateVM, Domain: "hall", Incarnation: life, Service: "desk", Capacity: rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000},
 	}}
 }
 
@@ -138,7 +138,7 @@
 	assert.Equal(s.t, len(p.stopped), 0)
 	s.sched.rep.View(func(st *state.State) {
 		vm := st.Queues().VM(lateVM)
-		assert.Equal(s.t, vm.Life, newLife)
+		assert.Equal(s.t, vm.Incarnation, newLife)
 		assert.Equal(s.t, vm.Epoch, epoch)
 		assert.Assert(s.t, vm.Live)
 		assert.Equal(s.t, len(vm.Runs()), 1)
@@ -146,7 +146,7 @@
 	s.sched.mu.Lock()
 	defer s.sched.mu.Unlock()
 	v := s.sched.fleet.vm(lateVM)
-	assert.Equal(s.t, v.beat.VM.Life, newLife)
+	assert.Equal(s.t, v.beat.VM.Incarnation, newLife)
 	assert.Assert(s.t, !v.beat.Draining)
 	assert.Equal(s.t, len(v.rows), 0, "a load of the old life's")
 }
@@ -180,14 +180,14 @@
 		s := newSite(t, nil)
 		before, now, epoch := s.speakTwice(oldLife)
 		list := []queue.End{{Task: queue.TaskKey{Job: "feed"}, Run: 1, How: queue.EndFailed}}
-		before.late(wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: queue.Ends{VM: lateVM, Life: oldLife, List: list}, Left: true}})
+		before.late(wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: queue.Ends{VM: lateVM, Incarnation: oldLife, List: list}, Left: true}})
 		s.checkPresent(now, epoch)
 	})
 	t.Run("a refusal of a run that the next process has started", func(t *testing.T) {
 		s := newSite(t, nil)
 		before, now, epoch := s.speakTwice(newLife)
 		list := []queue.End{{Task: queue.TaskKey{Job: "feed"}, Run: 1, How: queue.EndRefused}}
-		before.late(wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: queue.Ends{VM: lateVM, Life: newLife, List: list}}})
+		before.late(wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: queue.Ends{VM: lateVM, Incarnation: newLife, List: list}}})
 		s.checkPresent(now, epoch)
 	})
 	t.Run("after the later session has ended", func(t *testing.T) {
--- a/scheduler/learning_test.go
+++ b/scheduler/learning_test.go
@@ -56,9 +56,9 @@
 
 // admit registers a VM, which is in session.
 func (s *teller) admit(id rudderfork.VMID) *session {
-	vm := queue.VM{ID: id, Life: string(id) + "-life", Service: "desk", Capacity: rudderfork.Resources{CPUMilli: 4_000, MemoryMB: 1_000}}
+	vm := queue.VM{ID: id, Incarnation: string(id) + "-life", Service: "desk", Capacity: rudderfork.Resources{CPUMilli: 4_000, MemoryMB: 1_000}}
 	s.do(queue.Command{Register: &vm})
-	ses := &session{s: s.sched, vm: id, life: vm.Life, epoch: 1, out: make(chan wire.ToQueueNode, outQueue), woken: wakeup.New(), cancel: func() {}}
+	ses := &session{s: s.sched, vm: id, life: vm.Incarnation, epoch: 1, out: make(chan wire.ToQueueNode, outQueue), woken: wakeup.New(), cancel: func() {}}
 	s.sched.mu.Lock()
 	defer s.sched.mu.Unlock()
 	v := s.sched.fleet.vm(id)
@@ -102,7 +102,7 @@
 	told = make(chan error, 1)
 	go func() {
 		told <- s.ses.ends(ctx, wire.EndsReport{Seq: 1, Ends: queue.Ends{
-			VM: "vm1", Life: "vm1-life", List: []queue.End{{Task: tellerTask, Run: 1, How: how}},
+			VM: "vm1", Incarnation: "vm1-life", List: []queue.End{{Task: tellerTask, Run: 1, How: how}},
 		}})
 	}()
 	s.until("the end is proposed", func() bool { return s.sched.rep.Status().Last == last+1 })
--- a/scheduler/liveness_test.go
+++ b/scheduler/liveness_test.go
@@ -427,7 +427,7 @@
 			s.run(c.span)
 			on, run := s.vmOf(k), s.task(k).LastRun
 			s.f.learn(on.id, queue.End{Task: k, Run: run, How: queue.EndFailed}, s.clock())
-			s.apply(queue.Command{Ends: &queue.Ends{VM: on.id, Life: on.lifeName(), List: []queue.End{{Task: k, Run: run, How: queue.EndFailed}}}})
+			s.apply(queue.Command{Ends: &queue.Ends{VM: on.id, Incarnation: on.lifeName(), List: []queue.End{{Task: k, Run: run, How: queue.EndFailed}}}})
 			s.plan()
 			assert.Equal(t, s.vmOf(k) == on, c.there)
 		})
--- a/scheduler/losses_test.go
+++ b/scheduler/losses_test.go
@@ -43,7 +43,7 @@
 	s.until("it leads", rep.Leads)
 	for i := range vms {
 		id := rudderfork.VMID(fmt.Sprintf("vm%02d", i))
-		_, err := rep.Do(s.ctx, state.Command{Queue: &queue.Command{Register: &queue.VM{ID: id, Life: "life"}}})
+		_, err := rep.Do(s.ctx, state.Command{Queue: &queue.Command{Register: &queue.VM{ID: id, Incarnation: "life"}}})
 		assert.NilError(t, err)
 	}
 	sched := New(Settings{Lease: time.Millisecond}, rep, nil, zerolog.Nop(), alone{})
--- a/scheduler/lost_twice_test.go
+++ b/scheduler/lost_twice_test.go
@@ -25,13 +25,13 @@
 		_, err := rep.Do(s.ctx, state.Command{Queue: &c})
 		assert.NilError(t, err)
 	}
-	vm, k := queue.VM{ID: "vm1", Life: "life-1", Service: "desk"}, queue.TaskKey{Job: "feed"}
+	vm, k := queue.VM{ID: "vm1", Incarnation: "life-1", Service: "desk"}, queue.TaskKey{Job: "feed"}
 	do(queue.Command{Document: &queue.Document{
 		Version: 1, Queues: []queue.Queue{{Name: "q", Host: host, Prefix: "/q/", Service: "desk", MaxAttempts: 1}}, Pools: []queue.Pool{{Service: "desk"}},
 	}})
 	do(queue.Command{Submit: &queue.Submit{Host: host, Path: "/q/feed", Spec: queue.Spec{Steps: []queue.Step{{Count: 1, Lasting: true}}}}})
 	do(queue.Command{Register: &vm})
-	do(queue.Command{Starts: []queue.Start{{Task: k, VM: vm.ID, Life: vm.Life}}})
+	do(queue.Command{Starts: []queue.Start{{Task: k, VM: vm.ID, Incarnation: vm.Incarnation}}})
 	sched := New(Settings{Lease: time.Millisecond}, rep, nil, zerolog.Nop(), alone{})
 	sched.startTerm(rep.Status().Term)
 	steady.Pause(s.ctx, 2*roundPause) // until the lease is surely over
--- a/scheduler/orders_test.go
+++ b/scheduler/orders_test.go
@@ -22,9 +22,9 @@
 			Version: 1, Queues: []queue.Queue{{Name: "q", Host: host, Prefix: "/q/", Service: "desk", MaxAttempts: 1}},
 			Pools: []queue.Pool{{Service: "desk"}},
 		}},
-		{Register: &queue.VM{ID: "vm1", Domain: "north", Life: "life-1", Service: "desk", Capacity: rudderfork.Resources{CPUMilli: 4000}}},
+		{Register: &queue.VM{ID: "vm1", Domain: "north", Incarnation: "life-1", Service: "desk", Capacity: rudderfork.Resources{CPUMilli: 4000}}},
 		{Submit: &queue.Submit{Host: host, Path: "/q/j", Spec: queue.Spec{Steps: []queue.Step{small}}}},
-		{Starts: []queue.Start{{Task: key, VM: "vm1", Life: "life-1"}}},
+		{Starts: []queue.Start{{Task: key, VM: "vm1", Incarnation: "life-1"}}},
 	} {
 		assert.Equal(t, qs.Apply(c, 1).Code, queue.OK)
 	}
@@ -101,13 +101,13 @@
 	}
 	t.Run("what concerns other VMs", func(t *testing.T) {
 		qs, ses := told(t)
-		assert.Equal(t, qs.Apply(queue.Command{Register: &queue.VM{ID: "vm2", Life: "life-2", Service: "desk"}}, 2).Code, queue.OK)
+		assert.Equal(t, qs.Apply(queue.Command{Register: &queue.VM{ID: "vm2", Incarnation: "life-2", Service: "desk"}}, 2).Code, queue.OK)
 		ses.s.fleet.setStops([]dispatch.Stop{{Task: key, Run: 1, VM: "vm2"}}, steady.Now())
 		assert.Assert(t, !ses.behind(qs))
 	})
 	t.Run("a run has ended", func(t *testing.T) {
 		qs, ses := told(t)
-		qs.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Life: "life-1", List: []queue.End{{Task: key, Run: 1, How: queue.EndFailed}}}}, 2)
+		qs.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Incarnation: "life-1", List: []queue.End{{Task: key, Run: 1, How: queue.EndFailed}}}}, 2)
 		assert.Assert(t, ses.behind(qs))
 	})
 	t.Run("a run is to be stopped", func(t *testing.T) {
@@ -126,7 +126,7 @@
 	})
 	t.Run("the VM has a new life", func(t *testing.T) {
 		qs, ses := told(t)
-		assert.Equal(t, qs.Apply(queue.Command{Register: &queue.VM{ID: "vm1", Life: "life-2", Service: "desk"}}, 2).Code, queue.OK)
+		assert.Equal(t, qs.Apply(queue.Command{Register: &queue.VM{ID: "vm1", Incarnation: "life-2", Service: "desk"}}, 2).Code, queue.OK)
 		assert.Assert(t, ses.behind(qs))
 	})
 }
--- a/scheduler/refusal_test.go
+++ b/scheduler/refusal_test.go
@@ -60,7 +60,7 @@
 	h.t.Helper()
 	key, err := queue.ParseTaskKey(string(refusedRun.Task))
 	assert.NilError(h.t, err)
-	ends := queue.Ends{VM: vm.ID, Life: vm.Life, List: []queue.End{{Task: key, Run: refusedRun.Run, How: queue.EndRefused}}}
+	ends := queue.Ends{VM: vm.ID, Incarnation: vm.Incarnation, List: []queue.End{{Task: key, Run: refusedRun.Run, How: queue.EndRefused}}}
 	assert.NilError(h.t, c.Send(h.ctx, wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: ends}}))
 }
 
@@ -156,7 +156,7 @@
 	}
 	wg.Go(func() {
 		for ctx.Err() == nil {
-			a.Describe(queue.VM{ID: rudderfork.VMID(name), Domain: domainOf(name), Life: e.Life(), Service: "desk", Capacity: e.Room()}, false, 0)
+			a.Describe(queue.VM{ID: rudderfork.VMID(name), Domain: domainOf(name), Incarnation: e.Life(), Service: "desk", Capacity: e.Room()}, false, 0)
 			steady.Pause(ctx, 50*time.Millisecond)
 		}
 	})
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -220,7 +220,7 @@
 		s.met.lost.Inc()
 	}
 	s.noteGone(l.VM, lifeLapsed, res)
-	s.log.Warn().Str("lost_vm", string(l.VM)).Str("life", l.Life).Str("result", string(res.Code)).Msg("vm_lost")
+	s.log.Warn().Str("lost_vm", string(l.VM)).Str("life", l.Incarnation).Str("result", string(res.Code)).Msg("vm_lost")
 	s.record("vm_lost", string(l.VM), "its lease ran out and it did not come back")
 }
 
@@ -240,7 +240,7 @@
 			}
 			v.losing = true
 			s.fleet.learnLoss(vm, now)
-			list = append(list, loss{queue.Lost{VM: vm.ID, Life: vm.Life, Epoch: vm.Epoch, Checkpoints: v.checkpoints(), Crash: v.beat.Crash}, v})
+			list = append(list, loss{queue.Lost{VM: vm.ID, Incarnation: vm.Incarnation, Epoch: vm.Epoch, Checkpoints: v.checkpoints(), Crash: v.beat.Crash}, v})
 		}
 	})
 	return list
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -145,7 +145,7 @@
 	go func() {
 		for s.ctx.Err() == nil {
 			if l := life(); l != "" {
-				a.Describe(queue.VM{ID: rudderfork.VMID(name), Domain: domainOf(name), Life: l, Service: "desk", Capacity: room}, false, 0)
+				a.Describe(queue.VM{ID: rudderfork.VMID(name), Domain: domainOf(name), Incarnation: l, Service: "desk", Capacity: room}, false, 0)
 			}
 			steady.Pause(s.ctx, 50*time.Millisecond)
 		}
--- a/scheduler/second_start_test.go
+++ b/scheduler/second_start_test.go
@@ -17,14 +17,14 @@
 
 // The two starts of the tests' executor, under one id.
 var (
-	firstStart  = rudderfork.LifeName("i-1", 1000)
-	secondStart = rudderfork.LifeName("i-1", 2000)
+	firstStart  = rudderfork.IncarnationName("i-1", 1000)
+	secondStart = rudderfork.IncarnationName("i-1", 2000)
 )
 
 // stateOf returns a state in which the executor of one VM is in a life.
 func stateOf(life string) *queue.State {
 	s := queue.New()
-	s.Apply(queue.Command{Register: &queue.VM{ID: "vm1", Life: life, Service: "desk"}}, 1)
+	s.Apply(queue.Command{Register: &queue.VM{ID: "vm1", Incarnation: life, Service: "desk"}}, 1)
 	return s
 }
 
@@ -60,10 +60,10 @@
 	f, now := newFleet(), steady.Now()
 	v := f.vm("vm1")
 	row := rudderfork.RunRow{RunRef: rudderfork.RunRef{Task: "j.0.0.0", Run: 1}, Percent: 40}
-	f.take(v, wire.VMBeat{VM: queue.VM{ID: "vm1", Life: firstStart}, Rows: []rudderfork.RunRow{row}}, now)
+	f.take(v, wire.VMBeat{VM: queue.VM{ID: "vm1", Incarnation: firstStart}, Rows: []rudderfork.RunRow{row}}, now)
 	v.addDoubt(doubtStep, now)
 	assert.Equal(t, len(v.rows), 1)
-	f.take(v, wire.VMBeat{VM: queue.VM{ID: "vm1", Life: secondStart}}, now)
+	f.take(v, wire.VMBeat{VM: queue.VM{ID: "vm1", Incarnation: secondStart}}, now)
 	assert.Equal(t, len(v.rows)+len(f.runs), 0)
 	assert.Equal(t, v.doubt, 0.0)
 }
@@ -99,7 +99,7 @@
 	s.submit("after", "work=1ms", queue.Step{Count: 3})
 	s.untilStatus("after", queue.Completed)
 	assert.Equal(t, starts.Load(), int32(2+3+3))
-	s.sched.rep.View(func(st *state.State) { assert.Equal(t, st.Queues().VM("vm1").Life, e.Life()) })
+	s.sched.rep.View(func(st *state.State) { assert.Equal(t, st.Queues().VM("vm1").Incarnation, e.Life()) })
 }
 
 // betweenLooks holds a look back that acknowledges ends, until the executor has started again.
--- a/scheduler/simfleet_test.go
+++ b/scheduler/simfleet_test.go
@@ -80,7 +80,7 @@
 // place starts a task on a VM, whatever a plan would do.
 func (s *simFleet) place(k queue.TaskKey, v *simVM) {
 	s.t.Helper()
-	res := s.apply(queue.Command{Starts: []queue.Start{{Task: k, VM: v.id, Life: v.lifeName()}}})
+	res := s.apply(queue.Command{Starts: []queue.Start{{Task: k, VM: v.id, Incarnation: v.lifeName()}}})
 	assert.Assert(s.t, res.Numbers[0] > 0, "%s was not started on %s", k, v.id)
 }
 
@@ -140,7 +140,7 @@
 
 func (s *simFleet) register(v *simVM, seen *queue.Crash) {
 	vm := queue.VM{
-		ID: v.id, Life: v.lifeName(), Service: "desk", Rack: "r", Capacity: rudderfork.Resources{CPUMilli: 8_000, MemoryMB: 16_000},
+		ID: v.id, Incarnation: v.lifeName(), Service: "desk", Rack: "r", Capacity: rudderfork.Resources{CPUMilli: 8_000, MemoryMB: 16_000},
 	}
 	s.f.learnCrash(s.qs, vm, seen, s.clock())
 	res := s.apply(queue.Command{Crash: seen, Register: &vm})
@@ -161,7 +161,7 @@
 // crash has the executor of a VM begin another life. If the agent saw it, it tells the
 // ages of the runs.
 func (s *simFleet) crash(v *simVM, seen bool) {
-	c := &queue.Crash{Life: v.lifeName()}
+	c := &queue.Crash{Incarnation: v.lifeName()}
 	for k, at := range v.begun {
 		c.Runs = append(c.Runs, queue.RunAge{Task: k.TaskKey, Run: k.Number, AgeMS: s.now.Sub(at).Milliseconds(), Seen: true})
 	}
@@ -191,12 +191,12 @@
 	s.f.vm(v.id).session = nil
 	clear(v.begun)
 	s.f.learnLoss(s.qs.VM(v.id), s.clock())
-	res := s.apply(queue.Command{Lost: &queue.Lost{VM: v.id, Life: v.lifeName()}})
+	res := s.apply(queue.Command{Lost: &queue.Lost{VM: v.id, Incarnation: v.lifeName()}})
 	s.leader().noteGone(v.id, lifeLapsed, res)
 }
 
 func (s *simFleet) beat(v *simVM) {
-	b := wire.VMBeat{VM: queue.VM{ID: v.id, Life: v.lifeName()}}
+	b := wire.VMBeat{VM: queue.VM{ID: v.id, Incarnation: v.lifeName()}}
 	for k, at := range v.begun {
 		if v.mute {
 			break
@@ -245,7 +245,7 @@
 	if len(ends) == 0 {
 		return
 	}
-	res := s.apply(queue.Command{Ends: &queue.Ends{VM: v.id, Life: v.lifeName(), List: ends}})
+	res := s.apply(queue.Command{Ends: &queue.Ends{VM: v.id, Incarnation: v.lifeName(), List: ends}})
 	for i, e := range ends {
 		if res.Taken[i] {
 			s.f.learn(v.id, e, s.clock())
--- a/scheduler/swings_test.go
+++ b/scheduler/swings_test.go
@@ -23,7 +23,7 @@
 	assert.Equal(t, qs.Apply(submit, 1).Code, queue.OK)
 	for i := range tasks {
 		k := queue.TaskKey{Job: "feed", Index: i}
-		qs.Apply(queue.Command{Starts: []queue.Start{{Task: k, VM: "vm1", Life: "life-1"}}}, 1)
+		qs.Apply(queue.Command{Starts: []queue.Start{{Task: k, VM: "vm1", Incarnation: "life-1"}}}, 1)
 	}
 	return qs, f
 }
--- a/scheduler/term_test.go
+++ b/scheduler/term_test.go
@@ -18,7 +18,7 @@
 	const lost = 4 // the later leaders have fewer entries in their place
 	h := newHeldSite(t, Settings{Lease: lease})
 	for i := range lost {
-		h.do(queue.Command{Register: &queue.VM{ID: rudderfork.VMID(fmt.Sprint("gone", i)), Life: "life"}})
+		h.do(queue.Command{Register: &queue.VM{ID: rudderfork.VMID(fmt.Sprint("gone", i)), Incarnation: "life"}})
 	}
 	before := h.rep.Status()
 	release := h.hold()
--- a/scheduler/upkeep.go
+++ b/scheduler/upkeep.go
@@ -206,7 +206,7 @@
 		return nil
 	}
 	for _, vm := range s.VMs() {
-		if known, _ := rudderfork.SplitLife(vm.Life); known == id {
+		if known, _ := rudderfork.SplitIncarnation(vm.Incarnation); known == id {
 			return vm
 		}
 	}
@@ -217,7 +217,7 @@
 func (s *Scheduler) lifeOf(executor string) (life string) {
 	s.rep.View(func(st *state.State) {
 		if vm := vmOfExecutor(st.Queues(), executor); vm != nil {
-			life = vm.Life
+			life = vm.Incarnation
 		}
 	})
 	return life
@@ -274,7 +274,7 @@
 	u.s.log.Info().Uint64("wave", w.ID).Str("machine", name).Int("left", len(w.Left())).AnErr("error", err).Msg("upkeep_ordered")
 	switch {
 	case err == nil, errors.Is(err, rudderfork.ErrNoMachine):
-		note := queue.UpkeepNote{Wave: w.ID, Machine: name, Gone: err != nil, Life: life}
+		note := queue.UpkeepNote{Wave: w.ID, Machine: name, Gone: err != nil, Incarnation: life}
 		if _, err := u.s.do(ctx, queue.Command{Upkeep: &note}); err != nil {
 			u.s.log.Warn().Err(err).Msg("upkeep_not_committed") // it is ordered again, which changes nothing
 		}
--- a/scheduler/views.go
+++ b/scheduler/views.go
@@ -102,7 +102,7 @@
 	for _, vm := range s.VMs() {
 		now := view.VMs[vm.ID]
 		views = append(views, VMView{
-			ID: vm.ID, Service: vm.Service, Domain: vm.Domain, Rack: vm.Rack, Life: vm.Life, Live: vm.Live,
+			ID: vm.ID, Service: vm.Service, Domain: vm.Domain, Rack: vm.Rack, Life: vm.Incarnation, Live: vm.Live,
 			Usable: now.Usable, Draining: now.Draining, Doubt: now.Doubt,
 			Capacity: vm.Capacity, Used: vm.Used(), Runs: len(vm.Runs()),
 		})
--- a/scheduler/vm.go
+++ b/scheduler/vm.go
@@ -32,7 +32,7 @@
 
 // newOrders compares what was sent with what is to run. The caller holds mu.
 func (ses *session) newOrders(qs *queue.State) *wire.Orders {
-	o := &wire.Orders{Epoch: ses.epoch, Life: ses.life}
+	o := &wire.Orders{Epoch: ses.epoch, Incarnation: ses.life}
 	vm := qs.VM(ses.vm)
 	if ses.epoch == 0 || vm == nil || vm.Epoch != ses.epoch || !vm.Live {
 		return o
@@ -150,7 +150,7 @@
 	if !s.leads(ses.term) {
 		return errNotLeading
 	}
-	grant := wire.VMGrant{Sent: b.Sent, Life: b.VM.Life, Epoch: ses.epoch, Closed: s.closed(b.VM.ID)}
+	grant := wire.VMGrant{Sent: b.Sent, Incarnation: b.VM.Incarnation, Epoch: ses.epoch, Closed: s.closed(b.VM.ID)}
 	s.mu.Lock()
 	v := s.fleet.vm(b.VM.ID)
 	if ses.outlived(v) {
@@ -160,7 +160,7 @@
 	fresh := v.session != ses
 	v.session = ses
 	s.fleet.take(v, b, now)
-	if !b.Mute && ses.epoch != 0 && ses.life == b.VM.Life {
+	if !b.Mute && ses.epoch != 0 && ses.life == b.VM.Incarnation {
 		for _, k := range s.fleet.last[b.VM.ID] {
 			grant.Last = append(grant.Last, k.Ref(k.Number))
 		}
@@ -222,7 +222,7 @@
 		return err
 	}
 	ses.s.noteGone(vm.ID, lifeReplaced, res)
-	ses.s.log.Info().Str("registered_vm", string(vm.ID)).Str("life", vm.Life).Stringer("capacity", vm.Capacity).
+	ses.s.log.Info().Str("registered_vm", string(vm.ID)).Str("life", vm.Incarnation).Stringer("capacity", vm.Capacity).
 		Strs("labels", vm.Labels).Msg("vm_registered")
 	ses.s.mu.Lock()
 	ses.s.fleet.vm(vm.ID).lease.AllowGrants()
@@ -242,7 +242,7 @@
 		return err
 	}
 	// What earlier sessions have proposed is committed before this, or never.
-	_, err := ses.s.do(ctx, queue.Command{Ends: &queue.Ends{VM: vm.ID, Life: vm.Life}})
+	_, err := ses.s.do(ctx, queue.Command{Ends: &queue.Ends{VM: vm.ID, Incarnation: vm.Incarnation}})
 	return err
 }
 
@@ -319,7 +319,7 @@
 			return
 		}
 		if ses.epoch != known.Epoch {
-			ses.vm, ses.life, ses.epoch = vm.ID, known.Life, known.Epoch
+			ses.vm, ses.life, ses.epoch = vm.ID, known.Incarnation, known.Epoch
 			ses.sendFull()
 		}
 	})
@@ -354,7 +354,7 @@
 func (ses *session) lacksList(b wire.VMBeat) bool {
 	ses.s.mu.Lock()
 	defer ses.s.mu.Unlock()
-	return b.Epoch != nil && *b.Epoch != ses.epoch && ses.life == b.VM.Life && ses.full && !steady.Now().Before(ses.fullBy)
+	return b.Epoch != nil && *b.Epoch != ses.epoch && ses.life == b.VM.Incarnation && ses.full && !steady.Now().Before(ses.fullBy)
 }
 
 // ends commits the ends that a VM reports, then says so. A session that was left
@@ -373,7 +373,7 @@
 		return err
 	}
 	if r.Left {
-		if err := ses.left(ctx, r.Ends.VM, r.Ends.Life); err != nil {
+		if err := ses.left(ctx, r.Ends.VM, r.Ends.Incarnation); err != nil {
 			return err
 		}
 	}
@@ -404,7 +404,7 @@
 		now, v, vm := steady.Now(), s.fleet.vm(ends.VM), st.Queues().VM(ends.VM)
 		for i, e := range ends.List {
 			worked[i] = v.workedOf(e, now)
-			if vm != nil && vm.Life == ends.Life && vm.Runs()[e.Task] == e.Run {
+			if vm != nil && vm.Incarnation == ends.Incarnation && vm.Runs()[e.Task] == e.Run {
 				s.fleet.learn(ends.VM, e, now)
 			}
 		}
@@ -424,7 +424,7 @@
 // left ends the runs of a life that has left, without waiting for its lease.
 func (ses *session) left(ctx context.Context, vm rudderfork.VMID, life string) error {
 	ses.s.mu.Lock()
-	lost := queue.Lost{VM: vm, Life: life, Checkpoints: ses.s.fleet.vm(vm).checkpoints(), Left: true}
+	lost := queue.Lost{VM: vm, Incarnation: life, Checkpoints: ses.s.fleet.vm(vm).checkpoints(), Left: true}
 	ses.s.mu.Unlock()
 	res, err := ses.s.do(ctx, queue.Command{Lost: &lost})
 	if err != nil {
--- a/scheduler/worktimes_test.go
+++ b/scheduler/worktimes_test.go
@@ -36,7 +36,7 @@
 		st := &qs.Job("j").Spec.Steps[0]
 		other := queue.StepKey{Job: "other"}
 		before := f.worktimes.Expect("q", other, st)
-		qs.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Life: "life-1", List: []queue.End{done}}}, 2)
+		qs.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Incarnation: "life-1", List: []queue.End{done}}}, 2)
 		f.learnWorktime(qs, done, 4000, at)
 		assert.Assert(t, f.worktimes.Expect("q", other, st) > before)
 	})
--- a/standin/executor/executor.go
+++ b/standin/executor/executor.go
@@ -140,7 +140,7 @@
 	for _, r := range e.running {
 		e.tell(r.ref, "crashed")
 	}
-	e.id, e.bornMS = rudderfork.SplitLife(life)
+	e.id, e.bornMS = rudderfork.SplitIncarnation(life)
 	e.born = e.now()
 	e.until, e.fence, e.seq, e.acked = 0, 0, 0, 0
 	e.used = rudderfork.Resources{}
@@ -151,24 +151,24 @@
 // StartAgain begins a new life under the same id. Only an executor that tells when it
 // began may do so: callers know any other by its id alone.
 func (e *Executor) StartAgain() {
-	id, born := rudderfork.SplitLife(e.Life())
+	id, born := rudderfork.SplitIncarnation(e.Life())
 	if born == 0 {
 		panic("an executor that does not tell when it began starts again under its id")
 	}
-	e.Restart(rudderfork.LifeName(id, born+1))
+	e.Restart(rudderfork.IncarnationName(id, born+1))
 }
 
 // Life returns the present life.
 func (e *Executor) Life() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return rudderfork.LifeName(e.id, e.bornMS)
+	return rudderfork.IncarnationName(e.id, e.bornMS)
 }
 
 // meant reports whether a call that is meant for a life reaches the present one, as one
 // that names the id alone does in every life. The caller holds mu.
 func (e *Executor) meant(life string) bool {
-	id, born := rudderfork.SplitLife(life)
+	id, born := rudderfork.SplitIncarnation(life)
 	return id == e.id && (born == 0 || born == e.bornMS)
 }
 
@@ -282,7 +282,7 @@
 	e.catchUp()
 	e.advance()
 	if !e.meant(life) {
-		return rudderfork.ErrOtherLife
+		return rudderfork.ErrStaleIncarnation
 	}
 	switch e.fate(name) {
 	case Unheard:
@@ -303,7 +303,7 @@
 		e.late = append(e.late, c)
 		return ErrNoAnswer
 	case Disowned:
-		return rudderfork.ErrOtherLife
+		return rudderfork.ErrStaleIncarnation
 	case Answered:
 	}
 	do()
@@ -407,7 +407,7 @@
 	deadline := e.now().Add(time.Duration(req.WaitMS) * time.Millisecond)
 	var asked string // the life that was
 	err = e.call("look", life, func() {
-		asked = rudderfork.LifeName(e.id, e.bornMS)
+		asked = rudderfork.IncarnationName(e.id, e.bornMS)
 		e.hold(req)
 	})
 	for err == nil {
@@ -443,7 +443,7 @@
 func (e *Executor) account(asked string) (look rudderfork.Look, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if asked != rudderfork.LifeName(e.id, e.bornMS) {
+	if asked != rudderfork.IncarnationName(e.id, e.bornMS) {
 		return look, ErrNoAnswer
 	}
 	e.catchUp()
--- a/wire/queue.go
+++ b/wire/queue.go
@@ -115,10 +115,10 @@
 // VMGrant answers a VMBeat: the VM may run what it is ordered to for so long
 // from when the beat was sent.
 type VMGrant struct {
-	Sent    int64  `cbor:"1,keyasint"`
-	LeaseMS int64  `cbor:"2,keyasint"`
-	Epoch   uint64 `cbor:"3,keyasint"`
-	Life    string `cbor:"5,keyasint"` // of the executor that it is for
+	Sent        int64  `cbor:"1,keyasint"`
+	LeaseMS     int64  `cbor:"2,keyasint"`
+	Epoch       uint64 `cbor:"3,keyasint"`
+	Incarnation string `cbor:"5,keyasint"` // of the executor that it is for
 
 	Pressures []PairPressure `cbor:"6,keyasint,omitempty"` // that are new or have changed
 
@@ -159,11 +159,11 @@
 // Orders is what a VM is to run. With Full it is all of it, and what is not
 // listed is to be stopped.
 type Orders struct {
-	Epoch uint64              `cbor:"1,keyasint"`
-	Life  string              `cbor:"6,keyasint"` // of the executor that they are for
-	Full  bool                `cbor:"2,keyasint,omitempty"`
-	Start []RunOrder          `cbor:"3,keyasint,omitempty"`
-	Stop  []rudderfork.RunRef `cbor:"4,keyasint,omitempty"`
+	Epoch       uint64              `cbor:"1,keyasint"`
+	Incarnation string              `cbor:"6,keyasint"` // of the executor that they are for
+	Full        bool                `cbor:"2,keyasint,omitempty"`
+	Start       []RunOrder          `cbor:"3,keyasint,omitempty"`
+	Stop        []rudderfork.RunRef `cbor:"4,keyasint,omitempty"`
 
 	Pressures []PairPressure `cbor:"7,keyasint,omitempty"` // that are new or have changed
 
