--- a/scheduler/advice_test.go
+++ b/scheduler/advice_test.go
@@ -14,56 +14,56 @@
 )
 
 // newAdvised is a leader with idle VMs, and a queue with an adviser.
-func newAdvised(t *testing.T, adv *adviser, vms int) *teller {
+func newAdvisedLeader(t *testing.T, adv *fakeAdviser, vms int) *manualLeader {
 	adv.calls = 1 // the first one fails
-	rep := newReplica(t, self)
-	s := &teller{site: &site{t: t, ctx: t.Context()}}
+	rep := newReplica(t, selfMember)
+	s := &manualLeader{testCluster: &testCluster{t: t, ctx: t.Context()}}
 	s.serve(rep)
-	s.until("it leads", rep.Leads)
-	s.sched = New(Settings{Lease: time.Hour}, rep, adv, zerolog.Nop(), alone{})
+	s.waitUntil("it leads", rep.Leads)
+	s.sched = New(Settings{Lease: time.Hour}, rep, adv, zerolog.Nop(), noPeers{})
 	s.sched.startTerm(rep.Status().Term)
-	s.do(queue.Command{Document: &queue.Document{
-		Version: 1, Queues: []queue.Queue{{Name: "q", Host: host, Prefix: "/q/", Service: "desk", MaxAttempts: 2, LatencyMS: 3_600_000, Advice: &queue.Advice{ValidMS: 3_600_000}}},
+	s.commit(queue.Command{Document: &queue.Document{
+		Version: 1, Queues: []queue.Queue{{Name: "q", Host: testHost, Prefix: "/q/", Service: "desk", MaxAttempts: 2, LatencyMS: 3_600_000, Advice: &queue.Advice{ValidMS: 3_600_000}}},
 		Pools: []queue.Pool{{Service: "desk"}},
 	}})
 	for i := range vms {
-		s.admit(rudderfork.VMID(fmt.Sprintf("vm%02d", i)))
+		s.connect(rudderfork.VMID(fmt.Sprintf("vm%02d", i)))
 	}
 	return s
 }
 
 // handIn hands in a job of one task.
-func (s *teller) handIn(id rudderfork.JobID) {
-	s.do(queue.Command{Submit: &queue.Submit{Host: host, Path: "/q/" + string(id), Spec: queue.Spec{Steps: []queue.Step{small}}}})
+func (s *manualLeader) submitJob(id rudderfork.JobID) {
+	s.commit(queue.Command{Submit: &queue.Submit{Host: testHost, Path: "/q/" + string(id), Spec: queue.Spec{Steps: []queue.Step{smallStep}}}})
 }
 
 // advise makes plans, each of which finds the adviser free after a call that took longer
 // than a step rests. It returns after so many calls.
-func (s *teller) advise(calls int) {
+func (s *manualLeader) planWithAdvice(calls int) {
 	s.t.Helper()
 	for range calls {
-		s.planAdvised()
-		s.rest()
+		s.planAndAwaitAdvice()
+		s.expireAdvicePause()
 	}
-	s.planAdvised()
+	s.planAndAwaitAdvice()
 }
 
 // planAdvised makes a plan, and waits for the adviser's answer to what it asks.
-func (s *teller) planAdvised() {
+func (s *manualLeader) planAndAwaitAdvice() {
 	s.t.Helper()
 	s.plan()
-	s.until("the adviser has answered", func() bool { return !s.asking() })
+	s.waitUntil("the adviser has answered", func() bool { return !s.adviserBusy() })
 }
 
 // asking reports whether a call to the adviser is under way.
-func (s *teller) asking() bool {
+func (s *manualLeader) adviserBusy() bool {
 	s.sched.mu.Lock()
 	defer s.sched.mu.Unlock()
 	return s.sched.fleet.advice.busy
 }
 
 // rest lets the time of a rest pass for all steps but the one asked for last.
-func (s *teller) rest() {
+func (s *manualLeader) expireAdvicePause() {
 	s.sched.mu.Lock()
 	defer s.sched.mu.Unlock()
 	newest := time.Time{}
@@ -81,7 +81,7 @@
 }
 
 // started reports whether the task of a job has a run.
-func (s *teller) started(id rudderfork.JobID) (started bool) {
+func (s *manualLeader) hasRun(id rudderfork.JobID) (started bool) {
 	s.sched.rep.View(func(st *state.State) {
 		started = st.Queues().Job(id).ActiveRuns > 0
 	})
@@ -93,35 +93,35 @@
 // TestAdviserIsAskedAboutAllVMs has a step that only the last VM may run, of more than an
 // adviser is asked about at once.
 func TestAdviserIsAskedAboutAllVMs(t *testing.T) {
-	adv := &adviser{allow: func(life string) bool { return life == "vm39-life" }}
-	s := newAdvised(t, adv, 40)
-	s.handIn("job")
-	s.advise(adviserCalls)
-	assert.Assert(t, s.started("job"), "after %d calls about %d VMs at most", adv.calls-1, adv.lives)
+	adv := &fakeAdviser{allow: func(life string) bool { return life == "vm39-life" }}
+	s := newAdvisedLeader(t, adv, 40)
+	s.submitJob("job")
+	s.planWithAdvice(adviserCalls)
+	assert.Assert(t, s.hasRun("job"), "after %d calls about %d VMs at most", adv.calls-1, adv.maxAsked)
 }
 
 // TestAdviserIsAskedForAllSteps has two steps that no VM may run go before one that any
 // may.
 func TestAdviserIsAskedForAllSteps(t *testing.T) {
-	adv := &adviser{}
-	s := newAdvised(t, adv, 2)
+	adv := &fakeAdviser{}
+	s := newAdvisedLeader(t, adv, 2)
 	adv.allowStep = func(step string) bool { return step == "job-3.0.0" }
 	adv.allow = func(string) bool { return true }
 	for _, id := range []rudderfork.JobID{"job-1", "job-2", "job-3"} {
-		s.handIn(id)
+		s.submitJob(id)
 	}
-	s.advise(adviserCalls)
-	assert.Assert(t, s.started("job-3"), "after %d calls", adv.calls-1)
+	s.planWithAdvice(adviserCalls)
+	assert.Assert(t, s.hasRun("job-3"), "after %d calls", adv.calls-1)
 }
 
 // TestWrongAdviceBarsVMs guards against a step that never starts after one answer of its
 // adviser that was not its own or not whole.
 func TestWrongAdviceBarsVMs(t *testing.T) {
-	adv := &adviser{}
-	s := newAdvised(t, adv, 2)
+	adv := &fakeAdviser{}
+	s := newAdvisedLeader(t, adv, 2)
 	wrong := adv.calls + 1
 	adv.allow = func(string) bool { return adv.calls > wrong }
-	s.handIn("job")
-	s.advise(adviserCalls)
-	assert.Assert(t, s.started("job"), "after %d calls", adv.calls-1)
+	s.submitJob("job")
+	s.planWithAdvice(adviserCalls)
+	assert.Assert(t, s.hasRun("job"), "after %d calls", adv.calls-1)
 }
--- a/scheduler/beside_test.go
+++ b/scheduler/beside_test.go
@@ -16,26 +16,26 @@
 
 // heldSite is a site whose commits wait while a gate is closed. Its rounds are made by the
 // test.
-type heldSite struct {
-	*site
+type gatedCluster struct {
+	*testCluster
 	rep   *replica.Replica
-	store *heldStore
+	store *gatedStore
 }
 
-func newHeldSite(t *testing.T, cfg Settings) *heldSite {
-	store := &heldStore{}
-	rep := newReplicaOn(t, func(s replica.Store) replica.Store { store.Store = s; return store }, self)
-	h := &heldSite{site: &site{t: t, ctx: t.Context()}, rep: rep, store: store}
-	h.sched = New(cfg, rep, nil, zerolog.Nop(), alone{})
-	h.addr = listen(t, h.sched)
+func newGatedCluster(t *testing.T, cfg Settings) *gatedCluster {
+	store := &gatedStore{}
+	rep := newReplicaWithStore(t, func(s replica.Store) replica.Store { store.Store = s; return store }, selfMember)
+	h := &gatedCluster{testCluster: &testCluster{t: t, ctx: t.Context()}, rep: rep, store: store}
+	h.sched = New(cfg, rep, nil, zerolog.Nop(), noPeers{})
+	h.addr = serveSessions(t, h.sched)
 	h.serve(rep)
-	h.until("it leads", rep.Leads)
+	h.waitUntil("it leads", rep.Leads)
 	h.sched.startTerm(rep.Status().Term)
 	return h
 }
 
 // hold closes the gate until release is called, or the test ends.
-func (h *heldSite) hold() (release func()) {
+func (h *gatedCluster) blockCommits() (release func()) {
 	gate := make(chan struct{})
 	h.store.gate.Store(&gate)
 	release = sync.OnceFunc(func() { h.store.gate.Store(nil); close(gate) })
@@ -44,24 +44,24 @@
 }
 
 // agentOf opens a session as the agent of a VM, and registers it.
-func (h *heldSite) agentOf(vm queue.VM) *wire.Conn[wire.FromNode, wire.ToQueueNode] {
+func (h *gatedCluster) registerAgent(vm queue.VM) *wire.Conn[wire.FromNode, wire.ToQueueNode] {
 	h.t.Helper()
-	c := h.dial(string(vm.ID))
-	h.beat(c, vm, 1)
+	c := h.openSession(string(vm.ID))
+	h.sendHeartbeat(c, vm, 1)
 	g := h.nextGrant(c)
 	assert.Assert(h.t, g != nil && g.LeaseMS > 0, "%+v", g)
 	return c
 }
 
-func (h *heldSite) beat(c *wire.Conn[wire.FromNode, wire.ToQueueNode], vm queue.VM, sent int64) {
+func (h *gatedCluster) sendHeartbeat(c *wire.Conn[wire.FromNode, wire.ToQueueNode], vm queue.VM, sent int64) {
 	h.t.Helper()
 	assert.NilError(h.t, c.Send(h.ctx, wire.FromNode{Beat: &wire.VMBeat{Sent: sent, VM: vm}}))
 }
 
 // nextGrant returns the next grant, or nil if the session ends first.
-func (h *heldSite) nextGrant(c *wire.Conn[wire.FromNode, wire.ToQueueNode]) *wire.VMGrant {
+func (h *gatedCluster) nextGrant(c *wire.Conn[wire.FromNode, wire.ToQueueNode]) *wire.VMGrant {
 	for {
-		m, err := c.ReceiveWithin(h.ctx, waitLimit)
+		m, err := c.ReceiveWithin(h.ctx, waitTimeout)
 		if err != nil {
 			return nil
 		}
@@ -71,19 +71,19 @@
 	}
 }
 
-var lonely = queue.VM{ID: "vm1", Incarnation: "vm1-life-1", Domain: "hall", Service: "desk"}
+var onlyVM = queue.VM{ID: "vm1", Incarnation: "vm1-life-1", Domain: "hall", Service: "desk"}
 
 // TestHeartbeatWaitsForReport guards against a VM that is given up while its agent's
 // reports wait for their commits.
 func TestHeartbeatWaitsForReport(t *testing.T) {
-	h := newHeldSite(t, Settings{Lease: lease})
-	c := h.agentOf(lonely)
-	h.hold()
+	h := newGatedCluster(t, Settings{Lease: testLease})
+	c := h.registerAgent(onlyVM)
+	h.blockCommits()
 	last := h.rep.Status().Last
-	ends := queue.Ends{VM: lonely.ID, Incarnation: lonely.Incarnation, List: []queue.End{{Task: queue.TaskKey{Job: "j"}, Run: 1, How: queue.EndDone}}}
+	ends := queue.Ends{VM: onlyVM.ID, Incarnation: onlyVM.Incarnation, List: []queue.End{{Task: queue.TaskKey{Job: "j"}, Run: 1, How: queue.EndDone}}}
 	assert.NilError(t, c.Send(h.ctx, wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: ends}}))
-	h.until("the report is proposed", func() bool { return h.rep.Status().Last > last })
-	h.beat(c, lonely, 2)
+	h.waitUntil("the report is proposed", func() bool { return h.rep.Status().Last > last })
+	h.sendHeartbeat(c, onlyVM, 2)
 	g := h.nextGrant(c)
 	assert.Assert(t, g != nil, "the session ended while the heartbeat waited")
 	assert.Equal(t, g.Sent, int64(2))
@@ -92,26 +92,26 @@
 // TestStartsWaitForLosses guards against starts that are not proposed while the loss of
 // another VM waits for its commit.
 func TestStartsWaitForLosses(t *testing.T) {
-	h := newHeldSite(t, Settings{Lease: waitLimit})
-	vm := lonely
-	vm.Capacity.CPUMilli = small.Size.CPUMilli
-	c := h.agentOf(vm)
-	h.do(queue.Command{Register: &queue.VM{ID: "gone", Incarnation: "life"}})
-	h.do(queue.Command{Document: &queue.Document{
-		Version: 1, Queues: []queue.Queue{{Name: "q", Host: host, Prefix: "/q/", Service: "desk", MaxAttempts: 2}},
+	h := newGatedCluster(t, Settings{Lease: waitTimeout})
+	vm := onlyVM
+	vm.Capacity.CPUMilli = smallStep.Size.CPUMilli
+	c := h.registerAgent(vm)
+	h.commit(queue.Command{Register: &queue.VM{ID: "gone", Incarnation: "life"}})
+	h.commit(queue.Command{Document: &queue.Document{
+		Version: 1, Queues: []queue.Queue{{Name: "q", Host: testHost, Prefix: "/q/", Service: "desk", MaxAttempts: 2}},
 		Pools: []queue.Pool{{Service: "desk"}},
 	}})
-	h.do(queue.Command{Submit: &queue.Submit{Host: host, Path: "/q/j", Spec: queue.Spec{Steps: []queue.Step{small}}}})
-	h.hold()
+	h.commit(queue.Command{Submit: &queue.Submit{Host: testHost, Path: "/q/j", Spec: queue.Spec{Steps: []queue.Step{smallStep}}}})
+	h.blockCommits()
 	last := h.rep.Status().Last
-	h.beat(c, vm, 2)
+	h.sendHeartbeat(c, vm, 2)
 	assert.Assert(t, h.nextGrant(c) != nil)
 	ctx, cancel := context.WithCancel(h.ctx)
 	ended := make(chan struct{})
 	go func() { defer close(ended); h.sched.round(ctx) }()
 	t.Cleanup(func() { cancel(); <-ended })
-	h.until("the loss is proposed", func() bool { return h.rep.Status().Last > last })
-	h.until("the start is proposed too, or the round has ended", func() bool {
+	h.waitUntil("the loss is proposed", func() bool { return h.rep.Status().Last > last })
+	h.waitUntil("the start is proposed too, or the round has ended", func() bool {
 		select {
 		case <-ended:
 			return true
@@ -122,7 +122,7 @@
 	assert.Equal(t, h.rep.Status().Last, last+2)
 }
 
-func (h *heldSite) do(c queue.Command) {
+func (h *gatedCluster) commit(c queue.Command) {
 	h.t.Helper()
 	_, err := h.sched.do(h.ctx, c)
 	assert.NilError(h.t, err)
@@ -131,39 +131,39 @@
 // TestUsableWithoutOrders guards against starts on a VM whose present session has no epoch
 // and therefore tells its agent of none.
 func TestUsableWithoutOrders(t *testing.T) {
-	h := newHeldSite(t, Settings{Lease: lease})
-	c := h.agentOf(lonely)
-	h.hold()
+	h := newGatedCluster(t, Settings{Lease: testLease})
+	c := h.registerAgent(onlyVM)
+	h.blockCommits()
 	last := h.rep.Status().Last
-	grown := lonely
+	grown := onlyVM
 	grown.Capacity.CPUMilli++
-	h.beat(c, grown, 2)
-	h.until("its description is proposed", func() bool { return h.rep.Status().Last > last })
-	c = h.dial(string(lonely.ID))
-	h.beat(c, grown, 3)
+	h.sendHeartbeat(c, grown, 2)
+	h.waitUntil("its description is proposed", func() bool { return h.rep.Status().Last > last })
+	c = h.openSession(string(onlyVM.ID))
+	h.sendHeartbeat(c, grown, 3)
 	g := h.nextGrant(c)
 	assert.Assert(t, g != nil && g.Epoch == 0, "%+v", g)
 	h.sched.mu.Lock()
 	defer h.sched.mu.Unlock()
-	assert.Assert(t, !h.sched.fleet.vm(lonely.ID).usable(steady.Now()))
+	assert.Assert(t, !h.sched.fleet.vm(onlyVM.ID).usable(steady.Now()))
 }
 
 // TestRegistrationOfUnknownFate guards against a VM that is granted nothing though its
 // registration after a loss is committed, since its session ended before.
 func TestRegistrationOfUnknownFate(t *testing.T) {
-	h := newHeldSite(t, Settings{Lease: lease})
-	h.agentOf(lonely).Close()
-	h.until("it is lost", func() bool { h.sched.round(h.ctx); return !h.live(lonely.ID) })
-	release := h.hold()
+	h := newGatedCluster(t, Settings{Lease: testLease})
+	h.registerAgent(onlyVM).Close()
+	h.waitUntil("it is lost", func() bool { h.sched.round(h.ctx); return !h.isLive(onlyVM.ID) })
+	release := h.blockCommits()
 	last := h.rep.Status().Last
-	c := h.dial(string(lonely.ID))
-	h.beat(c, lonely, 2)
-	h.until("its registration is proposed", func() bool { return h.rep.Status().Last > last })
+	c := h.openSession(string(onlyVM.ID))
+	h.sendHeartbeat(c, onlyVM, 2)
+	h.waitUntil("its registration is proposed", func() bool { return h.rep.Status().Last > last })
 	assert.Assert(t, h.nextGrant(c) == nil, "the commit is held")
 	release()
-	h.until("its registration is committed", func() bool { return h.live(lonely.ID) })
-	c = h.dial(string(lonely.ID))
-	h.beat(c, lonely, 3)
+	h.waitUntil("its registration is committed", func() bool { return h.isLive(onlyVM.ID) })
+	c = h.openSession(string(onlyVM.ID))
+	h.sendHeartbeat(c, onlyVM, 3)
 	g := h.nextGrant(c)
 	assert.Assert(t, g != nil && g.LeaseMS > 0, "%+v", g)
 }
--- a/scheduler/calm_test.go
+++ b/scheduler/calm_test.go
@@ -23,82 +23,82 @@
 )
 
 const (
-	calmVMs     = 4
-	calmTasks   = 6   // of the lasting job
-	calmCrashes = 1   // of executors in a schedule: with more, jobs are given up for them
-	calmEvents  = 80  // of a schedule
-	calmBorn    = 500 // when executors say that they began
+	faultVMs        = 4
+	faultTasks      = 6   // of the lasting job
+	maxFaultCrashes = 1   // of executors in a schedule: with more, jobs are given up for them
+	faultEvents     = 80  // of a schedule
+	executorStartMS = 500 // when executors say that they began
 	// platformLease is the longest lease of the users' platform.
-	platformLease = 5 * time.Second
+	maxPlatformLease = 5 * time.Second
 )
 
 var (
-	calmSeeds  = flag.Uint64("calm.seeds", 4, "schedules of TestCalmAfterFaults")
-	calmFirst  = flag.Uint64("calm.first", 0, "its first seed")
-	calmMisled = flag.Bool("calm.misled", false, "have executors answer as another life once")
+	faultSeeds            = flag.Uint64("calm.seeds", 4, "schedules of TestCalmAfterFaults")
+	faultFirstSeed        = flag.Uint64("calm.first", 0, "its first seed")
+	faultWrongIncarnation = flag.Bool("calm.misled", false, "have executors answer as another life once")
 )
 
 // calmSite is a site whose faults end.
-type calmSite struct {
-	*site
-	rng    *rand.Rand // of the schedule
-	store  *heldStore
-	faulty atomic.Bool
-	list   []*calmVM
-	crash  int
-	outage int           // how long commits are held up, in about 0.7 s
-	held   chan struct{} // what the store waits for; nil if it does not
+type faultCluster struct {
+	*testCluster
+	rng          *rand.Rand // of the schedule
+	store        *gatedStore
+	faultsActive atomic.Bool
+	vmList       []*faultVM
+	crashes      int
+	outageFactor int           // how long commits are held up, in about 0.7 s
+	gate         chan struct{} // what the store waits for; nil if it does not
 }
 
-const calmRoom = 4000
+const vmCPUMilli = 4000
 
-var calmDocument = &queue.Document{
-	Version: 1, Queues: []queue.Queue{{Name: "q", Host: host, Prefix: "/q/", Service: "desk", MaxAttempts: 2}},
+var faultDocument = &queue.Document{
+	Version: 1, Queues: []queue.Queue{{Name: "q", Host: testHost, Prefix: "/q/", Service: "desk", MaxAttempts: 2}},
 	Pools: []queue.Pool{{Service: "desk"}},
 }
 
-func newCalmSite(t *testing.T, seed uint64) *calmSite {
-	c := &calmSite{rng: rand.New(rand.NewPCG(seed, 5)), store: &heldStore{}, outage: 1}
+func newFaultCluster(t *testing.T, seed uint64) *faultCluster {
+	c := &faultCluster{rng: rand.New(rand.NewPCG(seed, 5)), store: &gatedStore{}, outageFactor: 1}
 	if seed%3 == 0 {
-		c.outage = 5
+		c.outageFactor = 5
 	}
-	rep := newReplicaOn(t, func(s replica.Store) replica.Store { c.store.Store = s; return c.store }, self)
-	c.site = &site{t: t, ctx: t.Context()}
-	c.sched = New(Settings{Lease: platformLease, StartSpan: 2 * time.Second, KeepStatus: time.Minute}, rep, nil, zerolog.Nop(), alone{})
-	c.addr = listen(t, c.sched)
+	rep := newReplicaWithStore(t, func(s replica.Store) replica.Store { c.store.Store = s; return c.store }, selfMember)
+	c.testCluster = &testCluster{t: t, ctx: t.Context()}
+	c.sched = New(Settings{Lease: maxPlatformLease, StartSpan: 2 * time.Second, KeepStatus: time.Minute}, rep, nil, zerolog.Nop(), noPeers{})
+	c.addr = serveSessions(t, c.sched)
 	c.front = front.New("front", c.seeds, zerolog.Nop())
 	c.serve(rep, c.sched, c.front)
-	for i := range calmVMs {
-		c.addCalmVM(fmt.Sprintf("vm%d", i+1), seed)
+	for i := range faultVMs {
+		c.addFaultVM(fmt.Sprintf("vm%d", i+1), seed)
 	}
-	c.until("the document is taken", func() bool {
-		code := c.ask(wire.Ask{Put: calmDocument}).Code
+	c.waitUntil("the document is taken", func() bool {
+		code := c.ask(wire.Ask{Put: faultDocument}).Code
 		return code == queue.OK || code == queue.Stale // an earlier try may have been carried out
 	})
 	size := rudderfork.Resources{CPUMilli: 500}
-	c.submit("feed", "", queue.Step{Count: calmTasks, Size: size, Lasting: true})
+	c.submit("feed", "", queue.Step{Count: faultTasks, Size: size, Lasting: true})
 	c.submit("broken", "work=300ms fail", queue.Step{Count: 2, Size: size, Lasting: true})
 	return c
 }
 
-func (c *calmSite) addCalmVM(name string, seed uint64) {
+func (c *faultCluster) addFaultVM(name string, seed uint64) {
 	link, err := faultlink.New(c.addr)
 	assert.NilError(c.t, err)
-	v := &calmVM{s: c, name: name, link: link, rng: rand.New(rand.NewPCG(seed, uint64(len(c.list))))}
-	v.room.Store(calmRoom)
-	v.exec = executor.New(v.nextLife(), executor.Config{
-		Now: steady.Now, Room: rudderfork.Resources{CPUMilli: calmRoom, MemoryMB: 1000}, Rate: 0.99, StopTime: 100 * time.Millisecond,
-		Fate: v.fate, Delay: func(string) time.Duration { return v.draw(3 * time.Second) },
+	v := &faultVM{cluster: c, name: name, link: link, rng: rand.New(rand.NewPCG(seed, uint64(len(c.vmList))))}
+	v.cpuMilli.Store(vmCPUMilli)
+	v.exec = executor.New(v.nextIncarnation(), executor.Config{
+		Now: steady.Now, Room: rudderfork.Resources{CPUMilli: vmCPUMilli, MemoryMB: 1000}, Rate: 0.99, StopTime: 100 * time.Millisecond,
+		Fate: v.drawFate, Delay: func(string) time.Duration { return v.randomDuration(3 * time.Second) },
 	})
-	c.list = append(c.list, v)
+	c.vmList = append(c.vmList, v)
 	v.startAgent()
 	c.t.Cleanup(func() { v.stop(); link.Close() })
-	go v.describe()
+	go v.describeExecutor()
 }
 
 // event makes one fault.
-func (c *calmSite) event() {
-	v := c.list[c.rng.IntN(len(c.list))]
+func (c *faultCluster) injectFault() {
+	v := c.vmList[c.rng.IntN(len(c.vmList))]
 	switch c.rng.IntN(28) {
 	case 0, 1:
 		v.startAgent()
@@ -113,66 +113,66 @@
 	case 7:
 		v.exec.Flush()
 	case 8, 9:
-		v.room.Store(int64(c.rng.IntN(5)) * calmRoom / 4)
+		v.cpuMilli.Store(int64(c.rng.IntN(5)) * vmCPUMilli / 4)
 	case 10:
-		if c.held == nil {
+		if c.gate == nil {
 			held := make(chan struct{})
-			c.held = held
+			c.gate = held
 			c.store.gate.Store(&held)
 		}
 	case 11, 12:
-		if c.rng.IntN(c.outage) == 0 {
-			c.letGo()
+		if c.rng.IntN(c.outageFactor) == 0 {
+			c.releaseCommits()
 		}
 	case 13:
 		c.sched.endTerm() // the next round begins anew, as another leader does
 	case 14:
-		c.crashes(v)
+		c.crashExecutor(v)
 	case 15, 16:
-		if *calmMisled {
+		if *faultWrongIncarnation {
 			v.mu.Lock()
-			v.misled = 1
+			v.wrongAnswers = 1
 			v.mu.Unlock()
 		}
 	}
 }
 
 // letGo lets the store save again.
-func (c *calmSite) letGo() {
-	if c.held != nil {
+func (c *faultCluster) releaseCommits() {
+	if c.gate != nil {
 		c.store.gate.Store(nil)
-		close(c.held)
-		c.held = nil
+		close(c.gate)
+		c.gate = nil
 	}
 }
 
 // crashes has an executor crash, and come back under its id or another.
-func (c *calmSite) crashes(v *calmVM) {
-	if c.crash++; c.crash > calmCrashes {
+func (c *faultCluster) crashExecutor(v *faultVM) {
+	if c.crashes++; c.crashes > maxFaultCrashes {
 		return
 	}
 	if c.rng.IntN(2) == 0 {
 		v.exec.StartAgain()
 		return
 	}
-	v.exec.Restart(v.nextLife())
+	v.exec.Restart(v.nextIncarnation())
 }
 
 // calm ends all faults.
-func (c *calmSite) calm() {
-	c.faulty.Store(false)
-	c.letGo()
-	for _, v := range c.list {
-		v.room.Store(calmRoom)
+func (c *faultCluster) endFaults() {
+	c.faultsActive.Store(false)
+	c.releaseCommits()
+	for _, v := range c.vmList {
+		v.cpuMilli.Store(vmCPUMilli)
 		v.exec.Flush()
 	}
 }
 
 // idle returns an active run of the lasting job that is not at work, or a task of it
 // without one.
-func (c *calmSite) idle() (what string) {
+func (c *faultCluster) stalledTask() (what string) {
 	working := map[rudderfork.RunRef]string{}
-	for _, v := range c.list {
+	for _, v := range c.vmList {
 		for _, ref := range v.exec.Running() {
 			working[ref] = v.name
 		}
@@ -182,7 +182,7 @@
 		if j.Status != queue.Running {
 			return // it was given up, or has not begun
 		}
-		for i := range calmTasks {
+		for i := range faultTasks {
 			k := queue.TaskKey{Job: "feed", Index: i}
 			list := j.Task(k).Runs
 			if len(list) == 0 {
@@ -199,7 +199,7 @@
 }
 
 // unprobed returns what is left of the probe, by VM.
-func (c *calmSite) unprobed() (what string) {
+func (c *faultCluster) unfinishedProbe() (what string) {
 	c.sched.rep.View(func(st *state.State) {
 		if j := st.Queues().Job("probe"); j.Status != queue.Completed {
 			what = fmt.Sprintf("the probe is %s: %+v", j.Status, j.Times[0].Steps)
@@ -209,12 +209,12 @@
 }
 
 // usable returns what the leader knows of the VMs.
-func (c *calmSite) usable() (list []string) {
+func (c *faultCluster) vmStates() (list []string) {
 	now := steady.Now()
 	c.sched.rep.View(func(st *state.State) {
 		c.sched.mu.Lock()
 		defer c.sched.mu.Unlock()
-		for _, v := range c.list {
+		for _, v := range c.vmList {
 			info, vm := c.sched.fleet.vm(rudderfork.VMID(v.name)), st.Queues().VM(rudderfork.VMID(v.name))
 			list = append(list, fmt.Sprintf("%s usable %v mute %v beat %v ago, lease %v, session %v, state %+v, agent %q, executor %q",
 				v.name, info.usable(now), info.beat.Mute, now.Sub(info.beatAt), info.lease.Leased(now), info.session != nil, vm, v.agent.Life(), v.exec.Life()))
@@ -224,19 +224,19 @@
 }
 
 // untilNot waits until a complaint is withdrawn.
-func (c *calmSite) untilNot(complaint func() string) {
+func (c *faultCluster) waitUntilEmpty(complaint func() string) {
 	c.t.Helper()
-	limit, told := time.Now().Add(waitLimit), time.Now()
+	limit, told := time.Now().Add(waitTimeout), time.Now()
 	for {
 		why := complaint()
 		switch {
 		case why == "":
 			return
 		case time.Now().After(limit):
-			c.t.Fatal(why, c.usable())
+			c.t.Fatal(why, c.vmStates())
 		case time.Since(told) > time.Second:
 			told = time.Now()
-			c.t.Log(why, c.usable())
+			c.t.Log(why, c.vmStates())
 		}
 		steady.Pause(c.ctx, 20*time.Millisecond)
 	}
@@ -244,25 +244,25 @@
 
 // TestCalmAfterFaults guards against runs that the leader holds for active and no executor begins.
 func TestCalmAfterFaults(t *testing.T) {
-	for i := range *calmSeeds {
-		seed := *calmFirst + i
+	for i := range *faultSeeds {
+		seed := *faultFirstSeed + i
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			c := newCalmSite(t, seed)
-			c.faulty.Store(true)
-			for range calmEvents * (1 + int(seed%2)) {
-				c.event()
+			c := newFaultCluster(t, seed)
+			c.faultsActive.Store(true)
+			for range faultEvents * (1 + int(seed%2)) {
+				c.injectFault()
 				steady.Pause(c.ctx, time.Duration(c.rng.IntN(100))*time.Millisecond)
 			}
-			c.calm()
+			c.endFaults()
 			began := steady.Now()
-			c.untilNot(c.idle)
+			c.waitUntilEmpty(c.stalledTask)
 			c.sched.rep.View(func(st *state.State) {
 				t.Logf("settled after %v, the job is %s", steady.Now().Sub(began), st.Queues().Job("feed").Status)
 			})
-			c.submit("probe", "work=1ms", queue.Step{Count: calmVMs, MaxPerVM: 1, Size: rudderfork.Resources{CPUMilli: 100}})
+			c.submit("probe", "work=1ms", queue.Step{Count: faultVMs, MaxPerVM: 1, Size: rudderfork.Resources{CPUMilli: 100}})
 			began = steady.Now()
-			c.untilNot(c.unprobed)
+			c.waitUntilEmpty(c.unfinishedProbe)
 			t.Logf("probed after %v", steady.Now().Sub(began))
 		})
 	}
--- a/scheduler/calm_vm_test.go
+++ b/scheduler/calm_vm_test.go
@@ -19,39 +19,39 @@
 )
 
 // calmVM is a VM with its agent, and the links between them.
-type calmVM struct {
-	s     *calmSite
-	name  string
-	lives int
-	exec  *executor.Executor
-	link  *faultlink.Proxy
-	room  atomic.Int64 // thousandths of a core
+type faultVM struct {
+	cluster      *faultCluster
+	name         string
+	incarnations int
+	exec         *executor.Executor
+	link         *faultlink.Proxy
+	cpuMilli     atomic.Int64 // thousandths of a core
 
-	mu     sync.Mutex
-	rng    *rand.Rand // of the executor's answers
-	misled int        // looks to be answered as by another life
-	agent  *runner.Agent
-	stop   func()
+	mu           sync.Mutex
+	rng          *rand.Rand // of the executor's answers
+	wrongAnswers int        // looks to be answered as by another life
+	agent        *runner.Agent
+	stop         func()
 }
 
-func (v *calmVM) nextLife() string {
-	v.lives++
-	return rudderfork.IncarnationName(fmt.Sprintf("%s-life-%d", v.name, v.lives), calmBorn)
+func (v *faultVM) nextIncarnation() string {
+	v.incarnations++
+	return rudderfork.IncarnationName(fmt.Sprintf("%s-life-%d", v.name, v.incarnations), executorStartMS)
 }
 
 // draw returns a time below a limit.
-func (v *calmVM) draw(limit time.Duration) time.Duration {
+func (v *faultVM) randomDuration(limit time.Duration) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return time.Duration(v.rng.Int64N(int64(limit)))
 }
 
 // fate leaves one call of eight unanswered, in each of the ways there are.
-func (v *calmVM) fate(string) executor.Fate {
-	if !v.s.faulty.Load() {
+func (v *faultVM) drawFate(string) executor.Fate {
+	if !v.cluster.faultsActive.Load() {
 		return executor.Answered
 	}
-	switch v.draw(24) {
+	switch v.randomDuration(24) {
 	case 0:
 		return executor.Unheard
 	case 1:
@@ -63,7 +63,7 @@
 }
 
 // startAgent replaces the VM's agent.
-func (v *calmVM) startAgent() {
+func (v *faultVM) startAgent() {
 	if v.stop != nil {
 		v.stop()
 	}
@@ -79,51 +79,51 @@
 }
 
 // describe tells the agent of the executor.
-func (v *calmVM) describe() {
-	for v.s.ctx.Err() == nil {
+func (v *faultVM) describeExecutor() {
+	for v.cluster.ctx.Err() == nil {
 		v.mu.Lock()
 		a := v.agent
 		v.mu.Unlock()
-		room := rudderfork.Resources{CPUMilli: v.room.Load(), MemoryMB: 1000}
+		room := rudderfork.Resources{CPUMilli: v.cpuMilli.Load(), MemoryMB: 1000}
 		a.Describe(queue.VM{ID: rudderfork.VMID(v.name), Domain: domainOf(v.name), Incarnation: v.exec.Life(), Service: "desk", Capacity: room}, false, 0)
-		steady.Pause(v.s.ctx, 50*time.Millisecond)
+		steady.Pause(v.cluster.ctx, 50*time.Millisecond)
 	}
 }
 
 // isMisled reports whether a look is answered as by another life.
-func (v *calmVM) isMisled() bool {
+func (v *faultVM) takeWrongAnswer() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.misled--
-	return v.misled >= 0
+	v.wrongAnswers--
+	return v.wrongAnswers >= 0
 }
 
 // Look implements rudderfork.Executor.
-func (v *calmVM) Look(ctx context.Context, life string, req rudderfork.LookRequest) (rudderfork.Look, error) {
-	if v.isMisled() {
+func (v *faultVM) Look(ctx context.Context, life string, req rudderfork.LookRequest) (rudderfork.Look, error) {
+	if v.takeWrongAnswer() {
 		return rudderfork.Look{}, rudderfork.ErrStaleIncarnation
 	}
 	look, err := v.exec.Look(ctx, life, req)
-	if v.s.faulty.Load() && v.draw(10) == 0 {
+	if v.cluster.faultsActive.Load() && v.randomDuration(10) == 0 {
 		look.Partial, look.Running = true, look.Running[:len(look.Running)/2]
 	}
 	return look, err
 }
 
 // Start implements rudderfork.Executor.
-func (v *calmVM) Start(ctx context.Context, life string, s rudderfork.RunStart) (rudderfork.StartOutcome, error) {
-	if v.s.faulty.Load() && v.draw(16) == 0 {
+func (v *faultVM) Start(ctx context.Context, life string, s rudderfork.RunStart) (rudderfork.StartOutcome, error) {
+	if v.cluster.faultsActive.Load() && v.randomDuration(16) == 0 {
 		return rudderfork.StartBusy, nil
 	}
 	return v.exec.Start(ctx, life, s)
 }
 
 // Stop implements rudderfork.Executor.
-func (v *calmVM) Stop(ctx context.Context, life string, r rudderfork.RunRef, fence uint64) error {
+func (v *faultVM) Stop(ctx context.Context, life string, r rudderfork.RunRef, fence uint64) error {
 	return v.exec.Stop(ctx, life, r, fence)
 }
 
 // Pace implements rudderfork.Executor.
-func (v *calmVM) Pace(ctx context.Context, life string, r rudderfork.RunRef, percent int, fence uint64) error {
+func (v *faultVM) Pace(ctx context.Context, life string, r rudderfork.RunRef, percent int, fence uint64) error {
 	return v.exec.Pace(ctx, life, r, percent, fence)
 }
--- a/scheduler/evacuation_test.go
+++ b/scheduler/evacuation_test.go
@@ -16,7 +16,7 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-func (s *site) evacuate(d rudderfork.Domain, end bool, want queue.Code) {
+func (s *testCluster) evacuate(d rudderfork.Domain, end bool, want queue.Code) {
 	s.t.Helper()
 	ans := s.ask(wire.Ask{Evacuate: &queue.Evacuate{Domain: d, End: end}})
 	assert.Equal(s.t, ans.Code, want, "%+v", ans)
@@ -24,14 +24,14 @@
 
 // TestEvacuate has operators evacuate failure domains with VMs at work.
 func TestEvacuate(t *testing.T) {
-	s := newSite(t, nil)
+	s := newTestCluster(t, nil)
 	first, second := s.addVM(executor.Config{}), s.addVM(executor.Config{})
-	s.put(nil)
-	s.until("both VMs are there", func() bool { return s.vmCount() == 2 })
-	lasting := small
+	s.putDocument(nil)
+	s.waitUntil("both VMs are there", func() bool { return s.vmCount() == 2 })
+	lasting := smallStep
 	lasting.Count, lasting.Lasting, lasting.MaxPerVM = 2, true, 1
 	s.submit("feed", "", lasting)
-	s.until("it is at work on both", func() bool { return len(first.Running()) == 1 && len(second.Running()) == 1 })
+	s.waitUntil("it is at work on both", func() bool { return len(first.Running()) == 1 && len(second.Running()) == 1 })
 
 	t.Run("one that nobody knows is refused", func(*testing.T) {
 		s.evacuate("nowhere", false, queue.NoDomain)
@@ -40,10 +40,10 @@
 	t.Run("work begins elsewhere, and what runs there runs on", func(t *testing.T) {
 		s.evacuate(domainOf("vm1"), false, queue.OK)
 		s.evacuate(domainOf("vm1"), false, queue.OK)
-		more := small
+		more := smallStep
 		more.Count = 3
 		s.submit("more", "", more)
-		s.until("the new job is at work", func() bool { return len(second.Running()) == 4 })
+		s.waitUntil("the new job is at work", func() bool { return len(second.Running()) == 4 })
 		assert.Equal(t, len(first.Running()), 1)
 	})
 	t.Run("operators see it", func(t *testing.T) {
@@ -56,16 +56,16 @@
 	})
 	t.Run("with all evacuated work waits, until one is taken back", func(*testing.T) {
 		s.evacuate(domainOf("vm2"), false, queue.OK)
-		s.submit("late", "work=1ms", small)
-		place := wire.Place{Host: host, Path: "/q/"}
-		s.until("it waits", func() bool { return s.ask(wire.Ask{Status: &place}).Waiting == 1 })
+		s.submit("late", "work=1ms", smallStep)
+		place := wire.Place{Host: testHost, Path: "/q/"}
+		s.waitUntil("it waits", func() bool { return s.ask(wire.Ask{Status: &place}).Waiting == 1 })
 		s.evacuate(domainOf("vm1"), true, queue.OK)
-		s.untilStatus("late", queue.Completed)
+		s.waitForStatus("late", queue.Completed)
 	})
 }
 
 // evacuations returns what the operators' interface shows.
-func (s *site) evacuations() (views []EvacuationView) {
+func (s *testCluster) evacuations() (views []EvacuationView) {
 	s.t.Helper()
 	mux := http.NewServeMux()
 	s.sched.Routes(mux, timeline.NewRing("c", rudderfork.Place{}, 1, time.Now))
@@ -100,14 +100,14 @@
 // TestGrantCloses holds that a VM's heartbeat is answered with what holds for its failure
 // domain, also in a session that is new.
 func TestGrantCloses(t *testing.T) {
-	s := newSite(t, nil)
-	s.put(nil)
-	p := s.speak()
-	assert.Assert(t, !p.beat("life-1").Closed)
-	vm := beatOf("life-1").VM
+	s := newTestCluster(t, nil)
+	s.putDocument(nil)
+	p := s.connectAgent()
+	assert.Assert(t, !p.heartbeat("life-1").Closed)
+	vm := heartbeatOf("life-1").VM
 	s.evacuate(vm.Domain, false, queue.OK)
-	assert.Assert(t, p.beat("life-1").Closed)
-	assert.Assert(t, s.speak().beat("life-1").Closed)
+	assert.Assert(t, p.heartbeat("life-1").Closed)
+	assert.Assert(t, s.connectAgent().heartbeat("life-1").Closed)
 	s.evacuate(vm.Domain, true, queue.OK)
-	assert.Assert(t, !s.speak().beat("life-1").Closed)
+	assert.Assert(t, !s.connectAgent().heartbeat("life-1").Closed)
 }
--- a/scheduler/late_model_test.go
+++ b/scheduler/late_model_test.go
@@ -17,7 +17,7 @@
 )
 
 // lateEvents is the most events of a drawn schedule.
-const lateEvents = 40
+const maxModelEvents = 40
 
 // TestMain fixes the seed and number of the drawn schedules, unless the command
 // line sets them.
@@ -32,70 +32,70 @@
 
 // lateSessions is an agent's sessions with a real leader. What the agent sends is
 // held up, in each session in its order, until it is delivered.
-type lateSessions struct {
-	s      *site
-	vm     rudderfork.VMID
-	life   int // the present one
-	held   [][]wire.FromNode
-	spoken []*speaker
-
-	registered int // life that was seen committed
+type sessionModel struct {
+	cluster     *testCluster
+	vm          rudderfork.VMID
+	incarnation int // the present one
+	delayed     [][]wire.FromNode
+	clients     []*agentClient
+
+	committedIncarnation int // life that was seen committed
 }
 
 // lateLife names a life. The names do not tell the order.
-func lateLife(i int) string { return fmt.Sprintf("i-%03d", (i+1)*619%1000) }
+func modelIncarnation(i int) string { return fmt.Sprintf("i-%03d", (i+1)*619%1000) }
 
-func (m *lateSessions) reopen() {
-	m.spoken = append(m.spoken, m.s.speak())
-	m.held = append(m.held, nil)
+func (m *sessionModel) openSession() {
+	m.clients = append(m.clients, m.cluster.connectAgent())
+	m.delayed = append(m.delayed, nil)
 }
 
-func (m *lateSessions) send(msg wire.FromNode) {
-	last := len(m.held) - 1
-	m.held[last] = append(m.held[last], msg)
+func (m *sessionModel) send(msg wire.FromNode) {
+	last := len(m.delayed) - 1
+	m.delayed[last] = append(m.delayed[last], msg)
 }
 
-func (m *lateSessions) heartbeat(life int) {
-	b := beatOf(lateLife(life))
+func (m *sessionModel) heartbeat(life int) {
+	b := heartbeatOf(modelIncarnation(life))
 	b.VM.ID = m.vm
 	m.send(wire.FromNode{Beat: &b})
 }
 
 // farewell is the agent's report that the present life has left.
-func (m *lateSessions) farewell() {
-	m.send(wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: queue.Ends{VM: m.vm, Incarnation: lateLife(m.life)}, Left: true}})
-	m.life++
+func (m *sessionModel) leave() {
+	m.send(wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: queue.Ends{VM: m.vm, Incarnation: modelIncarnation(m.incarnation)}, Left: true}})
+	m.incarnation++
 }
 
 // deliver brings the leader the next message of a session.
-func (m *lateSessions) deliver(t *rapid.T, i int) {
-	if len(m.held[i]) == 0 {
+func (m *sessionModel) deliver(t *rapid.T, i int) {
+	if len(m.delayed[i]) == 0 {
 		return
 	}
-	msg := m.held[i][0]
-	m.held[i] = m.held[i][1:]
-	m.spoken[i].late(msg)
-	m.check(t)
+	msg := m.delayed[i][0]
+	m.delayed[i] = m.delayed[i][1:]
+	m.clients[i].sendAndWait(msg)
+	m.assertNoReversal(t)
 }
 
 // check holds that the leader never goes back to an earlier life.
-func (m *lateSessions) check(t *rapid.T) {
-	vm := m.committed()
+func (m *sessionModel) assertNoReversal(t *rapid.T) {
+	vm := m.committedVM()
 	if vm == nil {
 		return
 	}
 	registered := -1
-	for i := range m.life + 1 {
-		if lateLife(i) == vm.Incarnation {
+	for i := range m.incarnation + 1 {
+		if modelIncarnation(i) == vm.Incarnation {
 			registered = i
 		}
 	}
-	assert.Assert(t, registered >= m.registered, "the leader went from life %d back to %d", m.registered, registered)
-	m.registered = registered
+	assert.Assert(t, registered >= m.committedIncarnation, "the leader went from life %d back to %d", m.committedIncarnation, registered)
+	m.committedIncarnation = registered
 }
 
-func (m *lateSessions) committed() (vm *queue.VM) {
-	m.s.sched.rep.View(func(st *state.State) { vm = st.Queues().VM(m.vm) })
+func (m *sessionModel) committedVM() (vm *queue.VM) {
+	m.cluster.sched.rep.View(func(st *state.State) { vm = st.Queues().VM(m.vm) })
 	return vm
 }
 
@@ -104,41 +104,41 @@
 // later ones. In the end the present life is the one that is committed, and stays
 // so whatever is late.
 func TestLateSessions(t *testing.T) {
-	s := newSiteWith(t, nil, time.Hour)
+	s := newTestClusterWithLease(t, nil, time.Hour)
 	vms := 0
 	rapid.Check(t, func(t *rapid.T) {
 		vms++
-		m := &lateSessions{s: s, vm: rudderfork.VMID(fmt.Sprintf("vm-%d", vms)), registered: -1}
-		m.reopen()
-		for range rapid.IntRange(1, lateEvents).Draw(t, "events") {
-			m.event(t)
+		m := &sessionModel{cluster: s, vm: rudderfork.VMID(fmt.Sprintf("vm-%d", vms)), committedIncarnation: -1}
+		m.openSession()
+		for range rapid.IntRange(1, maxModelEvents).Draw(t, "events") {
+			m.drawEvent(t)
 		}
-		m.reopen() // the session before may have been closed for what came late
-		m.heartbeat(m.life)
-		for i := len(m.held) - 1; i >= 0; i-- {
-			for len(m.held[i]) > 0 {
+		m.openSession() // the session before may have been closed for what came late
+		m.heartbeat(m.incarnation)
+		for i := len(m.delayed) - 1; i >= 0; i-- {
+			for len(m.delayed[i]) > 0 {
 				m.deliver(t, i)
 			}
 		}
-		assert.Equal(t, m.registered, m.life)
-		assert.Assert(t, m.committed().Live)
-		for _, p := range m.spoken {
+		assert.Equal(t, m.committedIncarnation, m.incarnation)
+		assert.Assert(t, m.committedVM().Live)
+		for _, p := range m.clients {
 			p.conn.Close()
 		}
 	})
 }
 
-func (m *lateSessions) event(t *rapid.T) {
+func (m *sessionModel) drawEvent(t *rapid.T) {
 	switch rapid.IntRange(0, 9).Draw(t, "event") {
 	case 0:
-		m.reopen()
+		m.openSession()
 	case 1:
-		m.life++
+		m.incarnation++
 	case 2:
-		m.farewell()
+		m.leave()
 	case 3, 4, 5:
-		m.heartbeat(m.life)
+		m.heartbeat(m.incarnation)
 	default:
-		m.deliver(t, rapid.IntRange(0, len(m.held)-1).Draw(t, "session"))
+		m.deliver(t, rapid.IntRange(0, len(m.delayed)-1).Draw(t, "session"))
 	}
 }
--- a/scheduler/learning_test.go
+++ b/scheduler/learning_test.go
@@ -19,45 +19,45 @@
 )
 
 // teller is a leader and the session of a VM, "vm1", which is the cheapest of two.
-type teller struct {
-	*site
-	store *heldStore
-	ses   *session
+type manualLeader struct {
+	*testCluster
+	store   *gatedStore
+	session *session
 }
 
-var tellerTask = queue.TaskKey{Job: "job"}
+var reportedTask = queue.TaskKey{Job: "job"}
 
 // newTeller hands in a job of one task, which is started on vm1.
-func newTeller(t *testing.T, st queue.Step) *teller {
-	store := &heldStore{}
-	rep := newReplicaOn(t, func(s replica.Store) replica.Store { store.Store = s; return store }, self)
-	s := &teller{site: &site{t: t, ctx: t.Context()}, store: store}
+func newManualLeader(t *testing.T, st queue.Step) *manualLeader {
+	store := &gatedStore{}
+	rep := newReplicaWithStore(t, func(s replica.Store) replica.Store { store.Store = s; return store }, selfMember)
+	s := &manualLeader{testCluster: &testCluster{t: t, ctx: t.Context()}, store: store}
 	s.serve(rep)
-	s.until("it leads", rep.Leads)
-	s.sched = New(Settings{Lease: time.Hour}, rep, nil, zerolog.Nop(), alone{})
+	s.waitUntil("it leads", rep.Leads)
+	s.sched = New(Settings{Lease: time.Hour}, rep, nil, zerolog.Nop(), noPeers{})
 	s.sched.startTerm(rep.Status().Term)
-	s.do(queue.Command{Document: &queue.Document{
-		Version: 1, Queues: []queue.Queue{{Name: "q", Host: host, Prefix: "/q/", Service: "desk", MaxAttempts: 2}},
+	s.commit(queue.Command{Document: &queue.Document{
+		Version: 1, Queues: []queue.Queue{{Name: "q", Host: testHost, Prefix: "/q/", Service: "desk", MaxAttempts: 2}},
 		Pools: []queue.Pool{{Service: "desk"}},
 	}})
-	s.ses = s.admit("vm1")
-	s.admit("vm2")
-	s.do(queue.Command{Submit: &queue.Submit{Host: host, Path: "/q/job", Spec: queue.Spec{Steps: []queue.Step{st}}}})
+	s.session = s.connect("vm1")
+	s.connect("vm2")
+	s.commit(queue.Command{Submit: &queue.Submit{Host: testHost, Path: "/q/job", Spec: queue.Spec{Steps: []queue.Step{st}}}})
 	s.plan()
-	assert.Equal(t, s.run().VM, rudderfork.VMID("vm1"))
+	assert.Equal(t, s.activeRun().VM, rudderfork.VMID("vm1"))
 	return s
 }
 
-func (s *teller) do(c queue.Command) {
+func (s *manualLeader) commit(c queue.Command) {
 	s.t.Helper()
 	_, err := s.sched.do(s.ctx, c)
 	assert.NilError(s.t, err)
 }
 
 // admit registers a VM, which is in session.
-func (s *teller) admit(id rudderfork.VMID) *session {
+func (s *manualLeader) connect(id rudderfork.VMID) *session {
 	vm := queue.VM{ID: id, Incarnation: string(id) + "-life", Service: "desk", Capacity: rudderfork.Resources{CPUMilli: 4_000, MemoryMB: 1_000}}
-	s.do(queue.Command{Register: &vm})
+	s.commit(queue.Command{Register: &vm})
 	ses := &session{s: s.sched, vm: id, life: vm.Incarnation, epoch: 1, out: make(chan wire.ToQueueNode, outQueue), woken: wakeup.New(), cancel: func() {}}
 	s.sched.mu.Lock()
 	defer s.sched.mu.Unlock()
@@ -69,24 +69,24 @@
 }
 
 // plan has the leader make a plan and carry it out.
-func (s *teller) plan() {
+func (s *manualLeader) plan() {
 	s.sched.mu.Lock()
-	s.sched.fleet.answer(steady.Now())
+	s.sched.fleet.refreshHeartbeats(steady.Now())
 	s.sched.mu.Unlock()
 	s.sched.dispatch(s.ctx, &roundTimes{})
 }
 
 // answer has all VMs have answered just now, whatever the machine's load.
-func (f *fleet) answer(now time.Time) {
+func (f *fleet) refreshHeartbeats(now time.Time) {
 	for _, v := range f.vms {
 		v.beatAt = now
 	}
 }
 
 // run returns the active run of the task; the zero run if there is none.
-func (s *teller) run() (r queue.Run) {
+func (s *manualLeader) activeRun() (r queue.Run) {
 	s.sched.rep.View(func(st *state.State) {
-		if list := st.Queues().Job(tellerTask.Job).Task(tellerTask).Runs; len(list) > 0 {
+		if list := st.Queues().Job(reportedTask.Job).Task(reportedTask).Runs; len(list) > 0 {
 			r = list[0]
 		}
 	})
@@ -94,27 +94,27 @@
 }
 
 // tell has vm1 report the end of the run, up to where it is proposed.
-func (s *teller) tell(ctx context.Context, how queue.Ending) (commit func(), told chan error) {
+func (s *manualLeader) reportEnd(ctx context.Context, how queue.Ending) (commit func(), told chan error) {
 	s.t.Helper()
 	gate := make(chan struct{})
 	s.store.gate.Store(&gate)
 	last := s.sched.rep.Status().Last
 	told = make(chan error, 1)
 	go func() {
-		told <- s.ses.ends(ctx, wire.EndsReport{Seq: 1, Ends: queue.Ends{
-			VM: "vm1", Incarnation: "vm1-life", List: []queue.End{{Task: tellerTask, Run: 1, How: how}},
+		told <- s.session.ends(ctx, wire.EndsReport{Seq: 1, Ends: queue.Ends{
+			VM: "vm1", Incarnation: "vm1-life", List: []queue.End{{Task: reportedTask, Run: 1, How: how}},
 		}})
 	}()
-	s.until("the end is proposed", func() bool { return s.sched.rep.Status().Last == last+1 })
+	s.waitUntil("the end is proposed", func() bool { return s.sched.rep.Status().Last == last+1 })
 	return func() {
 		s.store.gate.Store(nil)
 		close(gate)
-		s.until("the end is committed", func() bool { return s.run().Number == 0 })
+		s.waitUntil("the end is committed", func() bool { return s.activeRun().Number == 0 })
 	}, told
 }
 
 // lessons are ends of a first run that tell of its VM.
-var lessons = []struct {
+var failureCases = []struct {
 	name    string
 	lasting bool
 	how     queue.Ending
@@ -127,15 +127,15 @@
 }
 
 // forLessons calls a test for each of the lessons, before the end is told.
-func forLessons(t *testing.T, test func(s *teller, how queue.Ending)) {
-	for _, l := range lessons {
+func forEachFailure(t *testing.T, test func(s *manualLeader, how queue.Ending)) {
+	for _, l := range failureCases {
 		t.Run(l.name, func(t *testing.T) {
-			step := small
+			step := smallStep
 			step.Lasting = l.lasting
-			s := newTeller(t, step)
+			s := newManualLeader(t, step)
 			if l.stop != "" {
 				s.sched.mu.Lock()
-				s.sched.fleet.setStops([]dispatch.Stop{{Task: tellerTask, Run: 1, VM: "vm1", Reason: l.stop}}, steady.Now())
+				s.sched.fleet.setStops([]dispatch.Stop{{Task: reportedTask, Run: 1, VM: "vm1", Reason: l.stop}}, steady.Now())
 				s.sched.mu.Unlock()
 			}
 			test(s, l.how)
@@ -146,28 +146,28 @@
 // TestFailureIsKnownThoughItsSessionEnds has a session end before it hears that a failure
 // is committed.
 func TestFailureIsKnownThoughItsSessionEnds(t *testing.T) {
-	forLessons(t, func(s *teller, how queue.Ending) {
+	forEachFailure(t, func(s *manualLeader, how queue.Ending) {
 		ctx, cancel := context.WithCancel(s.ctx)
-		commit, told := s.tell(ctx, how)
+		commit, told := s.reportEnd(ctx, how)
 		cancel()
 		assert.Assert(s.t, <-told != nil)
 		commit()
 		s.plan()
-		assert.Assert(s.t, s.run().VM != "vm1", "it is started again where it has just failed")
+		assert.Assert(s.t, s.activeRun().VM != "vm1", "it is started again where it has just failed")
 	})
 }
 
 // TestFirstPlanAfterFailureKnowsIt makes a plan as soon as a failure is committed, before
 // its session has got any further.
 func TestFirstPlanAfterFailureKnowsIt(t *testing.T) {
-	forLessons(t, func(s *teller, how queue.Ending) {
-		commit, told := s.tell(s.ctx, how)
+	forEachFailure(t, func(s *manualLeader, how queue.Ending) {
+		commit, told := s.reportEnd(s.ctx, how)
 		s.sched.mu.Lock()
 		commit()
 		var plan dispatch.Plan
 		s.sched.rep.View(func(st *state.State) {
 			f, now := s.sched.fleet, steady.Now()
-			f.answer(now)
+			f.refreshHeartbeats(now)
 			plan = f.planner.Plan(st.Queues(), f.view(st.Queues(), now))
 		})
 		s.sched.mu.Unlock()
--- a/scheduler/life_again_test.go
+++ b/scheduler/life_again_test.go
@@ -14,19 +14,19 @@
 
 // TestNoOrdersAfterLifeTakenUpAgain guards against a usable VM whose agent drops all orders.
 func TestNoOrdersAfterLifeTakenUpAgain(t *testing.T) {
-	s := newSiteWith(t, nil, 5*time.Second)
-	e, mislead := s.addMisled()
-	s.put(nil)
-	s.submit("feed", "", queue.Step{Count: 1, Size: small.Size, Lasting: true})
-	s.until("the feed is at work", func() bool { return len(e.Running()) == 1 })
+	s := newTestClusterWithLease(t, nil, 5*time.Second)
+	e, mislead := s.addMisledVM()
+	s.putDocument(nil)
+	s.submit("feed", "", queue.Step{Count: 1, Size: smallStep.Size, Lasting: true})
+	s.waitUntil("the feed is at work", func() bool { return len(e.Running()) == 1 })
 	mislead()
-	s.submit("roster", "work=20ms", small)
+	s.submit("roster", "work=20ms", smallStep)
 	overdue := func() bool {
 		return slices.ContainsFunc(s.sched.overdueRuns(steady.Now()), func(r overdueRun) bool { return r.Job == "roster" })
 	}
-	s.until("the roster is done, or its run is overdue", func() bool {
-		return overdue() || s.ask(wire.Ask{Status: &wire.Place{Host: host, Path: "/q/roster"}}).Status == queue.Completed
+	s.waitUntil("the roster is done, or its run is overdue", func() bool {
+		return overdue() || s.ask(wire.Ask{Status: &wire.Place{Host: testHost, Path: "/q/roster"}}).Status == queue.Completed
 	})
 	assert.Assert(t, !overdue(), "its VM is usable, and does not begin it")
-	s.until("the feed is at work", func() bool { return len(e.Running()) == 1 })
+	s.waitUntil("the feed is at work", func() bool { return len(e.Running()) == 1 })
 }
--- a/scheduler/liveness_test.go
+++ b/scheduler/liveness_test.go
@@ -17,25 +17,25 @@
 const (
 	// mostPending is how long a lasting task may lack a start that the state accepts: the
 	// users' 3 s.
-	mostPending = 3 * time.Second
+	maxPendingTime = 3 * time.Second
 	// longRun shows by far that a task does not crash what starts it.
-	longRun = time.Minute
+	longRunTime = time.Minute
 	// watched is for how long a fleet in which nothing happens any more is looked at.
-	watched = 10 * time.Second
+	settledTime = 10 * time.Second
 )
 
 // assertStarted lets time pass in which nothing happens, and holds that no lasting task
 // for which there is room on two VMs lacks an accepted start for too long.
-func (s *simFleet) assertStarted() {
+func (s *simFleet) assertLastingTasksStart() {
 	s.t.Helper()
-	clear(s.pending)
-	refused := s.refused
-	for end := s.now.Add(watched); s.now.Before(end); {
+	clear(s.pendingSince)
+	refused := s.rejectedStarts
+	for end := s.now.Add(settledTime); s.now.Before(end); {
 		s.tick()
-		for k, since := range s.pending {
+		for k, since := range s.pendingSince {
 			st := s.qs.Job(k.Job).Spec.Steps[k.Step]
-			assert.Assert(s.t, s.now.Sub(since) <= mostPending || s.roomy(st) < 2,
-				"%s lacks a run for %v, and %d planned starts were not accepted; %+v", k, s.now.Sub(since), s.refused-refused, *s.task(k))
+			assert.Assert(s.t, s.now.Sub(since) <= maxPendingTime || s.vmsWithRoom(st) < 2,
+				"%s lacks a run for %v, and %d planned starts were not accepted; %+v", k, s.now.Sub(since), s.rejectedStarts-refused, *s.task(k))
 		}
 	}
 }
@@ -46,51 +46,51 @@
 	for _, c := range []struct {
 		name string
 		span time.Duration // that the task runs on each
-	}{{"after long runs", longRun}, {"after short runs", 2 * time.Second}} {
+	}{{"after long runs", longRunTime}, {"after short runs", 2 * time.Second}} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newSimFleet(t, 2+queue.MostCrashes)
 			s.submit("feed", lastingStep(1))
 			for range queue.MostCrashes {
-				s.run(c.span)
-				assert.Assert(t, s.atWork(k))
-				s.lose(s.vmOf(k))
+				s.advance(c.span)
+				assert.Assert(t, s.isRunning(k))
+				s.expireLease(s.vmOf(k))
 			}
-			s.assertStarted()
-			assert.Assert(t, s.atWork(k))
+			s.assertLastingTasksStart()
+			assert.Assert(t, s.isRunning(k))
 		})
 	}
 	t.Run("though it has run for long since", func(t *testing.T) {
 		s := newSimFleet(t, 2+queue.MostCrashes)
 		s.submit("feed", lastingStep(1))
 		for range queue.MostCrashes - 1 {
-			s.run(2 * time.Second)
-			s.lose(s.vmOf(k))
+			s.advance(2 * time.Second)
+			s.expireLease(s.vmOf(k))
 		}
-		s.run(longRun)
-		assert.Assert(t, s.atWork(k))
+		s.advance(longRunTime)
+		assert.Assert(t, s.isRunning(k))
 		s.crash(s.vmOf(k), true)
-		s.assertStarted()
-		s.run(longRun)
-		s.lose(s.vmOf(k))
-		s.assertStarted()
-		assert.Assert(t, s.atWork(k))
+		s.assertLastingTasksStart()
+		s.advance(longRunTime)
+		s.expireLease(s.vmOf(k))
+		s.assertLastingTasksStart()
+		assert.Assert(t, s.isRunning(k))
 	})
 }
 
 // suspectFleet returns a fleet in which a task has crashed an executor, which has
 // nothing to run any more, and all others have.
-func suspectFleet(t *testing.T, vms int) (s *simFleet, k queue.TaskKey, on *simVM) {
+func newSuspectFleet(t *testing.T, vms int) (s *simFleet, k queue.TaskKey, on *simVM) {
 	s, k = newSimFleet(t, vms), queue.TaskKey{Job: "suspect"}
 	on = s.vms[0]
 	for i, v := range s.vms[1:] {
 		id := fmt.Sprintf("beside%d", i)
 		s.submit(id, lastingStep(1))
-		s.place(queue.TaskKey{Job: rudderfork.JobID(id)}, v)
+		s.startOn(queue.TaskKey{Job: rudderfork.JobID(id)}, v)
 	}
-	s.run(longRun)
+	s.advance(longRunTime)
 	s.submit("suspect", lastingStep(1))
-	s.place(k, on)
-	s.work(on)
+	s.startOn(k, on)
+	s.executeOrders(on)
 	s.crash(on, true)
 	assert.Assert(t, s.task(k).Suspect())
 	return s, k, on
@@ -101,14 +101,14 @@
 func TestSuspectLeavesVMThatDoesNotRunIt(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		health health
+		health executorHealth
 		span   time.Duration // for two starts in vain, and one elsewhere
-	}{{"it refuses all", refusing, mostPending}, {"tasks stand still there", standing, watched}} {
+	}{{"it refuses all", refusing, maxPendingTime}, {"tasks stand still there", stuck, settledTime}} {
 		t.Run(c.name, func(t *testing.T) {
-			s, k, bad := suspectFleet(t, 6)
+			s, k, bad := newSuspectFleet(t, 6)
 			bad.health = c.health
-			s.run(c.span)
-			assert.Assert(t, s.atWork(k) && s.vmOf(k) != bad, "%d starts", s.task(k).LastRun)
+			s.advance(c.span)
+			assert.Assert(t, s.isRunning(k) && s.vmOf(k) != bad, "%d starts", s.task(k).LastRun)
 		})
 	}
 }
@@ -118,19 +118,19 @@
 func TestSuspectWaitsNoLongerUnderNextLeader(t *testing.T) {
 	const ahead = 5 * time.Second
 	s := newSimFleet(t, 4)
-	s.run(longRun)
-	s.lead(ahead)
+	s.advance(longRunTime)
+	s.changeLeader(ahead)
 	for i := range 3 {
 		s.submit(fmt.Sprintf("suspect%d", i), lastingStep(1))
-		s.place(queue.TaskKey{Job: rudderfork.JobID(fmt.Sprintf("suspect%d", i))}, s.vms[0])
+		s.startOn(queue.TaskKey{Job: rudderfork.JobID(fmt.Sprintf("suspect%d", i))}, s.vms[0])
 	}
-	s.work(s.vms[0])
+	s.executeOrders(s.vms[0])
 	s.crash(s.vms[0], true)
-	s.lead(0)
+	s.changeLeader(0)
 	for _, v := range s.vms {
-		v.mute = true // no run is seen to begin, and quarantine stays full
+		v.omitsRuns = true // no run is seen to begin, and quarantine stays full
 	}
-	s.assertStarted()
+	s.assertLastingTasksStart()
 }
 
 // TestVMThatCrashesAgainAndAgainFailsNoLastingJob has the executor of one VM crash, of many,
@@ -144,11 +144,11 @@
 				for i := range s.vms {
 					s.submit(fmt.Sprintf("feed%d", i), lastingStep(1))
 				}
-				s.run(longRun)
+				s.advance(longRunTime)
 				bad := s.vmOf(queue.TaskKey{Job: "feed0"})
 				for range crashes {
 					s.crash(bad, seen)
-					s.run(every)
+					s.advance(every)
 				}
 				failed := 0
 				for _, j := range s.qs.Image().Jobs {
@@ -168,7 +168,7 @@
 	const bad, good = 20, 4
 	for _, c := range []struct {
 		name   string
-		health health
+		health executorHealth
 	}{{"failing", failing}, {"refusing", refusing}} {
 		t.Run(c.name, func(t *testing.T) {
 			s, k := newSimFleet(t, bad+good), queue.TaskKey{Job: "feed"}
@@ -176,7 +176,7 @@
 			for i, v := range s.vms[bad:] {
 				id := fmt.Sprintf("beside%d", i)
 				s.submit(id, half)
-				s.place(queue.TaskKey{Job: rudderfork.JobID(id)}, v)
+				s.startOn(queue.TaskKey{Job: rudderfork.JobID(id)}, v)
 			}
 			for _, v := range s.vms[:bad] {
 				v.health = c.health
@@ -184,53 +184,53 @@
 			st := lastingStep(1)
 			st.TailMS = 0
 			s.submit("feed", st)
-			s.run(30 * time.Second)
-			assert.Assert(t, s.atWork(k) && s.vmOf(k).health == sound, "%d starts", s.task(k).LastRun)
+			s.advance(30 * time.Second)
+			assert.Assert(t, s.isRunning(k) && s.vmOf(k).health == healthy, "%d starts", s.task(k).LastRun)
 		})
 	}
 }
 
 // event is what may happen to a fleet.
-type event string
+type fleetEvent string
 
 const (
-	crashed   event = "crash"
-	crashSeen event = "crash seen"
-	lost      event = "lost"
-	back      event = "back"
-	backAnew  event = "back under another life"
-	elected   event = "elected"
-	skewed    event = "elected, with another clock"
-	ailing    event = "ailing"
-	failed    event = "failed"
-	handedIn  event = "handed in"
+	executorCrash      fleetEvent = "crash"
+	observedCrash      fleetEvent = "crash seen"
+	leaseLoss          fleetEvent = "lost"
+	vmReturn           fleetEvent = "back"
+	vmReturnRestarted  fleetEvent = "back under another life"
+	leaderChange       fleetEvent = "elected"
+	leaderChangeSkewed fleetEvent = "elected, with another clock"
+	healthChange       fleetEvent = "ailing"
+	runFailure         fleetEvent = "failed"
+	jobSubmission      fleetEvent = "handed in"
 )
 
-var allEvents = []event{crashed, crashSeen, lost, back, backAnew, elected, skewed, ailing, failed, handedIn}
+var fleetEvents = []fleetEvent{executorCrash, observedCrash, leaseLoss, vmReturn, vmReturnRestarted, leaderChange, leaderChangeSkewed, healthChange, runFailure, jobSubmission}
 
 // drawnFleet is a fleet to which events happen at random.
-type drawnFleet struct {
+type randomFleet struct {
 	*simFleet
 	rnd  *rand.Rand
 	jobs int
 }
 
-func drawFleet(t *testing.T, seed uint64) *drawnFleet {
+func newRandomFleet(t *testing.T, seed uint64) *randomFleet {
 	rnd := rand.New(rand.NewPCG(seed, 7))
-	s := &drawnFleet{simFleet: newSimFleet(t, 4+rnd.IntN(9)), rnd: rnd}
+	s := &randomFleet{simFleet: newSimFleet(t, 4+rnd.IntN(9)), rnd: rnd}
 	for range 2 + rnd.IntN(4) {
-		s.handIn()
+		s.submitJob()
 	}
 	return s
 }
 
-func (s *drawnFleet) handIn() {
+func (s *randomFleet) submitJob() {
 	s.jobs++
 	s.submit(fmt.Sprintf("j%03d", s.jobs), lastingStep(1+s.rnd.IntN(4)))
 }
 
 // draw returns a VM that is up, or down; nil if there is none.
-func (s *drawnFleet) draw(down bool) *simVM {
+func (s *randomFleet) pickVM(down bool) *simVM {
 	var list []*simVM
 	for _, v := range s.vms {
 		if v.down == down {
@@ -243,65 +243,65 @@
 	return list[s.rnd.IntN(len(list))]
 }
 
-func (s *drawnFleet) happen(e event) {
-	v := s.draw(e == back || e == backAnew)
+func (s *randomFleet) applyEvent(e fleetEvent) {
+	v := s.pickVM(e == vmReturn || e == vmReturnRestarted)
 	if v == nil {
 		return
 	}
 	switch e {
-	case crashed, crashSeen:
-		s.crash(v, e == crashSeen)
-	case lost:
-		s.lose(v)
-	case backAnew:
-		v.life++
+	case executorCrash, observedCrash:
+		s.crash(v, e == observedCrash)
+	case leaseLoss:
+		s.expireLease(v)
+	case vmReturnRestarted:
+		v.incarnation++
 		s.register(v, nil)
-	case back:
+	case vmReturn:
 		s.register(v, nil)
-	case elected:
-		s.lead(s.skew)
-	case skewed:
-		s.lead(time.Duration(s.rnd.IntN(11)-5) * time.Second)
-	case ailing:
-		v.health = health(s.rnd.IntN(4))
-	case failed:
+	case leaderChange:
+		s.changeLeader(s.clockSkew)
+	case leaderChangeSkewed:
+		s.changeLeader(time.Duration(s.rnd.IntN(11)-5) * time.Second)
+	case healthChange:
+		v.health = executorHealth(s.rnd.IntN(4))
+	case runFailure:
 		s.failOne(v)
-	case handedIn:
-		s.handIn()
+	case jobSubmission:
+		s.submitJob()
 	}
 }
 
 // failOne has one of a VM's runs end as failed.
-func (s *drawnFleet) failOne(v *simVM) {
+func (s *randomFleet) failOne(v *simVM) {
 	var ends []queue.End
 	for k, number := range s.qs.VM(v.id).Runs() {
 		ends = append(ends, queue.End{Task: k, Run: number, How: queue.EndFailed})
 	}
 	slices.SortFunc(ends, func(a, b queue.End) int { return a.Task.Compare(b.Task) })
-	s.end(v, ends[:min(1, len(ends))]...)
+	s.reportEnds(v, ends[:min(1, len(ends))]...)
 }
 
 // drawnEvents is how many events a drawn history has.
-const drawnEvents = 60
+const eventsPerHistory = 60
 
 // TestLastingTasksStartAgain draws what happens to a fleet in which every VM that was
 // lost comes back in the end.
 func TestLastingTasksStartAgain(t *testing.T) {
 	for seed := range uint64(100) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			s := drawFleet(t, seed)
-			for range drawnEvents {
-				s.happen(allEvents[s.rnd.IntN(len(allEvents))])
-				s.run(time.Duration(s.rnd.IntN(10)) * simTick)
+			s := newRandomFleet(t, seed)
+			for range eventsPerHistory {
+				s.applyEvent(fleetEvents[s.rnd.IntN(len(fleetEvents))])
+				s.advance(time.Duration(s.rnd.IntN(10)) * simPlanInterval)
 			}
 			for _, v := range s.vms {
-				v.health = sound
+				v.health = healthy
 				if v.down {
-					v.life++
+					v.incarnation++
 					s.register(v, nil)
 				}
 			}
-			s.assertStarted()
+			s.assertLastingTasksStart()
 		})
 	}
 }
@@ -311,12 +311,12 @@
 func TestKeptPlannerPlansAsNewOne(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			s := drawFleet(t, seed)
-			for range drawnEvents {
-				s.happen(allEvents[s.rnd.IntN(len(allEvents))])
+			s := newRandomFleet(t, seed)
+			for range eventsPerHistory {
+				s.applyEvent(fleetEvents[s.rnd.IntN(len(fleetEvents))])
 				for range s.rnd.IntN(6) {
-					view := s.f.view(s.qs, s.clock())
-					assert.DeepEqual(t, s.f.planner.Plan(s.qs, view), dispatch.Make(s.qs, view))
+					view := s.fleet.view(s.qs, s.leaderTime())
+					assert.DeepEqual(t, s.fleet.planner.Plan(s.qs, view), dispatch.Make(s.qs, view))
 					s.tick()
 				}
 			}
@@ -330,11 +330,11 @@
 	s := newSimFleet(t, 2)
 	filler := queue.Step{Count: 1, Size: rudderfork.Resources{CPUMilli: 500, MemoryMB: 100}, Filler: true, Image: "f", ExpectedMS: 500}
 	for i := range 2 {
-		s.f.worktimes.Observe("q", queue.StepKey{Job: "done"}, &filler, 200, s.now.Add(time.Duration(i-1)*24*time.Hour))
+		s.fleet.worktimes.Observe("q", queue.StepKey{Job: "done"}, &filler, 200, s.now.Add(time.Duration(i-1)*24*time.Hour))
 	}
 	s.submit("filler", filler)
 	s.submit("feed", lastingStep(2))
-	s.assertStarted()
+	s.assertLastingTasksStart()
 }
 
 // TestNewTaskAvoidsVMThatCrashesAgainAndAgain has all VMs hold work but the one whose
@@ -352,11 +352,11 @@
 			for i, v := range s.vms[1:] {
 				id := fmt.Sprintf("beside%d", i)
 				s.submit(id, plain)
-				s.place(queue.TaskKey{Job: rudderfork.JobID(id)}, v)
+				s.startOn(queue.TaskKey{Job: rudderfork.JobID(id)}, v)
 			}
 			for range c.crashes {
 				s.crash(bad, true)
-				s.run(time.Second)
+				s.advance(time.Second)
 			}
 			s.submit("new", plain)
 			s.tick()
@@ -367,7 +367,7 @@
 
 // TestOutageCountsOnce guards against a VM that is in doubt for one crash, found as a loss first.
 func TestOutageCountsOnce(t *testing.T) {
-	lose := func(s *simFleet, v *simVM) { s.lose(v) }
+	lose := func(s *simFleet, v *simVM) { s.expireLease(v) }
 	again := func(s *simFleet, v *simVM) { s.register(v, nil) }
 	anew := func(s *simFleet, v *simVM) { s.crash(v, true) }
 	for name, c := range map[string]struct {
@@ -388,7 +388,7 @@
 				outage(s, v)
 				s.tick()
 			}
-			assert.Equal(t, s.f.vm(v.id).doubtNow(s.now) > 0, c.doubted)
+			assert.Equal(t, s.fleet.vm(v.id).doubtNow(s.now) > 0, c.doubted)
 		})
 	}
 }
@@ -401,13 +401,13 @@
 	for i, v := range s.vms[1:] {
 		id := fmt.Sprintf("beside%d", i)
 		s.submit(id, plain)
-		s.place(queue.TaskKey{Job: rudderfork.JobID(id)}, v)
+		s.startOn(queue.TaskKey{Job: rudderfork.JobID(id)}, v)
 	}
 	s.submit("feed", plain)
 	s.tick()
 	silent := s.vmOf(k)
 	assert.Equal(t, silent, s.vms[0])
-	s.lose(silent)
+	s.expireLease(silent)
 	s.register(silent, nil)
 	s.tick()
 	assert.Assert(t, s.vmOf(k) != silent, "it is placed there again")
@@ -420,14 +420,14 @@
 		name  string
 		span  time.Duration
 		there bool // it is started there again
-	}{{"long at work", longRun, true}, {"just begun", simStartup / 2, false}} {
+	}{{"long at work", longRunTime, true}, {"just begun", simStartupTime / 2, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			s, k := newSimFleet(t, 4), queue.TaskKey{Job: "feed"}
 			s.submit("feed", lastingStep(1))
-			s.run(c.span)
+			s.advance(c.span)
 			on, run := s.vmOf(k), s.task(k).LastRun
-			s.f.learn(on.id, queue.End{Task: k, Run: run, How: queue.EndFailed}, s.clock())
-			s.apply(queue.Command{Ends: &queue.Ends{VM: on.id, Incarnation: on.lifeName(), List: []queue.End{{Task: k, Run: run, How: queue.EndFailed}}}})
+			s.fleet.learn(on.id, queue.End{Task: k, Run: run, How: queue.EndFailed}, s.leaderTime())
+			s.apply(queue.Command{Ends: &queue.Ends{VM: on.id, Incarnation: on.incarnationName(), List: []queue.End{{Task: k, Run: run, How: queue.EndFailed}}}})
 			s.plan()
 			assert.Equal(t, s.vmOf(k) == on, c.there)
 		})
--- a/scheduler/losses_test.go
+++ b/scheduler/losses_test.go
@@ -18,13 +18,13 @@
 )
 
 // heldStore is a store whose saves wait while a gate is set.
-type heldStore struct {
+type gatedStore struct {
 	replica.Store
 	gate atomic.Pointer[chan struct{}]
 }
 
 // Save implements replica.Store.
-func (h *heldStore) Save(rd quorum.Ready) error {
+func (h *gatedStore) Save(rd quorum.Ready) error {
 	if gate := h.gate.Load(); gate != nil {
 		<-*gate
 	}
@@ -36,17 +36,17 @@
 // was made meanwhile.)
 func TestManyLost(t *testing.T) {
 	const vms = 40
-	store := &heldStore{}
-	rep := newReplicaOn(t, func(s replica.Store) replica.Store { store.Store = s; return store }, self)
-	s := &site{t: t, ctx: t.Context()}
+	store := &gatedStore{}
+	rep := newReplicaWithStore(t, func(s replica.Store) replica.Store { store.Store = s; return store }, selfMember)
+	s := &testCluster{t: t, ctx: t.Context()}
 	s.serve(rep)
-	s.until("it leads", rep.Leads)
+	s.waitUntil("it leads", rep.Leads)
 	for i := range vms {
 		id := rudderfork.VMID(fmt.Sprintf("vm%02d", i))
 		_, err := rep.Do(s.ctx, state.Command{Queue: &queue.Command{Register: &queue.VM{ID: id, Incarnation: "life"}}})
 		assert.NilError(t, err)
 	}
-	sched := New(Settings{Lease: time.Millisecond}, rep, nil, zerolog.Nop(), alone{})
+	sched := New(Settings{Lease: time.Millisecond}, rep, nil, zerolog.Nop(), noPeers{})
 	sched.startTerm(rep.Status().Term)
 	steady.Pause(s.ctx, 2*roundPause) // until the leases are surely over
 
@@ -58,5 +58,5 @@
 	}()
 	last := rep.Status().Last
 	go sched.expire(s.ctx)
-	s.until("all losses are proposed", func() bool { return rep.Status().Last == last+vms })
+	s.waitUntil("all losses are proposed", func() bool { return rep.Status().Last == last+vms })
 }
--- a/scheduler/lost_twice_test.go
+++ b/scheduler/lost_twice_test.go
@@ -16,23 +16,23 @@
 
 // TestLossProposedTwiceLeavesDoubt guards against tasks that count as crashed under for good, and are not started.
 func TestLossProposedTwiceLeavesDoubt(t *testing.T) {
-	store := &heldStore{}
-	rep := newReplicaOn(t, func(s replica.Store) replica.Store { store.Store = s; return store }, self)
-	s := &site{t: t, ctx: t.Context()}
+	store := &gatedStore{}
+	rep := newReplicaWithStore(t, func(s replica.Store) replica.Store { store.Store = s; return store }, selfMember)
+	s := &testCluster{t: t, ctx: t.Context()}
 	s.serve(rep)
-	s.until("it leads", rep.Leads)
+	s.waitUntil("it leads", rep.Leads)
 	do := func(c queue.Command) {
 		_, err := rep.Do(s.ctx, state.Command{Queue: &c})
 		assert.NilError(t, err)
 	}
 	vm, k := queue.VM{ID: "vm1", Incarnation: "life-1", Service: "desk"}, queue.TaskKey{Job: "feed"}
 	do(queue.Command{Document: &queue.Document{
-		Version: 1, Queues: []queue.Queue{{Name: "q", Host: host, Prefix: "/q/", Service: "desk", MaxAttempts: 1}}, Pools: []queue.Pool{{Service: "desk"}},
+		Version: 1, Queues: []queue.Queue{{Name: "q", Host: testHost, Prefix: "/q/", Service: "desk", MaxAttempts: 1}}, Pools: []queue.Pool{{Service: "desk"}},
 	}})
-	do(queue.Command{Submit: &queue.Submit{Host: host, Path: "/q/feed", Spec: queue.Spec{Steps: []queue.Step{{Count: 1, Lasting: true}}}}})
+	do(queue.Command{Submit: &queue.Submit{Host: testHost, Path: "/q/feed", Spec: queue.Spec{Steps: []queue.Step{{Count: 1, Lasting: true}}}}})
 	do(queue.Command{Register: &vm})
 	do(queue.Command{Starts: []queue.Start{{Task: k, VM: vm.ID, Incarnation: vm.Incarnation}}})
-	sched := New(Settings{Lease: time.Millisecond}, rep, nil, zerolog.Nop(), alone{})
+	sched := New(Settings{Lease: time.Millisecond}, rep, nil, zerolog.Nop(), noPeers{})
 	sched.startTerm(rep.Status().Term)
 	steady.Pause(s.ctx, 2*roundPause) // until the lease is surely over
 
@@ -47,7 +47,7 @@
 	}
 	store.gate.Store(nil)
 	close(gate)
-	s.until("both proposals are committed", func() bool { return rep.Status().Commit == last+2 })
+	s.waitUntil("both proposals are committed", func() bool { return rep.Status().Commit == last+2 })
 	do(queue.Command{Register: &vm})
 	rep.View(func(st *state.State) { assert.Equal(t, st.Queues().Job("feed").Task(k).Doubts, 0) })
 }
--- a/scheduler/orders_test.go
+++ b/scheduler/orders_test.go
@@ -19,11 +19,11 @@
 	key := queue.TaskKey{Job: "j"}
 	for _, c := range []queue.Command{
 		{Document: &queue.Document{
-			Version: 1, Queues: []queue.Queue{{Name: "q", Host: host, Prefix: "/q/", Service: "desk", MaxAttempts: 1}},
+			Version: 1, Queues: []queue.Queue{{Name: "q", Host: testHost, Prefix: "/q/", Service: "desk", MaxAttempts: 1}},
 			Pools: []queue.Pool{{Service: "desk"}},
 		}},
 		{Register: &queue.VM{ID: "vm1", Domain: "north", Incarnation: "life-1", Service: "desk", Capacity: rudderfork.Resources{CPUMilli: 4000}}},
-		{Submit: &queue.Submit{Host: host, Path: "/q/j", Spec: queue.Spec{Steps: []queue.Step{small}}}},
+		{Submit: &queue.Submit{Host: testHost, Path: "/q/j", Spec: queue.Spec{Steps: []queue.Step{smallStep}}}},
 		{Starts: []queue.Start{{Task: key, VM: "vm1", Incarnation: "life-1"}}},
 	} {
 		assert.Equal(t, qs.Apply(c, 1).Code, queue.OK)
@@ -34,12 +34,12 @@
 
 func cancelJob(t *testing.T, qs *queue.State) {
 	t.Helper()
-	assert.Equal(t, qs.Apply(queue.Command{Cancel: &queue.Cancel{Host: host, Path: "/q/j"}}, 2).Code, queue.OK)
+	assert.Equal(t, qs.Apply(queue.Command{Cancel: &queue.Cancel{Host: testHost, Path: "/q/j"}}, 2).Code, queue.OK)
 }
 
 // newAgentSession returns a session of vm1's agent with a leader that has not
 // planned anything yet.
-func newAgentSession(qs *queue.State) *session {
+func newSessionOfAgent(qs *queue.State) *session {
 	return &session{
 		s: &Scheduler{fleet: newFleet()}, vm: "vm1", life: "life-1", epoch: qs.VM("vm1").Epoch,
 		sent: map[rudderfork.RunRef]bool{}, stops: map[rudderfork.RunRef]bool{}, told: map[interference.Pair]float64{},
@@ -53,7 +53,7 @@
 	t.Run("to a leader that is new the run is known, and the stop goes with it", func(t *testing.T) {
 		qs := stateWithRun(t)
 		cancelJob(t, qs)
-		o := newAgentSession(qs).newOrders(qs)
+		o := newSessionOfAgent(qs).newOrders(qs)
 		assert.Assert(t, o.Full)
 		assert.Equal(t, len(o.Start), 1)
 		assert.Equal(t, o.Start[0].RunRef, run)
@@ -61,7 +61,7 @@
 	})
 	t.Run("a run that was told is stopped as soon as the cancel is applied, and once", func(t *testing.T) {
 		qs := stateWithRun(t)
-		ses := newAgentSession(qs)
+		ses := newSessionOfAgent(qs)
 		o := ses.newOrders(qs)
 		assert.Equal(t, len(o.Start), 1)
 		assert.Equal(t, len(o.Stop), 0)
@@ -74,16 +74,16 @@
 	t.Run("the next session hears of it again", func(t *testing.T) {
 		qs := stateWithRun(t)
 		cancelJob(t, qs)
-		newAgentSession(qs).newOrders(qs)
-		assert.DeepEqual(t, newAgentSession(qs).newOrders(qs).Stop, []rudderfork.RunRef{run})
+		newSessionOfAgent(qs).newOrders(qs)
+		assert.DeepEqual(t, newSessionOfAgent(qs).newOrders(qs).Stop, []rudderfork.RunRef{run})
 	})
 	t.Run("the job is kept until the run's end is known", func(t *testing.T) {
 		qs := stateWithRun(t)
 		cancelJob(t, qs)
 		later := int64(1_000_000)
-		qs.Apply(queue.Command{Submit: &queue.Submit{Host: host, Path: "/q/other", Spec: queue.Spec{Steps: []queue.Step{small}}}}, later)
+		qs.Apply(queue.Command{Submit: &queue.Submit{Host: testHost, Path: "/q/other", Spec: queue.Spec{Steps: []queue.Step{smallStep}}}}, later)
 		assert.Assert(t, qs.Job("j") != nil)
-		assert.DeepEqual(t, newAgentSession(qs).newOrders(qs).Stop, []rudderfork.RunRef{run})
+		assert.DeepEqual(t, newSessionOfAgent(qs).newOrders(qs).Stop, []rudderfork.RunRef{run})
 	})
 }
 
@@ -93,7 +93,7 @@
 	key := queue.TaskKey{Job: "j"}
 	told := func(t *testing.T) (qs *queue.State, ses *session) {
 		qs = stateWithRun(t)
-		ses = newAgentSession(qs)
+		ses = newSessionOfAgent(qs)
 		assert.Assert(t, ses.behind(qs), "it was told nothing yet")
 		ses.newOrders(qs)
 		assert.Assert(t, !ses.behind(qs))
--- a/scheduler/simfleet_test.go
+++ b/scheduler/simfleet_test.go
@@ -17,50 +17,50 @@
 
 const (
 	// simTick is the time from one plan to the next.
-	simTick = 100 * time.Millisecond
+	simPlanInterval = 100 * time.Millisecond
 	// simStartup is how long a lasting task takes until it is at work.
-	simStartup = time.Second
-	simEpoch   = 1_000_000 // Unix s
+	simStartupTime = time.Second
+	simStartUnix   = 1_000_000 // Unix s
 )
 
 // health says what a VM's executor does with what it is to start.
-type health int
+type executorHealth int
 
 const (
-	sound health = iota
+	healthy executorHealth = iota
 	failing
 	refusing
-	standing // its tasks stand still
+	stuck // its tasks stand still
 )
 
 // simVM is a VM of a simFleet.
 type simVM struct {
-	id     rudderfork.VMID
-	life   int
-	health health
-	down   bool // nothing is heard of it
-	mute   bool // it tells of no run
-	begun  map[queue.RunKey]time.Time
+	id          rudderfork.VMID
+	incarnation int
+	health      executorHealth
+	down        bool // nothing is heard of it
+	omitsRuns   bool // it tells of no run
+	startedAt   map[queue.RunKey]time.Time
 }
 
-func (v *simVM) lifeName() string { return fmt.Sprintf("%s-life-%d", v.id, v.life) }
+func (v *simVM) incarnationName() string { return fmt.Sprintf("%s-life-%d", v.id, v.incarnation) }
 
 // simFleet is a replicated state, what its leader knows beside it, and VMs that do what
 // they are told, in simulated time.
 type simFleet struct {
-	t    *testing.T
-	qs   *queue.State
-	f    *fleet
-	now  time.Time
-	skew time.Duration // of the leader's clock
-	vms  []*simVM
-
-	pending map[queue.TaskKey]time.Time // since when a lasting task lacks a run
-	refused int                         // starts that the state did not accept
+	t         *testing.T
+	qs        *queue.State
+	fleet     *fleet
+	now       time.Time
+	clockSkew time.Duration // of the leader's clock
+	vms       []*simVM
+
+	pendingSince   map[queue.TaskKey]time.Time // since when a lasting task lacks a run
+	rejectedStarts int                         // starts that the state did not accept
 }
 
 func newSimFleet(t *testing.T, vms int) *simFleet {
-	s := &simFleet{t: t, qs: queue.New(), f: newFleet(), now: time.Unix(simEpoch, 0), pending: map[queue.TaskKey]time.Time{}}
+	s := &simFleet{t: t, qs: queue.New(), fleet: newFleet(), now: time.Unix(simStartUnix, 0), pendingSince: map[queue.TaskKey]time.Time{}}
 	s.apply(queue.Command{Document: &queue.Document{
 		Version: 1, Queues: []queue.Queue{{Name: "q", Host: "h", Prefix: "/q/", Service: "desk", MaxAttempts: 2, Stretch: 1.5, LatencyMS: 250}},
 		Pools: []queue.Pool{{Service: "desk"}},
@@ -72,15 +72,15 @@
 }
 
 func (s *simFleet) addVM() {
-	v := &simVM{id: rudderfork.VMID(fmt.Sprintf("vm%03d", len(s.vms))), begun: map[queue.RunKey]time.Time{}}
+	v := &simVM{id: rudderfork.VMID(fmt.Sprintf("vm%03d", len(s.vms))), startedAt: map[queue.RunKey]time.Time{}}
 	s.vms = append(s.vms, v)
 	s.register(v, nil)
 }
 
 // place starts a task on a VM, whatever a plan would do.
-func (s *simFleet) place(k queue.TaskKey, v *simVM) {
+func (s *simFleet) startOn(k queue.TaskKey, v *simVM) {
 	s.t.Helper()
-	res := s.apply(queue.Command{Starts: []queue.Start{{Task: k, VM: v.id, Incarnation: v.lifeName()}}})
+	res := s.apply(queue.Command{Starts: []queue.Start{{Task: k, VM: v.id, Incarnation: v.incarnationName()}}})
 	assert.Assert(s.t, res.Numbers[0] > 0, "%s was not started on %s", k, v.id)
 }
 
@@ -99,13 +99,13 @@
 }
 
 // atWork reports whether a run of a task has begun.
-func (s *simFleet) atWork(k queue.TaskKey) bool {
+func (s *simFleet) isRunning(k queue.TaskKey) bool {
 	v := s.vmOf(k)
-	return v != nil && !v.begun[k.Run(s.task(k).Runs[0].Number)].IsZero()
+	return v != nil && !v.startedAt[k.Run(s.task(k).Runs[0].Number)].IsZero()
 }
 
 // roomy counts the VMs that answer and have room for a task.
-func (s *simFleet) roomy(st queue.Step) (n int) {
+func (s *simFleet) vmsWithRoom(st queue.Step) (n int) {
 	for _, v := range s.vms {
 		vm := s.qs.VM(v.id)
 		if !v.down && vm.Live && vm.Used().Add(st.Size).Fits(vm.Capacity) {
@@ -116,15 +116,15 @@
 }
 
 // clock is the leader's.
-func (s *simFleet) clock() time.Time { return s.now.Add(s.skew) }
+func (s *simFleet) leaderTime() time.Time { return s.now.Add(s.clockSkew) }
 
 func (s *simFleet) apply(c queue.Command) queue.Result {
-	return s.qs.Apply(c, rudderfork.Millis(s.clock()))
+	return s.qs.Apply(c, rudderfork.Millis(s.leaderTime()))
 }
 
 // leader is a scheduler that knows what the leader does.
-func (s *simFleet) leader() *Scheduler {
-	return &Scheduler{fleet: s.f, log: zerolog.Nop(), rec: alone{}, met: newMetrics()}
+func (s *simFleet) scheduler() *Scheduler {
+	return &Scheduler{fleet: s.fleet, log: zerolog.Nop(), rec: noPeers{}, met: newMetrics()}
 }
 
 func (s *simFleet) submit(id string, steps ...queue.Step) {
@@ -140,125 +140,125 @@
 
 func (s *simFleet) register(v *simVM, seen *queue.Crash) {
 	vm := queue.VM{
-		ID: v.id, Incarnation: v.lifeName(), Service: "desk", Rack: "r", Capacity: rudderfork.Resources{CPUMilli: 8_000, MemoryMB: 16_000},
+		ID: v.id, Incarnation: v.incarnationName(), Service: "desk", Rack: "r", Capacity: rudderfork.Resources{CPUMilli: 8_000, MemoryMB: 16_000},
 	}
-	s.f.learnCrash(s.qs, vm, seen, s.clock())
+	s.fleet.learnCrash(s.qs, vm, seen, s.leaderTime())
 	res := s.apply(queue.Command{Crash: seen, Register: &vm})
-	s.leader().noteGone(v.id, lifeReplaced, res)
+	s.scheduler().noteGone(v.id, lifeReplaced, res)
 	v.down = false
-	s.admit(v)
+	s.connect(v)
 }
 
 // admit gives a VM its session and lease.
-func (s *simFleet) admit(v *simVM) {
-	info := s.f.vm(v.id)
+func (s *simFleet) connect(v *simVM) {
+	info := s.fleet.vm(v.id)
 	info.session = &session{epoch: 1}
 	info.lease.AllowGrants()
-	info.lease.AssumeLease(s.clock().Add(time.Hour))
-	s.beat(v)
+	info.lease.AssumeLease(s.leaderTime().Add(time.Hour))
+	s.sendHeartbeat(v)
 }
 
 // crash has the executor of a VM begin another life. If the agent saw it, it tells the
 // ages of the runs.
 func (s *simFleet) crash(v *simVM, seen bool) {
-	c := &queue.Crash{Incarnation: v.lifeName()}
-	for k, at := range v.begun {
+	c := &queue.Crash{Incarnation: v.incarnationName()}
+	for k, at := range v.startedAt {
 		c.Runs = append(c.Runs, queue.RunAge{Task: k.TaskKey, Run: k.Number, AgeMS: s.now.Sub(at).Milliseconds(), Seen: true})
 	}
 	slices.SortFunc(c.Runs, func(a, b queue.RunAge) int { return a.Task.Compare(b.Task) })
 	if !seen {
 		c = nil
 	}
-	v.life++
-	clear(v.begun)
+	v.incarnation++
+	clear(v.startedAt)
 	s.register(v, c)
 }
 
 // lead has another leader, whose clock is off, take over.
-func (s *simFleet) lead(skew time.Duration) {
-	s.skew = skew
-	s.f = newFleet()
+func (s *simFleet) changeLeader(skew time.Duration) {
+	s.clockSkew = skew
+	s.fleet = newFleet()
 	for _, v := range s.vms {
 		if !v.down {
-			s.admit(v)
+			s.connect(v)
 		}
 	}
 }
 
 // lose ends a VM's lease.
-func (s *simFleet) lose(v *simVM) {
+func (s *simFleet) expireLease(v *simVM) {
 	v.down = true
-	s.f.vm(v.id).session = nil
-	clear(v.begun)
-	s.f.learnLoss(s.qs.VM(v.id), s.clock())
-	res := s.apply(queue.Command{Lost: &queue.Lost{VM: v.id, Incarnation: v.lifeName()}})
-	s.leader().noteGone(v.id, lifeLapsed, res)
+	s.fleet.vm(v.id).session = nil
+	clear(v.startedAt)
+	s.fleet.learnLoss(s.qs.VM(v.id), s.leaderTime())
+	res := s.apply(queue.Command{Lost: &queue.Lost{VM: v.id, Incarnation: v.incarnationName()}})
+	s.scheduler().noteGone(v.id, lifeLapsed, res)
 }
 
-func (s *simFleet) beat(v *simVM) {
-	b := wire.VMBeat{VM: queue.VM{ID: v.id, Incarnation: v.lifeName()}}
-	for k, at := range v.begun {
-		if v.mute {
+func (s *simFleet) sendHeartbeat(v *simVM) {
+	b := wire.VMBeat{VM: queue.VM{ID: v.id, Incarnation: v.incarnationName()}}
+	for k, at := range v.startedAt {
+		if v.omitsRuns {
 			break
 		}
-		percent := min(fullPercent, int(fullPercent*s.now.Sub(at)/simStartup))
-		if v.health == standing {
+		percent := min(fullPercent, int(fullPercent*s.now.Sub(at)/simStartupTime))
+		if v.health == stuck {
 			percent = 0
 		}
 		b.Rows = append(b.Rows, rudderfork.RunRow{RunRef: k.Ref(k.Number), Percent: percent})
 	}
-	s.f.take(s.f.vm(v.id), b, s.clock())
+	s.fleet.take(s.fleet.vm(v.id), b, s.leaderTime())
 }
 
 // work has a VM do what it was told, and report.
-func (s *simFleet) work(v *simVM) {
+func (s *simFleet) executeOrders(v *simVM) {
 	vm := s.qs.VM(v.id)
 	var ends []queue.End
 	for k, number := range vm.Runs() {
 		run := k.Run(number)
-		at, begun := v.begun[run]
-		_, stop := s.f.stops[k.Ref(number)]
+		at, begun := v.startedAt[run]
+		_, stop := s.fleet.stops[k.Ref(number)]
 		switch {
 		case stop:
 			ends = append(ends, queue.End{Task: k, Run: number, How: queue.EndStopped})
-		case begun && v.health == failing && s.now.Sub(at) > simStartup/2:
+		case begun && v.health == failing && s.now.Sub(at) > simStartupTime/2:
 			ends = append(ends, queue.End{Task: k, Run: number, How: queue.EndFailed})
 		case begun:
 		case v.health == refusing:
 			ends = append(ends, queue.End{Task: k, Run: number, How: queue.EndRefused, Reason: "503"})
 		default:
-			v.begun[run] = s.now
+			v.startedAt[run] = s.now
 		}
 	}
 	slices.SortFunc(ends, func(a, b queue.End) int { return a.Task.Compare(b.Task) })
-	s.end(v, ends...)
-	for run := range v.begun {
+	s.reportEnds(v, ends...)
+	for run := range v.startedAt {
 		if vm.Runs()[run.TaskKey] != run.Number {
-			delete(v.begun, run)
+			delete(v.startedAt, run)
 		}
 	}
-	s.beat(v)
+	s.sendHeartbeat(v)
 }
 
 // end commits ends and learns of them, as a session does.
-func (s *simFleet) end(v *simVM, ends ...queue.End) {
+func (s *simFleet) reportEnds(v *simVM, ends ...queue.End) {
 	if len(ends) == 0 {
 		return
 	}
-	res := s.apply(queue.Command{Ends: &queue.Ends{VM: v.id, Incarnation: v.lifeName(), List: ends}})
+	res := s.apply(queue.Command{Ends: &queue.Ends{VM: v.id, Incarnation: v.incarnationName(), List: ends}})
 	for i, e := range ends {
 		if res.Taken[i] {
-			s.f.learn(v.id, e, s.clock())
+			s.fleet.learn(v.id, e, s.leaderTime())
 		}
 	}
 }
 
 // plan makes a plan and commits its starts.
 func (s *simFleet) plan() (plan dispatch.Plan) {
-	view := s.f.view(s.qs, s.clock())
-	plan = s.f.planner.Plan(s.qs, view)
-	s.f.setStops(plan.Stops, s.clock())
-	s.f.short.Observe(plan.Short, view.Now)
+	view := s.fleet.view(s.qs, s.leaderTime())
+	plan = s.fleet.planner.Plan(s.qs, view)
+	s.fleet.setStops(plan.Stops, s.leaderTime())
+	s.fleet.short.Observe(plan.Short, view.Now)
 	if len(plan.Starts) == 0 {
 		return plan
 	}
@@ -268,7 +268,7 @@
 	}
 	for _, n := range s.apply(c).Numbers {
 		if n == 0 {
-			s.refused++
+			s.rejectedStarts++
 		}
 	}
 	return plan
@@ -276,31 +276,31 @@
 
 // tick lets time pass until the next plan, which it makes.
 func (s *simFleet) tick() dispatch.Plan {
-	s.now = s.now.Add(simTick)
+	s.now = s.now.Add(simPlanInterval)
 	for _, v := range s.vms {
 		if !v.down {
-			s.work(v)
+			s.executeOrders(v)
 		}
 	}
 	plan := s.plan()
-	for _, k := range s.lasting() {
+	for _, k := range s.lastingTasks() {
 		if len(s.qs.Job(k.Job).Task(k).Runs) > 0 {
-			delete(s.pending, k)
-		} else if _, known := s.pending[k]; !known {
-			s.pending[k] = s.now
+			delete(s.pendingSince, k)
+		} else if _, known := s.pendingSince[k]; !known {
+			s.pendingSince[k] = s.now
 		}
 	}
 	return plan
 }
 
-func (s *simFleet) run(span time.Duration) {
+func (s *simFleet) advance(span time.Duration) {
 	for end := s.now.Add(span); s.now.Before(end); {
 		s.tick()
 	}
 }
 
 // lasting returns the lasting tasks of jobs that go on.
-func (s *simFleet) lasting() (list []queue.TaskKey) {
+func (s *simFleet) lastingTasks() (list []queue.TaskKey) {
 	for _, j := range s.qs.Live() {
 		if j.Status.Final() {
 			continue
--- a/scheduler/swings_test.go
+++ b/scheduler/swings_test.go
@@ -15,11 +15,11 @@
 
 // servingFleet is a state in which serving tasks of one job run on vm1, and what the
 // leader has heard of them.
-func servingFleet(t *testing.T, tasks int) (qs *queue.State, f *fleet) {
+func newServingFleet(t *testing.T, tasks int) (qs *queue.State, f *fleet) {
 	t.Helper()
 	qs, f = stateWithRun(t), newFleet()
 	step := queue.Step{Count: tasks, Lasting: true, TailMS: 18, Image: "audio"}
-	submit := queue.Command{Submit: &queue.Submit{Host: host, Path: "/q/feed", Spec: queue.Spec{Steps: []queue.Step{step}}}}
+	submit := queue.Command{Submit: &queue.Submit{Host: testHost, Path: "/q/feed", Spec: queue.Spec{Steps: []queue.Step{step}}}}
 	assert.Equal(t, qs.Apply(submit, 1).Code, queue.OK)
 	for i := range tasks {
 		k := queue.TaskKey{Job: "feed", Index: i}
@@ -29,7 +29,7 @@
 }
 
 // hear has the leader hear of a tail of all of them.
-func hear(qs *queue.State, f *fleet, tasks int, tail int64, at time.Time) {
+func takeTails(qs *queue.State, f *fleet, tasks int, tail int64, at time.Time) {
 	b := wire.VMBeat{VM: *qs.VM("vm1"), Measured: true}
 	for i := range tasks {
 		k := queue.TaskKey{Job: "feed", Index: i}
@@ -45,22 +45,22 @@
 // rises, once the load of a step has gone round a few times.
 func TestForeseen(t *testing.T) {
 	const tasks, period, beat = 5, 10 * time.Second, 500 * time.Millisecond
-	qs, f := servingFleet(t, tasks)
+	qs, f := newServingFleet(t, tasks)
 	t0 := steady.Now()
 	ahead := map[time.Duration]float64{}
 	for at := time.Duration(0); at < 4*period; at += beat {
 		headroom := 2.6 + 1.1*math.Cos(2*math.Pi*at.Seconds()/period.Seconds())
-		hear(qs, f, tasks, int64(math.Round(18/headroom)), t0.Add(figureAge+at))
+		takeTails(qs, f, tasks, int64(math.Round(18/headroom)), t0.Add(figureAge+at))
 		ahead[at%period] = f.runs[queue.RunKey{TaskKey: queue.TaskKey{Job: "feed"}, Number: 1}].Ahead
 	}
 	assert.Assert(t, ahead[period/10] < -0.5, "it falls: %.2f", ahead[period/10])
 	assert.Assert(t, ahead[period*7/10] > 0, "it rises: %.2f", ahead[period*7/10])
 	assert.Equal(t, f.forecasts(), tasks)
-	checkFiller(t, qs)
+	assertNoForecastForFillers(t, qs)
 }
 
 // checkFiller holds that tasks that serve nobody have no forecast.
-func checkFiller(t *testing.T, qs *queue.State) {
+func assertNoForecastForFillers(t *testing.T, qs *queue.State) {
 	t.Helper()
 	f := newFleet()
 	v := f.vm("vm1")
--- a/scheduler/taken_up_test.go
+++ b/scheduler/taken_up_test.go
@@ -15,7 +15,7 @@
 
 // addMisled adds a VM, and returns what has its agent take its executor's life for over and
 // up again: a look that is answered as another life answers.
-func (s *site) addMisled() (e *executor.Executor, mislead func()) {
+func (s *testCluster) addMisledVM() (e *executor.Executor, mislead func()) {
 	room := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
 	e = executor.New("vm1-life-1", executor.Config{Now: steady.Now, Room: room})
 	a := s.addAgent("vm1", e, e.Life, room)
@@ -28,20 +28,20 @@
 			}
 			return executor.Answered
 		})
-		s.until("the agent takes the life for over", func() bool { return a.Life() == "" })
-		s.until("it takes it up again", func() bool { return a.Life() == e.Life() })
+		s.waitUntil("the agent takes the life for over", func() bool { return a.Life() == "" })
+		s.waitUntil("it takes it up again", func() bool { return a.Life() == e.Life() })
 	}
 }
 
 // TestLifeTakenUpAgainGetsNoOrders guards against a VM that is granted leases and placed upon, and starts nothing.
 func TestLifeTakenUpAgainGetsNoOrders(t *testing.T) {
-	s := newSiteWith(t, nil, time.Hour)
-	e, mislead := s.addMisled()
-	s.put(nil)
-	s.submit("before", "work=1ms", small)
-	s.untilStatus("before", queue.Completed)
+	s := newTestClusterWithLease(t, nil, time.Hour)
+	e, mislead := s.addMisledVM()
+	s.putDocument(nil)
+	s.submit("before", "work=1ms", smallStep)
+	s.waitForStatus("before", queue.Completed)
 	mislead()
-	s.submit("after", "work=1ms", small)
-	s.untilStatus("after", queue.Completed)
+	s.submit("after", "work=1ms", smallStep)
+	s.waitForStatus("after", queue.Completed)
 	assert.Equal(t, len(e.Running()), 0)
 }
--- a/scheduler/term_test.go
+++ b/scheduler/term_test.go
@@ -16,29 +16,29 @@
 // because a round of an earlier term of its own waits for a commit.
 func TestRoundOfEarlierTermHoldsLaterOneUp(t *testing.T) {
 	const lost = 4 // the later leaders have fewer entries in their place
-	h := newHeldSite(t, Settings{Lease: lease})
+	h := newGatedCluster(t, Settings{Lease: testLease})
 	for i := range lost {
-		h.do(queue.Command{Register: &queue.VM{ID: rudderfork.VMID(fmt.Sprint("gone", i)), Incarnation: "life"}})
+		h.commit(queue.Command{Register: &queue.VM{ID: rudderfork.VMID(fmt.Sprint("gone", i)), Incarnation: "life"}})
 	}
 	before := h.rep.Status()
-	release := h.hold()
+	release := h.blockCommits()
 	h.serve(h.sched)
-	h.until("the losses are proposed", func() bool { return h.rep.Status().Last == before.Last+lost })
+	h.waitUntil("the losses are proposed", func() bool { return h.rep.Status().Last == before.Last+lost })
 	h.rep.Step(h.ctx, quorum.Message{
 		Type: quorum.MsgAppend, From: "d#1", To: before.ID, Term: before.Term + 1, LogIndex: before.Last, LogTerm: before.Term,
 		Commit: before.Last + 1, Entries: []quorum.Entry{{Index: before.Last + 1, Term: before.Term + 1, Kind: quorum.EntryNoop}},
 	})
 	release()
-	h.until("it leads again", func() bool { return h.rep.Leads() && h.rep.Status().Term > before.Term+1 })
-	c := h.dial("vm1")
-	m, err := c.ReceiveWithin(h.ctx, waitLimit)
+	h.waitUntil("it leads again", func() bool { return h.rep.Leads() && h.rep.Status().Term > before.Term+1 })
+	c := h.openSession("vm1")
+	m, err := c.ReceiveWithin(h.ctx, waitTimeout)
 	assert.NilError(t, err)
 	assert.Assert(t, m.Welcome != nil, "it leads in term %d, and sends its callers on: %+v", h.rep.Status().Term, m.Redirect)
 	assert.Equal(t, m.Welcome.Term, h.rep.Status().Term)
 }
 
 // dial opens a connection and says hello.
-func (h *heldSite) dial(process string) *wire.Conn[wire.FromNode, wire.ToQueueNode] {
+func (h *gatedCluster) openSession(process string) *wire.Conn[wire.FromNode, wire.ToQueueNode] {
 	h.t.Helper()
 	c, err := wire.Dial[wire.FromNode, wire.ToQueueNode](h.ctx, "ws://"+h.addr+"/queues", wire.QueueSession)
 	assert.NilError(h.t, err)
--- a/scheduler/unbegun_test.go
+++ b/scheduler/unbegun_test.go
@@ -10,21 +10,21 @@
 
 // TestRunHeldWhereStartsAreUnanswered guards against a task that waits for good for a VM whose executor answers all but its start.
 func TestRunHeldWhereStartsAreUnanswered(t *testing.T) {
-	s := newSite(t, nil)
+	s := newTestCluster(t, nil)
 	s.addVM(executor.Config{Fate: func(call string) executor.Fate {
 		if call == "start" {
 			return executor.Unheard
 		}
 		return executor.Answered
 	}})
-	s.put(nil)
-	s.submit("feed", "", queue.Step{Count: 1, Size: small.Size, Lasting: true})
-	s.until("the feed is placed", func() bool { return s.activeRuns() == 1 })
+	s.putDocument(nil)
+	s.submit("feed", "", queue.Step{Count: 1, Size: smallStep.Size, Lasting: true})
+	s.waitUntil("the feed is placed", func() bool { return s.activeRuns() == 1 })
 	second := s.addVM(executor.Config{})
-	s.until("it is at work elsewhere", func() bool { return len(second.Running()) == 1 })
+	s.waitUntil("it is at work elsewhere", func() bool { return len(second.Running()) == 1 })
 }
 
-func (s *site) activeRuns() (n int) {
+func (s *testCluster) activeRuns() (n int) {
 	s.sched.rep.View(func(st *state.State) { n = st.Queues().Job("feed").ActiveRuns })
 	return n
 }
--- a/scheduler/waiting_test.go
+++ b/scheduler/waiting_test.go
@@ -13,7 +13,7 @@
 )
 
 // unheardStarts loses the calls that start runs.
-func unheardStarts(call string) executor.Fate {
+func loseStarts(call string) executor.Fate {
 	if call == "start" {
 		return executor.Unheard
 	}
@@ -24,32 +24,32 @@
 
 // TestPlacedJobWaitsUntilItBegins guards against telling a job as begun by the order to start it.
 func TestPlacedJobWaitsUntilItBegins(t *testing.T) {
-	s := newSite(t, nil)
-	s.put(nil)
+	s := newTestCluster(t, nil)
+	s.putDocument(nil)
 	e := s.addVM(executor.Config{})
-	e.SetFate(unheardStarts)
-	waiting := func() int { return s.ask(wire.Ask{Status: &wire.Place{Host: host, Path: "/q/"}}).Waiting }
-	s.submit("j", "work=1m", small)
-	s.untilStatus("j", queue.Running)
+	e.SetFate(loseStarts)
+	waiting := func() int { return s.ask(wire.Ask{Status: &wire.Place{Host: testHost, Path: "/q/"}}).Waiting }
+	s.submit("j", "work=1m", smallStep)
+	s.waitForStatus("j", queue.Running)
 	assert.Equal(t, waiting(), 1)
 	e.SetFate(answerAll)
-	s.until("it has begun", func() bool { return len(e.Running()) == 1 })
-	s.until("it waits no more", func() bool { return waiting() == 0 })
+	s.waitUntil("it has begun", func() bool { return len(e.Running()) == 1 })
+	s.waitUntil("it waits no more", func() bool { return waiting() == 0 })
 }
 
 // TestBegunJobIsReplicated guards against a next leader that counts jobs at work as waiting.
 func TestBegunJobIsReplicated(t *testing.T) {
-	s := newSite(t, nil)
-	s.put(nil)
+	s := newTestCluster(t, nil)
+	s.putDocument(nil)
 	e := s.addVM(executor.Config{})
-	s.submit("first", "work=1m", small)
-	s.until("it has begun", func() bool { return len(e.Running()) == 1 })
+	s.submit("first", "work=1m", smallStep)
+	s.waitUntil("it has begun", func() bool { return len(e.Running()) == 1 })
 	begun := func() (ok bool) {
 		s.sched.rep.View(func(st *state.State) { ok = st.Queues().Job("first").Begun })
 		return ok
 	}
 	n := 0
-	s.until("the state has it as begun", func() bool {
+	s.waitUntil("the state has it as begun", func() bool {
 		n++
 		s.submit(fmt.Sprintf("next-%d", n), "work=1ms", queue.Step{Count: 1})
 		return begun()
