--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// beatLimit is how old the newest heartbeat of a usable VM may be: two of
+	// heartbeatLimit is how old the newest heartbeat of a usable VM may be: two of
 	// them and some delay.
-	beatLimit = 1_300 * time.Millisecond
+	heartbeatLimit = 1_300 * time.Millisecond
 	// refusalPause keeps a task that was refused back for a moment, so that a
 	// VM that refuses everything does not cause a commit after the other.
 	refusalPause = 150 * time.Millisecond
-	// doubtStep is what one failure adds to a VM's doubt, and doubtHalf how
+	// failureStep is what one failure adds to a VM's doubt, and doubtHalf how
 	// long it takes to lose half of it.
-	doubtStep = 0.5
-	doubtHalf = 3 * time.Second
-	// crashHalf is how long it takes until a crash of a VM's executor counts half. The first
+	failureStep     = 0.5
+	failureHalfLife = 3 * time.Second
+	// crashHalfLife is how long it takes until a crash of a VM's executor counts half. The first
 	// one is an ordinary crash; each further one adds doubtStep to the VM's doubt.
-	crashHalf = 10 * time.Second
+	crashHalfLife = 10 * time.Second
 	// maxFailedOn bounds the VMs remembered for a task.
 	maxFailedOn = 64
 	// heldDown is the percent by which a filler is paced down that counts as being
@@ -70,25 +70,25 @@
 type vmInfo struct {
 	lease   runs.Lessor
 	session *session
-	// spoken is the number of the latest session in which the VM's agent has sent a
+	// latestSession is the number of the latest session in which the VM's agent has sent a
 	// heartbeat; registering says that one of them registers the VM.
-	spoken      uint64
-	registering bool
-	losing      bool   // its loss is on its way
-	lostEpoch   uint64 // in which its lease ran out last
+	latestSession uint64
+	registering   bool
+	lossPending   bool   // its loss is on its way
+	lostEpoch     uint64 // in which its lease ran out last
 
-	beatAt  time.Time
-	changes uint64 // rises with each change of rows
+	heartbeatAt time.Time
+	changes     uint64 // rises with each change of rows
 	// prunedAt is the VM and its changes for which rows were pruned last.
-	prunedAt vmVersion
-	beat     wire.VMBeat
-	rows     map[queue.TaskKey]*runInfo
-	doubt    float64
-	doubtAt  time.Time
-
-	crashes     float64 // of its executor, and losses, at crashAt; newer ones count more
-	crashAt     time.Time
-	crashedLife string // the one whose crash was counted last
+	prunedAt   vmVersion
+	heartbeat  wire.VMBeat
+	runs       map[queue.TaskKey]*runInfo
+	failures   float64
+	failuresAt time.Time
+
+	crashes            float64 // of its executor, and losses, at crashAt; newer ones count more
+	crashAt            time.Time
+	crashedIncarnation string // the one whose crash was counted last
 }
 
 // vmVersion tells whether a VM's runs have changed.
@@ -101,15 +101,15 @@
 
 // runInfo is one run at the moment.
 type runInfo struct {
-	row     rudderfork.RunRow
-	from    int // percent when it was first reported
-	seenAt  time.Time
-	movedAt time.Time
-	heldAt  time.Time // since when it is held down; zero if it is not
-
-	workedMS float64   // at full speed, since seenAt and until takenAt
-	takenAt  time.Time // when a heartbeat last told of it
-	ahead    float64   // of its headroom, as dispatch.RunView has it
+	status        rudderfork.RunRow
+	firstPercent  int // percent when it was first reported
+	firstReportAt time.Time
+	progressAt    time.Time
+	heldSince     time.Time // since when it is held down; zero if it is not
+
+	workedMS   float64   // at full speed, since seenAt and until takenAt
+	reportedAt time.Time // when a heartbeat last told of it
+	ahead      float64   // of its headroom, as dispatch.RunView has it
 }
 
 func newFleet() *fleet {
@@ -124,7 +124,7 @@
 func (f *fleet) vm(id rudderfork.VMID) *vmInfo {
 	v := f.vms[id]
 	if v == nil {
-		v = &vmInfo{rows: map[queue.TaskKey]*runInfo{}, changes: 1}
+		v = &vmInfo{runs: map[queue.TaskKey]*runInfo{}, changes: 1}
 		f.vms[id] = v
 	}
 	return v
@@ -133,113 +133,113 @@
 // checkpoints returns the newest known of each run on the VM.
 func (v *vmInfo) checkpoints() map[queue.TaskKey]string {
 	m := map[queue.TaskKey]string{}
-	for k, r := range v.rows {
-		if r.row.Checkpoint != "" {
-			m[k] = r.row.Checkpoint
+	for k, r := range v.runs {
+		if r.status.Checkpoint != "" {
+			m[k] = r.status.Checkpoint
 		}
 	}
 	return m
 }
 
-// take notes a VM's heartbeat.
-func (f *fleet) take(v *vmInfo, b wire.VMBeat, now time.Time) {
-	if v.beat.VM.Incarnation != b.VM.Incarnation {
-		for k := range v.rows {
-			f.dropRow(v, k)
+// recordHeartbeat notes a VM's heartbeat.
+func (f *fleet) recordHeartbeat(v *vmInfo, b wire.VMBeat, now time.Time) {
+	if v.heartbeat.VM.Incarnation != b.VM.Incarnation {
+		for k := range v.runs {
+			f.dropRun(v, k)
 		}
-		v.doubt = 0
+		v.failures = 0
 	}
-	v.beat, v.beatAt = b, now
+	v.heartbeat, v.heartbeatAt = b, now
 	for _, row := range b.Rows {
 		k, err := queue.ParseTaskKey(string(row.Task))
 		if err != nil {
 			continue // not a run of ours; the agent stops it
 		}
-		if r := v.rows[k]; r != nil && r.row.Run != row.Run {
-			f.dropRow(v, k)
+		if r := v.runs[k]; r != nil && r.status.Run != row.Run {
+			f.dropRun(v, k)
 		}
-		r := v.rows[k]
+		r := v.runs[k]
 		if r == nil {
-			r = &runInfo{seenAt: now, movedAt: now, takenAt: now, from: row.Percent}
-			v.rows[k] = r
+			r = &runInfo{firstReportAt: now, progressAt: now, reportedAt: now, firstPercent: row.Percent}
+			v.runs[k] = r
 			f.begun[k.Job] = true
 		}
-		r.take(row, now)
+		r.update(row, now)
 		f.runs[k.Run(row.Run)] = r.view()
 		v.changes++
 	}
-	v.beat.Rows = nil
+	v.heartbeat.Rows = nil
 }
 
-// dropRow forgets what a VM has told of a task.
-func (f *fleet) dropRow(v *vmInfo, k queue.TaskKey) {
-	delete(f.runs, k.Run(v.rows[k].row.Run))
-	delete(v.rows, k)
+// dropRun forgets what a VM has told of a task.
+func (f *fleet) dropRun(v *vmInfo, k queue.TaskKey) {
+	delete(f.runs, k.Run(v.runs[k].status.Run))
+	delete(v.runs, k)
 	v.changes++
 }
 
-// take notes what a heartbeat tells of the run.
-func (r *runInfo) take(row rudderfork.RunRow, now time.Time) {
-	r.workedMS, r.takenAt = r.worked(now), now
-	if r.row.Percent != row.Percent {
-		r.movedAt = now
+// update notes what a heartbeat tells of the run.
+func (r *runInfo) update(row rudderfork.RunRow, now time.Time) {
+	r.workedMS, r.reportedAt = r.worked(now), now
+	if r.status.Percent != row.Percent {
+		r.progressAt = now
 	}
 	switch {
 	case row.Held < heldDown:
-		r.heldAt = time.Time{}
-	case r.heldAt.IsZero():
-		r.heldAt = now
+		r.heldSince = time.Time{}
+	case r.heldSince.IsZero():
+		r.heldSince = now
 	}
-	r.row = row
+	r.status = row
 }
 
 // view returns the run as dispatch reads it.
 func (r *runInfo) view() dispatch.RunView {
 	run := dispatch.RunView{
-		Percent: r.row.Percent, FirstPercent: r.from, FirstSeenAt: rudderfork.Millis(r.seenAt), ProgressedAt: rudderfork.Millis(r.movedAt), Load: r.row.Load, PacedDownPercent: r.row.Held, ForecastHeadroomChange: r.ahead,
+		Percent: r.status.Percent, FirstPercent: r.firstPercent, FirstSeenAt: rudderfork.Millis(r.firstReportAt), ProgressedAt: rudderfork.Millis(r.progressAt), Load: r.status.Load, PacedDownPercent: r.status.Held, ForecastHeadroomChange: r.ahead,
 	}
-	if !r.heldAt.IsZero() {
-		run.PacedDownSince = rudderfork.Millis(r.heldAt)
+	if !r.heldSince.IsZero() {
+		run.PacedDownSince = rudderfork.Millis(r.heldSince)
 	}
 	return run
 }
 
 // usable reports whether the VM's agent can be told what to start, and can start it.
 func (v *vmInfo) usable(now time.Time) bool {
-	return v.session != nil && v.session.epoch != 0 && !v.beat.Mute && now.Sub(v.beatAt) < beatLimit && v.lease.Leased(now)
+	return v.session != nil && v.session.epoch != 0 && !v.heartbeat.Mute && now.Sub(v.heartbeatAt) < heartbeatLimit && v.lease.Leased(now)
 }
 
 // renew lets leases be granted again to a VM that is back: in a later epoch than the one
 // that was lost. The answer to its registration may have been missed. vm is nil if the VM
 // is not known.
 func (v *vmInfo) renew(vm *queue.VM) {
-	if vm != nil && v.lease.Expired() && !v.losing && vm.Live && vm.Epoch > v.lostEpoch {
+	if vm != nil && v.lease.Expired() && !v.lossPending && vm.Live && vm.Epoch > v.lostEpoch {
 		v.lease.AllowGrants()
 	}
 }
 
-// addDoubt counts a failure, or with a negative step a success.
-func (v *vmInfo) addDoubt(step float64, now time.Time) {
-	v.doubt = max(0, v.failuresNow(now)+step)
-	v.doubtAt = now
+// addFailures counts a failure, or with a negative step a success.
+func (v *vmInfo) addFailures(step float64, now time.Time) {
+	v.failures = max(0, v.failuresNow(now)+step)
+	v.failuresAt = now
 }
 
-// doubtNow is the doubt, which halves every doubtHalf, with that of the executor's crashes.
-func (v *vmInfo) doubtNow(now time.Time) float64 {
-	return v.failuresNow(now) + doubtStep*max(0, v.crashesNow(now)-1)
+// failureScore is the doubt, which halves every doubtHalf, with that of the executor's crashes.
+func (v *vmInfo) failureScore(now time.Time) float64 {
+	return v.failuresNow(now) + failureStep*max(0, v.crashesNow(now)-1)
 }
 
 // failuresNow is what is left of the doubt that failures have added.
 func (v *vmInfo) failuresNow(now time.Time) float64 {
-	left := v.doubt
-	for span := now.Sub(v.doubtAt); span >= doubtHalf && left > 0.01; span -= doubtHalf {
+	left := v.failures
+	for span := now.Sub(v.failuresAt); span >= failureHalfLife && left > 0.01; span -= failureHalfLife {
 		left /= 2
 	}
 	return left
 }
 
 func (v *vmInfo) crashesNow(now time.Time) float64 {
-	return v.crashes * math.Exp2(-max(0, now.Sub(v.crashAt).Seconds())/crashHalf.Seconds())
+	return v.crashes * math.Exp2(-max(0, now.Sub(v.crashAt).Seconds())/crashHalfLife.Seconds())
 }
 
 // addCrash counts a crash of the VM's executor, or a loss.
@@ -260,9 +260,9 @@
 	}
 	for _, vm := range s.VMs() {
 		v := f.vm(vm.ID)
-		f.pruneRows(vm, v)
+		f.pruneRuns(vm, v)
 		view.VMs[vm.ID] = dispatch.VMView{
-			Usable: v.usable(now), Draining: v.beat.Draining, Cordoned: vm.ID == f.emptying, FailureScore: v.doubtNow(now), Changes: v.changes,
+			Usable: v.usable(now), Draining: v.heartbeat.Draining, Cordoned: vm.ID == f.emptying, FailureScore: v.failureScore(now), Changes: v.changes,
 		}
 	}
 	for k, until := range f.putOff {
@@ -298,15 +298,15 @@
 	}
 }
 
-// pruneRows drops the rows of runs that are over.
-func (f *fleet) pruneRows(vm *queue.VM, v *vmInfo) {
+// pruneRuns drops the rows of runs that are over.
+func (f *fleet) pruneRuns(vm *queue.VM, v *vmInfo) {
 	if v.prunedAt == versionOf(vm) {
 		return
 	}
 	v.prunedAt = versionOf(vm)
-	for k, r := range v.rows {
-		if vm.Runs()[k] != r.row.Run {
-			f.dropRow(v, k)
+	for k, r := range v.runs {
+		if vm.Runs()[k] != r.status.Run {
+			f.dropRun(v, k)
 		}
 	}
 }
@@ -365,9 +365,9 @@
 	case e.How == queue.EndFailed && v.hadWorked(e, now):
 		return // it says nothing of the VM
 	case e.How == queue.EndDone:
-		v.addDoubt(-doubtStep, now)
+		v.addFailures(-failureStep, now)
 	case e.How == queue.EndFailed, e.How == queue.EndRefused, f.stops[ref] == dispatch.ReasonStalled, f.stops[ref] == dispatch.ReasonSlow:
-		v.addDoubt(doubtStep, now)
+		v.addFailures(failureStep, now)
 		f.failedOn(e.Task, vm)
 	}
 	if e.How == queue.EndRefused && e.Reason == rudderfork.StartTicket.String() {
@@ -384,8 +384,8 @@
 
 // hadWorked reports whether a run that has ended was at work for long.
 func (v *vmInfo) hadWorked(e queue.End, now time.Time) bool {
-	r := v.rows[e.Task]
-	return r != nil && r.row.Run == e.Run && r.row.Percent == fullPercent && now.Sub(r.seenAt) >= workedSpan
+	r := v.runs[e.Task]
+	return r != nil && r.status.Run == e.Run && r.status.Percent == fullPercent && now.Sub(r.firstReportAt) >= workedSpan
 }
 
 // learnCrash draws conclusions from a life of a VM's executor that a new one follows.
@@ -395,8 +395,8 @@
 		return
 	}
 	// One that was lost first was counted then.
-	if v, old := f.vm(vm.ID), s.VM(vm.ID); v.crashedLife != old.Incarnation && v.lostEpoch != old.Epoch {
-		v.crashedLife = old.Incarnation
+	if v, old := f.vm(vm.ID), s.VM(vm.ID); v.crashedIncarnation != old.Incarnation && v.lostEpoch != old.Epoch {
+		v.crashedIncarnation = old.Incarnation
 		v.addCrash(now)
 	}
 	for _, k := range tasks {
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -35,7 +35,7 @@
 		j := &queue.Job{ID: key.Job, Times: []*queue.Occurrence{{Steps: [][]queue.Task{{
 			{Runs: []queue.Run{{Number: 1, VM: "vm1"}}},
 		}}}}}
-		s.fleet.vm("vm1").rows[key] = &runInfo{row: rudderfork.RunRow{RunRef: key.Ref(1), Percent: fullPercent}}
+		s.fleet.vm("vm1").runs[key] = &runInfo{status: rudderfork.RunRow{RunRef: key.Ref(1), Percent: fullPercent}}
 		elsewhere := &queue.VM{ID: "vm2"}
 		assert.Equal(t, s.away(j, key.StepKey(), elsewhere), 0)
 		s.fleet.setStops([]dispatch.Stop{stop}, steady.Now())
@@ -47,7 +47,7 @@
 func TestRows(t *testing.T) {
 	key, at := queue.TaskKey{Job: "j"}, steady.Now()
 	report := func(f *fleet, life string, run uint32, percent int, checkpoint string) {
-		f.take(f.vm("vm1"), wire.VMBeat{VM: queue.VM{ID: "vm1", Incarnation: life}, Rows: []rudderfork.RunRow{
+		f.recordHeartbeat(f.vm("vm1"), wire.VMBeat{VM: queue.VM{ID: "vm1", Incarnation: life}, Rows: []rudderfork.RunRow{
 			{RunRef: key.Ref(run), Percent: percent, Checkpoint: checkpoint},
 		}}, at)
 	}
@@ -72,7 +72,7 @@
 	t.Run("a new life has none of the old one's", func(t *testing.T) {
 		f := newFleet()
 		report(f, "life-1", 1, 10, "old")
-		f.take(f.vm("vm1"), wire.VMBeat{VM: queue.VM{ID: "vm1", Incarnation: "life-2"}}, at)
+		f.recordHeartbeat(f.vm("vm1"), wire.VMBeat{VM: queue.VM{ID: "vm1", Incarnation: "life-2"}}, at)
 		assert.Equal(t, len(f.runs), 0)
 		assert.Equal(t, len(f.vm("vm1").checkpoints()), 0)
 	})
--- a/scheduler/late_test.go
+++ b/scheduler/late_test.go
@@ -146,9 +146,9 @@
 	s.sched.mu.Lock()
 	defer s.sched.mu.Unlock()
 	v := s.sched.fleet.vm(testVM)
-	assert.Equal(s.t, v.beat.VM.Incarnation, newIncarnation)
-	assert.Assert(s.t, !v.beat.Draining)
-	assert.Equal(s.t, len(v.rows), 0, "a load of the old life's")
+	assert.Equal(s.t, v.heartbeat.VM.Incarnation, newIncarnation)
+	assert.Assert(s.t, !v.heartbeat.Draining)
+	assert.Equal(s.t, len(v.runs), 0, "a load of the old life's")
 }
 
 // TestLateBeats delivers messages in an agent's earlier session, after the agent
@@ -171,7 +171,7 @@
 		before, now, epoch := s.connectAgentTwice(newIncarnation)
 		before.sendStaleHeartbeat(newIncarnation)
 		s.sched.mu.Lock()
-		draining := s.sched.fleet.vm(testVM).beat.Draining
+		draining := s.sched.fleet.vm(testVM).heartbeat.Draining
 		s.sched.mu.Unlock()
 		assert.Assert(t, !draining)
 		s.assertCurrent(now, epoch)
--- a/scheduler/learning_test.go
+++ b/scheduler/learning_test.go
@@ -64,7 +64,7 @@
 	v := s.sched.fleet.vm(id)
 	v.session = ses
 	v.lease.AssumeLease(steady.Now().Add(time.Hour))
-	s.sched.fleet.take(v, wire.VMBeat{VM: vm}, steady.Now())
+	s.sched.fleet.recordHeartbeat(v, wire.VMBeat{VM: vm}, steady.Now())
 	return ses
 }
 
@@ -79,7 +79,7 @@
 // answer has all VMs have answered just now, whatever the machine's load.
 func (f *fleet) refreshHeartbeats(now time.Time) {
 	for _, v := range f.vms {
-		v.beatAt = now
+		v.heartbeatAt = now
 	}
 }
 
--- a/scheduler/liveness_test.go
+++ b/scheduler/liveness_test.go
@@ -388,7 +388,7 @@
 				outage(s, v)
 				s.tick()
 			}
-			assert.Equal(t, s.fleet.vm(v.id).doubtNow(s.now) > 0, c.doubted)
+			assert.Equal(t, s.fleet.vm(v.id).failureScore(s.now) > 0, c.doubted)
 		})
 	}
 }
--- a/scheduler/overdue.go
+++ b/scheduler/overdue.go
@@ -16,11 +16,11 @@
 // overdueRun is a run that its VM, which is in session, does not report.
 type overdueRun struct {
 	queue.RunKey
-	vm       rudderfork.VMID
-	age      time.Duration // since its start was committed
-	beatAge  time.Duration // of the VM's newest heartbeat
-	epoch    uint64
-	reported int // of the VM's runs
+	vm           rudderfork.VMID
+	age          time.Duration // since its start was committed
+	heartbeatAge time.Duration // of the VM's newest heartbeat
+	epoch        uint64
+	reported     int // of the VM's runs
 }
 
 // noteOverdue logs the runs that have become overdue, each once, and counts those that
@@ -37,7 +37,7 @@
 			continue
 		}
 		s.log.Warn().Str("task", r.TaskKey.String()).Uint32("run", r.Number).Str("on", string(r.vm)).Dur("age", r.age).
-			Dur("beat_age", r.beatAge).Uint64("epoch", r.epoch).Int("reported", r.reported).Msg("run_overdue")
+			Dur("beat_age", r.heartbeatAge).Uint64("epoch", r.epoch).Int("reported", r.reported).Msg("run_overdue")
 		s.record("run_overdue", r.TaskKey.String(), "on "+string(r.vm)+": it was not seen to begin")
 	}
 }
@@ -53,12 +53,12 @@
 				continue
 			}
 			for k, number := range vm.Runs() {
-				if r := v.rows[k]; r != nil && r.row.Run == number {
+				if r := v.runs[k]; r != nil && r.status.Run == number {
 					continue
 				}
 				run, _ := st.Queues().Job(k.Job).Task(k).Run(number)
 				if age := now.Sub(rudderfork.FromMillis(run.StartedAt)); age > overdueAfter {
-					list = append(list, overdueRun{k.Run(number), vm.ID, age, now.Sub(v.beatAt), vm.Epoch, len(v.rows)})
+					list = append(list, overdueRun{k.Run(number), vm.ID, age, now.Sub(v.heartbeatAt), vm.Epoch, len(v.runs)})
 				}
 			}
 		}
--- a/scheduler/pressures.go
+++ b/scheduler/pressures.go
@@ -38,15 +38,15 @@
 
 func crewOf(s *queue.State, vm *queue.VM, v *vmInfo) crew {
 	c := crew{serving: map[string]bool{}, fillers: map[string]bool{}}
-	for k, r := range v.rows {
-		if vm.Runs()[k] != r.row.Run {
+	for k, r := range v.runs {
+		if vm.Runs()[k] != r.status.Run {
 			continue
 		}
 		st := s.Job(k.Job).Spec.Steps[k.Step]
 		c.add(st)
-		if st.TailMS > 0 && r.row.Percent == fullPercent && r.row.Load > 0 {
+		if st.TailMS > 0 && r.status.Percent == fullPercent && r.status.Load > 0 {
 			c.figures = append(c.figures, interference.Figure{
-				Image: st.Image, Run: r.row.RunRef, Headroom: pace.Headroom(st.TailMS, r.row.Load),
+				Image: st.Image, Run: r.status.RunRef, Headroom: pace.Headroom(st.TailMS, r.status.Load),
 			})
 		}
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -210,7 +210,7 @@
 	defer cancel()
 	res, err := s.do(ctx, queue.Command{Lost: &l.Lost})
 	s.mu.Lock()
-	l.info.losing = false
+	l.info.lossPending = false
 	s.mu.Unlock()
 	if err != nil {
 		s.log.Warn().Str("lost_vm", string(l.VM)).Err(err).Msg("vm_lost_not_committed")
@@ -235,12 +235,12 @@
 		}
 		for _, vm := range st.Queues().VMs() {
 			v := s.fleet.vm(vm.ID)
-			if !vm.Live || v.losing || !v.lease.TryExpire(now, s.cfg.Lease) {
+			if !vm.Live || v.lossPending || !v.lease.TryExpire(now, s.cfg.Lease) {
 				continue
 			}
-			v.losing = true
+			v.lossPending = true
 			s.fleet.learnLoss(vm, now)
-			list = append(list, loss{queue.Lost{VM: vm.ID, Incarnation: vm.Incarnation, Epoch: vm.Epoch, Checkpoints: v.checkpoints(), Crash: v.beat.Crash}, v})
+			list = append(list, loss{queue.Lost{VM: vm.ID, Incarnation: vm.Incarnation, Epoch: vm.Epoch, Checkpoints: v.checkpoints(), Crash: v.heartbeat.Crash}, v})
 		}
 	})
 	return list
--- a/scheduler/second_start_test.go
+++ b/scheduler/second_start_test.go
@@ -60,12 +60,12 @@
 	f, now := newFleet(), steady.Now()
 	v := f.vm("vm1")
 	row := rudderfork.RunRow{RunRef: rudderfork.RunRef{Task: "j.0.0.0", Run: 1}, Percent: 40}
-	f.take(v, wire.VMBeat{VM: queue.VM{ID: "vm1", Incarnation: firstIncarnation}, Rows: []rudderfork.RunRow{row}}, now)
-	v.addDoubt(doubtStep, now)
-	assert.Equal(t, len(v.rows), 1)
-	f.take(v, wire.VMBeat{VM: queue.VM{ID: "vm1", Incarnation: secondIncarnation}}, now)
-	assert.Equal(t, len(v.rows)+len(f.runs), 0)
-	assert.Equal(t, v.doubt, 0.0)
+	f.recordHeartbeat(v, wire.VMBeat{VM: queue.VM{ID: "vm1", Incarnation: firstIncarnation}, Rows: []rudderfork.RunRow{row}}, now)
+	v.addFailures(failureStep, now)
+	assert.Equal(t, len(v.runs), 1)
+	f.recordHeartbeat(v, wire.VMBeat{VM: queue.VM{ID: "vm1", Incarnation: secondIncarnation}}, now)
+	assert.Equal(t, len(v.runs)+len(f.runs), 0)
+	assert.Equal(t, v.failures, 0.0)
 }
 
 // addTelling is addVM with an executor that tells when it began, as one does that may
--- a/scheduler/session.go
+++ b/scheduler/session.go
@@ -207,7 +207,7 @@
 	case m.Ask != nil:
 		go ses.ask(ctx, *m.Ask)
 	case m.Beat != nil:
-		return ses.beat(ctx, *m.Beat)
+		return ses.heartbeat(ctx, *m.Beat)
 	case m.Ends != nil:
 		return ses.reports.Add(ctx, *m.Ends)
 	case len(m.Learned) > 0:
--- a/scheduler/simfleet_test.go
+++ b/scheduler/simfleet_test.go
@@ -207,7 +207,7 @@
 		}
 		b.Rows = append(b.Rows, rudderfork.RunRow{RunRef: k.Ref(k.Number), Percent: percent})
 	}
-	s.fleet.take(s.fleet.vm(v.id), b, s.leaderTime())
+	s.fleet.recordHeartbeat(s.fleet.vm(v.id), b, s.leaderTime())
 }
 
 // work has a VM do what it was told, and report.
--- a/scheduler/swings.go
+++ b/scheduler/swings.go
@@ -42,7 +42,7 @@
 // foresee notes how the headrooms of a VM's serving tasks will have changed while a filler
 // that begins now works.
 func (f *fleet) foresee(s *queue.State, v *vmInfo, now time.Time) {
-	for k, r := range v.rows {
+	for k, r := range v.runs {
 		j := s.Job(k.Job)
 		if j == nil || j.Spec.Steps[k.Step].TailMS == 0 {
 			continue
@@ -55,7 +55,7 @@
 			continue
 		}
 		r.ahead = ahead
-		f.runs[k.Run(r.row.Run)] = r.view()
+		f.runs[k.Run(r.status.Run)] = r.view()
 		v.changes++
 	}
 }
@@ -63,7 +63,7 @@
 // forecasts counts the serving tasks whose load is foreseen to change.
 func (f *fleet) forecasts() (n int) {
 	for _, v := range f.vms {
-		for _, r := range v.rows {
+		for _, r := range v.runs {
 			if r.ahead != 0 {
 				n++
 			}
--- a/scheduler/swings_test.go
+++ b/scheduler/swings_test.go
@@ -36,8 +36,8 @@
 		b.Rows = append(b.Rows, rudderfork.RunRow{RunRef: k.Ref(1), Percent: fullPercent, Load: tail})
 	}
 	v := f.vm("vm1")
-	f.take(v, b, at)
-	f.learnSwings(qs, crewOf(qs, qs.VM("vm1"), v), v.beat, at)
+	f.recordHeartbeat(v, b, at)
+	f.learnSwings(qs, crewOf(qs, qs.VM("vm1"), v), v.heartbeat, at)
 	f.foresee(qs, v, at)
 }
 
@@ -64,7 +64,7 @@
 	t.Helper()
 	f := newFleet()
 	v := f.vm("vm1")
-	f.take(v, wire.VMBeat{Rows: []rudderfork.RunRow{{RunRef: queue.TaskKey{Job: "j"}.Ref(1), Percent: 10}}}, steady.Now())
+	f.recordHeartbeat(v, wire.VMBeat{Rows: []rudderfork.RunRow{{RunRef: queue.TaskKey{Job: "j"}.Ref(1), Percent: 10}}}, steady.Now())
 	before := v.changes
 	f.foresee(qs, v, steady.Now())
 	assert.Equal(t, v.changes, before)
--- a/scheduler/upkeep.go
+++ b/scheduler/upkeep.go
@@ -258,7 +258,7 @@
 		if on.VM == but.ID {
 			continue
 		}
-		if r := s.fleet.vm(on.VM).rows[k]; r == nil || r.row.Run != on.Number || r.row.Percent < fullPercent {
+		if r := s.fleet.vm(on.VM).runs[k]; r == nil || r.status.Run != on.Number || r.status.Percent < fullPercent {
 			n++
 		}
 	}
--- a/scheduler/vm.go
+++ b/scheduler/vm.go
@@ -94,10 +94,10 @@
 	}
 }
 
-// errOutlived means that the VM's agent has spoken in a later session.
-var errOutlived = errors.New("the VM's agent has a later session")
+// errSuperseded means that the VM's agent has spoken in a later session.
+var errSuperseded = errors.New("the VM's agent has a later session")
 
-// claim notes that the VM's agent has spoken in the session, unless it has in a
+// claimVM notes that the VM's agent has spoken in the session, unless it has in a
 // later one: then what comes here was held up on its way, and may be of a life that
 // is over.
 //
@@ -105,36 +105,36 @@
 // before it opens the next, and speaks only after the leader's welcome: the first
 // heartbeat in a session was sent after the session was opened here, by an agent
 // that was in no earlier one any more.
-func (ses *session) claim(id rudderfork.VMID) error {
+func (ses *session) claimVM(id rudderfork.VMID) error {
 	ses.s.mu.Lock()
 	defer ses.s.mu.Unlock()
 	v := ses.s.fleet.vm(id)
-	if ses.outlived(v) {
-		return errOutlived
+	if ses.superseded(v) {
+		return errSuperseded
 	}
-	ses.first = ses.first || v.spoken == 0
-	v.spoken = ses.number
+	ses.first = ses.first || v.latestSession == 0
+	v.latestSession = ses.number
 	return nil
 }
 
-// present refuses what comes in a session that the VM's agent has left.
-func (ses *session) present(id rudderfork.VMID) error {
+// checkCurrent refuses what comes in a session that the VM's agent has left.
+func (ses *session) checkCurrent(id rudderfork.VMID) error {
 	ses.s.mu.Lock()
 	defer ses.s.mu.Unlock()
-	if ses.outlived(ses.s.fleet.vm(id)) {
-		return errOutlived
+	if ses.superseded(ses.s.fleet.vm(id)) {
+		return errSuperseded
 	}
 	return nil
 }
 
-// outlived reports whether the VM's agent has spoken in a later session. The caller
+// superseded reports whether the VM's agent has spoken in a later session. The caller
 // holds mu.
-func (ses *session) outlived(v *vmInfo) bool { return ses.number < v.spoken }
+func (ses *session) superseded(v *vmInfo) bool { return ses.number < v.latestSession }
 
-// beat takes a VM's heartbeat, registers the VM where that is needed, and
+// heartbeat takes a VM's heartbeat, registers the VM where that is needed, and
 // grants it a lease.
-func (ses *session) beat(ctx context.Context, b wire.VMBeat) error {
-	if err := ses.claim(b.VM.ID); err != nil {
+func (ses *session) heartbeat(ctx context.Context, b wire.VMBeat) error {
+	if err := ses.claimVM(b.VM.ID); err != nil {
 		return err
 	}
 	if !b.Mute {
@@ -153,13 +153,13 @@
 	grant := wire.VMGrant{Sent: b.Sent, Incarnation: b.VM.Incarnation, Epoch: ses.epoch, Closed: s.closed(b.VM.ID)}
 	s.mu.Lock()
 	v := s.fleet.vm(b.VM.ID)
-	if ses.outlived(v) {
+	if ses.superseded(v) {
 		s.mu.Unlock()
-		return errOutlived // while the VM was registered
+		return errSuperseded // while the VM was registered
 	}
 	fresh := v.session != ses
 	v.session = ses
-	s.fleet.take(v, b, now)
+	s.fleet.recordHeartbeat(v, b, now)
 	if !b.Mute && ses.epoch != 0 && ses.life == b.VM.Incarnation {
 		for _, k := range s.fleet.last[b.VM.ID] {
 			grant.Last = append(grant.Last, k.Ref(k.Number))
@@ -190,8 +190,8 @@
 		}
 		v := ses.s.fleet.vm(ses.vm)
 		c := crewOf(st.Queues(), vm, v)
-		ses.s.fleet.pressures.learn(c, v.beat, now)
-		ses.s.fleet.learnSwings(st.Queues(), c, v.beat, now)
+		ses.s.fleet.pressures.learn(c, v.heartbeat, now)
+		ses.s.fleet.learnSwings(st.Queues(), c, v.heartbeat, now)
 		ses.s.fleet.foresee(st.Queues(), v, now)
 		list = ses.s.fleet.pressures.news(c, ses.told, now)
 	})
@@ -289,7 +289,7 @@
 		v = ses.s.fleet.vm(id)
 		known := st.Queues().VM(id)
 		v.renew(known)
-		ok = !ses.outlived(v) && !v.registering && (!v.lease.Expired() || known == nil || !known.Live)
+		ok = !ses.superseded(v) && !v.registering && (!v.lease.Expired() || known == nil || !known.Live)
 		if ok {
 			v.registering = true
 			v.lease.AssumeLease(steady.Now().Add(ses.s.cfg.Lease))
@@ -362,7 +362,7 @@
 // and taking the refusal would let the run start elsewhere beside it. An agent that
 // lives reports again in its next session, and so does the executor what it lists.
 func (ses *session) ends(ctx context.Context, r wire.EndsReport) error {
-	if err := ses.present(r.Ends.VM); err != nil {
+	if err := ses.checkCurrent(r.Ends.VM); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
--- a/scheduler/worktimes.go
+++ b/scheduler/worktimes.go
@@ -17,17 +17,17 @@
 
 // worked is how long the run has worked at full speed since it was first heard of, ms.
 func (r *runInfo) worked(now time.Time) float64 {
-	speed := 1 - float64(r.row.Held)/fullPercent
-	return r.workedMS + speed*float64(max(0, now.Sub(r.takenAt)))/float64(time.Millisecond)
+	speed := 1 - float64(r.status.Held)/fullPercent
+	return r.workedMS + speed*float64(max(0, now.Sub(r.reportedAt)))/float64(time.Millisecond)
 }
 
 // workedOf is what a run that has ended worked in all, ms; 0 if heartbeats do not tell.
 func (v *vmInfo) workedOf(e queue.End, now time.Time) float64 {
-	r := v.rows[e.Task]
-	if r == nil || r.row.Run != e.Run || r.from >= mostUnseen {
+	r := v.runs[e.Task]
+	if r == nil || r.status.Run != e.Run || r.firstPercent >= mostUnseen {
 		return 0
 	}
-	return r.worked(now) * fullPercent / float64(fullPercent-r.from)
+	return r.worked(now) * fullPercent / float64(fullPercent-r.firstPercent)
 }
 
 // learnWorktime takes what a task that is done worked, if its only run has done it all.
