--- a/scheduler/advice_test.go
+++ b/scheduler/advice_test.go
@@ -90,9 +90,9 @@
 
 const adviserCalls = 10
 
-// TestAdviserIsAskedAboutAllVMs has a step that only the last VM may run, of more than an
+// TestAdviserNotAskedAboutAllVMs has a step that only the last VM may run, of more than an
 // adviser is asked about at once.
-func TestAdviserIsAskedAboutAllVMs(t *testing.T) {
+func TestAdviserNotAskedAboutAllVMs(t *testing.T) {
 	adv := &fakeAdviser{allow: func(life string) bool { return life == "vm39-life" }}
 	s := newAdvisedLeader(t, adv, 40)
 	s.submitJob("job")
@@ -100,9 +100,9 @@
 	assert.Assert(t, s.hasRun("job"), "after %d calls about %d VMs at most", adv.calls-1, adv.maxAsked)
 }
 
-// TestAdviserIsAskedForAllSteps has two steps that no VM may run go before one that any
+// TestAdviserNotAskedForAllSteps has two steps that no VM may run go before one that any
 // may.
-func TestAdviserIsAskedForAllSteps(t *testing.T) {
+func TestAdviserNotAskedForAllSteps(t *testing.T) {
 	adv := &fakeAdviser{}
 	s := newAdvisedLeader(t, adv, 2)
 	adv.allowStep = func(step string) bool { return step == "job-3.0.0" }
@@ -114,9 +114,9 @@
 	assert.Assert(t, s.hasRun("job-3"), "after %d calls", adv.calls-1)
 }
 
-// TestWrongAdviceBarsVMs guards against a step that never starts after one answer of its
+// TestWrongAdviceBlocksStep guards against a step that never starts after one answer of its
 // adviser that was not its own or not whole.
-func TestWrongAdviceBarsVMs(t *testing.T) {
+func TestWrongAdviceBlocksStep(t *testing.T) {
 	adv := &fakeAdviser{}
 	s := newAdvisedLeader(t, adv, 2)
 	wrong := adv.calls + 1
--- a/scheduler/beside_test.go
+++ b/scheduler/beside_test.go
@@ -73,9 +73,9 @@
 
 var onlyVM = queue.VM{ID: "vm1", Incarnation: "vm1-life-1", Domain: "hall", Service: "desk"}
 
-// TestHeartbeatWaitsForReport guards against a VM that is given up while its agent's
+// TestHeartbeatBlockedByReport guards against a VM that is given up while its agent's
 // reports wait for their commits.
-func TestHeartbeatWaitsForReport(t *testing.T) {
+func TestHeartbeatBlockedByReport(t *testing.T) {
 	h := newGatedCluster(t, Settings{Lease: testLease})
 	c := h.registerAgent(onlyVM)
 	h.blockCommits()
@@ -89,9 +89,9 @@
 	assert.Equal(t, g.Sent, int64(2))
 }
 
-// TestStartsWaitForLosses guards against starts that are not proposed while the loss of
+// TestStartsBlockedByLosses guards against starts that are not proposed while the loss of
 // another VM waits for its commit.
-func TestStartsWaitForLosses(t *testing.T) {
+func TestStartsBlockedByLosses(t *testing.T) {
 	h := newGatedCluster(t, Settings{Lease: waitTimeout})
 	vm := onlyVM
 	vm.Capacity.CPUMilli = smallStep.Size.CPUMilli
@@ -128,9 +128,9 @@
 	assert.NilError(h.t, err)
 }
 
-// TestUsableWithoutOrders guards against starts on a VM whose present session has no epoch
+// TestVMUsableInSessionWithoutEpoch guards against starts on a VM whose present session has no epoch
 // and therefore tells its agent of none.
-func TestUsableWithoutOrders(t *testing.T) {
+func TestVMUsableInSessionWithoutEpoch(t *testing.T) {
 	h := newGatedCluster(t, Settings{Lease: testLease})
 	c := h.registerAgent(onlyVM)
 	h.blockCommits()
@@ -148,9 +148,9 @@
 	assert.Assert(t, !h.sched.fleet.vm(onlyVM.ID).usable(steady.Now()))
 }
 
-// TestRegistrationOfUnknownFate guards against a VM that is granted nothing though its
+// TestUnacknowledgedRegistrationBlocksLease guards against a VM that is granted nothing though its
 // registration after a loss is committed, since its session ended before.
-func TestRegistrationOfUnknownFate(t *testing.T) {
+func TestUnacknowledgedRegistrationBlocksLease(t *testing.T) {
 	h := newGatedCluster(t, Settings{Lease: testLease})
 	h.registerAgent(onlyVM).Close()
 	h.waitUntil("it is lost", func() bool { h.sched.round(h.ctx); return !h.isLive(onlyVM.ID) })
--- a/scheduler/calm_test.go
+++ b/scheduler/calm_test.go
@@ -33,7 +33,7 @@
 )
 
 var (
-	faultSeeds            = flag.Uint64("calm.seeds", 4, "schedules of TestCalmAfterFaults")
+	faultSeeds            = flag.Uint64("calm.seeds", 4, "schedules of TestRunsNeverStartedAfterFaults")
 	faultFirstSeed        = flag.Uint64("calm.first", 0, "its first seed")
 	faultWrongIncarnation = flag.Bool("calm.misled", false, "have executors answer as another life once")
 )
@@ -242,8 +242,8 @@
 	}
 }
 
-// TestCalmAfterFaults guards against runs that the leader holds for active and no executor begins.
-func TestCalmAfterFaults(t *testing.T) {
+// TestRunsNeverStartedAfterFaults guards against runs that the leader holds for active and no executor begins.
+func TestRunsNeverStartedAfterFaults(t *testing.T) {
 	for i := range *faultSeeds {
 		seed := *faultFirstSeed + i
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/scheduler/crash_test.go
+++ b/scheduler/crash_test.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// TestCrashingTasks hands in jobs that crash every executor that starts them, among
+// TestCrashingTasksFailOtherJobs hands in jobs that crash every executor that starts them, among
 // others, to a fleet of agents and a leader: the former are given up, the others done.
-func TestCrashingTasks(t *testing.T) {
+func TestCrashingTasksFailOtherJobs(t *testing.T) {
 	s := newTestCluster(t, nil)
 	s.putDocument(nil)
 	c := newCrashingVMs(s, 5)
@@ -104,8 +104,8 @@
 	return n
 }
 
-// TestSuspectsShown reads the suspects as operators do, and clears one.
-func TestSuspectsShown(t *testing.T) {
+// TestOperatorsSeeAndClearSuspects reads the suspects as operators do, and clears one.
+func TestOperatorsSeeAndClearSuspects(t *testing.T) {
 	s := newTestCluster(t, nil)
 	s.putDocument(nil)
 	e := s.addVM(executor.Config{})
--- a/scheduler/evacuation_test.go
+++ b/scheduler/evacuation_test.go
@@ -22,8 +22,8 @@
 	assert.Equal(s.t, ans.Code, want, "%+v", ans)
 }
 
-// TestEvacuate has operators evacuate failure domains with VMs at work.
-func TestEvacuate(t *testing.T) {
+// TestEvacuation has operators evacuate failure domains with VMs at work.
+func TestEvacuation(t *testing.T) {
 	s := newTestCluster(t, nil)
 	first, second := s.addVM(executor.Config{}), s.addVM(executor.Config{})
 	s.putDocument(nil)
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestGrantCloses holds that a VM's heartbeat is answered with what holds for its failure
+// TestGrantReportsEvacuation holds that a VM's heartbeat is answered with what holds for its failure
 // domain, also in a session that is new.
-func TestGrantCloses(t *testing.T) {
+func TestGrantReportsEvacuation(t *testing.T) {
 	s := newTestCluster(t, nil)
 	s.putDocument(nil)
 	p := s.connectAgent()
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -43,8 +43,8 @@
 	})
 }
 
-// TestRows holds what the leader keeps of the runs that agents report.
-func TestRows(t *testing.T) {
+// TestRunStatuses holds what the leader keeps of the runs that agents report.
+func TestRunStatuses(t *testing.T) {
 	key, at := queue.TaskKey{Job: "j"}, steady.Now()
 	report := func(f *fleet, life string, run uint32, percent int, checkpoint string) {
 		f.recordHeartbeat(f.vm("vm1"), wire.VMBeat{VM: queue.VM{ID: "vm1", Incarnation: life}, Rows: []rudderfork.RunRow{
--- a/scheduler/last_test.go
+++ b/scheduler/last_test.go
@@ -10,9 +10,9 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// TestGrantNamesLastRuns holds that an agent is told which of its fillers the rest of
+// TestGrantNamesLastFillers holds that an agent is told which of its fillers the rest of
 // their step waits for, and no longer than they do.
-func TestGrantNamesLastRuns(t *testing.T) {
+func TestGrantNamesLastFillers(t *testing.T) {
 	s := newTestCluster(t, nil)
 	p := s.connectAgent()
 	p.heartbeat(newIncarnation)
--- a/scheduler/late_model_test.go
+++ b/scheduler/late_model_test.go
@@ -99,11 +99,11 @@
 	return vm
 }
 
-// TestLateSessions delays what an agent sends in each of its sessions, over
+// TestDelayedMessagesRevertIncarnation delays what an agent sends in each of its sessions, over
 // crashes and farewells of its executor, so that earlier sessions are heard after
 // later ones. In the end the present life is the one that is committed, and stays
 // so whatever is late.
-func TestLateSessions(t *testing.T) {
+func TestDelayedMessagesRevertIncarnation(t *testing.T) {
 	s := newTestClusterWithLease(t, nil, time.Hour)
 	vms := 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/scheduler/late_test.go
+++ b/scheduler/late_test.go
@@ -151,9 +151,9 @@
 	assert.Equal(s.t, len(v.runs), 0, "a load of the old life's")
 }
 
-// TestLateBeats delivers messages in an agent's earlier session, after the agent
+// TestStaleSessionChangesVM delivers messages in an agent's earlier session, after the agent
 // has spoken of a newer life in a later one.
-func TestLateBeats(t *testing.T) {
+func TestStaleSessionChangesVM(t *testing.T) {
 	t.Run("of a life that was registered", func(t *testing.T) {
 		s := newTestCluster(t, nil)
 		before, now, epoch := s.connectAgentTwice(oldIncarnation)
@@ -205,9 +205,9 @@
 	})
 }
 
-// TestRegistrationsInOrder has a heartbeat arrive while the VM is registered from
+// TestConcurrentRegistrationsOfVM has a heartbeat arrive while the VM is registered from
 // another session: it waits for its turn.
-func TestRegistrationsInOrder(t *testing.T) {
+func TestConcurrentRegistrationsOfVM(t *testing.T) {
 	s := newTestCluster(t, nil)
 	p := s.connectAgent()
 	setRegistering := func(on bool) {
--- a/scheduler/learning_test.go
+++ b/scheduler/learning_test.go
@@ -143,9 +143,9 @@
 	}
 }
 
-// TestFailureIsKnownThoughItsSessionEnds has a session end before it hears that a failure
+// TestFailureForgottenWhenSessionEnds has a session end before it hears that a failure
 // is committed.
-func TestFailureIsKnownThoughItsSessionEnds(t *testing.T) {
+func TestFailureForgottenWhenSessionEnds(t *testing.T) {
 	forEachFailure(t, func(s *manualLeader, how queue.Ending) {
 		ctx, cancel := context.WithCancel(s.ctx)
 		commit, told := s.reportEnd(ctx, how)
@@ -157,9 +157,9 @@
 	})
 }
 
-// TestFirstPlanAfterFailureKnowsIt makes a plan as soon as a failure is committed, before
+// TestFirstPlanAfterFailureIgnoresIt makes a plan as soon as a failure is committed, before
 // its session has got any further.
-func TestFirstPlanAfterFailureKnowsIt(t *testing.T) {
+func TestFirstPlanAfterFailureIgnoresIt(t *testing.T) {
 	forEachFailure(t, func(s *manualLeader, how queue.Ending) {
 		commit, told := s.reportEnd(s.ctx, how)
 		s.sched.mu.Lock()
--- a/scheduler/life_again_test.go
+++ b/scheduler/life_again_test.go
@@ -12,8 +12,8 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// TestNoOrdersAfterLifeTakenUpAgain guards against a usable VM whose agent drops all orders.
-func TestNoOrdersAfterLifeTakenUpAgain(t *testing.T) {
+// TestUsableVMDropsOrdersAfterIncarnationReadopted guards against a usable VM whose agent drops all orders.
+func TestUsableVMDropsOrdersAfterIncarnationReadopted(t *testing.T) {
 	s := newTestClusterWithLease(t, nil, 5*time.Second)
 	e, mislead := s.addMisledVM()
 	s.putDocument(nil)
--- a/scheduler/liveness_test.go
+++ b/scheduler/liveness_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestTaskOfVMsLostForGoodStartsAgain has VMs lost under a task that never come back.
-func TestTaskOfVMsLostForGoodStartsAgain(t *testing.T) {
+// TestTaskOfPermanentlyLostVMsIsNotStarted has VMs lost under a task that never come back.
+func TestTaskOfPermanentlyLostVMsIsNotStarted(t *testing.T) {
 	k := queue.TaskKey{Job: "feed"}
 	for _, c := range []struct {
 		name string
@@ -96,9 +96,9 @@
 	return s, k, on
 }
 
-// TestSuspectLeavesVMThatDoesNotRunIt has the VM with least to run refuse a suspect, or
+// TestSuspectStaysOnVMThatDoesNotRunIt has the VM with least to run refuse a suspect, or
 // keep it from its work.
-func TestSuspectLeavesVMThatDoesNotRunIt(t *testing.T) {
+func TestSuspectStaysOnVMThatDoesNotRunIt(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		health executorHealth
@@ -113,9 +113,9 @@
 	}
 }
 
-// TestSuspectWaitsNoLongerUnderNextLeader has a leader whose clock is ahead be followed
+// TestClockSkewOfLeaderDelaysSuspects has a leader whose clock is ahead be followed
 // by one whose clock is right, while suspects wait for quarantine.
-func TestSuspectWaitsNoLongerUnderNextLeader(t *testing.T) {
+func TestClockSkewOfLeaderDelaysSuspects(t *testing.T) {
 	const ahead = 5 * time.Second
 	s := newSimFleet(t, 4)
 	s.advance(longRunTime)
@@ -133,9 +133,9 @@
 	s.assertLastingTasksStart()
 }
 
-// TestVMThatCrashesAgainAndAgainFailsNoLastingJob has the executor of one VM crash, of many,
+// TestRepeatedCrashesOfOneVMFailLastingJobs has the executor of one VM crash, of many,
 // whatever runs there.
-func TestVMThatCrashesAgainAndAgainFailsNoLastingJob(t *testing.T) {
+func TestRepeatedCrashesOfOneVMFailLastingJobs(t *testing.T) {
 	const crashes = 20
 	for _, seen := range []bool{true, false} {
 		for _, every := range []time.Duration{time.Second, 3 * time.Second, 8 * time.Second} {
@@ -162,9 +162,9 @@
 	}
 }
 
-// TestTaskFindsSoundVMAmongMany has a task tried by VMs that fail all they start, and are
+// TestTaskNeverReachesHealthyVM has a task tried by VMs that fail all they start, and are
 // the emptiest therefore, with some sound ones beside them.
-func TestTaskFindsSoundVMAmongMany(t *testing.T) {
+func TestTaskNeverReachesHealthyVM(t *testing.T) {
 	const bad, good = 20, 4
 	for _, c := range []struct {
 		name   string
@@ -284,9 +284,9 @@
 // drawnEvents is how many events a drawn history has.
 const eventsPerHistory = 60
 
-// TestLastingTasksStartAgain draws what happens to a fleet in which every VM that was
+// TestLastingTaskNotRestartedAfterFaults draws what happens to a fleet in which every VM that was
 // lost comes back in the end.
-func TestLastingTasksStartAgain(t *testing.T) {
+func TestLastingTaskNotRestartedAfterFaults(t *testing.T) {
 	for seed := range uint64(100) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			s := newRandomFleet(t, seed)
@@ -306,9 +306,9 @@
 	}
 }
 
-// TestKeptPlannerPlansAsNewOne holds the plans of a leader's planner, over a drawn
+// TestPlannerStateChangesPlans holds the plans of a leader's planner, over a drawn
 // history, against those of one that has read nothing before.
-func TestKeptPlannerPlansAsNewOne(t *testing.T) {
+func TestPlannerStateChangesPlans(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			s := newRandomFleet(t, seed)
@@ -324,9 +324,9 @@
 	}
 }
 
-// TestServingTaskStartsAfterQueueHasRested has a queue of fillers rest for a day, and a
+// TestServingTaskNotStartedAfterIdleQueue has a queue of fillers rest for a day, and a
 // serving task be handed in.
-func TestServingTaskStartsAfterQueueHasRested(t *testing.T) {
+func TestServingTaskNotStartedAfterIdleQueue(t *testing.T) {
 	s := newSimFleet(t, 2)
 	filler := queue.Step{Count: 1, Size: rudderfork.Resources{CPUMilli: 500, MemoryMB: 100}, Filler: true, Image: "f", ExpectedMS: 500}
 	for i := range 2 {
@@ -337,9 +337,9 @@
 	s.assertLastingTasksStart()
 }
 
-// TestNewTaskAvoidsVMThatCrashesAgainAndAgain has all VMs hold work but the one whose
+// TestNewTaskPlacedOnCrashingVM has all VMs hold work but the one whose
 // executor crashes.
-func TestNewTaskAvoidsVMThatCrashesAgainAndAgain(t *testing.T) {
+func TestNewTaskPlacedOnCrashingVM(t *testing.T) {
 	for _, c := range []struct {
 		crashes int
 		avoided bool
@@ -365,8 +365,8 @@
 	}
 }
 
-// TestOutageCountsOnce guards against a VM that is in doubt for one crash, found as a loss first.
-func TestOutageCountsOnce(t *testing.T) {
+// TestOutageCountedTwice guards against a VM that is in doubt for one crash, found as a loss first.
+func TestOutageCountedTwice(t *testing.T) {
 	lose := func(s *simFleet, v *simVM) { s.expireLease(v) }
 	again := func(s *simFleet, v *simVM) { s.register(v, nil) }
 	anew := func(s *simFleet, v *simVM) { s.crash(v, true) }
@@ -393,8 +393,8 @@
 	}
 }
 
-// TestTaskLeavesVMThatFellSilent has the only idle VM fall silent under a task, and come back.
-func TestTaskLeavesVMThatFellSilent(t *testing.T) {
+// TestTaskReturnsToSilentVM has the only idle VM fall silent under a task, and come back.
+func TestTaskReturnsToSilentVM(t *testing.T) {
 	s, k := newSimFleet(t, 4), queue.TaskKey{Job: "feed"}
 	plain := lastingStep(1)
 	plain.TailMS = 0
@@ -413,9 +413,9 @@
 	assert.Assert(t, s.vmOf(k) != silent, "it is placed there again")
 }
 
-// TestFailureAfterLongWorkTellsNothingOfVM tells tasks that fail by themselves from VMs that
+// TestLateTaskFailureBlamedOnVM tells tasks that fail by themselves from VMs that
 // fail what they start.
-func TestFailureAfterLongWorkTellsNothingOfVM(t *testing.T) {
+func TestLateTaskFailureBlamedOnVM(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		span  time.Duration
--- a/scheduler/losses_test.go
+++ b/scheduler/losses_test.go
@@ -31,10 +31,10 @@
 	return h.Store.Save(rd)
 }
 
-// TestManyLost loses many VMs at once while a sync is under way: all losses are proposed
+// TestLossesWaitForEachOther loses many VMs at once while a sync is under way: all losses are proposed
 // behind it and share the next. (Each waited for the commit of the one before, and no round
 // was made meanwhile.)
-func TestManyLost(t *testing.T) {
+func TestLossesWaitForEachOther(t *testing.T) {
 	const vms = 40
 	store := &gatedStore{}
 	rep := newReplicaWithStore(t, func(s replica.Store) replica.Store { store.Store = s; return store }, selfMember)
--- a/scheduler/lost_twice_test.go
+++ b/scheduler/lost_twice_test.go
@@ -14,8 +14,8 @@
 	"rudderfork.example/rudderfork/state"
 )
 
-// TestLossProposedTwiceLeavesDoubt guards against tasks that count as crashed under for good, and are not started.
-func TestLossProposedTwiceLeavesDoubt(t *testing.T) {
+// TestLossProposedTwiceLeavesCrashSuspicion guards against tasks that count as crashed under for good, and are not started.
+func TestLossProposedTwiceLeavesCrashSuspicion(t *testing.T) {
 	store := &gatedStore{}
 	rep := newReplicaWithStore(t, func(s replica.Store) replica.Store { store.Store = s; return store }, selfMember)
 	s := &testCluster{t: t, ctx: t.Context()}
--- a/scheduler/orders_test.go
+++ b/scheduler/orders_test.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestOrdersOfCancelledJobs holds that an agent never hears of a cancelled job's
+// TestCancelledRunOrderedWithoutStop holds that an agent never hears of a cancelled job's
 // run without its stop, whatever the leader has planned so far.
-func TestOrdersOfCancelledJobs(t *testing.T) {
+func TestCancelledRunOrderedWithoutStop(t *testing.T) {
 	run := queue.TaskKey{Job: "j"}.Ref(1)
 	t.Run("to a leader that is new the run is known, and the stop goes with it", func(t *testing.T) {
 		qs := stateWithRun(t)
@@ -87,9 +87,9 @@
 	})
 }
 
-// TestBehind holds that a VM's agent is told of whatever concerns it, and woken for
+// TestSessionWakesOnlyForItsVM holds that a VM's agent is told of whatever concerns it, and woken for
 // nothing else.
-func TestBehind(t *testing.T) {
+func TestSessionWakesOnlyForItsVM(t *testing.T) {
 	key := queue.TaskKey{Job: "j"}
 	told := func(t *testing.T) (qs *queue.State, ses *session) {
 		qs = stateWithRun(t)
--- a/scheduler/refusal_test.go
+++ b/scheduler/refusal_test.go
@@ -99,9 +99,9 @@
 	}
 }
 
-// TestListNamesRefusedRun guards against a run that an agent without its orders starts
+// TestFullListOrdersRefusedRun guards against a run that an agent without its orders starts
 // while the refusal that it has reported is on its way, and that starts elsewhere then.
-func TestListNamesRefusedRun(t *testing.T) {
+func TestFullListOrdersRefusedRun(t *testing.T) {
 	t.Run("in the next session, which reports it again", func(t *testing.T) {
 		h, c, vm, release := newRefusedRun(t)
 		c.Close()
@@ -234,9 +234,9 @@
 	return false
 }
 
-// TestRefusedRunInTwoPlaces guards against a task that is at work in two places after an
+// TestRefusedRunRunsTwice guards against a task that is at work in two places after an
 // agent that had reported a refusal has started again.
-func TestRefusedRunInTwoPlaces(t *testing.T) {
+func TestRefusedRunRunsTwice(t *testing.T) {
 	s := newTwoVMCluster(t)
 	s.commit(queue.Command{Submit: &queue.Submit{Host: testHost, Path: "/q/job", Spec: queue.Spec{Steps: []queue.Step{{Count: 1, Size: smallStep.Size, Lasting: true}}}}})
 	s.waitUntil("a refusal is proposed", func() bool {
--- a/scheduler/round_test.go
+++ b/scheduler/round_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestRest holds that rounds leave half of the processor to sessions and to the group, and
+// TestPauseAfterRound holds that rounds leave half of the processor to sessions and to the group, and
 // that leases and stand-stills are still looked at.
-func TestRest(t *testing.T) {
+func TestPauseAfterRound(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		times roundTimes
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -32,9 +32,9 @@
 
 const (
 	// waitLimit ends a wait for a condition that does not come true. The longest one, of
-	// TestWave, takes 18.5 s on a calm machine.
+	// TestUpkeepWaveKeepsBounds, takes 18.5 s on a calm machine.
 	waitTimeout = 60 * time.Second
-	// waveSpan is until when the wave of TestWave is to be done.
+	// waveSpan is until when the wave of TestUpkeepWaveKeepsBounds is to be done.
 	waveDueIn = 20 * time.Second
 	testHost  = "desk.example"
 	testLease = 2 * time.Second
@@ -226,8 +226,8 @@
 	return tickets, nil
 }
 
-// TestAdvice runs steps only where the adviser allows it, with its ticket.
-func TestAdvice(t *testing.T) {
+// TestStepRunsOnlyWhereAdviserAllows runs steps only where the adviser allows it, with its ticket.
+func TestStepRunsOnlyWhereAdviserAllows(t *testing.T) {
 	adv := &fakeAdviser{allow: func(life string) bool { return life == "vm2-life-1" }}
 	s := newTestCluster(t, adv)
 	var mu sync.Mutex
@@ -311,10 +311,10 @@
 	return nil
 }
 
-// TestWave carries out a wave within its bounds: one machine at a time, none
+// TestUpkeepWaveKeepsBounds carries out a wave within its bounds: one machine at a time, none
 // whose upkeep would take more of a lasting step away than it allows, and it is
 // completed only once each has begun.
-func TestWave(t *testing.T) {
+func TestUpkeepWaveKeepsBounds(t *testing.T) {
 	s := newTestCluster(t, nil)
 	for range 3 {
 		s.addVM(executor.Config{})
@@ -354,9 +354,9 @@
 	assert.Equal(t, s.ask(wire.Ask{Upkeep: 8}).Code, queue.NoJob)
 }
 
-// TestOutranked refuses a leader's order because another holder's is newer: it gives
+// TestOutrankedLeaderStopsOrders refuses a leader's order because another holder's is newer: it gives
 // no more, on any machine of any wave, until it leads in another term.
-func TestOutranked(t *testing.T) {
+func TestOutrankedLeaderStopsOrders(t *testing.T) {
 	s := newTestCluster(t, nil)
 	s.addVM(executor.Config{})
 	s.addVM(executor.Config{})
@@ -379,9 +379,9 @@
 	})
 }
 
-// TestLostVM takes a VM's agent away: its work begins elsewhere only once its
+// TestTaskOfLostVMRunsOnce takes a VM's agent away: its work begins elsewhere only once its
 // lease has run out, and none of it runs twice at once.
-func TestLostVM(t *testing.T) {
+func TestTaskOfLostVMRunsOnce(t *testing.T) {
 	s := newTestCluster(t, nil)
 	var mu sync.Mutex
 	active := map[rudderfork.TaskID]int{}
@@ -433,8 +433,8 @@
 	return look, err
 }
 
-// TestExecutorLeft lets executors say farewell. No lease runs out meanwhile.
-func TestExecutorLeft(t *testing.T) {
+// TestExecutorLeaves lets executors say farewell. No lease runs out meanwhile.
+func TestExecutorLeaves(t *testing.T) {
 	room := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
 	begun := func(n *atomic.Int32) executor.Config {
 		return executor.Config{Now: steady.Now, Room: room, OnStart: func(rudderfork.RunRef) { n.Add(1) }}
@@ -472,8 +472,8 @@
 	})
 }
 
-// TestReadsAreCurrent asks for what was just changed.
-func TestReadsAreCurrent(t *testing.T) {
+// TestReadsSeeEarlierCommits asks for what was just changed.
+func TestReadsSeeEarlierCommits(t *testing.T) {
 	s := newTestCluster(t, nil)
 	s.putDocument(nil)
 	for i := range 20 {
@@ -491,10 +491,10 @@
 	assert.Equal(t, views[0].Live, 20)
 }
 
-// TestLeads holds what ends a session: the process leads no more in its term. (It
+// TestLeadsOnlyInCurrentTerm holds what ends a session: the process leads no more in its term. (It
 // was asked only with a VM's heartbeat; fronts stayed with a leader that had lost
 // its quorum for 3 s, while its duties waited for a commit.)
-func TestLeads(t *testing.T) {
+func TestLeadsOnlyInCurrentTerm(t *testing.T) {
 	s := newTestCluster(t, nil)
 	s.putDocument(nil)
 	term := s.sched.currentTerm()
@@ -503,10 +503,10 @@
 	assert.Assert(t, !s.sched.leads(term+1))
 }
 
-// TestOpenAfterStepDown says hello to a process that has stepped down, without a
+// TestSessionOpenedAfterStepDown says hello to a process that has stepped down, without a
 // new term, while its duties have not ended. It takes no session that it would
 // drop with the first message.
-func TestOpenAfterStepDown(t *testing.T) {
+func TestSessionOpenedAfterStepDown(t *testing.T) {
 	peer := quorum.Member{ID: "d#1", Name: "d", Addr: "d.example:1", Voter: true}
 	s := &testCluster{t: t, ctx: t.Context()}
 	rep := newReplica(t, selfMember, peer)
@@ -528,10 +528,10 @@
 	assert.DeepEqual(t, m.Redirect.Members, []string{selfMember.Addr, peer.Addr})
 }
 
-// TestHelloWaitsForLeader says hello to a process while a leader is elected: its first
+// TestRedirectWithoutLeaderDuringElection says hello to a process while a leader is elected: its first
 // answer names the leader, once there is one. (It answered that it knew none, and was asked
 // again 20 times a second by every node.)
-func TestHelloWaitsForLeader(t *testing.T) {
+func TestRedirectWithoutLeaderDuringElection(t *testing.T) {
 	peer := quorum.Member{ID: "d#1", Name: "d", Addr: "d.example:1", Voter: true}
 	hello := func(t *testing.T, elect bool) *wire.QueueRedirect {
 		t.Helper()
--- a/scheduler/second_start_test.go
+++ b/scheduler/second_start_test.go
@@ -28,9 +28,9 @@
 	return s
 }
 
-// TestUpkeepOfStart finds the VM of an executor that the provider lists by its id,
+// TestUpkeepFindsVMOfAnyIncarnation finds the VM of an executor that the provider lists by its id,
 // whichever start it is in.
-func TestUpkeepOfStart(t *testing.T) {
+func TestUpkeepFindsVMOfAnyIncarnation(t *testing.T) {
 	for _, life := range []string{"i-1", firstIncarnation, secondIncarnation} {
 		s := stateWithIncarnation(life)
 		assert.Equal(t, vmOfExecutor(s, "i-1"), s.VM("vm1"))
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestTicketOfStart keeps no ticket over a start: an executor would refuse it.
-func TestTicketOfStart(t *testing.T) {
+// TestTicketKeptOverIncarnations keeps no ticket over a start: an executor would refuse it.
+func TestTicketKeptOverIncarnations(t *testing.T) {
 	now, step := steady.Now(), queue.StepKey{Job: "j"}
 	for life, want := range map[string]map[rudderfork.VMID]string{firstIncarnation: {"vm1": "t-1"}, secondIncarnation: {}} {
 		s := stateWithIncarnation(life)
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestFiguresOfStart drops what the start before has told of its runs, and the VM's doubt.
-func TestFiguresOfStart(t *testing.T) {
+// TestFailureScoreKeptOverIncarnations drops what the start before has told of its runs, and the VM's doubt.
+func TestFailureScoreKeptOverIncarnations(t *testing.T) {
 	f, now := newFleet(), steady.Now()
 	v := f.vm("vm1")
 	row := rudderfork.RunRow{RunRef: rudderfork.RunRef{Task: "j.0.0.0", Run: 1}, Percent: 40}
@@ -77,9 +77,9 @@
 	return e
 }
 
-// TestSecondStart has an executor start again under its id while a task lasts there:
+// TestRestartUnderSameID has an executor start again under its id while a task lasts there:
 // the leader takes note of it, and the task begins anew, once.
-func TestSecondStart(t *testing.T) {
+func TestRestartUnderSameID(t *testing.T) {
 	s := newTestCluster(t, nil)
 	var starts atomic.Int32
 	e := s.addRestartableVM(executor.Config{OnStart: func(rudderfork.RunRef) { starts.Add(1) }})
@@ -119,9 +119,9 @@
 	return e.Executor.Look(ctx, life, req)
 }
 
-// TestLookOfStartBefore has a look for the first start reach the executor in its second: it
+// TestStalePollAcknowledgesNewEnds has a look for the first start reach the executor in its second: it
 // acknowledges none of the ends there, whose runs would be found gone and be started again.
-func TestLookOfStartBefore(t *testing.T) {
+func TestStalePollAcknowledgesNewEnds(t *testing.T) {
 	s := newTestCluster(t, nil)
 	var starts atomic.Int32
 	room := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
--- a/scheduler/simfleet_test.go
+++ b/scheduler/simfleet_test.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	// simTick is the time from one plan to the next.
+	// simPlanInterval is the simulated time between two plans.
 	simPlanInterval = 100 * time.Millisecond
-	// simStartup is how long a lasting task takes until it is at work.
+	// simStartupTime is how long a lasting task takes to reach 100 percent.
 	simStartupTime = time.Second
 	simStartUnix   = 1_000_000 // Unix s
 )
 
-// health says what a VM's executor does with what it is to start.
+// executorHealth is how the executor of a VM treats the runs it is ordered to start.
 type executorHealth int
 
 const (
-	healthy executorHealth = iota
-	failing
-	refusing
-	stuck // its tasks stand still
+	healthy  executorHealth = iota
+	failing  // each run fails halfway through its startup
+	refusing // each start is refused
+	stuck    // runs start and stay at 0 percent
 )
 
 // simVM is a VM of a simFleet.
@@ -38,15 +38,15 @@
 	id          rudderfork.VMID
 	incarnation int
 	health      executorHealth
-	down        bool // nothing is heard of it
-	omitsRuns   bool // it tells of no run
+	down        bool // it sends nothing
+	omitsRuns   bool // its heartbeats report no runs
 	startedAt   map[queue.RunKey]time.Time
 }
 
 func (v *simVM) incarnationName() string { return fmt.Sprintf("%s-life-%d", v.id, v.incarnation) }
 
-// simFleet is a replicated state, what its leader knows beside it, and VMs that do what
-// they are told, in simulated time.
+// simFleet is a replicated queue state, the leader's volatile data about the VMs, and simulated
+// VMs that carry out their orders, in simulated time.
 type simFleet struct {
 	t         *testing.T
 	qs        *queue.State
@@ -56,7 +56,7 @@
 	vms       []*simVM
 
 	pendingSince   map[queue.TaskKey]time.Time // since when a lasting task lacks a run
-	rejectedStarts int                         // starts that the state did not accept
+	rejectedStarts int                         // planned starts that the state did not accept
 }
 
 func newSimFleet(t *testing.T, vms int) *simFleet {
@@ -77,7 +77,7 @@
 	s.register(v, nil)
 }
 
-// place starts a task on a VM, whatever a plan would do.
+// startOn starts a task on a VM without consulting the planner.
 func (s *simFleet) startOn(k queue.TaskKey, v *simVM) {
 	s.t.Helper()
 	res := s.apply(queue.Command{Starts: []queue.Start{{Task: k, VM: v.id, Incarnation: v.incarnationName()}}})
@@ -86,7 +86,7 @@
 
 func (s *simFleet) task(k queue.TaskKey) *queue.Task { return s.qs.Job(k.Job).Task(k) }
 
-// vmOf returns the VM that a task is to run on, or nil.
+// vmOf returns the VM of a task's first active run, or nil.
 func (s *simFleet) vmOf(k queue.TaskKey) *simVM {
 	for _, r := range s.task(k).Runs {
 		for _, v := range s.vms {
@@ -98,13 +98,13 @@
 	return nil
 }
 
-// atWork reports whether a run of a task has begun.
+// isRunning reports whether the VM of a task's first active run has started that run.
 func (s *simFleet) isRunning(k queue.TaskKey) bool {
 	v := s.vmOf(k)
 	return v != nil && !v.startedAt[k.Run(s.task(k).Runs[0].Number)].IsZero()
 }
 
-// roomy counts the VMs that answer and have room for a task.
+// vmsWithRoom counts the reachable live VMs with room for a task of the step.
 func (s *simFleet) vmsWithRoom(st queue.Step) (n int) {
 	for _, v := range s.vms {
 		vm := s.qs.VM(v.id)
@@ -115,14 +115,14 @@
 	return n
 }
 
-// clock is the leader's.
+// leaderTime returns the time by the leader's clock.
 func (s *simFleet) leaderTime() time.Time { return s.now.Add(s.clockSkew) }
 
 func (s *simFleet) apply(c queue.Command) queue.Result {
 	return s.qs.Apply(c, rudderfork.Millis(s.leaderTime()))
 }
 
-// leader is a scheduler that knows what the leader does.
+// scheduler returns a scheduler that shares the leader's fleet.
 func (s *simFleet) scheduler() *Scheduler {
 	return &Scheduler{fleet: s.fleet, log: zerolog.Nop(), rec: noPeers{}, met: newMetrics()}
 }
@@ -133,7 +133,7 @@
 	assert.Equal(s.t, res.Code, queue.OK)
 }
 
-// lastingStep is a step of serving tasks, of which a VM has room for 16.
+// lastingStep returns a step of serving tasks; a VM has room for 16 of them.
 func lastingStep(count int) queue.Step {
 	return queue.Step{Count: count, Size: rudderfork.Resources{CPUMilli: 500, MemoryMB: 100}, Lasting: true, Image: "s", TailMS: 20}
 }
@@ -149,7 +149,7 @@
 	s.connect(v)
 }
 
-// admit gives a VM its session and lease.
+// connect gives a VM a session and a lease, and sends its heartbeat.
 func (s *simFleet) connect(v *simVM) {
 	info := s.fleet.vm(v.id)
 	info.session = &session{epoch: 1}
@@ -158,8 +158,8 @@
 	s.sendHeartbeat(v)
 }
 
-// crash has the executor of a VM begin another life. If the agent saw it, it tells the
-// ages of the runs.
+// crash restarts the executor of a VM in a new incarnation. If seen is set, its agent reports the
+// ages of the runs that were lost.
 func (s *simFleet) crash(v *simVM, seen bool) {
 	c := &queue.Crash{Incarnation: v.incarnationName()}
 	for k, at := range v.startedAt {
@@ -174,7 +174,7 @@
 	s.register(v, c)
 }
 
-// lead has another leader, whose clock is off, take over.
+// changeLeader replaces the leader by one whose clock is off by skew.
 func (s *simFleet) changeLeader(skew time.Duration) {
 	s.clockSkew = skew
 	s.fleet = newFleet()
@@ -185,7 +185,7 @@
 	}
 }
 
-// lose ends a VM's lease.
+// expireLease marks a VM as lost, as the leader does when its lease has run out.
 func (s *simFleet) expireLease(v *simVM) {
 	v.down = true
 	s.fleet.vm(v.id).session = nil
@@ -210,7 +210,7 @@
 	s.fleet.recordHeartbeat(s.fleet.vm(v.id), b, s.leaderTime())
 }
 
-// work has a VM do what it was told, and report.
+// executeOrders has a VM carry out its orders, report ends, and send a heartbeat.
 func (s *simFleet) executeOrders(v *simVM) {
 	vm := s.qs.VM(v.id)
 	var ends []queue.End
@@ -240,7 +240,7 @@
 	s.sendHeartbeat(v)
 }
 
-// end commits ends and learns of them, as a session does.
+// reportEnds commits ends of runs and records what they show about the VM, as a session does.
 func (s *simFleet) reportEnds(v *simVM, ends ...queue.End) {
 	if len(ends) == 0 {
 		return
@@ -253,7 +253,7 @@
 	}
 }
 
-// plan makes a plan and commits its starts.
+// plan makes one plan and commits its starts.
 func (s *simFleet) plan() (plan dispatch.Plan) {
 	view := s.fleet.view(s.qs, s.leaderTime())
 	plan = s.fleet.planner.Plan(s.qs, view)
@@ -274,7 +274,7 @@
 	return plan
 }
 
-// tick lets time pass until the next plan, which it makes.
+// tick advances the simulated time to the next plan, has all VMs carry out their orders, and plans.
 func (s *simFleet) tick() dispatch.Plan {
 	s.now = s.now.Add(simPlanInterval)
 	for _, v := range s.vms {
@@ -299,7 +299,7 @@
 	}
 }
 
-// lasting returns the lasting tasks of jobs that go on.
+// lastingTasks returns the lasting tasks of unfinished jobs, sorted.
 func (s *simFleet) lastingTasks() (list []queue.TaskKey) {
 	for _, j := range s.qs.Live() {
 		if j.Status.Final() {
--- a/scheduler/swings_test.go
+++ b/scheduler/swings_test.go
@@ -41,9 +41,9 @@
 	f.foresee(qs, v, at)
 }
 
-// TestForeseen holds that the planner is told that a headroom is about to fall, and that it
+// TestHeadroomForecast holds that the planner is told that a headroom is about to fall, and that it
 // rises, once the load of a step has gone round a few times.
-func TestForeseen(t *testing.T) {
+func TestHeadroomForecast(t *testing.T) {
 	const tasks, period, beat = 5, 10 * time.Second, 500 * time.Millisecond
 	qs, f := newServingFleet(t, tasks)
 	t0 := steady.Now()
--- a/scheduler/taken_up_test.go
+++ b/scheduler/taken_up_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestLifeTakenUpAgainGetsNoOrders guards against a VM that is granted leases and placed upon, and starts nothing.
-func TestLifeTakenUpAgainGetsNoOrders(t *testing.T) {
+// TestReadoptedIncarnationGetsNoOrders guards against a VM that is granted leases and placed upon, and starts nothing.
+func TestReadoptedIncarnationGetsNoOrders(t *testing.T) {
 	s := newTestClusterWithLease(t, nil, time.Hour)
 	e, mislead := s.addMisledVM()
 	s.putDocument(nil)
--- a/scheduler/term_test.go
+++ b/scheduler/term_test.go
@@ -12,9 +12,9 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// TestRoundOfEarlierTermHoldsLaterOneUp guards against a leader that takes no session
+// TestRoundOfEarlierTermBlocksLaterTerm guards against a leader that takes no session
 // because a round of an earlier term of its own waits for a commit.
-func TestRoundOfEarlierTermHoldsLaterOneUp(t *testing.T) {
+func TestRoundOfEarlierTermBlocksLaterTerm(t *testing.T) {
 	const lost = 4 // the later leaders have fewer entries in their place
 	h := newGatedCluster(t, Settings{Lease: testLease})
 	for i := range lost {
--- a/scheduler/unbegun_test.go
+++ b/scheduler/unbegun_test.go
@@ -8,8 +8,8 @@
 	"rudderfork.example/rudderfork/state"
 )
 
-// TestRunHeldWhereStartsAreUnanswered guards against a task that waits for good for a VM whose executor answers all but its start.
-func TestRunHeldWhereStartsAreUnanswered(t *testing.T) {
+// TestTaskBoundToVMWithUnansweredStarts guards against a task that waits for good for a VM whose executor answers all but its start.
+func TestTaskBoundToVMWithUnansweredStarts(t *testing.T) {
 	s := newTestCluster(t, nil)
 	s.addVM(executor.Config{Fate: func(call string) executor.Fate {
 		if call == "start" {
--- a/scheduler/waiting_test.go
+++ b/scheduler/waiting_test.go
@@ -22,8 +22,8 @@
 
 func answerAll(string) executor.Fate { return executor.Answered }
 
-// TestPlacedJobWaitsUntilItBegins guards against telling a job as begun by the order to start it.
-func TestPlacedJobWaitsUntilItBegins(t *testing.T) {
+// TestPlacedJobCountedAsBegun guards against telling a job as begun by the order to start it.
+func TestPlacedJobCountedAsBegun(t *testing.T) {
 	s := newTestCluster(t, nil)
 	s.putDocument(nil)
 	e := s.addVM(executor.Config{})
@@ -37,8 +37,8 @@
 	s.waitUntil("it waits no more", func() bool { return waiting() == 0 })
 }
 
-// TestBegunJobIsReplicated guards against a next leader that counts jobs at work as waiting.
-func TestBegunJobIsReplicated(t *testing.T) {
+// TestNextLeaderCountsRunningJobAsWaiting guards against a next leader that counts jobs at work as waiting.
+func TestNextLeaderCountsRunningJobAsWaiting(t *testing.T) {
 	s := newTestCluster(t, nil)
 	s.putDocument(nil)
 	e := s.addVM(executor.Config{})
--- a/scheduler/worktimes_test.go
+++ b/scheduler/worktimes_test.go
@@ -11,8 +11,8 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// TestWorktimes holds that what is learned of run times is the work at full speed.
-func TestWorktimes(t *testing.T) {
+// TestLearnedWorktimeIsAtFullSpeed holds that what is learned of run times is the work at full speed.
+func TestLearnedWorktimeIsAtFullSpeed(t *testing.T) {
 	key := queue.TaskKey{Job: "j"}
 	done := queue.End{Task: key, Run: 1, How: queue.EndDone}
 	at := time.Unix(1000, 0)
