--- a/scheduler/advice.go
+++ b/scheduler/advice.go
@@ -23,19 +23,19 @@
 
 // advice is the tickets that advisers gave. It is guarded by the scheduler's mu.
 type advice struct {
-	steps map[queue.StepKey]*leave
+	steps map[queue.StepKey]*stepTickets
 	busy  bool // an adviser works on one call of a process at a time
 }
 
-// leave is what an adviser said of a step.
-type leave struct {
+// stepTickets is what an adviser said of a step.
+type stepTickets struct {
 	tickets map[rudderfork.VMID]ticket
 	asked   map[rudderfork.VMID]time.Time // when VMs were last asked about in vain
 	askAt   time.Time                     // not before; adviceAgain after the last answer
 }
 
-func newLeave() *leave {
-	return &leave{tickets: map[rudderfork.VMID]ticket{}, asked: map[rudderfork.VMID]time.Time{}}
+func newLeave() *stepTickets {
+	return &stepTickets{tickets: map[rudderfork.VMID]ticket{}, asked: map[rudderfork.VMID]time.Time{}}
 }
 
 // ticket is valid for one life of a VM, until a time.
@@ -45,11 +45,11 @@
 	until time.Time
 }
 
-func newAdvice() *advice { return &advice{steps: map[queue.StepKey]*leave{}} }
+func newAdvice() *advice { return &advice{steps: map[queue.StepKey]*stepTickets{}} }
 
 // noteAsked notes the VMs that were asked about in vain. Which VMs may run a step does not
 // change, but an answer may be wrong: they are asked about again after the others.
-func (l *leave) noteAsked(asked map[string]rudderfork.VMID, good map[string]string, now time.Time) {
+func (l *stepTickets) noteAsked(asked map[string]rudderfork.VMID, good map[string]string, now time.Time) {
 	for life, vm := range asked {
 		if _, ok := good[life]; !ok {
 			l.asked[vm] = now
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -30,10 +30,10 @@
 	crashHalfLife = 10 * time.Second
 	// maxFailedOn bounds the VMs remembered for a task.
 	maxFailedOn = 64
-	// heldDown is the percent by which a filler is paced down that counts as being
+	// pacedDownPercent is the percent by which a filler is paced down that counts as being
 	// held back: what a place where it could begin would gain it, with what a move
 	// costs.
-	heldDown = 35
+	pacedDownPercent = 35
 )
 
 // fleet is what the leader knows of the VMs and runs beside the replicated
@@ -101,11 +101,11 @@
 
 // runInfo is one run at the moment.
 type runInfo struct {
-	status        rudderfork.RunRow
-	firstPercent  int // percent when it was first reported
-	firstReportAt time.Time
-	progressAt    time.Time
-	heldSince     time.Time // since when it is held down; zero if it is not
+	status         rudderfork.RunRow
+	firstPercent   int // percent when it was first reported
+	firstSeenAt    time.Time
+	progressedAt   time.Time
+	pacedDownSince time.Time // since when it is held down; zero if it is not
 
 	workedMS   float64   // at full speed, since seenAt and until takenAt
 	reportedAt time.Time // when a heartbeat last told of it
@@ -160,7 +160,7 @@
 		}
 		r := v.runs[k]
 		if r == nil {
-			r = &runInfo{firstReportAt: now, progressAt: now, reportedAt: now, firstPercent: row.Percent}
+			r = &runInfo{firstSeenAt: now, progressedAt: now, reportedAt: now, firstPercent: row.Percent}
 			v.runs[k] = r
 			f.begun[k.Job] = true
 		}
@@ -182,13 +182,13 @@
 func (r *runInfo) update(row rudderfork.RunRow, now time.Time) {
 	r.workedMS, r.reportedAt = r.worked(now), now
 	if r.status.Percent != row.Percent {
-		r.progressAt = now
+		r.progressedAt = now
 	}
 	switch {
-	case row.Held < heldDown:
-		r.heldSince = time.Time{}
-	case r.heldSince.IsZero():
-		r.heldSince = now
+	case row.Held < pacedDownPercent:
+		r.pacedDownSince = time.Time{}
+	case r.pacedDownSince.IsZero():
+		r.pacedDownSince = now
 	}
 	r.status = row
 }
@@ -196,10 +196,10 @@
 // view returns the run as dispatch reads it.
 func (r *runInfo) view() dispatch.RunView {
 	run := dispatch.RunView{
-		Percent: r.status.Percent, FirstPercent: r.firstPercent, FirstSeenAt: rudderfork.Millis(r.firstReportAt), ProgressedAt: rudderfork.Millis(r.progressAt), Load: r.status.Load, PacedDownPercent: r.status.Held, ForecastHeadroomChange: r.ahead,
+		Percent: r.status.Percent, FirstPercent: r.firstPercent, FirstSeenAt: rudderfork.Millis(r.firstSeenAt), ProgressedAt: rudderfork.Millis(r.progressedAt), Load: r.status.Load, PacedDownPercent: r.status.Held, ForecastHeadroomChange: r.ahead,
 	}
-	if !r.heldSince.IsZero() {
-		run.PacedDownSince = rudderfork.Millis(r.heldSince)
+	if !r.pacedDownSince.IsZero() {
+		run.PacedDownSince = rudderfork.Millis(r.pacedDownSince)
 	}
 	return run
 }
@@ -355,8 +355,8 @@
 	return true
 }
 
-// learn draws conclusions from the end of a run.
-func (f *fleet) learn(vm rudderfork.VMID, e queue.End, now time.Time) {
+// recordEnd draws conclusions from the end of a run.
+func (f *fleet) recordEnd(vm rudderfork.VMID, e queue.End, now time.Time) {
 	v := f.vm(vm)
 	ref := e.Task.Ref(e.Run)
 	switch {
@@ -385,11 +385,11 @@
 // hadWorked reports whether a run that has ended was at work for long.
 func (v *vmInfo) hadWorked(e queue.End, now time.Time) bool {
 	r := v.runs[e.Task]
-	return r != nil && r.status.Run == e.Run && r.status.Percent == fullPercent && now.Sub(r.firstReportAt) >= workedSpan
+	return r != nil && r.status.Run == e.Run && r.status.Percent == fullPercent && now.Sub(r.firstSeenAt) >= workedSpan
 }
 
-// learnCrash draws conclusions from a life of a VM's executor that a new one follows.
-func (f *fleet) learnCrash(s *queue.State, vm queue.VM, crash *queue.Crash, now time.Time) {
+// recordCrash draws conclusions from a life of a VM's executor that a new one follows.
+func (f *fleet) recordCrash(s *queue.State, vm queue.VM, crash *queue.Crash, now time.Time) {
 	tasks, crashed := s.CrashedUnder(vm, crash)
 	if !crashed {
 		return
@@ -404,10 +404,10 @@
 	}
 }
 
-// learnLoss draws conclusions from the loss of a VM: what ran there had better run elsewhere
+// recordLoss draws conclusions from the loss of a VM: what ran there had better run elsewhere
 // should it be back, and one that falls silent again and again is in doubt. A loss that is
 // proposed again in the same epoch tells nothing new.
-func (f *fleet) learnLoss(vm *queue.VM, now time.Time) {
+func (f *fleet) recordLoss(vm *queue.VM, now time.Time) {
 	v := f.vm(vm.ID)
 	if v.lostEpoch == vm.Epoch {
 		return
--- a/scheduler/gone.go
+++ b/scheduler/gone.go
@@ -9,22 +9,22 @@
 	"rudderfork.example/rudderfork/queue"
 )
 
-// lifeEnd says how the leader knows that a life of a VM's executor is over.
-type lifeEnd string
+// incarnationEnd says how the leader knows that a life of a VM's executor is over.
+type incarnationEnd string
 
 // The ways.
 const (
-	lifeReplaced lifeEnd = "replaced" // another one describes itself
-	lifeLapsed   lifeEnd = "lapsed"   // its lease ran out
-	lifeLeft     lifeEnd = "left"     // it said farewell
+	incarnationReplaced incarnationEnd = "replaced" // another one describes itself
+	incarnationLapsed   incarnationEnd = "lapsed"   // its lease ran out
+	incarnationLeft     incarnationEnd = "left"     // it said farewell
 )
 
 // maxGoneLogged bounds the runs that one line names.
 const maxGoneLogged = 16
 
-// noteGone logs the runs that ended with a life of a VM's executor: what ran there
+// logGone logs the runs that ended with a life of a VM's executor: what ran there
 // is all that can be blamed for a crash.
-func (s *Scheduler) noteGone(vm rudderfork.VMID, how lifeEnd, res queue.Result) {
+func (s *Scheduler) logGone(vm rudderfork.VMID, how incarnationEnd, res queue.Result) {
 	s.noteAssessments(vm, res.Assessments)
 	gone := res.Gone
 	if len(gone) == 0 {
--- a/scheduler/liveness_test.go
+++ b/scheduler/liveness_test.go
@@ -426,7 +426,7 @@
 			s.submit("feed", lastingStep(1))
 			s.advance(c.span)
 			on, run := s.vmOf(k), s.task(k).LastRun
-			s.fleet.learn(on.id, queue.End{Task: k, Run: run, How: queue.EndFailed}, s.leaderTime())
+			s.fleet.recordEnd(on.id, queue.End{Task: k, Run: run, How: queue.EndFailed}, s.leaderTime())
 			s.apply(queue.Command{Ends: &queue.Ends{VM: on.id, Incarnation: on.incarnationName(), List: []queue.End{{Task: k, Run: run, How: queue.EndFailed}}}})
 			s.plan()
 			assert.Equal(t, s.vmOf(k) == on, c.there)
--- a/scheduler/pressures.go
+++ b/scheduler/pressures.go
@@ -29,15 +29,15 @@
 
 func newPressures() *pressures { return &pressures{interference.NewPressures()} }
 
-// crew is the serving tasks and the fillers that run on a VM.
-type crew struct {
+// workload is the serving tasks and the fillers that run on a VM.
+type workload struct {
 	serving map[string]bool       // images
 	fillers map[string]bool       // images, also of those paced to a standstill
 	figures []interference.Figure // of the serving tasks at work
 }
 
-func crewOf(s *queue.State, vm *queue.VM, v *vmInfo) crew {
-	c := crew{serving: map[string]bool{}, fillers: map[string]bool{}}
+func workloadOf(s *queue.State, vm *queue.VM, v *vmInfo) workload {
+	c := workload{serving: map[string]bool{}, fillers: map[string]bool{}}
 	for k, r := range v.runs {
 		if vm.Runs()[k] != r.status.Run {
 			continue
@@ -54,7 +54,7 @@
 }
 
 // add notes the images of a step that runs on the VM.
-func (c crew) add(st queue.Step) {
+func (c workload) add(st queue.Step) {
 	if st.TailMS > 0 {
 		c.serving[st.Image] = true
 	}
@@ -64,7 +64,7 @@
 }
 
 // learn takes a VM's account.
-func (p *pressures) learn(c crew, b wire.VMBeat, now time.Time) {
+func (p *pressures) learn(c workload, b wire.VMBeat, now time.Time) {
 	if !b.Measured {
 		return
 	}
@@ -95,7 +95,7 @@
 
 // news returns the pressures between the images on a VM that an agent has not
 // been told of, or that have changed since.
-func (p *pressures) news(c crew, told map[interference.Pair]float64, now time.Time) (list []wire.PairPressure) {
+func (p *pressures) news(c workload, told map[interference.Pair]float64, now time.Time) (list []wire.PairPressure) {
 	for serving := range c.serving {
 		for filler := range c.fillers {
 			pair := interference.Pair{Serving: serving, Filler: filler}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -219,7 +219,7 @@
 	if res.Code == queue.OK {
 		s.met.lost.Inc()
 	}
-	s.noteGone(l.VM, lifeLapsed, res)
+	s.logGone(l.VM, incarnationLapsed, res)
 	s.log.Warn().Str("lost_vm", string(l.VM)).Str("life", l.Incarnation).Str("result", string(res.Code)).Msg("vm_lost")
 	s.record("vm_lost", string(l.VM), "its lease ran out and it did not come back")
 }
@@ -239,7 +239,7 @@
 				continue
 			}
 			v.lossPending = true
-			s.fleet.learnLoss(vm, now)
+			s.fleet.recordLoss(vm, now)
 			list = append(list, loss{queue.Lost{VM: vm.ID, Incarnation: vm.Incarnation, Epoch: vm.Epoch, Checkpoints: v.checkpoints(), Crash: v.heartbeat.Crash}, v})
 		}
 	})
--- a/scheduler/simfleet_test.go
+++ b/scheduler/simfleet_test.go
@@ -142,9 +142,9 @@
 	vm := queue.VM{
 		ID: v.id, Incarnation: v.incarnationName(), Service: "desk", Rack: "r", Capacity: rudderfork.Resources{CPUMilli: 8_000, MemoryMB: 16_000},
 	}
-	s.fleet.learnCrash(s.qs, vm, seen, s.leaderTime())
+	s.fleet.recordCrash(s.qs, vm, seen, s.leaderTime())
 	res := s.apply(queue.Command{Crash: seen, Register: &vm})
-	s.scheduler().noteGone(v.id, lifeReplaced, res)
+	s.scheduler().logGone(v.id, incarnationReplaced, res)
 	v.down = false
 	s.connect(v)
 }
@@ -190,9 +190,9 @@
 	v.down = true
 	s.fleet.vm(v.id).session = nil
 	clear(v.startedAt)
-	s.fleet.learnLoss(s.qs.VM(v.id), s.leaderTime())
+	s.fleet.recordLoss(s.qs.VM(v.id), s.leaderTime())
 	res := s.apply(queue.Command{Lost: &queue.Lost{VM: v.id, Incarnation: v.incarnationName()}})
-	s.scheduler().noteGone(v.id, lifeLapsed, res)
+	s.scheduler().logGone(v.id, incarnationLapsed, res)
 }
 
 func (s *simFleet) sendHeartbeat(v *simVM) {
@@ -248,7 +248,7 @@
 	res := s.apply(queue.Command{Ends: &queue.Ends{VM: v.id, Incarnation: v.incarnationName(), List: ends}})
 	for i, e := range ends {
 		if res.Taken[i] {
-			s.fleet.learn(v.id, e, s.leaderTime())
+			s.fleet.recordEnd(v.id, e, s.leaderTime())
 		}
 	}
 }
--- a/scheduler/swings.go
+++ b/scheduler/swings.go
@@ -19,9 +19,9 @@
 	leastAhead = 0.05
 )
 
-// learnSwings takes a VM's figures for the waves of the load on its serving steps: the
+// observeSwings takes a VM's figures for the waves of the load on its serving steps: the
 // headrooms without what the fillers beside them took.
-func (f *fleet) learnSwings(s *queue.State, c crew, b wire.VMBeat, now time.Time) {
+func (f *fleet) observeSwings(s *queue.State, c workload, b wire.VMBeat, now time.Time) {
 	if !b.Measured {
 		return
 	}
@@ -39,9 +39,9 @@
 	}
 }
 
-// foresee notes how the headrooms of a VM's serving tasks will have changed while a filler
+// updateForecasts notes how the headrooms of a VM's serving tasks will have changed while a filler
 // that begins now works.
-func (f *fleet) foresee(s *queue.State, v *vmInfo, now time.Time) {
+func (f *fleet) updateForecasts(s *queue.State, v *vmInfo, now time.Time) {
 	for k, r := range v.runs {
 		j := s.Job(k.Job)
 		if j == nil || j.Spec.Steps[k.Step].TailMS == 0 {
--- a/scheduler/swings_test.go
+++ b/scheduler/swings_test.go
@@ -37,8 +37,8 @@
 	}
 	v := f.vm("vm1")
 	f.recordHeartbeat(v, b, at)
-	f.learnSwings(qs, crewOf(qs, qs.VM("vm1"), v), v.heartbeat, at)
-	f.foresee(qs, v, at)
+	f.observeSwings(qs, workloadOf(qs, qs.VM("vm1"), v), v.heartbeat, at)
+	f.updateForecasts(qs, v, at)
 }
 
 // TestHeadroomForecast holds that the planner is told that a headroom is about to fall, and that it
@@ -66,6 +66,6 @@
 	v := f.vm("vm1")
 	f.recordHeartbeat(v, wire.VMBeat{Rows: []rudderfork.RunRow{{RunRef: queue.TaskKey{Job: "j"}.Ref(1), Percent: 10}}}, steady.Now())
 	before := v.changes
-	f.foresee(qs, v, steady.Now())
+	f.updateForecasts(qs, v, steady.Now())
 	assert.Equal(t, v.changes, before)
 }
--- a/scheduler/vm.go
+++ b/scheduler/vm.go
@@ -76,7 +76,7 @@
 	}
 	if len(o.Start) > 0 {
 		// A filler's pace is right from its start only if its pressures are known.
-		c := crewOf(qs, vm, ses.s.fleet.vm(ses.vm))
+		c := workloadOf(qs, vm, ses.s.fleet.vm(ses.vm))
 		for k := range vm.Runs() {
 			c.add(qs.Job(k.Job).Spec.Steps[k.Step])
 		}
@@ -189,10 +189,10 @@
 			return
 		}
 		v := ses.s.fleet.vm(ses.vm)
-		c := crewOf(st.Queues(), vm, v)
+		c := workloadOf(st.Queues(), vm, v)
 		ses.s.fleet.pressures.learn(c, v.heartbeat, now)
-		ses.s.fleet.learnSwings(st.Queues(), c, v.heartbeat, now)
-		ses.s.fleet.foresee(st.Queues(), v, now)
+		ses.s.fleet.observeSwings(st.Queues(), c, v.heartbeat, now)
+		ses.s.fleet.updateForecasts(st.Queues(), v, now)
 		list = ses.s.fleet.pressures.news(c, ses.told, now)
 	})
 	return list
@@ -221,7 +221,7 @@
 	if err != nil {
 		return err
 	}
-	ses.s.noteGone(vm.ID, lifeReplaced, res)
+	ses.s.logGone(vm.ID, incarnationReplaced, res)
 	ses.s.log.Info().Str("registered_vm", string(vm.ID)).Str("life", vm.Incarnation).Stringer("capacity", vm.Capacity).
 		Strs("labels", vm.Labels).Msg("vm_registered")
 	ses.s.mu.Lock()
@@ -273,7 +273,7 @@
 	s.rep.View(func(st *state.State) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.fleet.learnCrash(st.Queues(), vm, crash, steady.Now())
+		s.fleet.recordCrash(st.Queues(), vm, crash, steady.Now())
 	})
 }
 
@@ -405,7 +405,7 @@
 		for i, e := range ends.List {
 			worked[i] = v.workedOf(e, now)
 			if vm != nil && vm.Incarnation == ends.Incarnation && vm.Runs()[e.Task] == e.Run {
-				s.fleet.learn(ends.VM, e, now)
+				s.fleet.recordEnd(ends.VM, e, now)
 			}
 		}
 	})
@@ -431,7 +431,7 @@
 		return err
 	}
 	ses.s.met.left.Inc()
-	ses.s.noteGone(vm, lifeLeft, res)
+	ses.s.logGone(vm, incarnationLeft, res)
 	ses.s.log.Info().Str("left_vm", string(vm)).Str("life", life).Str("result", string(res.Code)).Msg("vm_left")
 	ses.s.record("vm_left", string(vm), "its executor has left")
 	return nil
