--- a/bench/fleetagent.go
+++ b/bench/fleetagent.go
@@ -30,7 +30,7 @@
 
 	mu     sync.Mutex
 	runs   map[rudderfork.RunRef]*fleetRun
-	told   map[rudderfork.RunRef]rudderfork.RunRow
+	told   map[rudderfork.RunRef]rudderfork.RunStatus
 	term   uint64 // of the session
 	seq    uint64
 	unsent map[uint64]queue.Ends
@@ -49,7 +49,7 @@
 	const rackSize, domains = 20, 5
 	id := string(vmName(i))
 	a := &fleetAgent{
-		p: p, kicked: wakeup.New(), runs: map[rudderfork.RunRef]*fleetRun{}, told: map[rudderfork.RunRef]rudderfork.RunRow{},
+		p: p, kicked: wakeup.New(), runs: map[rudderfork.RunRef]*fleetRun{}, told: map[rudderfork.RunRef]rudderfork.RunStatus{},
 		unsent: map[uint64]queue.Ends{}, rng: rand.New(rand.NewPCG(p.cfg.Seed, uint64(i)+100)),
 		vm: queue.VM{
 			ID: rudderfork.VMID(id), Incarnation: id + "-1", Domain: rudderfork.Domain(fmt.Sprint("d", i%domains)), Rack: fmt.Sprint("rack", i/rackSize),
@@ -180,7 +180,7 @@
 	now := steady.Now()
 	b := wire.VMBeat{Sent: now.UnixNano(), VM: a.vm, Measured: true, Worked: map[string]float64{}}
 	for ref, r := range a.runs {
-		row := rudderfork.RunRow{RunRef: ref, Percent: fullPercent, Load: usualTailMS + a.rng.Int64N(3)}
+		row := rudderfork.RunStatus{RunRef: ref, Percent: fullPercent, Load: usualTailMS + a.rng.Int64N(3)}
 		if !r.lasting {
 			row.Percent = int(fullPercent * now.Sub(r.began) / max(1, r.ends.Sub(r.began)))
 		}
--- a/executor.go
+++ b/executor.go
@@ -45,8 +45,8 @@
 	return names[o]
 }
 
-// RunRow is a run as its executor sees it.
-type RunRow struct {
+// RunStatus is a run as its executor sees it.
+type RunStatus struct {
 	RunRef     `cbor:"1,keyasint"`
 	Checkpoint string `cbor:"2,keyasint,omitempty"`
 	Percent    int    `cbor:"3,keyasint,omitempty"` // of the work; of a lasting task 100 when it is at work
@@ -54,27 +54,27 @@
 	Held       int    `cbor:"5,keyasint,omitempty"` // percent by which it is paced down, as last asked for
 }
 
-// EndRow is the end of a run as its executor lists it, until it is told that
+// EndedRun is the end of a run as its executor lists it, until it is told that
 // the row was taken note of.
-type EndRow struct {
+type EndedRun struct {
 	Seq uint64 // 0 if it must not be acknowledged, since one before it could not be read
 	RunRef
 	How        string // an ending of package queue
 	Checkpoint string
 }
 
-// Look is an executor's account of itself.
-type Look struct {
+// ExecutorStatus is an executor's account of itself.
+type ExecutorStatus struct {
 	ClockMS int64 // the executor's own clock
-	Running []RunRow
-	Ended   []EndRow
+	Running []RunStatus
+	Ended   []EndedRun
 	// Partial says that it held more, which could not be read: what it does not list may
 	// be there all the same.
 	Partial bool
 }
 
-// LookRequest asks for a Look.
-type LookRequest struct {
+// PollRequest asks for a Look.
+type PollRequest struct {
 	UntilMS   int64  // extends the lease of all that runs; 0 leaves it
 	Fence     uint64 // as in RunStart
 	AckedUpTo uint64 // ends up to this row were taken note of
@@ -84,8 +84,8 @@
 // ErrStaleIncarnation means that what was meant has been replaced by a newer life.
 var ErrStaleIncarnation = errors.New("the executor has another life now")
 
-// ErrNoAccount means that an executor has answered a look, but not with its account.
-var ErrNoAccount = errors.New("the executor answered without its account")
+// ErrNoStatus means that an executor has answered a look, but not with its account.
+var ErrNoStatus = errors.New("the executor answered without its account")
 
 // ErrNotReached means that nothing listens where the executor should: the call was
 // not carried out and will not be.
@@ -98,8 +98,8 @@
 	Start(ctx context.Context, life string, s RunStart) (StartOutcome, error)
 	// Stop ends a run, and keeps one that is not there from ever starting.
 	Stop(ctx context.Context, life string, r RunRef, fence uint64) error
-	// Look returns the account, or ErrNoAccount if it is answered otherwise.
-	Look(ctx context.Context, life string, r LookRequest) (Look, error)
+	// Poll returns the account, or ErrNoAccount if it is answered otherwise.
+	Poll(ctx context.Context, life string, r PollRequest) (ExecutorStatus, error)
 	// Pace sets the share of its full speed, in percent, at which a run works.
 	Pace(ctx context.Context, life string, r RunRef, percent int, fence uint64) error
 }
--- a/runner/crash_test.go
+++ b/runner/crash_test.go
@@ -68,7 +68,7 @@
 	})
 	t.Run("an account tells that it was not silent", func(t *testing.T) {
 		a := silent()
-		a.looked(t.Context(), "life-1", rudderfork.Look{ClockMS: 1, Running: []rudderfork.RunRow{{RunRef: old}}}, at(1990))
+		a.looked(t.Context(), "life-1", rudderfork.ExecutorStatus{ClockMS: 1, Running: []rudderfork.RunStatus{{RunRef: old}}}, at(1990))
 		assert.Assert(t, a.silentAt.IsZero())
 	})
 }
@@ -98,7 +98,7 @@
 		a := newAgentAlone(ref("old"))
 		a.lookFailed("life-1", gone)
 		a.lookFailed("life-1", gone)
-		a.looked(t.Context(), "life-1", rudderfork.Look{ClockMS: 1}, steady.Now())
+		a.looked(t.Context(), "life-1", rudderfork.ExecutorStatus{ClockMS: 1}, steady.Now())
 		b, _ := a.beat()
 		assert.Assert(t, !b.Mute)
 	})
--- a/runner/late_model_test.go
+++ b/runner/late_model_test.go
@@ -100,9 +100,9 @@
 
 func (m *lateModel) apply(c queue.Command) { m.state.Apply(c, 1) }
 
-// Look implements rudderfork.Executor for the agent.
-func (m *lateModel) Look(ctx context.Context, life string, req rudderfork.LookRequest) (rudderfork.Look, error) {
-	look, err := m.exec.Look(ctx, life, req)
+// Poll implements rudderfork.Executor for the agent.
+func (m *lateModel) Poll(ctx context.Context, life string, req rudderfork.PollRequest) (rudderfork.ExecutorStatus, error) {
+	look, err := m.exec.Poll(ctx, life, req)
 	if m.dies {
 		m.dies = false
 		m.crash(m.t)
--- a/runner/late_test.go
+++ b/runner/late_test.go
@@ -32,14 +32,14 @@
 	mute  bool // it leaves looks unanswered
 }
 
-// Look implements rudderfork.Executor.
-func (e *askedExecutor) Look(ctx context.Context, life string, req rudderfork.LookRequest) (rudderfork.Look, error) {
-	look, err := e.Executor.Look(ctx, life, req)
+// Poll implements rudderfork.Executor.
+func (e *askedExecutor) Poll(ctx context.Context, life string, req rudderfork.PollRequest) (rudderfork.ExecutorStatus, error) {
+	look, err := e.Executor.Poll(ctx, life, req)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.asked = append(e.asked, life)
 	if e.mute {
-		return rudderfork.Look{}, errors.New("no answer")
+		return rudderfork.ExecutorStatus{}, errors.New("no answer")
 	}
 	return look, err
 }
@@ -71,10 +71,10 @@
 	look  func(ctx context.Context, n int) error // n counts from 1
 }
 
-// Look implements rudderfork.Executor.
-func (s *script) Look(ctx context.Context, _ string, _ rudderfork.LookRequest) (rudderfork.Look, error) {
+// Poll implements rudderfork.Executor.
+func (s *script) Poll(ctx context.Context, _ string, _ rudderfork.PollRequest) (rudderfork.ExecutorStatus, error) {
 	s.looks++
-	return rudderfork.Look{ClockMS: 1}, s.look(ctx, s.looks)
+	return rudderfork.ExecutorStatus{ClockMS: 1}, s.look(ctx, s.looks)
 }
 
 // scripted returns an agent without loops and leader, and its executor.
@@ -146,7 +146,7 @@
 		assert.Equal(t, a.Life(), newLife)
 		assert.Assert(t, end.Sub(before) >= lookTimeout, "a look is given up after %v", end.Sub(before))
 	})
-	for name, err := range map[string]error{"an answer without an account": rudderfork.ErrNoAccount, "no answer": executor.ErrNoAnswer} {
+	for name, err := range map[string]error{"an answer without an account": rudderfork.ErrNoStatus, "no answer": executor.ErrNoAnswer} {
 		t.Run(name+" neither confirms a life nor ends it", func(t *testing.T) {
 			a, _ := scripted(func(_ context.Context, n int) error {
 				if n <= 2 {
--- a/runner/life.go
+++ b/runner/life.go
@@ -145,7 +145,7 @@
 func (a *Agent) confirm(ctx context.Context, life string) {
 	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
 	defer cancel()
-	_, err := a.exec.Look(ctx, life, rudderfork.LookRequest{Fence: a.fence()})
+	_, err := a.exec.Poll(ctx, life, rudderfork.PollRequest{Fence: a.fence()})
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	d := a.described[life]
--- a/runner/look.go
+++ b/runner/look.go
@@ -14,7 +14,7 @@
 )
 
 // errBehind is an account whose clock is behind what the life has shown.
-var errBehind = fmt.Errorf("%w of now", rudderfork.ErrNoAccount)
+var errBehind = fmt.Errorf("%w of now", rudderfork.ErrNoStatus)
 
 // lookLoop asks the executor for its account again and again. Each look extends
 // the lease of all that runs, as far as the leader's grant reaches.
@@ -58,13 +58,13 @@
 }
 
 // nextLook returns the next request; ok is false while no life is known.
-func (a *Agent) nextLook() (req rudderfork.LookRequest, life string, ok bool) {
+func (a *Agent) nextLook() (req rudderfork.PollRequest, life string, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.known {
 		return req, "", false
 	}
-	req = rudderfork.LookRequest{Fence: a.keeper.Fence(), AckedUpTo: a.acked, WaitMS: lookWait.Milliseconds()}
+	req = rudderfork.PollRequest{Fence: a.keeper.Fence(), AckedUpTo: a.acked, WaitMS: lookWait.Milliseconds()}
 	req.UntilMS, _ = a.keeper.Until(steady.Now())
 	if a.colocated() {
 		req.WaitMS = pacedWait.Milliseconds()
@@ -75,11 +75,11 @@
 	return req, a.keeper.Life(), true
 }
 
-func (a *Agent) look(ctx context.Context, life string, req rudderfork.LookRequest) (rudderfork.Look, error) {
+func (a *Agent) look(ctx context.Context, life string, req rudderfork.PollRequest) (rudderfork.ExecutorStatus, error) {
 	wait := time.Duration(req.WaitMS) * time.Millisecond
 	ctx, cancel := context.WithTimeout(ctx, wait+lookTimeout)
 	defer cancel()
-	return a.exec.Look(ctx, life, req)
+	return a.exec.Poll(ctx, life, req)
 }
 
 // lookFailed takes a look that brought no account. Only one without any answer
@@ -96,7 +96,7 @@
 	}
 	outcome := "no account"
 	a.unanswered++
-	if errors.Is(err, rudderfork.ErrNoAccount) {
+	if errors.Is(err, rudderfork.ErrNoStatus) {
 		a.unanswered = 0
 	} else {
 		outcome = "unanswered"
@@ -114,7 +114,7 @@
 // looked takes an account. listed says that it holds ends that the leader has
 // not taken note of: until noted, the executor would list them again at once. An account
 // whose clock is behind what the life has shown is from before that, and not taken.
-func (a *Agent) looked(ctx context.Context, life string, look rudderfork.Look, asked time.Time) (noted <-chan struct{}, listed, taken bool) {
+func (a *Agent) looked(ctx context.Context, life string, look rudderfork.ExecutorStatus, asked time.Time) (noted <-chan struct{}, listed, taken bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.keeper.Life() != life {
@@ -148,7 +148,7 @@
 
 // noteAccount logs what an account lists as ended, against what was acknowledged. The
 // caller holds mu.
-func (a *Agent) noteAccount(life string, look rudderfork.Look) {
+func (a *Agent) noteAccount(life string, look rudderfork.ExecutorStatus) {
 	if len(look.Ended) == 0 {
 		return
 	}
@@ -158,7 +158,7 @@
 
 // noteVanished logs the runs that an account should list and does not. The caller
 // holds mu.
-func (a *Agent) noteVanished(ends []queue.End, look rudderfork.Look) {
+func (a *Agent) noteVanished(ends []queue.End, look rudderfork.ExecutorStatus) {
 	for _, e := range ends {
 		if e.How == queue.EndGone {
 			a.log.Warn().Str("task", e.Task.String()).Uint32("run", e.Run).Int64("clock_ms", look.ClockMS).
--- a/runner/pace.go
+++ b/runner/pace.go
@@ -115,7 +115,7 @@
 }
 
 // serves reports whether a run is a serving task at work.
-func serves(o wire.RunOrder, row rudderfork.RunRow) bool {
+func serves(o wire.RunOrder, row rudderfork.RunStatus) bool {
 	return o.TailMS > 0 && row.Percent == fullPace
 }
 
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -86,9 +86,9 @@
 	draining  bool
 	leaveAt   time.Time
 	seenAt    time.Time // when the executor last answered a look
-	rows      map[rudderfork.RunRef]rudderfork.RunRow
-	told      map[rudderfork.RunRef]rudderfork.RunRow // rows that the leader has
-	paces     map[rudderfork.RunRef]int               // speeds of fillers in percent, as last asked for
+	rows      map[rudderfork.RunRef]rudderfork.RunStatus
+	told      map[rudderfork.RunRef]rudderfork.RunStatus // rows that the leader has
+	paces     map[rudderfork.RunRef]int                  // speeds of fillers in percent, as last asked for
 	pressures map[interference.Pair]float64
 	guard     pace.Guard
 	last      map[rudderfork.RunRef]bool // the other tasks of their steps wait for them
@@ -126,8 +126,8 @@
 // forget drops what concerned a life of the executor, but for reports of its
 // ends, which stay true. The caller holds mu.
 func (a *Agent) forget() {
-	a.rows = map[rudderfork.RunRef]rudderfork.RunRow{}
-	a.told = map[rudderfork.RunRef]rudderfork.RunRow{}
+	a.rows = map[rudderfork.RunRef]rudderfork.RunStatus{}
+	a.told = map[rudderfork.RunRef]rudderfork.RunStatus{}
 	a.paces = map[rudderfork.RunRef]int{}
 	a.exposures = map[rudderfork.RunRef]*exposure{}
 	a.begun = map[rudderfork.RunRef]time.Time{}
@@ -163,7 +163,7 @@
 func (a *Agent) Opened(w wire.QueueWelcome) {
 	a.mu.Lock()
 	a.keeper.SetTerm(w.Term)
-	a.told = map[rudderfork.RunRef]rudderfork.RunRow{}
+	a.told = map[rudderfork.RunRef]rudderfork.RunStatus{}
 	for _, id := range slices.Sorted(maps.Keys(a.reports)) {
 		a.session.Send(a.reports[id].message(id)) // if it fails, the next session sends it again
 	}
--- a/runner/runner_test.go
+++ b/runner/runner_test.go
@@ -166,7 +166,7 @@
 		a.Gone("life-1")
 		a.lookFailed("life-1", executor.ErrNoAnswer)
 		assert.Equal(t, a.Life(), "life-1")
-		a.looked(t.Context(), "life-1", rudderfork.Look{ClockMS: 1, Running: []rudderfork.RunRow{{RunRef: run}}}, steady.Now())
+		a.looked(t.Context(), "life-1", rudderfork.ExecutorStatus{ClockMS: 1, Running: []rudderfork.RunStatus{{RunRef: run}}}, steady.Now())
 		a.lookFailed("life-1", executor.ErrNoAnswer)
 		assert.Equal(t, a.Life(), "life-1")
 		assert.Equal(t, leftOf(a), "")
@@ -190,7 +190,7 @@
 		a := newAgentAlone(run)
 		a.Gone("life-1")
 		for range 3 {
-			a.lookFailed("life-1", fmt.Errorf("look: status 503: %w", rudderfork.ErrNoAccount))
+			a.lookFailed("life-1", fmt.Errorf("look: status 503: %w", rudderfork.ErrNoStatus))
 			a.lookFailed("life-1", executor.ErrNoAnswer)
 		}
 		assert.Equal(t, a.Life(), "life-1")
@@ -224,9 +224,9 @@
 func TestReportsAreBounded(t *testing.T) {
 	lost := rudderfork.RunRef{Task: "j.0.0.1", Run: 1}
 	a := newAgentAlone(lost)
-	account := rudderfork.Look{
-		ClockMS: 1, Running: []rudderfork.RunRow{{RunRef: lost}},
-		Ended: []rudderfork.EndRow{{Seq: 1, RunRef: rudderfork.RunRef{Task: "j.0.0.0", Run: 1}, How: "done"}},
+	account := rudderfork.ExecutorStatus{
+		ClockMS: 1, Running: []rudderfork.RunStatus{{RunRef: lost}},
+		Ended: []rudderfork.EndedRun{{Seq: 1, RunRef: rudderfork.RunRef{Task: "j.0.0.0", Run: 1}, How: "done"}},
 	}
 	look := func() { a.looked(t.Context(), "life-1", account, steady.Now()) }
 	for range 3 * maxReports {
--- a/runner/second_start_test.go
+++ b/runner/second_start_test.go
@@ -64,8 +64,8 @@
 	a := newAgentAlone()
 	describe(a, firstStart, false, 0)
 	describe(a, secondStart, false, 0)
-	end := rudderfork.EndRow{Seq: 57, RunRef: rudderfork.RunRef{Task: "j.0.0.0", Run: 1}, How: "done"}
-	a.looked(t.Context(), firstStart, rudderfork.Look{ClockMS: 90_000, Ended: []rudderfork.EndRow{end}}, time.Now())
+	end := rudderfork.EndedRun{Seq: 57, RunRef: rudderfork.RunRef{Task: "j.0.0.0", Run: 1}, How: "done"}
+	a.looked(t.Context(), firstStart, rudderfork.ExecutorStatus{ClockMS: 90_000, Ended: []rudderfork.EndedRun{end}}, time.Now())
 	assert.Equal(t, len(a.reports), 1)
 	for id, r := range a.reports {
 		assert.Equal(t, r.ends.Incarnation, firstStart)
@@ -84,7 +84,7 @@
 	run := rudderfork.RunRef{Task: "j.0.0.0", Run: 1}
 	a := newAgentAlone()
 	describe(a, firstStart, true, time.Minute)
-	a.looked(t.Context(), firstStart, rudderfork.Look{ClockMS: 90_000, Running: []rudderfork.RunRow{{RunRef: run, Load: 7}}}, time.Now())
+	a.looked(t.Context(), firstStart, rudderfork.ExecutorStatus{ClockMS: 90_000, Running: []rudderfork.RunStatus{{RunRef: run, Load: 7}}}, time.Now())
 	a.paces[run], a.unsure[run], a.begun[run] = 30, time.Now(), time.Now()
 	a.worked = map[string]float64{"loud": 1}
 	a.Gone(firstStart)
--- a/runner/stutter_test.go
+++ b/runner/stutter_test.go
@@ -16,12 +16,12 @@
 	a := newAgentAlone()
 	describe(a, firstStart, false, 0)
 	a.keeper.Order(wire.Orders{Incarnation: firstStart, Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: run}}})
-	look := func(clockMS int64, running ...rudderfork.RunRow) {
-		a.looked(t.Context(), firstStart, rudderfork.Look{ClockMS: clockMS, Running: running}, time.Now())
+	look := func(clockMS int64, running ...rudderfork.RunStatus) {
+		a.looked(t.Context(), firstStart, rudderfork.ExecutorStatus{ClockMS: clockMS, Running: running}, time.Now())
 	}
 	look(80_000)
 	a.keeper.Started(run, rudderfork.Started, nil, time.Now())
-	look(90_000, rudderfork.RunRow{RunRef: run})
+	look(90_000, rudderfork.RunStatus{RunRef: run})
 	seen := a.seenAt
 	look(80_000)
 	assert.Equal(t, a.seenAt, seen, "it is no sign of life")
--- a/runs/closed_test.go
+++ b/runs/closed_test.go
@@ -48,14 +48,14 @@
 		checkNothingDue(t, k, t0.Add(time.Second))
 		checkEnds(t, k.Looked(listed(1), t0.Add(time.Second)))
 		checkNothingDue(t, k, t0.Add(time.Second))
-		checkEnds(t, k.Looked(rudderfork.Look{}, t0.Add(2*time.Second)), queue.EndGone)
+		checkEnds(t, k.Looked(rudderfork.ExecutorStatus{}, t0.Add(2*time.Second)), queue.EndGone)
 	})
 	t.Run("or that it does not, and then it is kept from beginning", func(t *testing.T) {
 		k := ready(1)
 		onlyCall(t, k, t0)
 		k.Started(ref(1), 0, errLost, t0)
 		k.Order(closing)
-		checkEnds(t, k.Looked(rudderfork.Look{}, t0.Add(time.Second)))
+		checkEnds(t, k.Looked(rudderfork.ExecutorStatus{}, t0.Add(time.Second)))
 		assert.Assert(t, onlyCall(t, k, t0.Add(time.Second)).Start == nil)
 	})
 	t.Run("so too for what an agent before this one may have started", func(t *testing.T) {
--- a/runs/keeper.go
+++ b/runs/keeper.go
@@ -378,7 +378,7 @@
 // Looked takes an executor's account that was asked for at the given time. It
 // returns the ends to report: those listed, and those of runs that the executor
 // knows nothing of though it should.
-func (k *Keeper) Looked(look rudderfork.Look, asked time.Time) (ends []queue.End) {
+func (k *Keeper) Looked(look rudderfork.ExecutorStatus, asked time.Time) (ends []queue.End) {
 	there := map[rudderfork.RunRef]bool{}
 	for _, r := range look.Running {
 		there[r.RunRef] = true
@@ -416,7 +416,7 @@
 
 // Ends returns the ends that an executor lists. What is not a run of ours is left
 // out; it is acknowledged with the others.
-func Ends(rows []rudderfork.EndRow) (ends []queue.End) {
+func Ends(rows []rudderfork.EndedRun) (ends []queue.End) {
 	for _, e := range rows {
 		if key, err := queue.ParseTaskKey(string(e.Task)); err == nil {
 			ends = append(ends, queue.End{Task: key, Run: e.Run, How: queue.Ending(e.How), Checkpoint: e.Checkpoint})
--- a/runs/keeper_test.go
+++ b/runs/keeper_test.go
@@ -129,8 +129,8 @@
 		assert.Assert(t, k.Started(ref(1), rudderfork.StartNoRoom, nil, t0.Add(time.Second)) == nil)
 		assert.Assert(t, onlyCall(t, k, t0.Add(time.Second)).Start == nil)
 		k.Stopped(ref(1), nil, t0.Add(2*time.Second))
-		checkEnds(t, k.Looked(rudderfork.Look{}, t0.Add(1900*time.Millisecond)))
-		checkEnds(t, k.Looked(rudderfork.Look{}, t0.Add(2100*time.Millisecond)), queue.EndGone)
+		checkEnds(t, k.Looked(rudderfork.ExecutorStatus{}, t0.Add(1900*time.Millisecond)))
+		checkEnds(t, k.Looked(rudderfork.ExecutorStatus{}, t0.Add(2100*time.Millisecond)), queue.EndGone)
 	})
 	t.Run("a draining executor is sent nothing", func(t *testing.T) {
 		k := ready(1)
@@ -148,21 +148,21 @@
 }
 
 func TestLooked(t *testing.T) {
-	running := func(run uint32) rudderfork.Look {
-		return rudderfork.Look{Running: []rudderfork.RunRow{{RunRef: ref(run)}}}
+	running := func(run uint32) rudderfork.ExecutorStatus {
+		return rudderfork.ExecutorStatus{Running: []rudderfork.RunStatus{{RunRef: ref(run)}}}
 	}
 	t.Run("a run that vanished is gone, if the look is newer than its start", func(t *testing.T) {
 		k := ready(1)
 		onlyCall(t, k, t0)
 		k.Started(ref(1), rudderfork.Started, nil, t0.Add(time.Second))
-		checkEnds(t, k.Looked(rudderfork.Look{}, t0))
+		checkEnds(t, k.Looked(rudderfork.ExecutorStatus{}, t0))
 		checkEnds(t, k.Looked(running(1), t0.Add(2*time.Second)))
-		checkEnds(t, k.Looked(rudderfork.Look{}, t0.Add(3*time.Second)), queue.EndGone)
-		checkEnds(t, k.Looked(rudderfork.Look{}, t0.Add(4*time.Second)))
+		checkEnds(t, k.Looked(rudderfork.ExecutorStatus{}, t0.Add(3*time.Second)), queue.EndGone)
+		checkEnds(t, k.Looked(rudderfork.ExecutorStatus{}, t0.Add(4*time.Second)))
 	})
 	t.Run("ends are reported until they are noted", func(t *testing.T) {
 		k := ready(1)
-		look := rudderfork.Look{Ended: []rudderfork.EndRow{{Seq: 1, RunRef: ref(1), How: "done"}}}
+		look := rudderfork.ExecutorStatus{Ended: []rudderfork.EndedRun{{Seq: 1, RunRef: ref(1), How: "done"}}}
 		for range 2 {
 			checkEnds(t, k.Looked(look, t0), queue.EndDone)
 		}
@@ -195,9 +195,9 @@
 }
 
 // listed is an account that lists runs at work.
-func listed(runs ...uint32) (look rudderfork.Look) {
+func listed(runs ...uint32) (look rudderfork.ExecutorStatus) {
 	for _, run := range runs {
-		look.Running = append(look.Running, rudderfork.RunRow{RunRef: ref(run)})
+		look.Running = append(look.Running, rudderfork.RunStatus{RunRef: ref(run)})
 	}
 	return look
 }
@@ -263,7 +263,7 @@
 		k.Order(stopOrder)
 		checkStops(t, k, 1, t0)
 		k.Stopped(ref(1), nil, t0)
-		checkEnds(t, k.Looked(rudderfork.Look{}, t0.Add(time.Second)), queue.EndGone)
+		checkEnds(t, k.Looked(rudderfork.ExecutorStatus{}, t0.Add(time.Second)), queue.EndGone)
 		checkEnds(t, k.Looked(listed(1), t0.Add(2*time.Second)))
 		checkStops(t, k, 1, t0.Add(2*time.Second))
 		k.Stopped(ref(1), nil, t0.Add(2*time.Second))
@@ -310,7 +310,7 @@
 		assert.Assert(t, k.Started(ref(1), rudderfork.StartNoRoom, nil, t0) == nil)
 		checkStops(t, k, 1, t0)
 		k.Stopped(ref(1), nil, t0)
-		checkEnds(t, k.Looked(rudderfork.Look{}, t0.Add(time.Second)), queue.EndGone)
+		checkEnds(t, k.Looked(rudderfork.ExecutorStatus{}, t0.Add(time.Second)), queue.EndGone)
 	})
 	again := wire.Orders{Incarnation: "life-1", Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: ref(1)}}}
 	for _, why := range []rudderfork.StartOutcome{rudderfork.StartTicket, rudderfork.StartNoRoom} {
@@ -359,7 +359,7 @@
 		onlyCall(t, k, t0)
 		k.Started(ref(1), rudderfork.Started, nil, t0)
 		other := rudderfork.RunRef{Task: "j.0.0.1", Run: 1}
-		k.Looked(rudderfork.Look{Running: []rudderfork.RunRow{{RunRef: ref(1)}, {RunRef: other}}}, t0.Add(time.Second))
+		k.Looked(rudderfork.ExecutorStatus{Running: []rudderfork.RunStatus{{RunRef: ref(1)}, {RunRef: other}}}, t0.Add(time.Second))
 		c := onlyCall(t, k, t0.Add(time.Second))
 		assert.Equal(t, c.Ref, other)
 		assert.Assert(t, c.Start == nil)
@@ -379,7 +379,7 @@
 		c := onlyCall(t, k, t0)
 		assert.Assert(t, c.Start == nil)
 		k.Stopped(ref(1), nil, t0)
-		checkEnds(t, k.Looked(rudderfork.Look{}, t0.Add(time.Second)))
+		checkEnds(t, k.Looked(rudderfork.ExecutorStatus{}, t0.Add(time.Second)))
 	})
 	t.Run("orders for another life are not taken", func(t *testing.T) {
 		// They once were, when an executor crashed while they were under way: its
@@ -401,5 +401,5 @@
 	c := onlyCall(t, k, t0)
 	assert.Assert(t, c.Start == nil, "a run that was never sent is barred there")
 	k.Stopped(ref(1), nil, t0)
-	checkEnds(t, k.Looked(rudderfork.Look{}, t0.Add(time.Second)), queue.EndGone)
+	checkEnds(t, k.Looked(rudderfork.ExecutorStatus{}, t0.Add(time.Second)), queue.EndGone)
 }
--- a/runs/liveness_test.go
+++ b/runs/liveness_test.go
@@ -83,7 +83,7 @@
 }
 
 // misread makes accounts another life's, or partial.
-func (l *liveSite) misread(look *rudderfork.Look) error {
+func (l *liveSite) misread(look *rudderfork.ExecutorStatus) error {
 	if !l.faulty {
 		return nil
 	}
--- a/runs/model_test.go
+++ b/runs/model_test.go
@@ -54,9 +54,9 @@
 	patience  time.Duration // until agents take a call for unanswered
 	lookSteps int           // between two looks
 
-	onBegan func(v *vm)                        // may be nil
-	onCall  func(v *vm, ref rudderfork.RunRef) // before a start is called; may be nil
-	onLook  func(look *rudderfork.Look) error  // may change an account; may be nil
+	onBegan func(v *vm)                                 // may be nil
+	onCall  func(v *vm, ref rudderfork.RunRef)          // before a start is called; may be nil
+	onLook  func(look *rudderfork.ExecutorStatus) error // may change an account; may be nil
 	// standStill says that agents' clocks stand still while they are frozen, as one that
 	// leaves out a machine's suspension does; twice counts what that breaks.
 	standStill bool
@@ -475,9 +475,9 @@
 }
 
 func (v *vm) look() {
-	req := rudderfork.LookRequest{Fence: v.keeper.Fence(), AckedUpTo: v.ended}
+	req := rudderfork.PollRequest{Fence: v.keeper.Fence(), AckedUpTo: v.ended}
 	req.UntilMS, _ = v.keeper.Until(v.now())
-	look, err := v.exec.Look(context.Background(), v.keeper.Life(), req)
+	look, err := v.exec.Poll(context.Background(), v.keeper.Life(), req)
 	if err == nil && v.s.onLook != nil {
 		err = v.s.onLook(&look)
 	}
--- a/runs/patience_test.go
+++ b/runs/patience_test.go
@@ -21,7 +21,7 @@
 		k.Started(ref(1), 0, errLost, late)
 		assert.Assert(t, onlyCall(t, k, late).Start == nil)
 		k.Stopped(ref(1), nil, late)
-		ends := k.Looked(rudderfork.Look{}, late.Add(time.Millisecond))
+		ends := k.Looked(rudderfork.ExecutorStatus{}, late.Add(time.Millisecond))
 		checkEnds(t, ends, queue.EndRefused)
 		assert.Equal(t, ends[0].Reason, notStarted)
 	})
@@ -31,7 +31,7 @@
 		k.Started(ref(1), 0, errLost, t0)
 		assert.Assert(t, onlyCall(t, k, late).Start == nil)
 		k.Stopped(ref(1), nil, late)
-		ended := rudderfork.Look{Ended: []rudderfork.EndRow{{RunRef: ref(1), Seq: 1, How: string(queue.EndStopped)}}}
+		ended := rudderfork.ExecutorStatus{Ended: []rudderfork.EndedRun{{RunRef: ref(1), Seq: 1, How: string(queue.EndStopped)}}}
 		checkEnds(t, k.Looked(ended, late.Add(time.Millisecond)), queue.EndStopped)
 	})
 	t.Run("one that is refused for a while is refused for good", func(t *testing.T) {
--- a/runs/stop_test.go
+++ b/runs/stop_test.go
@@ -61,7 +61,7 @@
 		assert.Assert(s.t, s.keeper.Started(c.Ref, out, err, s.now) == nil)
 	}
 	s.now = s.now.Add(stepTime)
-	look, err := s.exec.Look(ctx, "life-1", rudderfork.LookRequest{Fence: 1, AckedUpTo: s.acked})
+	look, err := s.exec.Poll(ctx, "life-1", rudderfork.PollRequest{Fence: 1, AckedUpTo: s.acked})
 	assert.NilError(s.t, err)
 	for _, e := range look.Ended {
 		s.acked = max(s.acked, e.Seq)
--- a/scheduler/calm_vm_test.go
+++ b/scheduler/calm_vm_test.go
@@ -98,12 +98,12 @@
 	return v.wrongAnswers >= 0
 }
 
-// Look implements rudderfork.Executor.
-func (v *faultVM) Look(ctx context.Context, life string, req rudderfork.LookRequest) (rudderfork.Look, error) {
+// Poll implements rudderfork.Executor.
+func (v *faultVM) Poll(ctx context.Context, life string, req rudderfork.PollRequest) (rudderfork.ExecutorStatus, error) {
 	if v.takeWrongAnswer() {
-		return rudderfork.Look{}, rudderfork.ErrStaleIncarnation
+		return rudderfork.ExecutorStatus{}, rudderfork.ErrStaleIncarnation
 	}
-	look, err := v.exec.Look(ctx, life, req)
+	look, err := v.exec.Poll(ctx, life, req)
 	if v.cluster.faultsActive.Load() && v.randomDuration(10) == 0 {
 		look.Partial, look.Running = true, look.Running[:len(look.Running)/2]
 	}
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -101,7 +101,7 @@
 
 // runInfo is one run at the moment.
 type runInfo struct {
-	status         rudderfork.RunRow
+	status         rudderfork.RunStatus
 	firstPercent   int // percent when it was first reported
 	firstSeenAt    time.Time
 	progressedAt   time.Time
@@ -179,7 +179,7 @@
 }
 
 // update notes what a heartbeat tells of the run.
-func (r *runInfo) update(row rudderfork.RunRow, now time.Time) {
+func (r *runInfo) update(row rudderfork.RunStatus, now time.Time) {
 	r.workedMS, r.reportedAt = r.worked(now), now
 	if r.status.Percent != row.Percent {
 		r.progressedAt = now
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -35,7 +35,7 @@
 		j := &queue.Job{ID: key.Job, Times: []*queue.Occurrence{{Steps: [][]queue.Task{{
 			{Runs: []queue.Run{{Number: 1, VM: "vm1"}}},
 		}}}}}
-		s.fleet.vm("vm1").runs[key] = &runInfo{status: rudderfork.RunRow{RunRef: key.Ref(1), Percent: fullPercent}}
+		s.fleet.vm("vm1").runs[key] = &runInfo{status: rudderfork.RunStatus{RunRef: key.Ref(1), Percent: fullPercent}}
 		elsewhere := &queue.VM{ID: "vm2"}
 		assert.Equal(t, s.away(j, key.StepKey(), elsewhere), 0)
 		s.fleet.setStops([]dispatch.Stop{stop}, steady.Now())
@@ -47,7 +47,7 @@
 func TestRunStatuses(t *testing.T) {
 	key, at := queue.TaskKey{Job: "j"}, steady.Now()
 	report := func(f *fleet, life string, run uint32, percent int, checkpoint string) {
-		f.recordHeartbeat(f.vm("vm1"), wire.VMBeat{VM: queue.VM{ID: "vm1", Incarnation: life}, Rows: []rudderfork.RunRow{
+		f.recordHeartbeat(f.vm("vm1"), wire.VMHeartbeat{VM: queue.VM{ID: "vm1", Incarnation: life}, Rows: []rudderfork.RunStatus{
 			{RunRef: key.Ref(run), Percent: percent, Checkpoint: checkpoint},
 		}}, at)
 	}
--- a/scheduler/late_test.go
+++ b/scheduler/late_test.go
@@ -113,8 +113,8 @@
 	p.cluster.t.Helper()
 	b := heartbeatOf(life)
 	b.Draining = true
-	b.Rows = []rudderfork.RunRow{{RunRef: rudderfork.RunRef{Task: "feed.0.0.0", Run: 1}, Load: 9999, Percent: 3, Held: 100}}
-	p.sendAndWait(wire.FromNode{Beat: &b})
+	b.Rows = []rudderfork.RunStatus{{RunRef: rudderfork.RunRef{Task: "feed.0.0.0", Run: 1}, Load: 9999, Percent: 3, Held: 100}}
+	p.sendAndWait(wire.FromNode{Heartbeat: &b})
 }
 
 // atWork has a lasting task started on the VM's present life.
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -423,9 +423,9 @@
 	once    sync.Once
 }
 
-// Look implements rudderfork.Executor.
-func (e *heldPollExecutor) Look(ctx context.Context, life string, req rudderfork.LookRequest) (rudderfork.Look, error) {
-	look, err := e.Executor.Look(ctx, life, req)
+// Poll implements rudderfork.Executor.
+func (e *heldPollExecutor) Poll(ctx context.Context, life string, req rudderfork.PollRequest) (rudderfork.ExecutorStatus, error) {
+	look, err := e.Executor.Poll(ctx, life, req)
 	if len(look.Ended) > 0 {
 		e.once.Do(func() { close(e.listed) })
 		<-e.release
--- a/scheduler/second_start_test.go
+++ b/scheduler/second_start_test.go
@@ -59,11 +59,11 @@
 func TestFailureScoreKeptOverIncarnations(t *testing.T) {
 	f, now := newFleet(), steady.Now()
 	v := f.vm("vm1")
-	row := rudderfork.RunRow{RunRef: rudderfork.RunRef{Task: "j.0.0.0", Run: 1}, Percent: 40}
-	f.recordHeartbeat(v, wire.VMBeat{VM: queue.VM{ID: "vm1", Incarnation: firstIncarnation}, Rows: []rudderfork.RunRow{row}}, now)
+	row := rudderfork.RunStatus{RunRef: rudderfork.RunRef{Task: "j.0.0.0", Run: 1}, Percent: 40}
+	f.recordHeartbeat(v, wire.VMHeartbeat{VM: queue.VM{ID: "vm1", Incarnation: firstIncarnation}, Rows: []rudderfork.RunStatus{row}}, now)
 	v.addFailures(failureStep, now)
 	assert.Equal(t, len(v.runs), 1)
-	f.recordHeartbeat(v, wire.VMBeat{VM: queue.VM{ID: "vm1", Incarnation: secondIncarnation}}, now)
+	f.recordHeartbeat(v, wire.VMHeartbeat{VM: queue.VM{ID: "vm1", Incarnation: secondIncarnation}}, now)
 	assert.Equal(t, len(v.runs)+len(f.runs), 0)
 	assert.Equal(t, v.failures, 0.0)
 }
@@ -110,13 +110,13 @@
 	release   chan struct{}
 }
 
-// Look implements rudderfork.Executor.
-func (e *ackBlockingExecutor) Look(ctx context.Context, life string, req rudderfork.LookRequest) (rudderfork.Look, error) {
+// Poll implements rudderfork.Executor.
+func (e *ackBlockingExecutor) Poll(ctx context.Context, life string, req rudderfork.PollRequest) (rudderfork.ExecutorStatus, error) {
 	if n := e.blockFrom.Load(); n > 0 && req.AckedUpTo >= n && e.blockFrom.CompareAndSwap(n, 0) {
 		close(e.held)
 		<-e.release
 	}
-	return e.Executor.Look(ctx, life, req)
+	return e.Executor.Poll(ctx, life, req)
 }
 
 // TestStalePollAcknowledgesNewEnds has a look for the first start reach the executor in its second: it
--- a/scheduler/simfleet_test.go
+++ b/scheduler/simfleet_test.go
@@ -205,7 +205,7 @@
 		if v.health == stuck {
 			percent = 0
 		}
-		b.Rows = append(b.Rows, rudderfork.RunRow{RunRef: k.Ref(k.Number), Percent: percent})
+		b.Rows = append(b.Rows, rudderfork.RunStatus{RunRef: k.Ref(k.Number), Percent: percent})
 	}
 	s.fleet.recordHeartbeat(s.fleet.vm(v.id), b, s.leaderTime())
 }
--- a/standin/executor/executor.go
+++ b/standin/executor/executor.go
@@ -53,7 +53,7 @@
 	used     rudderfork.Resources
 	running  map[rudderfork.TaskID]*run
 	barred   map[rudderfork.TaskID]uint32 // highest run stopped or ended
-	ended    []rudderfork.EndRow
+	ended    []rudderfork.EndedRun
 	seq      uint64
 	acked    uint64 // ends up to this one are listed no more, nor those that come yet
 	fate     func(call string) Fate
@@ -264,7 +264,7 @@
 	e.barred[r.ref.Task] = max(e.barred[r.ref.Task], r.ref.Run)
 	e.seq++
 	if e.seq > e.acked {
-		e.ended = append(e.ended, rudderfork.EndRow{Seq: e.seq, RunRef: r.ref, How: how})
+		e.ended = append(e.ended, rudderfork.EndedRun{Seq: e.seq, RunRef: r.ref, How: how})
 	}
 	e.tell(r.ref, how)
 }
@@ -403,7 +403,7 @@
 }
 
 // Look implements rudderfork.Executor.
-func (e *Executor) Look(ctx context.Context, life string, req rudderfork.LookRequest) (look rudderfork.Look, err error) {
+func (e *Executor) Look(ctx context.Context, life string, req rudderfork.PollRequest) (look rudderfork.ExecutorStatus, err error) {
 	deadline := e.now().Add(time.Duration(req.WaitMS) * time.Millisecond)
 	var asked string // the life that was
 	err = e.call("look", life, func() {
@@ -427,7 +427,7 @@
 }
 
 // hold extends the lease and drops what was taken note of. The caller holds mu.
-func (e *Executor) hold(req rudderfork.LookRequest) {
+func (e *Executor) hold(req rudderfork.PollRequest) {
 	if req.Fence < e.fence {
 		return
 	}
@@ -440,7 +440,7 @@
 }
 
 // account returns what the life says that was asked; one that is over says nothing.
-func (e *Executor) account(asked string) (look rudderfork.Look, err error) {
+func (e *Executor) account(asked string) (look rudderfork.ExecutorStatus, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if asked != rudderfork.IncarnationName(e.id, e.bornMS) {
@@ -451,7 +451,7 @@
 	look.ClockMS = e.clock()
 	look.Ended = append(look.Ended, e.ended...)
 	for _, r := range e.running {
-		row := rudderfork.RunRow{RunRef: r.ref, Percent: 100}
+		row := rudderfork.RunStatus{RunRef: r.ref, Percent: 100}
 		if r.workMS > 0 {
 			row.Percent = int(100 * r.pacedMS / float64(r.workMS))
 		}
--- a/wire/queue.go
+++ b/wire/queue.go
@@ -94,8 +94,8 @@
 	Draining bool  `cbor:"3,keyasint,omitempty"`
 	LeaveMS  int64 `cbor:"4,keyasint,omitempty"` // time left at least, while draining
 	// Mute says that the VM's executor does not answer: no lease is asked for.
-	Mute bool                `cbor:"5,keyasint,omitempty"`
-	Rows []rudderfork.RunRow `cbor:"6,keyasint,omitempty"` // that have changed
+	Mute bool                   `cbor:"5,keyasint,omitempty"`
+	Rows []rudderfork.RunStatus `cbor:"6,keyasint,omitempty"` // that have changed
 
 	// Measured says that the rows' figures are newer than in the heartbeat before.
 	Measured bool `cbor:"8,keyasint,omitempty"`
