--- a/agent/agent.go
+++ b/agent/agent.go
@@ -156,7 +156,7 @@
 }
 
 // Beat implements node.Handler.
-func (p *Process) Beat() wire.Beat {
+func (p *Process) Beat() wire.Heartbeat {
 	b := p.tasks.beat()
 	b.Services = p.front.usage()
 	b.Leaving = p.front.isLeaving()
--- a/agent/tasks.go
+++ b/agent/tasks.go
@@ -236,11 +236,11 @@
 }
 
 // beat reports the usage of tasks; notes go with it.
-func (t *tasks) beat() wire.Beat {
+func (t *tasks) beat() wire.Heartbeat {
 	seen := t.workerSeen()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var b wire.Beat
+	var b wire.Heartbeat
 	if seen {
 		b.Epoch = t.holder.Epoch()
 	}
--- a/bench/real.go
+++ b/bench/real.go
@@ -181,8 +181,8 @@
 }
 
 // Beat implements node.Handler: the usage of seven tasks, as at the letter's size.
-func (f *fakeNode) Beat() wire.Beat {
-	b := wire.Beat{Epoch: rudderfork.Token(f.epoch.Load()), Services: []wire.ServiceUsage{{Service: "tour-desk", Requests: 50, MeanUS: 5000, TailUS: 9000, Busy: 0.3}}}
+func (f *fakeNode) Beat() wire.Heartbeat {
+	b := wire.Heartbeat{Epoch: rudderfork.Token(f.epoch.Load()), Services: []wire.ServiceUsage{{Service: "tour-desk", Requests: 50, MeanUS: 5000, TailUS: 9000, Busy: 0.3}}}
 	for i := range f.tasks {
 		b.Tasks = append(b.Tasks, wire.TaskUsage{Task: rudderfork.TaskID(fmt.Sprintf("job%d/%d", f.i, i)), Token: 1, Used: rudderfork.Resources{CPUMilli: 1000, MemoryMB: 2000}, Checkpoint: 100, Progress: 120, At: 1_796_000_000_000})
 	}
--- a/control/late_test.go
+++ b/control/late_test.go
@@ -105,7 +105,7 @@
 // beat sends a heartbeat, and reports whether a grant answers it.
 func (a *agentLink) beat() bool {
 	a.l.t.Helper()
-	if a.conn.Send(a.l.t.Context(), wire.ToControl{Beat: &wire.Beat{Epoch: 1, Leaving: true}}) != nil {
+	if a.conn.Send(a.l.t.Context(), wire.ToControl{Heartbeat: &wire.Heartbeat{Epoch: 1, Leaving: true}}) != nil {
 		return false
 	}
 	return a.answered(func(m wire.ToNode) bool { return m.Grant != nil })
--- a/control/learned.go
+++ b/control/learned.go
@@ -21,7 +21,7 @@
 }
 
 // beat takes an agent's report.
-func (l *learned) beat(s *state.State, vm rudderfork.VMID, b wire.Beat, now time.Time) {
+func (l *learned) beat(s *state.State, vm rudderfork.VMID, b wire.Heartbeat, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.reports == nil {
--- a/control/session.go
+++ b/control/session.go
@@ -114,7 +114,7 @@
 		if err != nil {
 			return err
 		}
-		if m.Beat != nil && s.epoch != 0 && s.hub.outlived(s.hello.Place.VM, s.number) {
+		if m.Heartbeat != nil && s.epoch != 0 && s.hub.outlived(s.hello.Place.VM, s.number) {
 			return errOutlived
 		}
 		s.handle(ctx, m)
@@ -230,8 +230,8 @@
 
 func (s *session) handle(ctx context.Context, m wire.ToControl) {
 	switch {
-	case m.Beat != nil:
-		s.beat(*m.Beat)
+	case m.Heartbeat != nil:
+		s.beat(*m.Heartbeat)
 	case m.Reports != nil:
 		go s.reports(ctx, *m.Reports)
 	case m.Claim != nil:
@@ -245,7 +245,7 @@
 	}
 }
 
-func (s *session) beat(b wire.Beat) {
+func (s *session) beat(b wire.Heartbeat) {
 	var newest rudderfork.Revision
 	s.hub.rep.View(func(st *state.State) {
 		newest = st.Revision()
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -121,7 +121,7 @@
 }
 
 // Beat implements node.Handler.
-func (p *Process) Beat() wire.Beat { return wire.Beat{Leaving: p.leaving.Load()} }
+func (p *Process) Beat() wire.Heartbeat { return wire.Heartbeat{Leaving: p.leaving.Load()} }
 
 // Handle implements node.Handler.
 func (p *Process) Handle(m wire.ToNode) {
--- a/entry/stop_test.go
+++ b/entry/stop_test.go
@@ -196,7 +196,7 @@
 		m, err = conn.Receive(r.Context())
 		switch {
 		case err != nil:
-		case m.Beat != nil:
+		case m.Heartbeat != nil:
 			_ = conn.Send(r.Context(), wire.ToNode{Grant: &wire.Grant{}})
 		case m.Claim != nil:
 			_ = conn.Send(r.Context(), wire.ToNode{Result: c.claim(*m.Claim)})
--- a/front/front.go
+++ b/front/front.go
@@ -26,7 +26,7 @@
 type Client struct {
 	session *session.Client
 
-	calls *wire.Calls[wire.AskAnswer]
+	calls *wire.Calls[wire.QueueResponse]
 
 	mu     sync.Mutex
 	opened chan struct{} // closed while a session stands
@@ -35,7 +35,7 @@
 
 // New returns a client of the control processes that seeds names.
 func New(process string, seeds func() []string, log zerolog.Logger) *Client {
-	c := &Client{calls: wire.NewCalls[wire.AskAnswer](), opened: make(chan struct{})}
+	c := &Client{calls: wire.NewCalls[wire.QueueResponse](), opened: make(chan struct{})}
 	c.session = session.New(process, seeds, c, log)
 	return c
 }
@@ -61,8 +61,8 @@
 
 // Handle implements session.Handler.
 func (c *Client) Handle(m wire.ToQueueNode) {
-	if m.Answer != nil {
-		c.calls.Answer(m.Answer.ID, *m.Answer)
+	if m.Response != nil {
+		c.calls.Answer(m.Response.ID, *m.Response)
 	}
 }
 
@@ -82,12 +82,12 @@
 
 // Ask carries a call to the leader. patience bounds the wait for a leader as
 // long as the call was not sent; the deadline of ctx bounds all.
-func (c *Client) Ask(ctx context.Context, a wire.Ask, patience time.Duration) (ans wire.AskAnswer) {
+func (c *Client) Ask(ctx context.Context, a wire.QueueRequest, patience time.Duration) (ans wire.QueueResponse) {
 	giveUpAt := steady.Now().Add(patience)
 	unsure := false
 	for {
 		if !c.await(ctx, giveUpAt, unsure) {
-			return wire.AskAnswer{Unsure: unsure, NotTaken: !unsure, Text: "no leader could be reached in time"}
+			return wire.QueueResponse{Unsure: unsure, NotTaken: !unsure, Text: "no leader could be reached in time"}
 		}
 		got, sent, err := c.try(ctx, a)
 		unsure = unsure || sent && err != nil || got.Unsure
@@ -122,11 +122,11 @@
 }
 
 // try sends the call once; sent says whether it may have reached the leader.
-func (c *Client) try(ctx context.Context, a wire.Ask) (ans wire.AskAnswer, sent bool, err error) {
+func (c *Client) try(ctx context.Context, a wire.QueueRequest) (ans wire.QueueResponse, sent bool, err error) {
 	id, answer := c.calls.Open()
 	defer c.calls.Forget(id)
 	a.ID = id
-	if !c.session.Send(wire.FromNode{Ask: &a}) {
+	if !c.session.Send(wire.FromNode{Request: &a}) {
 		return ans, false, errLost
 	}
 	select {
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -20,10 +20,10 @@
 type leader struct {
 	addr     string
 	sessions atomic.Int64
-	answer   func(session int64, a wire.Ask) *wire.AskAnswer
+	answer   func(session int64, a wire.QueueRequest) *wire.QueueResponse
 }
 
-func newLeader(t *testing.T, answer func(session int64, a wire.Ask) *wire.AskAnswer) *leader {
+func newLeader(t *testing.T, answer func(session int64, a wire.QueueRequest) *wire.QueueResponse) *leader {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	l := &leader{addr: ln.Addr().String(), answer: answer}
@@ -52,13 +52,13 @@
 			err = c.Send(r.Context(), wire.ToQueueNode{Welcome: &wire.QueueWelcome{Term: 1}})
 		case m.Ping != 0:
 			err = c.Send(r.Context(), wire.ToQueueNode{Pong: m.Ping})
-		case m.Ask != nil:
-			ans := l.answer(n, *m.Ask)
+		case m.Request != nil:
+			ans := l.answer(n, *m.Request)
 			if ans == nil {
 				return
 			}
-			ans.ID = m.Ask.ID
-			err = c.Send(r.Context(), wire.ToQueueNode{Answer: ans})
+			ans.ID = m.Request.ID
+			err = c.Send(r.Context(), wire.ToQueueNode{Response: ans})
 		}
 		if err != nil {
 			return
@@ -67,7 +67,7 @@
 }
 
 // ask calls through a client of the given leaders.
-func ask(t *testing.T, limit, patience time.Duration, addrs ...string) wire.AskAnswer {
+func ask(t *testing.T, limit, patience time.Duration, addrs ...string) wire.QueueResponse {
 	t.Helper()
 	c := New("front", func() []string { return addrs }, zerolog.Nop())
 	ctx, cancel := context.WithCancel(t.Context())
@@ -77,7 +77,7 @@
 	defer cancel()
 	callCtx, cancelCall := context.WithTimeout(ctx, limit)
 	defer cancelCall()
-	return c.Ask(callCtx, wire.Ask{Submit: &queue.Submit{Path: "/q/j"}}, patience)
+	return c.Ask(callCtx, wire.QueueRequest{Submit: &queue.Submit{Path: "/q/j"}}, patience)
 }
 
 const (
@@ -87,15 +87,15 @@
 
 func TestAsk(t *testing.T) {
 	t.Run("an answer is carried back", func(t *testing.T) {
-		l := newLeader(t, func(int64, wire.Ask) *wire.AskAnswer { return &wire.AskAnswer{Code: queue.NoQueue} })
+		l := newLeader(t, func(int64, wire.QueueRequest) *wire.QueueResponse { return &wire.QueueResponse{Code: queue.NoQueue} })
 		assert.Equal(t, ask(t, long, long, l.addr).Code, queue.NoQueue)
 	})
 	t.Run("a call whose session ends is sent again", func(t *testing.T) {
-		l := newLeader(t, func(session int64, _ wire.Ask) *wire.AskAnswer {
+		l := newLeader(t, func(session int64, _ wire.QueueRequest) *wire.QueueResponse {
 			if session < 3 {
 				return nil
 			}
-			return &wire.AskAnswer{Code: queue.OK}
+			return &wire.QueueResponse{Code: queue.OK}
 		})
 		assert.Equal(t, ask(t, long, long, l.addr).Code, queue.OK)
 		assert.Equal(t, l.sessions.Load(), int64(3))
@@ -105,16 +105,16 @@
 		assert.Assert(t, ans.NotTaken && !ans.Unsure)
 	})
 	t.Run("a leader that refuses has not taken it", func(t *testing.T) {
-		l := newLeader(t, func(int64, wire.Ask) *wire.AskAnswer { return &wire.AskAnswer{NotTaken: true} })
+		l := newLeader(t, func(int64, wire.QueueRequest) *wire.QueueResponse { return &wire.QueueResponse{NotTaken: true} })
 		ans := ask(t, long, short, l.addr)
 		assert.Assert(t, ans.NotTaken && !ans.Unsure)
 	})
 	t.Run("once a leader may have taken it, a refusal does not undo that", func(t *testing.T) {
-		l := newLeader(t, func(session int64, _ wire.Ask) *wire.AskAnswer {
+		l := newLeader(t, func(session int64, _ wire.QueueRequest) *wire.QueueResponse {
 			if session == 1 {
 				return nil
 			}
-			return &wire.AskAnswer{NotTaken: true}
+			return &wire.QueueResponse{NotTaken: true}
 		})
 		ans := ask(t, short, short, l.addr)
 		assert.Assert(t, ans.Unsure && !ans.NotTaken)
--- a/node/client.go
+++ b/node/client.go
@@ -37,7 +37,7 @@
 	// Hello describes this process at the start of a session.
 	Hello() wire.Hello
 	// Beat describes its state, once a beat.
-	Beat() wire.Beat
+	Beat() wire.Heartbeat
 	// Handle takes a message that is neither an update nor a result.
 	Handle(m wire.ToNode)
 }
@@ -181,7 +181,7 @@
 func (c *Client) beatMessage() wire.ToControl {
 	b := c.h.Beat()
 	b.Have = c.table.Revision()
-	return wire.ToControl{Beat: &b}
+	return wire.ToControl{Heartbeat: &b}
 }
 
 func (c *Client) beat(out chan wire.ToControl) {
--- a/node/client_test.go
+++ b/node/client_test.go
@@ -34,8 +34,8 @@
 	return h
 }
 
-func (p *process) Beat() wire.Beat    { return wire.Beat{} }
-func (p *process) Handle(wire.ToNode) {}
+func (p *process) Beat() wire.Heartbeat { return wire.Heartbeat{} }
+func (p *process) Handle(wire.ToNode)   {}
 
 // TestReconnectDuringHello calls Reconnect after the hello was made and before
 // control has welcomed it. (An agent came up so, without a registration, and
--- a/runner/beat.go
+++ b/runner/beat.go
@@ -14,7 +14,7 @@
 	defer tick.Stop()
 	for {
 		if b, ok := a.beat(); ok {
-			a.session.Send(wire.FromNode{Beat: &b})
+			a.session.Send(wire.FromNode{Heartbeat: &b})
 		}
 		select {
 		case <-ctx.Done():
@@ -26,7 +26,7 @@
 }
 
 // beat returns a heartbeat, with the rows that have changed.
-func (a *Agent) beat() (b wire.VMBeat, ok bool) {
+func (a *Agent) beat() (b wire.VMHeartbeat, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.known {
@@ -35,8 +35,8 @@
 	now := steady.Now()
 	a.noteOverdue(now)
 	epoch := a.keeper.Epoch()
-	b = wire.VMBeat{Sent: now.UnixNano(), VM: a.vm, Draining: a.draining, Mute: a.mute(now), Epoch: &epoch}
-	if b.Crash = a.crashed; b.Mute {
+	b = wire.VMHeartbeat{Sent: now.UnixNano(), VM: a.vm, Draining: a.draining, Unresponsive: a.mute(now), Epoch: &epoch}
+	if b.Crash = a.crashed; b.Unresponsive {
 		b.Crash = a.crash()
 	}
 	b.Measured, b.Worked, a.worked = a.worked != nil, a.worked, nil
--- a/runner/crash_test.go
+++ b/runner/crash_test.go
@@ -43,7 +43,7 @@
 		a := silent()
 		a.seenAt = steady.Now().Add(-2 * muteAfter)
 		b, ok := a.beat()
-		assert.Assert(t, ok && b.Mute)
+		assert.Assert(t, ok && b.Unresponsive)
 		assert.Equal(t, b.Crash.Incarnation, "life-1")
 		checkKnown(t, b.Crash, want)
 	})
@@ -87,7 +87,7 @@
 			a.lookFailed("life-1", err)
 		}
 		b, _ := a.beat()
-		return b.Mute
+		return b.Unresponsive
 	}
 	gone := fmt.Errorf("look: %w", rudderfork.ErrNotReached)
 	assert.Assert(t, mute(gone, gone))
@@ -100,6 +100,6 @@
 		a.lookFailed("life-1", gone)
 		a.looked(t.Context(), "life-1", rudderfork.ExecutorStatus{ClockMS: 1}, steady.Now())
 		b, _ := a.beat()
-		assert.Assert(t, !b.Mute)
+		assert.Assert(t, !b.Unresponsive)
 	})
 }
--- a/runner/late_model_test.go
+++ b/runner/late_model_test.go
@@ -206,7 +206,7 @@
 		}
 	}
 	if b, ok := m.a.beat(); ok {
-		ses.box = append(ses.box, wire.FromNode{Beat: &b})
+		ses.box = append(ses.box, wire.FromNode{Heartbeat: &b})
 	}
 }
 
@@ -235,7 +235,7 @@
 		ses.box = nil // the leader ends the session
 	default:
 		m.spoken = i
-		m.register(msg.Beat.VM)
+		m.register(msg.Heartbeat.VM)
 	}
 }
 
--- a/runner/late_test.go
+++ b/runner/late_test.go
@@ -211,7 +211,7 @@
 func (w *lateWorld) checkBeats(n int) {
 	w.t.Helper()
 	for range n {
-		b := w.ses.until(isBeat).Beat
+		b := w.ses.until(isBeat).Heartbeat
 		assert.Equal(w.t, b.VM.Incarnation, newLife)
 		assert.Assert(w.t, !b.Draining, "the old life drained")
 		w.ses.send(wire.ToQueueNode{Pong: 1}) // an agent leaves a silent leader
--- a/runner/runner_test.go
+++ b/runner/runner_test.go
@@ -100,7 +100,7 @@
 // close ends the session, as a leader that is lost does.
 func (s *leaderSession) close() { close(s.done) }
 
-func isBeat(m wire.FromNode) bool { return m.Beat != nil }
+func isBeat(m wire.FromNode) bool { return m.Heartbeat != nil }
 
 // startAgent runs an agent whose executor is the stand-in.
 func startAgent(t *testing.T, l *leader) *Agent {
--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -97,25 +97,25 @@
 		fail(w, http.StatusUnprocessableEntity, "invalid", err.Error(), rudderfork.RanNo)
 		return
 	}
-	a.answer(w, r, wire.Ask{Put: &d})
+	a.answer(w, r, wire.QueueRequest{Put: &d})
 }
 
 func (a *api) submit(w http.ResponseWriter, r *http.Request) {
 	var b SubmitBody
 	if read(w, r, &b) {
-		a.answer(w, r, wire.Ask{Submit: &queue.Submit{Host: b.Host, Path: b.Path, Spec: b.Spec}})
+		a.answer(w, r, wire.QueueRequest{Submit: &queue.Submit{Host: b.Host, Path: b.Path, Spec: b.Spec}})
 	}
 }
 
 func (a *api) cancel(w http.ResponseWriter, r *http.Request) {
 	var b PlaceBody
 	if read(w, r, &b) {
-		a.answer(w, r, wire.Ask{Cancel: &queue.Cancel{Host: b.Host, Path: b.Path}})
+		a.answer(w, r, wire.QueueRequest{Cancel: &queue.Cancel{Host: b.Host, Path: b.Path}})
 	}
 }
 
 // answer carries an order out and writes how it ended.
-func (a *api) answer(w http.ResponseWriter, r *http.Request, ask wire.Ask) {
+func (a *api) answer(w http.ResponseWriter, r *http.Request, ask wire.QueueRequest) {
 	ans := a.s.Answer(r.Context(), ask)
 	switch {
 	case ans.Unsure:
@@ -158,7 +158,7 @@
 		fail(w, http.StatusUnprocessableEntity, "invalid", err.Error(), rudderfork.RanNo)
 		return
 	}
-	a.answer(w, r, wire.Ask{Clear: &k})
+	a.answer(w, r, wire.QueueRequest{Clear: &k})
 }
 
 func (a *api) evacuations(w http.ResponseWriter, r *http.Request) {
@@ -168,7 +168,7 @@
 // evacuate orders an evacuation, or takes it back.
 func (a *api) evacuate(w http.ResponseWriter, r *http.Request) {
 	domain := rudderfork.Domain(r.PathValue("domain"))
-	a.answer(w, r, wire.Ask{Evacuate: &queue.Evacuate{Domain: domain, End: r.Method == http.MethodDelete}})
+	a.answer(w, r, wire.QueueRequest{Evacuate: &queue.Evacuate{Domain: domain, End: r.Method == http.MethodDelete}})
 }
 
 func (a *api) jobs(w http.ResponseWriter, r *http.Request) {
--- a/scheduler/ask.go
+++ b/scheduler/ask.go
@@ -14,15 +14,15 @@
 )
 
 // ask answers a front's call on its own session.
-func (ses *session) ask(ctx context.Context, a wire.Ask) {
+func (ses *session) ask(ctx context.Context, a wire.QueueRequest) {
 	ans := ses.s.Answer(ctx, a)
 	ans.ID = a.ID
-	ses.reply(wire.ToQueueNode{Answer: &ans})
+	ses.reply(wire.ToQueueNode{Response: &ans})
 }
 
 // Answer carries out a call: it commits orders, and reads at a point that the
 // quorum confirmed.
-func (s *Scheduler) Answer(ctx context.Context, a wire.Ask) (ans wire.AskAnswer) {
+func (s *Scheduler) Answer(ctx context.Context, a wire.QueueRequest) (ans wire.QueueResponse) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	began := steady.Now()
@@ -41,13 +41,13 @@
 		s.log.Info().Uint64("version", a.Put.Version).Int("queues", len(a.Put.Queues)).Str("result", string(ans.Code)).
 			Bool("unsure", ans.Unsure).Msg("document_put")
 	case a.Status != nil:
-		ans = s.read(ctx, func(st *queue.State) wire.AskAnswer { return s.statusOf(st, *a.Status) })
+		ans = s.read(ctx, func(st *queue.State) wire.QueueResponse { return s.statusOf(st, *a.Status) })
 	case a.Wave != nil:
 		ans = s.commit(ctx, queue.Command{Wave: a.Wave})
 		s.log.Info().Uint64("wave", a.Wave.ID).Int("machines", len(a.Wave.Machines)).Int("max_down", a.Wave.MaxDown).
 			Str("result", string(ans.Code)).Msg("wave_taken")
 	case a.Upkeep != 0:
-		ans = s.read(ctx, func(st *queue.State) wire.AskAnswer { return waveOf(st, a.Upkeep) })
+		ans = s.read(ctx, func(st *queue.State) wire.QueueResponse { return waveOf(st, a.Upkeep) })
 	case a.Clear != nil:
 		ans = s.commit(ctx, queue.Command{Clear: a.Clear})
 		s.log.Info().Str("task", a.Clear.String()).Str("result", string(ans.Code)).Bool("unsure", ans.Unsure).Msg("task_cleared")
@@ -57,12 +57,12 @@
 	case a.Get:
 		ans = s.read(ctx, documentOf)
 	default:
-		ans = wire.AskAnswer{Code: queue.Invalid, Text: "the call is empty"}
+		ans = wire.QueueResponse{Code: queue.Invalid, Text: "the call is empty"}
 	}
 	return ans
 }
 
-func kindOf(a wire.Ask) string {
+func kindOf(a wire.QueueRequest) string {
 	switch {
 	case a.Submit != nil:
 		return "submit"
@@ -84,7 +84,7 @@
 	return "get_document"
 }
 
-func (s *Scheduler) noteAnswer(kind string, ans wire.AskAnswer, began time.Time) {
+func (s *Scheduler) noteAnswer(kind string, ans wire.QueueResponse, began time.Time) {
 	outcome := string(ans.Code)
 	if ans.Unsure {
 		outcome = "unsure"
@@ -95,73 +95,73 @@
 	s.met.answer.WithLabelValues(kind).Observe(steady.Now().Sub(began).Seconds())
 }
 
-func (s *Scheduler) logAsk(kind, path string, ans wire.AskAnswer) {
+func (s *Scheduler) logAsk(kind, path string, ans wire.QueueResponse) {
 	s.log.Info().Str("ask", kind).Str("path", path).Str("result", string(ans.Code)).Str("detail", ans.Text).
 		Bool("unsure", ans.Unsure).Bool("not_taken", ans.NotTaken).Msg("ask_answered")
 	s.record("job_"+kind, path, string(ans.Code)+" "+ans.Text)
 }
 
 // commit carries out an order.
-func (s *Scheduler) commit(ctx context.Context, c queue.Command) wire.AskAnswer {
+func (s *Scheduler) commit(ctx context.Context, c queue.Command) wire.QueueResponse {
 	res, err := s.do(ctx, c)
 	switch {
 	case errors.Is(err, replica.ErrNotLeader), errors.Is(err, replica.ErrSuperseded):
-		return wire.AskAnswer{NotTaken: true, Text: err.Error()}
+		return wire.QueueResponse{NotTaken: true, Text: err.Error()}
 	case err != nil:
-		return wire.AskAnswer{Unsure: true, Text: err.Error()}
+		return wire.QueueResponse{Unsure: true, Text: err.Error()}
 	}
-	return wire.AskAnswer{Code: res.Code, Text: res.Text}
+	return wire.QueueResponse{Code: res.Code, Text: res.Text}
 }
 
 // read answers from a state that no newer one had replaced when the call came.
-func (s *Scheduler) read(ctx context.Context, f func(st *queue.State) wire.AskAnswer) (ans wire.AskAnswer) {
+func (s *Scheduler) read(ctx context.Context, f func(st *queue.State) wire.QueueResponse) (ans wire.QueueResponse) {
 	if err := s.rep.Barrier(ctx); err != nil {
-		return wire.AskAnswer{NotTaken: true, Text: err.Error()}
+		return wire.QueueResponse{NotTaken: true, Text: err.Error()}
 	}
 	s.rep.View(func(st *state.State) { ans = f(st.Queues()) })
 	return ans
 }
 
-func (s *Scheduler) statusOf(st *queue.State, p wire.Place) wire.AskAnswer {
+func (s *Scheduler) statusOf(st *queue.State, p wire.Place) wire.QueueResponse {
 	doc := st.Document()
 	if doc == nil {
-		return wire.AskAnswer{Code: queue.NoDocument}
+		return wire.QueueResponse{Code: queue.NoDocument}
 	}
 	q, rest, ok := doc.Find(p.Host, p.Path)
 	if !ok {
-		return wire.AskAnswer{Code: queue.NoQueue}
+		return wire.QueueResponse{Code: queue.NoQueue}
 	}
 	if rest == "" {
 		return s.countOf(st, q.Name)
 	}
 	j := st.Job(rudderfork.JobID(rest))
 	if j == nil {
-		return wire.AskAnswer{Code: queue.NoJob}
+		return wire.QueueResponse{Code: queue.NoJob}
 	}
-	return wire.AskAnswer{Code: queue.OK, Status: j.Status}
+	return wire.QueueResponse{Code: queue.OK, Status: j.Status}
 }
 
 // countOf counts a queue's jobs that wait.
-func (s *Scheduler) countOf(st *queue.State, name string) wire.AskAnswer {
+func (s *Scheduler) countOf(st *queue.State, name string) wire.QueueResponse {
 	s.mu.Lock()
 	waiting, ordered := st.Waiting(name, s.fleet.hasBegun)
 	s.mu.Unlock()
 	s.log.Info().Str("queue", name).Int("waiting", waiting).Int("ordered", ordered).Msg("queue_counted")
-	return wire.AskAnswer{Code: queue.OK, IsQueue: true, Waiting: waiting}
+	return wire.QueueResponse{Code: queue.OK, IsQueue: true, Waiting: waiting}
 }
 
-func waveOf(st *queue.State, id uint64) wire.AskAnswer {
+func waveOf(st *queue.State, id uint64) wire.QueueResponse {
 	w := st.Wave(id)
 	if w == nil {
-		return wire.AskAnswer{Code: queue.NoJob, Text: "there is no such wave"}
+		return wire.QueueResponse{Code: queue.NoJob, Text: "there is no such wave"}
 	}
-	return wire.AskAnswer{Code: queue.OK, Left: len(w.Left())}
+	return wire.QueueResponse{Code: queue.OK, Left: len(w.Left())}
 }
 
-func documentOf(st *queue.State) wire.AskAnswer {
+func documentOf(st *queue.State) wire.QueueResponse {
 	doc := st.Document()
 	if doc == nil {
-		return wire.AskAnswer{Code: queue.NoDocument}
+		return wire.QueueResponse{Code: queue.NoDocument}
 	}
-	return wire.AskAnswer{Code: queue.OK, Document: doc.Text}
+	return wire.QueueResponse{Code: queue.OK, Document: doc.Text}
 }
--- a/scheduler/beside_test.go
+++ b/scheduler/beside_test.go
@@ -55,7 +55,7 @@
 
 func (h *gatedCluster) sendHeartbeat(c *wire.Conn[wire.FromNode, wire.ToQueueNode], vm queue.VM, sent int64) {
 	h.t.Helper()
-	assert.NilError(h.t, c.Send(h.ctx, wire.FromNode{Beat: &wire.VMBeat{Sent: sent, VM: vm}}))
+	assert.NilError(h.t, c.Send(h.ctx, wire.FromNode{Heartbeat: &wire.VMHeartbeat{Sent: sent, VM: vm}}))
 }
 
 // nextGrant returns the next grant, or nil if the session ends first.
--- a/scheduler/calm_test.go
+++ b/scheduler/calm_test.go
@@ -72,7 +72,7 @@
 		c.addFaultVM(fmt.Sprintf("vm%d", i+1), seed)
 	}
 	c.waitUntil("the document is taken", func() bool {
-		code := c.ask(wire.Ask{Put: faultDocument}).Code
+		code := c.ask(wire.QueueRequest{Put: faultDocument}).Code
 		return code == queue.OK || code == queue.Stale // an earlier try may have been carried out
 	})
 	size := rudderfork.Resources{CPUMilli: 500}
--- a/scheduler/evacuation.go
+++ b/scheduler/evacuation.go
@@ -19,9 +19,9 @@
 
 // evacuate orders an evacuation or takes it back. It is answered once a quorum holds it,
 // and from then on no start is committed there.
-func (s *Scheduler) evacuate(ctx context.Context, e queue.Evacuate) wire.AskAnswer {
+func (s *Scheduler) evacuate(ctx context.Context, e queue.Evacuate) wire.QueueResponse {
 	if !s.knowsDomain(e.Domain) {
-		return wire.AskAnswer{Code: queue.NoDomain, Text: "no failure domain is called " + string(e.Domain)}
+		return wire.QueueResponse{Code: queue.NoDomain, Text: "no failure domain is called " + string(e.Domain)}
 	}
 	ans := s.commit(ctx, queue.Command{Evacuate: &e})
 	s.log.Info().Str("domain", string(e.Domain)).Bool("end", e.End).Str("result", string(ans.Code)).
--- a/scheduler/evacuation_test.go
+++ b/scheduler/evacuation_test.go
@@ -18,7 +18,7 @@
 
 func (s *testCluster) evacuate(d rudderfork.Domain, end bool, want queue.Code) {
 	s.t.Helper()
-	ans := s.ask(wire.Ask{Evacuate: &queue.Evacuate{Domain: d, End: end}})
+	ans := s.ask(wire.QueueRequest{Evacuate: &queue.Evacuate{Domain: d, End: end}})
 	assert.Equal(s.t, ans.Code, want, "%+v", ans)
 }
 
@@ -58,7 +58,7 @@
 		s.evacuate(domainOf("vm2"), false, queue.OK)
 		s.submit("late", "work=1ms", smallStep)
 		place := wire.Place{Host: testHost, Path: "/q/"}
-		s.waitUntil("it waits", func() bool { return s.ask(wire.Ask{Status: &place}).Waiting == 1 })
+		s.waitUntil("it waits", func() bool { return s.ask(wire.QueueRequest{Status: &place}).Waiting == 1 })
 		s.evacuate(domainOf("vm1"), true, queue.OK)
 		s.waitForStatus("late", queue.Completed)
 	})
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -81,7 +81,7 @@
 	changes     uint64 // rises with each change of rows
 	// prunedAt is the VM and its changes for which rows were pruned last.
 	prunedAt   vmVersion
-	heartbeat  wire.VMBeat
+	heartbeat  wire.VMHeartbeat
 	runs       map[queue.TaskKey]*runInfo
 	failures   float64
 	failuresAt time.Time
@@ -142,7 +142,7 @@
 }
 
 // recordHeartbeat notes a VM's heartbeat.
-func (f *fleet) recordHeartbeat(v *vmInfo, b wire.VMBeat, now time.Time) {
+func (f *fleet) recordHeartbeat(v *vmInfo, b wire.VMHeartbeat, now time.Time) {
 	if v.heartbeat.VM.Incarnation != b.VM.Incarnation {
 		for k := range v.runs {
 			f.dropRun(v, k)
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -72,7 +72,7 @@
 	t.Run("a new life has none of the old one's", func(t *testing.T) {
 		f := newFleet()
 		report(f, "life-1", 1, 10, "old")
-		f.recordHeartbeat(f.vm("vm1"), wire.VMBeat{VM: queue.VM{ID: "vm1", Incarnation: "life-2"}}, at)
+		f.recordHeartbeat(f.vm("vm1"), wire.VMHeartbeat{VM: queue.VM{ID: "vm1", Incarnation: "life-2"}}, at)
 		assert.Equal(t, len(f.runs), 0)
 		assert.Equal(t, len(f.vm("vm1").checkpoints()), 0)
 	})
--- a/scheduler/late_model_test.go
+++ b/scheduler/late_model_test.go
@@ -58,7 +58,7 @@
 func (m *sessionModel) heartbeat(life int) {
 	b := heartbeatOf(modelIncarnation(life))
 	b.VM.ID = m.vm
-	m.send(wire.FromNode{Beat: &b})
+	m.send(wire.FromNode{Heartbeat: &b})
 }
 
 // farewell is the agent's report that the present life has left.
--- a/scheduler/late_test.go
+++ b/scheduler/late_test.go
@@ -63,8 +63,8 @@
 	return before, now, epoch
 }
 
-func heartbeatOf(life string) wire.VMBeat {
-	return wire.VMBeat{Sent: steady.Now().UnixNano(), VM: queue.VM{
+func heartbeatOf(life string) wire.VMHeartbeat {
+	return wire.VMHeartbeat{Sent: steady.Now().UnixNano(), VM: queue.VM{
 		ID: testVM, Domain: "hall", Incarnation: life, Service: "desk", Capacity: rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000},
 	}}
 }
@@ -73,7 +73,7 @@
 func (p *agentClient) heartbeat(life string) *wire.VMGrant {
 	p.cluster.t.Helper()
 	b := heartbeatOf(life)
-	assert.NilError(p.cluster.t, p.conn.Send(p.cluster.ctx, wire.FromNode{Beat: &b}))
+	assert.NilError(p.cluster.t, p.conn.Send(p.cluster.ctx, wire.FromNode{Heartbeat: &b}))
 	for {
 		m, err := p.conn.ReceiveWithin(p.cluster.ctx, waitTimeout)
 		assert.NilError(p.cluster.t, err)
--- a/scheduler/learning_test.go
+++ b/scheduler/learning_test.go
@@ -64,7 +64,7 @@
 	v := s.sched.fleet.vm(id)
 	v.session = ses
 	v.lease.AssumeLease(steady.Now().Add(time.Hour))
-	s.sched.fleet.recordHeartbeat(v, wire.VMBeat{VM: vm}, steady.Now())
+	s.sched.fleet.recordHeartbeat(v, wire.VMHeartbeat{VM: vm}, steady.Now())
 	return ses
 }
 
--- a/scheduler/life_again_test.go
+++ b/scheduler/life_again_test.go
@@ -25,7 +25,7 @@
 		return slices.ContainsFunc(s.sched.overdueRuns(steady.Now()), func(r overdueRun) bool { return r.Job == "roster" })
 	}
 	s.waitUntil("the roster is done, or its run is overdue", func() bool {
-		return overdue() || s.ask(wire.Ask{Status: &wire.Place{Host: testHost, Path: "/q/roster"}}).Status == queue.Completed
+		return overdue() || s.ask(wire.QueueRequest{Status: &wire.Place{Host: testHost, Path: "/q/roster"}}).Status == queue.Completed
 	})
 	assert.Assert(t, !overdue(), "its VM is usable, and does not begin it")
 	s.waitUntil("the feed is at work", func() bool { return len(e.Running()) == 1 })
--- a/scheduler/pressures.go
+++ b/scheduler/pressures.go
@@ -64,7 +64,7 @@
 }
 
 // learn takes a VM's account.
-func (p *pressures) learn(c workload, b wire.VMBeat, now time.Time) {
+func (p *pressures) learn(c workload, b wire.VMHeartbeat, now time.Time) {
 	if !b.Measured {
 		return
 	}
--- a/scheduler/refusal_test.go
+++ b/scheduler/refusal_test.go
@@ -72,7 +72,7 @@
 // beatWithout sends heartbeats of an agent that has no list of orders.
 func (h *gatedCluster) sendHeartbeatWithoutOrders(c *wire.Conn[wire.FromNode, wire.ToQueueNode], vm queue.VM, sent int64) {
 	h.t.Helper()
-	assert.NilError(h.t, c.Send(h.ctx, wire.FromNode{Beat: &wire.VMBeat{Sent: sent, VM: vm, Epoch: new(uint64)}}))
+	assert.NilError(h.t, c.Send(h.ctx, wire.FromNode{Heartbeat: &wire.VMHeartbeat{Sent: sent, VM: vm, Epoch: new(uint64)}}))
 }
 
 // fullList returns the next full list of orders. Commits go on once it is there, or has
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -158,7 +158,7 @@
 // domainOf is the failure domain of a VM of addAgent: one each.
 func domainOf(name string) rudderfork.Domain { return rudderfork.Domain("hall-" + name) }
 
-func (s *testCluster) ask(a wire.Ask) wire.AskAnswer {
+func (s *testCluster) ask(a wire.QueueRequest) wire.QueueResponse {
 	ctx, cancel := context.WithTimeout(s.ctx, waitTimeout)
 	defer cancel()
 	return s.front.Ask(ctx, a, waitTimeout)
@@ -166,7 +166,7 @@
 
 func (s *testCluster) putDocument(advice *queue.Advice) {
 	s.t.Helper()
-	ans := s.ask(wire.Ask{Put: &queue.Document{
+	ans := s.ask(wire.QueueRequest{Put: &queue.Document{
 		Version: 1, Queues: []queue.Queue{{Name: "q", Host: testHost, Prefix: "/q/", Service: "desk", MaxAttempts: 2, Advice: advice}},
 		Pools: []queue.Pool{{Service: "desk"}},
 	}})
@@ -175,7 +175,7 @@
 
 func (s *testCluster) submit(id string, payload string, list ...queue.Step) {
 	s.t.Helper()
-	ans := s.ask(wire.Ask{Submit: &queue.Submit{Host: testHost, Path: "/q/" + id, Spec: queue.Spec{Payload: payload, Steps: list}}})
+	ans := s.ask(wire.QueueRequest{Submit: &queue.Submit{Host: testHost, Path: "/q/" + id, Spec: queue.Spec{Payload: payload, Steps: list}}})
 	assert.Equal(s.t, ans.Code, queue.OK, "%+v", ans)
 }
 
@@ -192,7 +192,7 @@
 func (s *testCluster) waitForStatus(id string, want queue.Status) {
 	s.t.Helper()
 	s.waitUntil(id+" is "+string(want), func() bool {
-		return s.ask(wire.Ask{Status: &wire.Place{Host: testHost, Path: "/q/" + id}}).Status == want
+		return s.ask(wire.QueueRequest{Status: &wire.Place{Host: testHost, Path: "/q/" + id}}).Status == want
 	})
 }
 
@@ -337,10 +337,10 @@
 	s.serve(s.sched.Upkeep(p, "c", 0))
 	wave := queue.Wave{ID: 7, Machines: []string{"m1", "m2", "m3", "m9"}, DueMS: rudderfork.Millis(steady.Now().Add(waveDueIn)), MaxDown: 1}
 	for range 2 { // the operator sends it again
-		assert.Equal(t, s.ask(wire.Ask{Wave: &wave}).Code, queue.OK)
+		assert.Equal(t, s.ask(wire.QueueRequest{Wave: &wave}).Code, queue.OK)
 	}
 	s.waitUntil("the wave is completed", func() bool {
-		ans := s.ask(wire.Ask{Upkeep: 7})
+		ans := s.ask(wire.QueueRequest{Upkeep: 7})
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		assert.Assert(t, ans.Left > 0 || len(p.done) == 3, "completed with %v done", p.done)
@@ -351,7 +351,7 @@
 		assert.Equal(t, d.Holder, "c")
 		assert.Assert(t, d.Fence > 0)
 	}
-	assert.Equal(t, s.ask(wire.Ask{Upkeep: 8}).Code, queue.NoJob)
+	assert.Equal(t, s.ask(wire.QueueRequest{Upkeep: 8}).Code, queue.NoJob)
 }
 
 // TestOutrankedLeaderStopsOrders refuses a leader's order because another holder's is newer: it gives
@@ -366,7 +366,7 @@
 	assert.Assert(t, ok)
 	for id := range uint64(2) {
 		wave := queue.Wave{ID: id + 1, Machines: []string{"m1", "m2"}, DueMS: 1, MaxDown: 2}
-		assert.Equal(t, s.ask(wire.Ask{Wave: &wave}).Code, queue.OK)
+		assert.Equal(t, s.ask(wire.QueueRequest{Wave: &wave}).Code, queue.OK)
 	}
 	for range 10 {
 		assert.Assert(t, u.round(t.Context()), "there are waves")
@@ -479,9 +479,9 @@
 	for i := range 20 {
 		id := fmt.Sprintf("j%d", i)
 		s.submit(id, "", smallStep)
-		assert.Equal(t, s.ask(wire.Ask{Status: &wire.Place{Host: testHost, Path: "/q/" + id}}).Status, queue.Queued)
+		assert.Equal(t, s.ask(wire.QueueRequest{Status: &wire.Place{Host: testHost, Path: "/q/" + id}}).Status, queue.Queued)
 	}
-	assert.Equal(t, s.ask(wire.Ask{Status: &wire.Place{Host: testHost, Path: "/q/"}}).Waiting, 20)
+	assert.Equal(t, s.ask(wire.QueueRequest{Status: &wire.Place{Host: testHost, Path: "/q/"}}).Waiting, 20)
 	var views []QueueView
 	s.sched.rep.View(func(st *state.State) {
 		s.sched.mu.Lock()
--- a/scheduler/session.go
+++ b/scheduler/session.go
@@ -206,8 +206,8 @@
 	switch {
 	case m.Ask != nil:
 		go ses.ask(ctx, *m.Ask)
-	case m.Beat != nil:
-		return ses.heartbeat(ctx, *m.Beat)
+	case m.Heartbeat != nil:
+		return ses.heartbeat(ctx, *m.Heartbeat)
 	case m.Ends != nil:
 		return ses.reports.Add(ctx, *m.Ends)
 	case len(m.Learned) > 0:
--- a/scheduler/simfleet_test.go
+++ b/scheduler/simfleet_test.go
@@ -196,7 +196,7 @@
 }
 
 func (s *simFleet) sendHeartbeat(v *simVM) {
-	b := wire.VMBeat{VM: queue.VM{ID: v.id, Incarnation: v.incarnationName()}}
+	b := wire.VMHeartbeat{VM: queue.VM{ID: v.id, Incarnation: v.incarnationName()}}
 	for k, at := range v.startedAt {
 		if v.omitsRuns {
 			break
--- a/scheduler/swings.go
+++ b/scheduler/swings.go
@@ -21,7 +21,7 @@
 
 // observeSwings takes a VM's figures for the waves of the load on its serving steps: the
 // headrooms without what the fillers beside them took.
-func (f *fleet) observeSwings(s *queue.State, c workload, b wire.VMBeat, now time.Time) {
+func (f *fleet) observeSwings(s *queue.State, c workload, b wire.VMHeartbeat, now time.Time) {
 	if !b.Measured {
 		return
 	}
--- a/scheduler/swings_test.go
+++ b/scheduler/swings_test.go
@@ -30,7 +30,7 @@
 
 // hear has the leader hear of a tail of all of them.
 func takeTails(qs *queue.State, f *fleet, tasks int, tail int64, at time.Time) {
-	b := wire.VMBeat{VM: *qs.VM("vm1"), Measured: true}
+	b := wire.VMHeartbeat{VM: *qs.VM("vm1"), Measured: true}
 	for i := range tasks {
 		k := queue.TaskKey{Job: "feed", Index: i}
 		b.Rows = append(b.Rows, rudderfork.RunStatus{RunRef: k.Ref(1), Percent: fullPercent, Load: tail})
--- a/scheduler/vm.go
+++ b/scheduler/vm.go
@@ -133,11 +133,11 @@
 
 // heartbeat takes a VM's heartbeat, registers the VM where that is needed, and
 // grants it a lease.
-func (ses *session) heartbeat(ctx context.Context, b wire.VMBeat) error {
+func (ses *session) heartbeat(ctx context.Context, b wire.VMHeartbeat) error {
 	if err := ses.claimVM(b.VM.ID); err != nil {
 		return err
 	}
-	if !b.Mute {
+	if !b.Unresponsive {
 		if err := ses.register(ctx, b.VM, b.Crash); err != nil {
 			return err
 		}
@@ -160,7 +160,7 @@
 	fresh := v.session != ses
 	v.session = ses
 	s.fleet.recordHeartbeat(v, b, now)
-	if !b.Mute && ses.epoch != 0 && ses.life == b.VM.Incarnation {
+	if !b.Unresponsive && ses.epoch != 0 && ses.life == b.VM.Incarnation {
 		for _, k := range s.fleet.last[b.VM.ID] {
 			grant.Last = append(grant.Last, k.Ref(k.Number))
 		}
@@ -336,7 +336,7 @@
 
 // checkEpoch sends an agent the full list again that does not have it, as one that took
 // its executor's life for over and takes it up again.
-func (ses *session) checkEpoch(ctx context.Context, b wire.VMBeat) error {
+func (ses *session) checkEpoch(ctx context.Context, b wire.VMHeartbeat) error {
 	if !ses.lacksList(b) {
 		return nil
 	}
@@ -351,7 +351,7 @@
 }
 
 // lacksList reports whether an agent does not have the full list that was sent to it.
-func (ses *session) lacksList(b wire.VMBeat) bool {
+func (ses *session) lacksList(b wire.VMHeartbeat) bool {
 	ses.s.mu.Lock()
 	defer ses.s.mu.Unlock()
 	return b.Epoch != nil && *b.Epoch != ses.epoch && ses.life == b.VM.Incarnation && ses.full && !steady.Now().Before(ses.fullBy)
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -38,12 +38,12 @@
 
 // ToControl is sent by entries and agents.
 type ToControl struct {
-	Hello   *Hello         `cbor:"1,keyasint,omitempty"`
-	Beat    *Beat          `cbor:"2,keyasint,omitempty"`
-	Reports *ReportBatch   `cbor:"3,keyasint,omitempty"`
-	Claim   *ClaimRequest  `cbor:"4,keyasint,omitempty"`
-	Settle  *SettleRequest `cbor:"5,keyasint,omitempty"`
-	Notes   []DecisionNote `cbor:"6,keyasint,omitempty"`
+	Hello     *Hello         `cbor:"1,keyasint,omitempty"`
+	Heartbeat *Heartbeat     `cbor:"2,keyasint,omitempty"`
+	Reports   *ReportBatch   `cbor:"3,keyasint,omitempty"`
+	Claim     *ClaimRequest  `cbor:"4,keyasint,omitempty"`
+	Settle    *SettleRequest `cbor:"5,keyasint,omitempty"`
+	Notes     []DecisionNote `cbor:"6,keyasint,omitempty"`
 }
 
 // ToNode is sent by control.
@@ -118,8 +118,8 @@
 	Deadline int64            `cbor:"2,keyasint"` // Unix ms
 }
 
-// Beat is the heartbeat of a node. Control answers an agent's with a Grant.
-type Beat struct {
+// Heartbeat is the heartbeat of a node. Control answers an agent's with a Grant.
+type Heartbeat struct {
 	Have     rudderfork.Revision `cbor:"1,keyasint"` // of the table in force there
 	Epoch    rudderfork.Token    `cbor:"2,keyasint,omitempty"`
 	Services []ServiceUsage      `cbor:"3,keyasint,omitempty"`
--- a/wire/queue.go
+++ b/wire/queue.go
@@ -8,11 +8,11 @@
 // FromNode is sent to control in a queue session: by fronts, which take jobs
 // from clients, and by the agents of VMs that run tasks.
 type FromNode struct {
-	Hello *QueueHello `cbor:"1,keyasint,omitempty"`
-	Ask   *Ask        `cbor:"2,keyasint,omitempty"`
-	Beat  *VMBeat     `cbor:"3,keyasint,omitempty"`
-	Ends  *EndsReport `cbor:"4,keyasint,omitempty"`
-	Ping  int64       `cbor:"5,keyasint,omitempty"` // answered by the same number
+	Hello     *QueueHello   `cbor:"1,keyasint,omitempty"`
+	Request   *QueueRequest `cbor:"2,keyasint,omitempty"`
+	Heartbeat *VMHeartbeat  `cbor:"3,keyasint,omitempty"`
+	Ends      *EndsReport   `cbor:"4,keyasint,omitempty"`
+	Ping      int64         `cbor:"5,keyasint,omitempty"` // answered by the same number
 
 	// Learned is what a VM's agent was told of pressures, for a leader that is new.
 	Learned []PairPressure `cbor:"6,keyasint,omitempty"`
@@ -22,7 +22,7 @@
 type ToQueueNode struct {
 	Redirect *QueueRedirect `cbor:"1,keyasint,omitempty"`
 	Welcome  *QueueWelcome  `cbor:"2,keyasint,omitempty"`
-	Answer   *AskAnswer     `cbor:"3,keyasint,omitempty"`
+	Response *QueueResponse `cbor:"3,keyasint,omitempty"`
 	Grant    *VMGrant       `cbor:"4,keyasint,omitempty"`
 	Orders   *Orders        `cbor:"5,keyasint,omitempty"`
 	Noted    *Noted         `cbor:"6,keyasint,omitempty"`
@@ -54,8 +54,8 @@
 	Path string `cbor:"2,keyasint"`
 }
 
-// Ask is a question or order of a front. One of the pointers is set.
-type Ask struct {
+// QueueRequest is a question or order of a front. One of the pointers is set.
+type QueueRequest struct {
 	ID     uint64          `cbor:"1,keyasint"`
 	Submit *queue.Submit   `cbor:"2,keyasint,omitempty"`
 	Cancel *queue.Cancel   `cbor:"3,keyasint,omitempty"`
@@ -69,8 +69,8 @@
 	Evacuate *queue.Evacuate `cbor:"10,keyasint,omitempty"`
 }
 
-// AskAnswer answers an Ask.
-type AskAnswer struct {
+// QueueResponse answers an Ask.
+type QueueResponse struct {
 	ID uint64 `cbor:"1,keyasint"`
 
 	// Unsure says that the order may or may not have been taken; with NotTaken
@@ -86,16 +86,16 @@
 	Left     int          `cbor:"10,keyasint,omitempty"` // machines of a wave that have not begun their upkeep
 }
 
-// VMBeat is the heartbeat of a VM's agent, and its account.
-type VMBeat struct {
+// VMHeartbeat is the heartbeat of a VM's agent, and its account.
+type VMHeartbeat struct {
 	Sent int64    `cbor:"1,keyasint"` // the sender's steady clock, ns; echoed
 	VM   queue.VM `cbor:"2,keyasint"`
 
 	Draining bool  `cbor:"3,keyasint,omitempty"`
 	LeaveMS  int64 `cbor:"4,keyasint,omitempty"` // time left at least, while draining
-	// Mute says that the VM's executor does not answer: no lease is asked for.
-	Mute bool                   `cbor:"5,keyasint,omitempty"`
-	Rows []rudderfork.RunStatus `cbor:"6,keyasint,omitempty"` // that have changed
+	// Unresponsive says that the VM's executor does not answer: no lease is asked for.
+	Unresponsive bool                   `cbor:"5,keyasint,omitempty"`
+	Rows         []rudderfork.RunStatus `cbor:"6,keyasint,omitempty"` // that have changed
 
 	// Measured says that the rows' figures are newer than in the heartbeat before.
 	Measured bool `cbor:"8,keyasint,omitempty"`
