--- a/executor.go
+++ b/executor.go
@@ -98,7 +98,7 @@
 	Start(ctx context.Context, life string, s RunStart) (StartOutcome, error)
 	// Stop ends a run, and keeps one that is not there from ever starting.
 	Stop(ctx context.Context, life string, r RunRef, fence uint64) error
-	// Poll returns the account, or ErrNoAccount if it is answered otherwise.
+	// Poll returns the account, or ErrNoStatus if it is answered otherwise.
 	Poll(ctx context.Context, life string, r PollRequest) (ExecutorStatus, error)
 	// Pace sets the share of its full speed, in percent, at which a run works.
 	Pace(ctx context.Context, life string, r RunRef, percent int, fence uint64) error
--- a/standin/executor/executor.go
+++ b/standin/executor/executor.go
@@ -402,8 +402,8 @@
 	})
 }
 
-// Look implements rudderfork.Executor.
-func (e *Executor) Look(ctx context.Context, life string, req rudderfork.PollRequest) (look rudderfork.ExecutorStatus, err error) {
+// Poll implements rudderfork.Executor.
+func (e *Executor) Poll(ctx context.Context, life string, req rudderfork.PollRequest) (look rudderfork.ExecutorStatus, err error) {
 	deadline := e.now().Add(time.Duration(req.WaitMS) * time.Millisecond)
 	var asked string // the life that was
 	err = e.call("look", life, func() {
--- a/wire/queue.go
+++ b/wire/queue.go
@@ -112,8 +112,8 @@
 	Epoch *uint64 `cbor:"10,keyasint,omitempty"`
 }
 
-// VMGrant answers a VMBeat: the VM may run what it is ordered to for so long
-// from when the beat was sent.
+// VMGrant answers a VMHeartbeat: the VM may run what it is ordered to for so long
+// from when the heartbeat was sent.
 type VMGrant struct {
 	Sent        int64  `cbor:"1,keyasint"`
 	LeaseMS     int64  `cbor:"2,keyasint"`
@@ -125,7 +125,7 @@
 	// Last is all the VM's runs that the other tasks of their steps wait for.
 	Last []rudderfork.RunRef `cbor:"7,keyasint,omitempty"`
 
-	// StartMS is for how long from when the beat was sent starts may be made: less than
+	// StartMS is for how long from when the heartbeat was sent starts may be made: less than
 	// the lease, so that an order to start nothing more holds soon also for a VM that
 	// it does not reach; nil, by leaders of earlier releases, means as long as the lease.
 	// Closed is such an order.
