--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -206,7 +206,7 @@
 
 // usable reports whether the VM's agent can be told what to start, and can start it.
 func (v *vmInfo) usable(now time.Time) bool {
-	return v.session != nil && v.session.epoch != 0 && !v.heartbeat.Mute && now.Sub(v.heartbeatAt) < heartbeatLimit && v.lease.Leased(now)
+	return v.session != nil && v.session.epoch != 0 && !v.heartbeat.Unresponsive && now.Sub(v.heartbeatAt) < heartbeatLimit && v.lease.Leased(now)
 }
 
 // renew lets leases be granted again to a VM that is back: in a later epoch than the one
--- a/scheduler/session.go
+++ b/scheduler/session.go
@@ -204,8 +204,8 @@
 		return errNotLeading // the node finds the one that does
 	}
 	switch {
-	case m.Ask != nil:
-		go ses.ask(ctx, *m.Ask)
+	case m.Request != nil:
+		go ses.ask(ctx, *m.Request)
 	case m.Heartbeat != nil:
 		return ses.heartbeat(ctx, *m.Heartbeat)
 	case m.Ends != nil:
