--- a/scheduler/life_again_test.go
+++ b/scheduler/life_again_test.go
@@ -18,7 +18,7 @@
 	e, mislead := s.addMisledVM()
 	s.putDocument(nil)
 	s.submit("feed", "", queue.Step{Count: 1, Size: smallStep.Size, Lasting: true})
-	s.waitUntil("the feed is at work", func() bool { return len(e.Running()) == 1 })
+	s.waitUntil("the lasting task runs", func() bool { return len(e.Running()) == 1 })
 	mislead()
 	s.submit("roster", "work=20ms", smallStep)
 	overdue := func() bool {
@@ -28,5 +28,5 @@
 		return overdue() || s.ask(wire.QueueRequest{Status: &wire.Place{Host: testHost, Path: "/q/roster"}}).Status == queue.Completed
 	})
 	assert.Assert(t, !overdue(), "its VM is usable, and does not begin it")
-	s.waitUntil("the feed is at work", func() bool { return len(e.Running()) == 1 })
+	s.waitUntil("the lasting task runs", func() bool { return len(e.Running()) == 1 })
 }
--- a/scheduler/liveness_test.go
+++ b/scheduler/liveness_test.go
@@ -15,17 +15,18 @@
 )
 
 const (
-	// mostPending is how long a lasting task may lack a start that the state accepts: the
-	// users' 3 s.
+	// maxPendingTime is the users' limit of 3 s for how long a lasting task may lack a start that
+	// the state accepts.
 	maxPendingTime = 3 * time.Second
-	// longRun shows by far that a task does not crash what starts it.
+	// longRunTime is far more than a task needs to show that it doesn't crash its executor.
 	longRunTime = time.Minute
-	// watched is for how long a fleet in which nothing happens any more is looked at.
+	// settledTime is how long a fleet is observed after its last event.
 	settledTime = 10 * time.Second
 )
 
-// assertStarted lets time pass in which nothing happens, and holds that no lasting task
-// for which there is room on two VMs lacks an accepted start for too long.
+// assertLastingTasksStart advances the time by settledTime without events, and checks that no
+// lasting task lacks an accepted start for longer than maxPendingTime while two VMs have free
+// capacity for it.
 func (s *simFleet) assertLastingTasksStart() {
 	s.t.Helper()
 	clear(s.pendingSince)
@@ -40,12 +41,13 @@
 	}
 }
 
-// TestTaskOfPermanentlyLostVMsIsNotStarted has VMs lost under a task that never come back.
+// TestTaskOfPermanentlyLostVMsIsNotStarted guards against a lasting task that is not started again
+// after as many of its VMs as MostCrashes were lost and never returned.
 func TestTaskOfPermanentlyLostVMsIsNotStarted(t *testing.T) {
 	k := queue.TaskKey{Job: "feed"}
 	for _, c := range []struct {
 		name string
-		span time.Duration // that the task runs on each
+		span time.Duration // how long the task runs on each VM
 	}{{"after long runs", longRunTime}, {"after short runs", 2 * time.Second}} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newSimFleet(t, 2+queue.MostCrashes)
@@ -59,7 +61,7 @@
 			assert.Assert(t, s.isRunning(k))
 		})
 	}
-	t.Run("though it has run for long since", func(t *testing.T) {
+	t.Run("after a long run that followed the losses", func(t *testing.T) {
 		s := newSimFleet(t, 2+queue.MostCrashes)
 		s.submit("feed", lastingStep(1))
 		for range queue.MostCrashes - 1 {
@@ -77,8 +79,8 @@
 	})
 }
 
-// suspectFleet returns a fleet in which a task has crashed an executor, which has
-// nothing to run any more, and all others have.
+// newSuspectFleet returns a fleet in which task k is suspect after a crash of the executor of VM
+// on. That VM runs nothing else; each other VM runs one task.
 func newSuspectFleet(t *testing.T, vms int) (s *simFleet, k queue.TaskKey, on *simVM) {
 	s, k = newSimFleet(t, vms), queue.TaskKey{Job: "suspect"}
 	on = s.vms[0]
@@ -96,25 +98,25 @@
 	return s, k, on
 }
 
-// TestSuspectStaysOnVMThatDoesNotRunIt has the VM with least to run refuse a suspect, or
-// keep it from its work.
+// TestSuspectStaysOnVMThatDoesNotRunIt guards against a suspect that is started again and again
+// on the least loaded VM, which refuses it or makes no progress with it.
 func TestSuspectStaysOnVMThatDoesNotRunIt(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		health executorHealth
-		span   time.Duration // for two starts in vain, and one elsewhere
-	}{{"it refuses all", refusing, maxPendingTime}, {"tasks stand still there", stuck, settledTime}} {
+		span   time.Duration // enough for two unsuccessful starts and one elsewhere
+	}{{"the VM refuses all starts", refusing, maxPendingTime}, {"tasks make no progress on the VM", stuck, settledTime}} {
 		t.Run(c.name, func(t *testing.T) {
 			s, k, bad := newSuspectFleet(t, 6)
 			bad.health = c.health
 			s.advance(c.span)
-			assert.Assert(t, s.isRunning(k) && s.vmOf(k) != bad, "%d starts", s.task(k).LastRun)
+			assert.Assert(t, s.isRunning(k) && s.vmOf(k) != bad, "not running elsewhere after %d starts", s.task(k).LastRun)
 		})
 	}
 }
 
-// TestClockSkewOfLeaderDelaysSuspects has a leader whose clock is ahead be followed
-// by one whose clock is right, while suspects wait for quarantine.
+// TestClockSkewOfLeaderDelaysSuspects guards against suspects that wait for quarantine longer than
+// allowed because a leader whose clock was ahead stamped them before one with the right time.
 func TestClockSkewOfLeaderDelaysSuspects(t *testing.T) {
 	const ahead = 5 * time.Second
 	s := newSimFleet(t, 4)
@@ -128,18 +130,18 @@
 	s.crash(s.vms[0], true)
 	s.changeLeader(0)
 	for _, v := range s.vms {
-		v.omitsRuns = true // no run is seen to begin, and quarantine stays full
+		v.omitsRuns = true // no run is seen to start, so quarantine stays full
 	}
 	s.assertLastingTasksStart()
 }
 
-// TestRepeatedCrashesOfOneVMFailLastingJobs has the executor of one VM crash, of many,
-// whatever runs there.
+// TestRepeatedCrashesOfOneVMFailLastingJobs guards against jobs that fail because their tasks were
+// placed on the one VM of the fleet whose executor crashes whatever it runs.
 func TestRepeatedCrashesOfOneVMFailLastingJobs(t *testing.T) {
 	const crashes = 20
 	for _, seen := range []bool{true, false} {
 		for _, every := range []time.Duration{time.Second, 3 * time.Second, 8 * time.Second} {
-			t.Run(fmt.Sprintf("every %v, seen by its agent: %t", every, seen), func(t *testing.T) {
+			t.Run(fmt.Sprintf("every %v, reported by its agent: %t", every, seen), func(t *testing.T) {
 				s := newSimFleet(t, 8)
 				for i := range s.vms {
 					s.submit(fmt.Sprintf("feed%d", i), lastingStep(1))
@@ -156,14 +158,14 @@
 						failed++
 					}
 				}
-				assert.Equal(t, failed, 0, "of %d jobs, by one VM of %d", len(s.vms), len(s.vms))
+				assert.Equal(t, failed, 0, "jobs of %d failed by one VM of %d", len(s.vms), len(s.vms))
 			})
 		}
 	}
 }
 
-// TestTaskNeverReachesHealthyVM has a task tried by VMs that fail all they start, and are
-// the emptiest therefore, with some sound ones beside them.
+// TestTaskNeverReachesHealthyVM guards against a task that is tried only on unhealthy VMs: they
+// fail or refuse all runs and so are always the least loaded ones.
 func TestTaskNeverReachesHealthyVM(t *testing.T) {
 	const bad, good = 20, 4
 	for _, c := range []struct {
@@ -185,30 +187,30 @@
 			st.TailMS = 0
 			s.submit("feed", st)
 			s.advance(30 * time.Second)
-			assert.Assert(t, s.isRunning(k) && s.vmOf(k).health == healthy, "%d starts", s.task(k).LastRun)
+			assert.Assert(t, s.isRunning(k) && s.vmOf(k).health == healthy, "not running on a healthy VM after %d starts", s.task(k).LastRun)
 		})
 	}
 }
 
-// event is what may happen to a fleet.
+// fleetEvent is an event of a random history.
 type fleetEvent string
 
 const (
 	executorCrash      fleetEvent = "crash"
-	observedCrash      fleetEvent = "crash seen"
-	leaseLoss          fleetEvent = "lost"
-	vmReturn           fleetEvent = "back"
-	vmReturnRestarted  fleetEvent = "back under another life"
-	leaderChange       fleetEvent = "elected"
-	leaderChangeSkewed fleetEvent = "elected, with another clock"
-	healthChange       fleetEvent = "ailing"
-	runFailure         fleetEvent = "failed"
-	jobSubmission      fleetEvent = "handed in"
+	observedCrash      fleetEvent = "crash reported by the agent"
+	leaseLoss          fleetEvent = "lease expired"
+	vmReturn           fleetEvent = "VM returned"
+	vmReturnRestarted  fleetEvent = "VM returned in a new incarnation"
+	leaderChange       fleetEvent = "new leader"
+	leaderChangeSkewed fleetEvent = "new leader with another clock"
+	healthChange       fleetEvent = "executor health changed"
+	runFailure         fleetEvent = "run failed"
+	jobSubmission      fleetEvent = "job submitted"
 )
 
 var fleetEvents = []fleetEvent{executorCrash, observedCrash, leaseLoss, vmReturn, vmReturnRestarted, leaderChange, leaderChangeSkewed, healthChange, runFailure, jobSubmission}
 
-// drawnFleet is a fleet to which events happen at random.
+// randomFleet is a simulated fleet with random events.
 type randomFleet struct {
 	*simFleet
 	rnd  *rand.Rand
@@ -229,7 +231,8 @@
 	s.submit(fmt.Sprintf("j%03d", s.jobs), lastingStep(1+s.rnd.IntN(4)))
 }
 
-// draw returns a VM that is up, or down; nil if there is none.
+// pickVM returns a random VM that is up, or down. It returns nil if there is none, or if fewer
+// than three are up.
 func (s *randomFleet) pickVM(down bool) *simVM {
 	var list []*simVM
 	for _, v := range s.vms {
@@ -271,7 +274,7 @@
 	}
 }
 
-// failOne has one of a VM's runs end as failed.
+// failOne reports the first of a VM's runs as failed.
 func (s *randomFleet) failOne(v *simVM) {
 	var ends []queue.End
 	for k, number := range s.qs.VM(v.id).Runs() {
@@ -281,11 +284,11 @@
 	s.reportEnds(v, ends[:min(1, len(ends))]...)
 }
 
-// drawnEvents is how many events a drawn history has.
+// eventsPerHistory is the number of events in a random history.
 const eventsPerHistory = 60
 
-// TestLastingTaskNotRestartedAfterFaults draws what happens to a fleet in which every VM that was
-// lost comes back in the end.
+// TestLastingTaskNotRestartedAfterFaults guards against lasting tasks that stay without a run after
+// a random history of faults, at whose end all VMs are healthy and have returned.
 func TestLastingTaskNotRestartedAfterFaults(t *testing.T) {
 	for seed := range uint64(100) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -306,8 +309,8 @@
 	}
 }
 
-// TestPlannerStateChangesPlans holds the plans of a leader's planner, over a drawn
-// history, against those of one that has read nothing before.
+// TestPlannerStateChangesPlans checks, over a random history, that what the leader's planner keeps
+// between plans changes none of them: a fresh planner returns the same plan.
 func TestPlannerStateChangesPlans(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -324,8 +327,8 @@
 	}
 }
 
-// TestServingTaskNotStartedAfterIdleQueue has a queue of fillers rest for a day, and a
-// serving task be handed in.
+// TestServingTaskNotStartedAfterIdleQueue submits a serving task to a queue of fillers that was
+// idle for a day.
 func TestServingTaskNotStartedAfterIdleQueue(t *testing.T) {
 	s := newSimFleet(t, 2)
 	filler := queue.Step{Count: 1, Size: rudderfork.Resources{CPUMilli: 500, MemoryMB: 100}, Filler: true, Image: "f", ExpectedMS: 500}
@@ -337,8 +340,8 @@
 	s.assertLastingTasksStart()
 }
 
-// TestNewTaskPlacedOnCrashingVM has all VMs hold work but the one whose
-// executor crashes.
+// TestNewTaskPlacedOnCrashingVM guards against a new task that is placed on a VM because it is the
+// only idle one, though its executor has crashed repeatedly.
 func TestNewTaskPlacedOnCrashingVM(t *testing.T) {
 	for _, c := range []struct {
 		crashes int
@@ -365,21 +368,22 @@
 	}
 }
 
-// TestOutageCountedTwice guards against a VM that is in doubt for one crash, found as a loss first.
+// TestOutageCountedTwice guards against a VM that gets a failure score after a single outage, which
+// is counted as a loss of its lease and again as a crash of its executor.
 func TestOutageCountedTwice(t *testing.T) {
 	lose := func(s *simFleet, v *simVM) { s.expireLease(v) }
-	again := func(s *simFleet, v *simVM) { s.register(v, nil) }
-	anew := func(s *simFleet, v *simVM) { s.crash(v, true) }
+	back := func(s *simFleet, v *simVM) { s.register(v, nil) }
+	restart := func(s *simFleet, v *simVM) { s.crash(v, true) }
 	for name, c := range map[string]struct {
 		outages []func(*simFleet, *simVM)
-		doubted bool
+		scored  bool // whether the VM has a failure score afterwards
 	}{
-		"silent, and back in its life":                         {[]func(*simFleet, *simVM){lose, again}, false},
-		"silent, and back in another one":                      {[]func(*simFleet, *simVM){lose, anew}, false},
-		"silent and back in its life, and crashed":             {[]func(*simFleet, *simVM){lose, again, anew}, true},
-		"silent and back in another one, twice":                {[]func(*simFleet, *simVM){lose, anew, lose, anew}, true},
-		"silent and back in another one, and silent once more": {[]func(*simFleet, *simVM){lose, anew, lose, again}, true},
-		"crashed twice": {[]func(*simFleet, *simVM){anew, anew}, true},
+		"lost, then returned":                                {[]func(*simFleet, *simVM){lose, back}, false},
+		"lost, then restarted":                               {[]func(*simFleet, *simVM){lose, restart}, false},
+		"lost, then returned, then restarted":                {[]func(*simFleet, *simVM){lose, back, restart}, true},
+		"lost, then restarted, twice":                        {[]func(*simFleet, *simVM){lose, restart, lose, restart}, true},
+		"lost, then restarted, then lost again and returned": {[]func(*simFleet, *simVM){lose, restart, lose, back}, true},
+		"restarted twice":                                    {[]func(*simFleet, *simVM){restart, restart}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSimFleet(t, 1)
@@ -388,12 +392,13 @@
 				outage(s, v)
 				s.tick()
 			}
-			assert.Equal(t, s.fleet.vm(v.id).failureScore(s.now) > 0, c.doubted)
+			assert.Equal(t, s.fleet.vm(v.id).failureScore(s.now) > 0, c.scored)
 		})
 	}
 }
 
-// TestTaskReturnsToSilentVM has the only idle VM fall silent under a task, and come back.
+// TestTaskReturnsToSilentVM guards against a task that is placed again on the VM that was just lost
+// under it, because that VM returns as the only idle one.
 func TestTaskReturnsToSilentVM(t *testing.T) {
 	s, k := newSimFleet(t, 4), queue.TaskKey{Job: "feed"}
 	plain := lastingStep(1)
@@ -410,17 +415,17 @@
 	s.expireLease(silent)
 	s.register(silent, nil)
 	s.tick()
-	assert.Assert(t, s.vmOf(k) != silent, "it is placed there again")
+	assert.Assert(t, s.vmOf(k) != silent, "the task was placed on the same VM again")
 }
 
-// TestLateTaskFailureBlamedOnVM tells tasks that fail by themselves from VMs that
-// fail what they start.
+// TestLateTaskFailureBlamedOnVM checks that only a failure right after the start counts against the
+// VM: a task that fails after a long run fails for its own reasons.
 func TestLateTaskFailureBlamedOnVM(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		span  time.Duration
-		there bool // it is started there again
-	}{{"long at work", longRunTime, true}, {"just begun", simStartupTime / 2, false}} {
+		name string
+		span time.Duration
+		same bool // whether the task is started on the same VM again
+	}{{"after a long run", longRunTime, true}, {"during startup", simStartupTime / 2, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			s, k := newSimFleet(t, 4), queue.TaskKey{Job: "feed"}
 			s.submit("feed", lastingStep(1))
@@ -429,7 +434,7 @@
 			s.fleet.recordEnd(on.id, queue.End{Task: k, Run: run, How: queue.EndFailed}, s.leaderTime())
 			s.apply(queue.Command{Ends: &queue.Ends{VM: on.id, Incarnation: on.incarnationName(), List: []queue.End{{Task: k, Run: run, How: queue.EndFailed}}}})
 			s.plan()
-			assert.Equal(t, s.vmOf(k) == on, c.there)
+			assert.Equal(t, s.vmOf(k) == on, c.same)
 		})
 	}
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -31,16 +31,16 @@
 )
 
 const (
-	// waitLimit ends a wait for a condition that does not come true. The longest one, of
-	// TestUpkeepWaveKeepsBounds, takes 18.5 s on a calm machine.
+	// waitTimeout fails a test whose condition does not come true. The longest wait, of
+	// TestUpkeepWaveKeepsBounds, takes 18.5 s on an idle machine.
 	waitTimeout = 60 * time.Second
-	// waveSpan is until when the wave of TestUpkeepWaveKeepsBounds is to be done.
+	// waveDueIn is how long after its submission the wave of TestUpkeepWaveKeepsBounds is due.
 	waveDueIn = 20 * time.Second
 	testHost  = "desk.example"
 	testLease = 2 * time.Second
 )
 
-// alone is the sender and the recorder of a replica that has no peers.
+// noPeers is the sender and the event recorder of a replica without peers.
 type noPeers struct{}
 
 func (noPeers) Send(quorum.Message)            {}
@@ -48,7 +48,7 @@
 func (noPeers) Addrs() []string                { return nil }
 func (noPeers) Record(rudderfork.Event)        {}
 
-// site is a scheduler on a group of one, with agents and a front.
+// testCluster is a scheduler on a replica group of one, with agents and a front.
 type testCluster struct {
 	t         *testing.T
 	ctx       context.Context //nolint:containedctx // that of the test
@@ -56,7 +56,7 @@
 	sched     *Scheduler
 	front     *front.Client
 	vmsAdded  int
-	executors []*executor.Executor // of addVM
+	executors []*executor.Executor // those that addVM added
 }
 
 func newTestCluster(t *testing.T, adviser rudderfork.Adviser) *testCluster {
@@ -73,16 +73,16 @@
 	return s
 }
 
-// self is the replica under test.
+// selfMember is the replica under test.
 var selfMember = quorum.Member{ID: "c#1", Name: "c", Voter: true}
 
-// newReplica returns a replica of a group; no message of it arrives anywhere.
+// newReplica returns a replica of a group; all messages it sends are dropped.
 func newReplica(t *testing.T, group ...quorum.Member) *replica.Replica {
 	t.Helper()
 	return newReplicaWithStore(t, func(s replica.Store) replica.Store { return s }, group...)
 }
 
-// newReplicaOn is newReplica with another store around its own.
+// newReplicaWithStore is newReplica with its store wrapped by wrap.
 func newReplicaWithStore(t *testing.T, wrap func(replica.Store) replica.Store, group ...quorum.Member) *replica.Replica {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "data")
@@ -95,7 +95,7 @@
 	return rep
 }
 
-// listen serves a scheduler's sessions, and returns where.
+// serveSessions serves a scheduler's sessions on a loopback port and returns its address.
 func serveSessions(t *testing.T, sched *Scheduler) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -110,7 +110,7 @@
 
 func (s *testCluster) seeds() []string { return []string{s.addr} }
 
-// service is what a supervisor runs.
+// service is a long-running service, as a supervisor runs them.
 type service interface {
 	Serve(ctx context.Context) error
 }
@@ -124,7 +124,7 @@
 	s.t.Cleanup(func() { cancel(); wg.Wait() })
 }
 
-// addVM adds a VM whose executor is the stand-in.
+// addVM adds a VM with a stand-in executor and an agent.
 func (s *testCluster) addVM(cfg executor.Config) *executor.Executor {
 	name := fmt.Sprintf("vm%d", s.vmsAdded+1)
 	cfg.Now, cfg.Room = steady.Now, rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
@@ -134,8 +134,8 @@
 	return e
 }
 
-// addAgent adds a VM's agent, and describes the executor to it while that has a
-// life.
+// addAgent adds a VM's agent. It describes the executor to the agent every 50 ms while the
+// executor has an incarnation.
 func (s *testCluster) addAgent(name string, exec rudderfork.Executor, life func() string, room rudderfork.Resources) *runner.Agent {
 	s.vmsAdded++
 	a := runner.New(name, s.seeds, exec, zerolog.Nop())
@@ -155,7 +155,7 @@
 	return a
 }
 
-// domainOf is the failure domain of a VM of addAgent: one each.
+// domainOf returns the failure domain of a VM that addAgent added; each VM has its own.
 func domainOf(name string) rudderfork.Domain { return rudderfork.Domain("hall-" + name) }
 
 func (s *testCluster) ask(a wire.QueueRequest) wire.QueueResponse {
@@ -198,11 +198,11 @@
 
 var smallStep = queue.Step{Count: 1, Size: rudderfork.Resources{CPUMilli: 500}}
 
-// adviser allows some lives.
+// fakeAdviser issues tickets for some incarnations. Its first call fails.
 type fakeAdviser struct {
 	mu    sync.Mutex
 	allow func(life string) bool
-	// allowStep says which steps any life may run; nil for all.
+	// allowStep reports whether a step gets any tickets; nil allows all steps.
 	allowStep func(step string) bool
 
 	calls    int
@@ -226,7 +226,8 @@
 	return tickets, nil
 }
 
-// TestStepRunsOnlyWhereAdviserAllows runs steps only where the adviser allows it, with its ticket.
+// TestStepRunsOnlyWhereAdviserAllows checks that tasks start only on the VM for which the adviser
+// issued tickets.
 func TestStepRunsOnlyWhereAdviserAllows(t *testing.T) {
 	adv := &fakeAdviser{allow: func(life string) bool { return life == "vm2-life-1" }}
 	s := newTestCluster(t, adv)
@@ -249,7 +250,8 @@
 	assert.Assert(t, adv.maxAsked <= 3)
 }
 
-// provider is a cloud whose upkeep restarts executors.
+// fakeProvider is a cloud provider whose upkeep restarts the executor of a machine. The first
+// upkeep is carried out but returns an error.
 type fakeProvider struct {
 	cluster      *testCluster
 	mu           sync.Mutex
@@ -258,7 +260,7 @@
 	maxDown      int
 	duties       []rudderfork.Duty
 	refusals     int
-	outranked    bool // another holder has given orders with a higher token
+	outranked    bool // another holder has used a higher fencing token
 	beforeUpkeep func(machine string)
 }
 
@@ -306,14 +308,13 @@
 	i := int(machine[1] - '1')
 	p.cluster.executors[i].Restart(fmt.Sprintf("vm%d-life-2", i+1))
 	if len(p.done) == 1 {
-		return errors.New("no answer") // it was carried out all the same
+		return errors.New("no answer") // the upkeep was carried out nevertheless
 	}
 	return nil
 }
 
-// TestUpkeepWaveKeepsBounds carries out a wave within its bounds: one machine at a time, none
-// whose upkeep would take more of a lasting step away than it allows, and it is
-// completed only once each has begun.
+// TestUpkeepWaveKeepsBounds checks that a wave takes one machine down at a time, never exceeds the
+// MaxAway of a lasting step, and completes only after the upkeep of each machine has begun.
 func TestUpkeepWaveKeepsBounds(t *testing.T) {
 	s := newTestCluster(t, nil)
 	for range 3 {
@@ -327,23 +328,23 @@
 		}
 		return n
 	}
-	s.waitUntil("the feed is at work", func() bool { return atWork() == 3 })
+	s.waitUntil("the lasting task runs", func() bool { return atWork() == 3 })
 	p := &fakeProvider{cluster: s, done: map[string]bool{}, downAt: map[string]time.Time{}, refusals: 1}
 	p.beforeUpkeep = func(machine string) {
 		if n := atWork(); n < 3 {
-			t.Errorf("the upkeep of %s begins with %d of 3 tasks at work", machine, n)
+			t.Errorf("upkeep of %s begins with %d of 3 tasks running", machine, n)
 		}
 	}
 	s.serve(s.sched.Upkeep(p, "c", 0))
 	wave := queue.Wave{ID: 7, Machines: []string{"m1", "m2", "m3", "m9"}, DueMS: rudderfork.Millis(steady.Now().Add(waveDueIn)), MaxDown: 1}
-	for range 2 { // the operator sends it again
+	for range 2 { // the operator repeats the request
 		assert.Equal(t, s.ask(wire.QueueRequest{Wave: &wave}).Code, queue.OK)
 	}
 	s.waitUntil("the wave is completed", func() bool {
 		ans := s.ask(wire.QueueRequest{Upkeep: 7})
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		assert.Assert(t, ans.Left > 0 || len(p.done) == 3, "completed with %v done", p.done)
+		assert.Assert(t, ans.Left > 0 || len(p.done) == 3, "wave completed after the upkeep of only %v", p.done)
 		return ans.Code == queue.OK && ans.Left == 0
 	})
 	assert.Equal(t, p.maxDown, 1)
@@ -354,8 +355,8 @@
 	assert.Equal(t, s.ask(wire.QueueRequest{Upkeep: 8}).Code, queue.NoJob)
 }
 
-// TestOutrankedLeaderStopsOrders refuses a leader's order because another holder's is newer: it gives
-// no more, on any machine of any wave, until it leads in another term.
+// TestOutrankedLeaderStopsOrders rejects a leader's upkeep order because another holder has a newer
+// fencing token: the leader gives no more orders, for any machine of any wave, until its next term.
 func TestOutrankedLeaderStopsOrders(t *testing.T) {
 	s := newTestCluster(t, nil)
 	s.addVM(executor.Config{})
@@ -369,18 +370,18 @@
 		assert.Equal(t, s.ask(wire.QueueRequest{Wave: &wave}).Code, queue.OK)
 	}
 	for range 10 {
-		assert.Assert(t, u.round(t.Context()), "there are waves")
+		assert.Assert(t, u.round(t.Context()), "no open waves found")
 	}
 	assert.Equal(t, len(p.duties), 1)
-	t.Run("a later term begins anew", func(t *testing.T) {
+	t.Run("a later term gives orders again", func(t *testing.T) {
 		u.term--
 		u.round(t.Context())
 		assert.Equal(t, len(p.duties), 2)
 	})
 }
 
-// TestTaskOfLostVMRunsOnce takes a VM's agent away: its work begins elsewhere only once its
-// lease has run out, and none of it runs twice at once.
+// TestTaskOfLostVMRunsOnce cuts a VM's executor off from its agent: the task starts elsewhere only
+// after the lease has run out, and never has two concurrent runs.
 func TestTaskOfLostVMRunsOnce(t *testing.T) {
 	s := newTestCluster(t, nil)
 	var mu sync.Mutex
@@ -392,7 +393,7 @@
 				defer mu.Unlock()
 				active[r.Task]++
 				if active[r.Task] > 1 {
-					t.Errorf("%s runs twice at once", r.Task)
+					t.Errorf("%s has two concurrent runs", r.Task)
 				}
 			},
 			OnFinish: func(r rudderfork.RunRef, _ string) {
@@ -405,20 +406,20 @@
 	first := s.addVM(cfg())
 	s.putDocument(nil)
 	s.submit("feed", "", queue.Step{Count: 1, Size: smallStep.Size, Lasting: true})
-	s.waitUntil("the feed is at work", func() bool { return len(first.Running()) == 1 })
+	s.waitUntil("the lasting task runs", func() bool { return len(first.Running()) == 1 })
 	first.SetFate(func(string) executor.Fate { return executor.Unheard })
 	second := s.addVM(cfg())
-	s.waitUntil("it is at work elsewhere", func() bool {
+	s.waitUntil("the task runs elsewhere", func() bool {
 		first.Running()
 		return len(second.Running()) == 1
 	})
 	assert.Equal(t, len(first.Running()), 0)
 }
 
-// heldExecutor holds the answer back that lists an end.
+// heldPollExecutor holds back poll answers that list ended runs until released.
 type heldPollExecutor struct {
 	*executor.Executor
-	listed  chan struct{} // closed once an end was listed
+	listed  chan struct{} // closed once an ended run was listed
 	release chan struct{}
 	once    sync.Once
 }
@@ -433,15 +434,15 @@
 	return look, err
 }
 
-// TestExecutorLeaves lets executors say farewell. No lease runs out meanwhile.
+// TestExecutorLeaves has executors announce that they leave, while no lease runs out.
 func TestExecutorLeaves(t *testing.T) {
 	room := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
 	begun := func(n *atomic.Int32) executor.Config {
 		return executor.Config{Now: steady.Now, Room: room, OnStart: func(rudderfork.RunRef) { n.Add(1) }}
 	}
-	// On a hunted day of prhta-rudder (hunt-f868-3) a task that was done began
-	// again: its end was listed 3 ms before the farewell, and read after it.
-	t.Run("an end that is read after the farewell stands", func(t *testing.T) {
+	// A completed task ran again when its end was listed before the executor announced that it
+	// leaves, and read after that.
+	t.Run("an end that is read after the announcement counts", func(t *testing.T) {
 		s := newTestCluster(t, nil)
 		var starts atomic.Int32
 		cfg := begun(&starts)
@@ -457,22 +458,22 @@
 		s.waitForStatus("roster", queue.Completed)
 		assert.Equal(t, starts.Load(), int32(1))
 	})
-	t.Run("its work begins elsewhere without waiting for the lease", func(t *testing.T) {
+	t.Run("its task starts elsewhere without waiting for the lease", func(t *testing.T) {
 		s := newTestClusterWithLease(t, nil, time.Hour)
 		var starts atomic.Int32
 		e := executor.New("vm1-life-1", begun(&starts))
 		a := s.addAgent("vm1", e, e.Life, room)
 		s.putDocument(nil)
 		s.submit("feed", "", queue.Step{Count: 1, Size: smallStep.Size, Lasting: true})
-		s.waitUntil("the feed is at work", func() bool { return len(e.Running()) == 1 })
+		s.waitUntil("the lasting task runs", func() bool { return len(e.Running()) == 1 })
 		second := s.addVM(begun(&starts))
 		e.Restart("")
 		a.Gone("vm1-life-1")
-		s.waitUntil("it is at work elsewhere", func() bool { return len(second.Running()) == 1 })
+		s.waitUntil("the task runs elsewhere", func() bool { return len(second.Running()) == 1 })
 	})
 }
 
-// TestReadsSeeEarlierCommits asks for what was just changed.
+// TestReadsSeeEarlierCommits reads jobs right after their submission.
 func TestReadsSeeEarlierCommits(t *testing.T) {
 	s := newTestCluster(t, nil)
 	s.putDocument(nil)
@@ -491,9 +492,9 @@
 	assert.Equal(t, views[0].Live, 20)
 }
 
-// TestLeadsOnlyInCurrentTerm holds what ends a session: the process leads no more in its term. (It
-// was asked only with a VM's heartbeat; fronts stayed with a leader that had lost
-// its quorum for 3 s, while its duties waited for a commit.)
+// TestLeadsOnlyInCurrentTerm checks the condition that ends sessions: the process no longer leads in
+// their term. When only heartbeats of VMs checked it, fronts stayed for 3 s with a leader that
+// had lost its quorum, while its round waited for a commit.
 func TestLeadsOnlyInCurrentTerm(t *testing.T) {
 	s := newTestCluster(t, nil)
 	s.putDocument(nil)
@@ -503,9 +504,8 @@
 	assert.Assert(t, !s.sched.leads(term+1))
 }
 
-// TestSessionOpenedAfterStepDown says hello to a process that has stepped down, without a
-// new term, while its duties have not ended. It takes no session that it would
-// drop with the first message.
+// TestSessionOpenedAfterStepDown guards against a process that has stepped down, with its round
+// not yet ended and no new term, and opens a session that it would drop at the first message.
 func TestSessionOpenedAfterStepDown(t *testing.T) {
 	peer := quorum.Member{ID: "d#1", Name: "d", Addr: "d.example:1", Voter: true}
 	s := &testCluster{t: t, ctx: t.Context()}
@@ -524,13 +524,12 @@
 	assert.NilError(t, c.Send(s.ctx, wire.FromNode{Hello: &wire.QueueHello{Version: wire.Version, Process: "front"}}))
 	m, err := c.ReceiveWithin(s.ctx, waitTimeout)
 	assert.NilError(t, err)
-	assert.Assert(t, m.Welcome == nil, "welcomed in term %d", term)
+	assert.Assert(t, m.Welcome == nil, "session was opened in term %d", term)
 	assert.DeepEqual(t, m.Redirect.Members, []string{selfMember.Addr, peer.Addr})
 }
 
-// TestRedirectWithoutLeaderDuringElection says hello to a process while a leader is elected: its first
-// answer names the leader, once there is one. (It answered that it knew none, and was asked
-// again 20 times a second by every node.)
+// TestRedirectWithoutLeaderDuringElection guards against a process that answers hellos during an
+// election with a redirect that names no leader: every node then retries 20 times a second.
 func TestRedirectWithoutLeaderDuringElection(t *testing.T) {
 	peer := quorum.Member{ID: "d#1", Name: "d", Addr: "d.example:1", Voter: true}
 	hello := func(t *testing.T, elect bool) *wire.QueueRedirect {
@@ -552,6 +551,6 @@
 		assert.DeepEqual(t, m.Redirect.Members, []string{selfMember.Addr, peer.Addr})
 		return m.Redirect
 	}
-	t.Run("one is elected", func(t *testing.T) { assert.Equal(t, hello(t, true).Leader, peer.Addr) })
-	t.Run("none is", func(t *testing.T) { assert.Equal(t, hello(t, false).Leader, "") })
+	t.Run("a leader is elected", func(t *testing.T) { assert.Equal(t, hello(t, true).Leader, peer.Addr) })
+	t.Run("no leader is elected", func(t *testing.T) { assert.Equal(t, hello(t, false).Leader, "") })
 }
--- a/scheduler/second_start_test.go
+++ b/scheduler/second_start_test.go
@@ -91,7 +91,7 @@
 			return len(refs) == 1 && refs[0].Run == run
 		}
 	}
-	s.waitUntil("the feed is at work", atWork(1))
+	s.waitUntil("the lasting task runs", atWork(1))
 	s.submit("before", "work=1ms", queue.Step{Count: 3})
 	s.waitForStatus("before", queue.Completed)
 	e.StartAgain()
--- a/scheduler/simfleet_test.go
+++ b/scheduler/simfleet_test.go
@@ -28,9 +28,9 @@
 
 const (
 	healthy  executorHealth = iota
-	failing  // each run fails halfway through its startup
-	refusing // each start is refused
-	stuck    // runs start and stay at 0 percent
+	failing                 // each run fails halfway through its startup
+	refusing                // each start is refused
+	stuck                   // runs start and stay at 0 percent
 )
 
 // simVM is a VM of a simFleet.
--- a/scheduler/unbegun_test.go
+++ b/scheduler/unbegun_test.go
@@ -21,7 +21,7 @@
 	s.submit("feed", "", queue.Step{Count: 1, Size: smallStep.Size, Lasting: true})
 	s.waitUntil("the feed is placed", func() bool { return s.activeRuns() == 1 })
 	second := s.addVM(executor.Config{})
-	s.waitUntil("it is at work elsewhere", func() bool { return len(second.Running()) == 1 })
+	s.waitUntil("the task runs elsewhere", func() bool { return len(second.Running()) == 1 })
 }
 
 func (s *testCluster) activeRuns() (n int) {
