--- a/runner/beat.go
+++ b/runner/beat.go
@@ -60,7 +60,7 @@
 
 // noteOverdue logs the starts that have become overdue. The caller holds mu.
 func (a *Agent) noteOverdue(now time.Time) {
-	for _, o := range a.keeper.Overdue(now) {
+	for _, o := range a.keeper.OverdueStarts(now) {
 		a.met.overdue.WithLabelValues(o.Reason).Inc()
 		a.log.Warn().Str("task", string(o.Task)).Uint32("run", o.Run).Dur("due_for", now.Sub(o.Since)).Str("reason", o.Reason).Msg("start_overdue")
 	}
--- a/runner/calls.go
+++ b/runner/calls.go
@@ -31,14 +31,14 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := steady.Now()
-	calls, ends := a.keeper.Due(now)
+	calls, ends := a.keeper.NextCalls(now)
 	a.report(ends, 0)
-	life, fence := a.keeper.Life(), a.keeper.Fence()
+	life, fence := a.keeper.Incarnation(), a.keeper.FencingToken()
 	for _, c := range calls {
 		go a.call(ctx, life, fence, c)
 	}
 	wait := beatEvery
-	if at, ok := a.keeper.RetryAt(); ok {
+	if at, ok := a.keeper.NextRetry(); ok {
 		wait = min(wait, max(time.Millisecond, at.Sub(now)))
 	}
 	return wait
@@ -60,7 +60,7 @@
 	a.noteCall(c, out, err, now.Sub(began))
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.keeper.Life() != life {
+	if a.keeper.Incarnation() != life {
 		return // it concerned a life that is over
 	}
 	if errors.Is(err, rudderfork.ErrStaleIncarnation) {
@@ -71,8 +71,8 @@
 		if err == nil {
 			delete(a.unsure, c.Ref) // a run that was stopped never starts afterwards
 		}
-		a.keeper.Stopped(c.Ref, err, now)
-	} else if end := a.keeper.Started(c.Ref, out, err, now); end != nil {
+		a.keeper.HandleStopResult(c.Ref, err, now)
+	} else if end := a.keeper.HandleStartResult(c.Ref, out, err, now); end != nil {
 		a.report([]queue.End{*end}, 0)
 	}
 	if c.Start != nil {
--- a/runner/crash.go
+++ b/runner/crash.go
@@ -46,7 +46,7 @@
 	if at.IsZero() {
 		at = steady.Now()
 	}
-	c := &queue.Crash{Incarnation: a.keeper.Life(), Draining: a.draining}
+	c := &queue.Crash{Incarnation: a.keeper.Incarnation(), Draining: a.draining}
 	known := map[rudderfork.RunRef]bool{}
 	add := func(ref rudderfork.RunRef, ageMS int64, seen bool) {
 		if k, err := queue.ParseTaskKey(string(ref.Task)); err == nil && !known[ref] {
@@ -69,7 +69,7 @@
 // takeRegistered forgets the life before: the leader has taken note of its end. The
 // caller holds mu.
 func (a *Agent) takeRegistered(life string) {
-	if life == a.keeper.Life() {
+	if life == a.keeper.Incarnation() {
 		a.crashed = nil
 	}
 }
@@ -77,7 +77,7 @@
 // noteCrash keeps what is known of the present life, which is over, for the
 // heartbeats that register the next one. The caller holds mu.
 func (a *Agent) noteCrash() {
-	if a.keeper.Life() != "" {
+	if a.keeper.Incarnation() != "" {
 		a.crashed = a.crash()
 	}
 }
--- a/runner/exposure.go
+++ b/runner/exposure.go
@@ -64,7 +64,7 @@
 // expose follows the fillers that run. The caller holds mu.
 func (a *Agent) expose(now time.Time) {
 	whole := float64(max(1, a.vm.Capacity.CPUMilli))
-	for id, o := range a.keeper.Wanted() {
+	for id, o := range a.keeper.DesiredRuns() {
 		ref := rudderfork.RunRef{Task: id, Run: o.Run}
 		if _, there := a.rows[ref]; !there || !o.Filler || a.exposures[ref] != nil {
 			continue
--- a/runner/late_model_test.go
+++ b/runner/late_model_test.go
@@ -154,10 +154,10 @@
 	}
 	if c.farewell {
 		id, _ := rudderfork.SplitIncarnation(m.name(c.life))
-		m.a.Gone(id)
+		m.a.HandleShutdownNotice(id)
 		return
 	}
-	m.a.Describe(queue.VM{ID: modelVM, Incarnation: m.name(c.life), Service: "desk"}, c.draining, time.Minute)
+	m.a.HandleDescription(queue.VM{ID: modelVM, Incarnation: m.name(c.life), Service: "desk"}, c.draining, time.Minute)
 }
 
 // confirm has the agent ask about one of the lives that it heard of.
@@ -261,7 +261,7 @@
 // check holds that neither agent nor leader goes back to an earlier life, and that
 // nothing but a later life ends what runs in the present one.
 func (m *lateModel) check(t *rapid.T) {
-	known := m.index(m.a.Life())
+	known := m.index(m.a.Incarnation())
 	if known >= 0 {
 		assert.Assert(t, known >= m.known, "the agent went from life %d back to %d", m.known, known)
 		m.known = known
@@ -282,7 +282,7 @@
 // calm lets what the present life says arrive, and then all that is late.
 func (m *lateModel) calm(t *rapid.T) {
 	m.mute, m.dies = false, false
-	m.a.Describe(queue.VM{ID: modelVM, Incarnation: m.name(m.life), Service: "desk"}, false, 0)
+	m.a.HandleDescription(queue.VM{ID: modelVM, Incarnation: m.name(m.life), Service: "desk"}, false, 0)
 	for _, life := range m.a.unconfirmed() {
 		m.a.confirm(context.Background(), life)
 	}
@@ -296,7 +296,7 @@
 	}
 	m.forget(t)
 	for _, c := range m.air {
-		m.a.Describe(queue.VM{ID: modelVM, Incarnation: m.name(c.life), Service: "desk"}, false, 0)
+		m.a.HandleDescription(queue.VM{ID: modelVM, Incarnation: m.name(c.life), Service: "desk"}, false, 0)
 	}
 	for _, life := range m.a.unconfirmed() {
 		m.a.confirm(context.Background(), life)
--- a/runner/late_test.go
+++ b/runner/late_test.go
@@ -85,7 +85,7 @@
 
 // hear has the life describe itself, and the agent ask about all that have.
 func (a *Agent) hear(ctx context.Context, life string) {
-	a.Describe(queue.VM{ID: "vm1", Incarnation: life, Service: "desk"}, false, 0)
+	a.HandleDescription(queue.VM{ID: "vm1", Incarnation: life, Service: "desk"}, false, 0)
 	for _, l := range a.unconfirmed() {
 		a.confirm(ctx, l)
 	}
@@ -106,13 +106,13 @@
 			a.hear(t.Context(), newLife)
 		}
 		assert.Equal(t, e.looks, 1)
-		assert.Equal(t, a.Life(), "")
+		assert.Equal(t, a.Incarnation(), "")
 	})
 	t.Run("but once it describes itself later", func(t *testing.T) {
 		a, _ := scripted(wrongOnce)
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
 			a.hear(t.Context(), newLife)
-			if a.Life() == newLife {
+			if a.Incarnation() == newLife {
 				return poll.Success()
 			}
 			return poll.Continue("the life is not taken")
@@ -124,7 +124,7 @@
 		a.hear(t.Context(), newLife)
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
 			a.hear(t.Context(), oldLife)
-			assert.Equal(t, a.Life(), newLife)
+			assert.Equal(t, a.Incarnation(), newLife)
 			if e.timesAsked(oldLife) >= 2 {
 				return poll.Success()
 			}
@@ -143,7 +143,7 @@
 		})
 		before := time.Now()
 		a.hear(t.Context(), newLife)
-		assert.Equal(t, a.Life(), newLife)
+		assert.Equal(t, a.Incarnation(), newLife)
 		assert.Assert(t, end.Sub(before) >= lookTimeout, "a look is given up after %v", end.Sub(before))
 	})
 	for name, err := range map[string]error{"an answer without an account": rudderfork.ErrNoStatus, "no answer": executor.ErrNoAnswer} {
@@ -156,10 +156,10 @@
 			})
 			for range 2 {
 				a.hear(t.Context(), newLife)
-				assert.Equal(t, a.Life(), "")
+				assert.Equal(t, a.Incarnation(), "")
 			}
 			a.hear(t.Context(), newLife)
-			assert.Equal(t, a.Life(), newLife)
+			assert.Equal(t, a.Incarnation(), newLife)
 		})
 	}
 }
@@ -185,7 +185,7 @@
 }
 
 func (w *lateWorld) describe(life string, draining bool) {
-	w.a.Describe(queue.VM{ID: "vm1", Incarnation: life, Service: "desk"}, draining, 0)
+	w.a.HandleDescription(queue.VM{ID: "vm1", Incarnation: life, Service: "desk"}, draining, 0)
 }
 
 // late has a heartbeat of the old life arrive, and waits until the agent has
@@ -234,7 +234,7 @@
 		w.describe(oldLife, true)
 		w.describe(oldLife, true)
 		w.checkBeats(3)
-		assert.Equal(t, w.a.Life(), newLife)
+		assert.Equal(t, w.a.Incarnation(), newLife)
 	})
 	t.Run("both while the executor does not answer", func(t *testing.T) {
 		w := newLateWorld(t)
@@ -242,16 +242,16 @@
 		w.describe(newLife, false)
 		w.late()
 		w.exec.setMute(false)
-		w.until("the new life is known", func() bool { return w.a.Life() == newLife })
+		w.until("the new life is known", func() bool { return w.a.Incarnation() == newLife })
 		w.checkBeats(2)
 	})
 	t.Run("a farewell of the old one", func(t *testing.T) {
 		w := newLateWorld(t)
 		w.describe(newLife, false)
 		w.checkBeats(1)
-		w.a.Gone(oldLife)
+		w.a.HandleShutdownNotice(oldLife)
 		w.late()
-		w.a.Gone(oldLife)
+		w.a.HandleShutdownNotice(oldLife)
 		w.checkBeats(2)
 		w.a.mu.Lock()
 		defer w.a.mu.Unlock()
@@ -262,9 +262,9 @@
 		w := newLateWorld(t)
 		w.exec.setMute(true)
 		w.describe(newLife, false)
-		w.a.Gone(newLife)
+		w.a.HandleShutdownNotice(newLife)
 		w.exec.setMute(false)
-		w.until("the new life is known", func() bool { return w.a.Life() == newLife })
+		w.until("the new life is known", func() bool { return w.a.Incarnation() == newLife })
 		w.exec.Restart("")
 		left := w.ses.until(func(m wire.FromNode) bool { return m.Ends != nil }).Ends
 		assert.Assert(t, left.Left)
--- a/runner/life.go
+++ b/runner/life.go
@@ -44,21 +44,21 @@
 	until time.Time
 }
 
-// Describe takes the executor's description of itself. leave is the time that
+// HandleDescription takes the executor's description of itself. leave is the time that
 // is left at least while it drains.
 //
 // A description may arrive late, when its life is over and another has begun, and
 // names of lives have no order. So one of a life that is not the known one counts
 // only once the executor has answered a call that is meant for that life. One that is
 // not believed is not taken.
-func (a *Agent) Describe(vm queue.VM, draining bool, leave time.Duration) (taken bool) {
+func (a *Agent) HandleDescription(vm queue.VM, draining bool, leave time.Duration) (taken bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := steady.Now()
 	d := description{vm: vm, draining: draining, leaveAt: now.Add(leave), askUntil: now.Add(askSpan)}
 	switch {
 	case a.isOver(vm.Incarnation, now):
-	case a.known && a.keeper.Life() == vm.Incarnation:
+	case a.known && a.keeper.Incarnation() == vm.Incarnation:
 		if !a.consistent(vm) {
 			return false
 		}
@@ -96,8 +96,8 @@
 	return a.alteredSeen >= alteredAfter
 }
 
-// Described returns the VM as its executor has described it, and whether that drains.
-func (a *Agent) Described() (vm queue.VM, draining bool) {
+// Description returns the VM as its executor has described it, and whether that drains.
+func (a *Agent) Description() (vm queue.VM, draining bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.vm, a.draining
@@ -166,7 +166,7 @@
 func (a *Agent) fence() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.keeper.Fence()
+	return a.keeper.FencingToken()
 }
 
 // noteOver remembers that a life is over: by the executor's word, or since it left
@@ -192,7 +192,7 @@
 // take takes what the present life says of itself. The caller holds mu.
 func (a *Agent) take(d description) {
 	changed := !a.known || !a.vm.Same(d.vm) || a.draining != d.draining
-	if before := a.keeper.Life(); before != d.vm.Incarnation {
+	if before := a.keeper.Incarnation(); before != d.vm.Incarnation {
 		a.log.Info().Str("life", d.vm.Incarnation).Str("before", before).Stringer("capacity", d.vm.Capacity).
 			Strs("labels", d.vm.Labels).Msg("executor_life")
 		a.noteOver(before)
@@ -205,24 +205,24 @@
 	}
 	a.vm, a.known, a.draining, a.leaveAt = d.vm, true, d.draining, d.leaveAt
 	a.keeper.SetDraining(d.draining)
-	a.keeper.SetRoom(d.vm.Capacity)
+	a.keeper.SetCapacity(d.vm.Capacity)
 	if changed {
 		a.beatUp.Set()
 		a.kicked.Set()
 	}
 }
 
-// Life returns the executor's life that the agent knows, or "".
-func (a *Agent) Life() string {
+// Incarnation returns the executor's life that the agent knows, or "".
+func (a *Agent) Incarnation() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.keeper.Life()
+	return a.keeper.Incarnation()
 }
 
-// Gone notes the executor's farewell. It ends now, but has perhaps ends to list
+// HandleShutdownNotice notes the executor's farewell. It ends now, but has perhaps ends to list
 // that nobody has seen: they are looked for until it answers no more. One of
 // another life than the known one changes nothing of that.
-func (a *Agent) Gone(life string) {
+func (a *Agent) HandleShutdownNotice(life string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := steady.Now()
@@ -251,7 +251,7 @@
 // depart tells the leader that the life has left, so that its work begins
 // elsewhere without waiting for the lease. The caller holds mu.
 func (a *Agent) depart() {
-	life := a.keeper.Life()
+	life := a.keeper.Incarnation()
 	a.log.Info().Str("life", life).Msg("executor_gone")
 	a.send(report{ends: queue.Ends{VM: a.vm.ID, Incarnation: life}, left: true})
 	a.lost()
@@ -260,7 +260,7 @@
 // replaced notes that the life is over and another has begun. The caller holds
 // mu.
 func (a *Agent) replaced() {
-	a.log.Info().Str("life", a.keeper.Life()).Msg("executor_replaced")
+	a.log.Info().Str("life", a.keeper.Incarnation()).Msg("executor_replaced")
 	if a.leaving {
 		a.depart()
 		return
@@ -271,7 +271,7 @@
 // lost forgets the executor, whose life is over, until another describes itself.
 // The caller holds mu.
 func (a *Agent) lost() {
-	a.noteOver(a.keeper.Life())
+	a.noteOver(a.keeper.Incarnation())
 	a.noteCrash()
 	a.keeper.Reset("")
 	a.forget()
--- a/runner/look.go
+++ b/runner/look.go
@@ -64,15 +64,15 @@
 	if !a.known {
 		return req, "", false
 	}
-	req = rudderfork.PollRequest{Fence: a.keeper.Fence(), AckedUpTo: a.acked, WaitMS: lookWait.Milliseconds()}
-	req.UntilMS, _ = a.keeper.Until(steady.Now())
+	req = rudderfork.PollRequest{Fence: a.keeper.FencingToken(), AckedUpTo: a.acked, WaitMS: lookWait.Milliseconds()}
+	req.UntilMS, _ = a.keeper.ExecutorLeaseEnd(steady.Now())
 	if a.colocated() {
 		req.WaitMS = pacedWait.Milliseconds()
 	}
 	if req.UntilMS == 0 {
 		req.WaitMS = 0 // without a clock or a lease there is nothing to wait for
 	}
-	return req, a.keeper.Life(), true
+	return req, a.keeper.Incarnation(), true
 }
 
 func (a *Agent) look(ctx context.Context, life string, req rudderfork.PollRequest) (rudderfork.ExecutorStatus, error) {
@@ -87,7 +87,7 @@
 func (a *Agent) lookFailed(life string, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.keeper.Life() != life {
+	if a.keeper.Incarnation() != life {
 		return
 	}
 	if errors.Is(err, rudderfork.ErrStaleIncarnation) {
@@ -117,8 +117,8 @@
 func (a *Agent) looked(ctx context.Context, life string, look rudderfork.ExecutorStatus, asked time.Time) (noted <-chan struct{}, listed, taken bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.keeper.Life() != life {
-		a.reportOf(life, runs.Ends(look.Ended), 0) // what an earlier life listed stands
+	if a.keeper.Incarnation() != life {
+		a.reportOf(life, runs.ParseEnds(look.Ended), 0) // what an earlier life listed stands
 		return nil, false, true
 	}
 	now := steady.Now()
@@ -132,7 +132,7 @@
 		upTo = max(upTo, e.Seq)
 	}
 	noted = a.noted
-	ends := a.keeper.Looked(look, asked)
+	ends := a.keeper.HandleStatus(look, asked)
 	a.noteVanished(ends, look)
 	a.reportLooked(ends, upTo)
 	clear(a.rows)
--- a/runner/pace.go
+++ b/runner/pace.go
@@ -74,7 +74,7 @@
 func (a *Agent) company() (serving []pace.ServingTask, fillers []pace.Filler, idle float64) {
 	idle = pace.MaxUtilization
 	whole := float64(max(1, a.vm.Capacity.CPUMilli))
-	for id, o := range a.keeper.Wanted() {
+	for id, o := range a.keeper.DesiredRuns() {
 		ref := rudderfork.RunRef{Task: id, Run: o.Run}
 		row, there := a.rows[ref]
 		share := float64(o.CPUMilli) / whole
@@ -102,7 +102,7 @@
 // caller holds mu.
 func (a *Agent) colocated() bool {
 	serving, filler := false, false
-	for id, o := range a.keeper.Wanted() {
+	for id, o := range a.keeper.DesiredRuns() {
 		row, there := a.rows[rudderfork.RunRef{Task: id, Run: o.Run}]
 		switch {
 		case there && serves(o, row):
@@ -161,7 +161,7 @@
 	if e := a.exposures[ref]; e != nil {
 		e.set(float64(share)/fullPace, steady.Now().Add(paceDelay))
 	}
-	life, fence := a.keeper.Life(), a.keeper.Fence()
+	life, fence := a.keeper.Incarnation(), a.keeper.FencingToken()
 	go func() {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 		defer cancel()
--- a/runner/report.go
+++ b/runner/report.go
@@ -25,10 +25,10 @@
 		return
 	}
 	delete(a.reports, id)
-	if r.ends.Incarnation != a.keeper.Life() {
+	if r.ends.Incarnation != a.keeper.Incarnation() {
 		return
 	}
-	a.keeper.Noted(r.ends.List)
+	a.keeper.ForgetEnded(r.ends.List)
 	a.acked = max(a.acked, r.upTo)
 	close(a.noted)
 	a.noted = make(chan struct{})
@@ -36,7 +36,7 @@
 
 // report sends ends of the present life to the leader. The caller holds mu.
 func (a *Agent) report(ends []queue.End, upTo uint64) {
-	a.reportOf(a.keeper.Life(), ends, upTo)
+	a.reportOf(a.keeper.Incarnation(), ends, upTo)
 }
 
 // maxReports bounds the reports that wait for a leader: the executor lists its
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -76,7 +76,7 @@
 	askUp  wakeup.Signal // a life has described itself that is not confirmed
 
 	mu        sync.Mutex
-	keeper    *runs.Keeper
+	keeper    *runs.Reconciler
 	vm        queue.VM
 	known     bool                    // vm describes a life of the executor
 	leaving   bool                    // the executor has said farewell, and ends
@@ -191,7 +191,7 @@
 		}
 	case m.Orders != nil:
 		a.takePressures(m.Orders.Pressures)
-		a.keeper.Order(*m.Orders)
+		a.keeper.ApplyOrders(*m.Orders)
 		a.log.Debug().Uint64("epoch", m.Orders.Epoch).Bool("full", m.Orders.Full).
 			Int("start", len(m.Orders.Start)).Int("stop", len(m.Orders.Stop)).Msg("orders")
 	case m.Noted != nil:
--- a/runner/runner_test.go
+++ b/runner/runner_test.go
@@ -109,7 +109,7 @@
 	for _, s := range a.Services() {
 		go func() { _ = s.Serve(t.Context()) }() // it ends with the test
 	}
-	a.Describe(queue.VM{ID: "vm1", Incarnation: "life-1", Service: "desk", Capacity: room}, false, 0)
+	a.HandleDescription(queue.VM{ID: "vm1", Incarnation: "life-1", Service: "desk", Capacity: room}, false, 0)
 	return a
 }
 
@@ -146,7 +146,7 @@
 	for _, r := range running {
 		o.Start = append(o.Start, wire.RunOrder{RunRef: r})
 	}
-	a.keeper.Order(o)
+	a.keeper.ApplyOrders(o)
 	return a
 }
 
@@ -163,37 +163,37 @@
 	}
 	t.Run("one look without an answer does not tell that it has left", func(t *testing.T) {
 		a := newAgentAlone(run)
-		a.Gone("life-1")
+		a.HandleShutdownNotice("life-1")
 		a.lookFailed("life-1", executor.ErrNoAnswer)
-		assert.Equal(t, a.Life(), "life-1")
+		assert.Equal(t, a.Incarnation(), "life-1")
 		a.looked(t.Context(), "life-1", rudderfork.ExecutorStatus{ClockMS: 1, Running: []rudderfork.RunStatus{{RunRef: run}}}, steady.Now())
 		a.lookFailed("life-1", executor.ErrNoAnswer)
-		assert.Equal(t, a.Life(), "life-1")
+		assert.Equal(t, a.Incarnation(), "life-1")
 		assert.Equal(t, leftOf(a), "")
 	})
 	t.Run("two in succession do", func(t *testing.T) {
 		a := newAgentAlone(run)
-		a.Gone("life-1")
+		a.HandleShutdownNotice("life-1")
 		a.lookFailed("life-1", executor.ErrNoAnswer)
 		a.lookFailed("life-1", executor.ErrNoAnswer)
-		assert.Equal(t, a.Life(), "")
+		assert.Equal(t, a.Incarnation(), "")
 		assert.Equal(t, leftOf(a), "life-1")
 	})
 	t.Run("and one that was before the farewell counts", func(t *testing.T) {
 		a := newAgentAlone(run)
 		a.lookFailed("life-1", executor.ErrNoAnswer)
-		a.Gone("life-1")
+		a.HandleShutdownNotice("life-1")
 		a.lookFailed("life-1", executor.ErrNoAnswer)
 		assert.Equal(t, leftOf(a), "life-1")
 	})
 	t.Run("an answer that is no account does not, and neither does one without an answer beside it", func(t *testing.T) {
 		a := newAgentAlone(run)
-		a.Gone("life-1")
+		a.HandleShutdownNotice("life-1")
 		for range 3 {
 			a.lookFailed("life-1", fmt.Errorf("look: status 503: %w", rudderfork.ErrNoStatus))
 			a.lookFailed("life-1", executor.ErrNoAnswer)
 		}
-		assert.Equal(t, a.Life(), "life-1")
+		assert.Equal(t, a.Incarnation(), "life-1")
 		assert.Equal(t, leftOf(a), "")
 	})
 	t.Run("nor does a look that the agent's own end breaks off", func(t *testing.T) {
@@ -204,10 +204,10 @@
 			<-ctx.Done()
 			return ctx.Err()
 		}}
-		a.Gone("life-1")
+		a.HandleShutdownNotice("life-1")
 		a.lookFailed("life-1", executor.ErrNoAnswer)
 		assert.ErrorIs(t, a.lookLoop(ctx), context.Canceled)
-		assert.Equal(t, a.Life(), "life-1")
+		assert.Equal(t, a.Incarnation(), "life-1")
 		assert.Equal(t, leftOf(a), "")
 	})
 	t.Run("without a farewell none does", func(t *testing.T) {
@@ -215,7 +215,7 @@
 		for range 5 {
 			a.lookFailed("life-1", executor.ErrNoAnswer)
 		}
-		assert.Equal(t, a.Life(), "life-1")
+		assert.Equal(t, a.Incarnation(), "life-1")
 	})
 }
 
@@ -234,7 +234,7 @@
 	}
 	assert.Equal(t, len(a.reports), maxReports)
 	t.Run("what is told but once is told all the same", func(t *testing.T) {
-		a.keeper.Started(lost, rudderfork.Started, nil, steady.Now())
+		a.keeper.HandleStartResult(lost, rudderfork.Started, nil, steady.Now())
 		account.Running = nil
 		look()
 		last := a.reports[a.reportID].ends.List
--- a/runner/second_start_test.go
+++ b/runner/second_start_test.go
@@ -46,13 +46,13 @@
 		t.Run(x.name, func(t *testing.T) {
 			a := newAgentAlone()
 			describe(a, secondStart, x.draining, x.leave)
-			a.Gone(x.farewell)
+			a.HandleShutdownNotice(x.farewell)
 			assert.Equal(t, a.leaving, x.believed)
 		})
 		t.Run(x.name+", before the life is confirmed", func(t *testing.T) {
 			a := newAgentAlone()
-			a.Describe(queue.VM{ID: "vm1", Incarnation: secondStart, Service: "desk"}, x.draining, x.leave)
-			a.Gone(x.farewell)
+			a.HandleDescription(queue.VM{ID: "vm1", Incarnation: secondStart, Service: "desk"}, x.draining, x.leave)
+			a.HandleShutdownNotice(x.farewell)
 			assert.Equal(t, a.described[secondStart].farewell, x.believed)
 		})
 	}
@@ -87,13 +87,13 @@
 	a.looked(t.Context(), firstStart, rudderfork.ExecutorStatus{ClockMS: 90_000, Running: []rudderfork.RunStatus{{RunRef: run, Load: 7}}}, time.Now())
 	a.paces[run], a.unsure[run], a.begun[run] = 30, time.Now(), time.Now()
 	a.worked = map[string]float64{"loud": 1}
-	a.Gone(firstStart)
+	a.HandleShutdownNotice(firstStart)
 	a.beat()
 	assert.Assert(t, a.leaving && len(a.rows) == 1 && len(a.told) == 1)
 
 	second := queue.VM{ID: "vm1", Incarnation: secondStart, Service: "desk", Capacity: rudderfork.Resources{CPUMilli: 8000}, Labels: []string{"b"}}
 	a.take(description{vm: second})
-	vm, draining := a.Described()
+	vm, draining := a.Description()
 	assert.DeepEqual(t, vm.Capacity, second.Capacity)
 	assert.DeepEqual(t, vm.Labels, second.Labels)
 	assert.Assert(t, !draining && !a.leaving)
--- a/runner/stutter_test.go
+++ b/runner/stutter_test.go
@@ -15,12 +15,12 @@
 	run := rudderfork.RunRef{Task: "5c0e7a21d94b36f8.0.0.0", Run: 1}
 	a := newAgentAlone()
 	describe(a, firstStart, false, 0)
-	a.keeper.Order(wire.Orders{Incarnation: firstStart, Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: run}}})
+	a.keeper.ApplyOrders(wire.Orders{Incarnation: firstStart, Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: run}}})
 	look := func(clockMS int64, running ...rudderfork.RunStatus) {
 		a.looked(t.Context(), firstStart, rudderfork.ExecutorStatus{ClockMS: clockMS, Running: running}, time.Now())
 	}
 	look(80_000)
-	a.keeper.Started(run, rudderfork.Started, nil, time.Now())
+	a.keeper.HandleStartResult(run, rudderfork.Started, nil, time.Now())
 	look(90_000, rudderfork.RunStatus{RunRef: run})
 	seen := a.seenAt
 	look(80_000)
--- a/runs/closed.go
+++ b/runs/closed.go
@@ -6,12 +6,12 @@
 	"rudderfork.example/rudderfork/queue"
 )
 
-// Closed is the reason for refusing a run where control has nothing more started.
-const Closed = "closed"
+// ReasonClosed is the reason for refusing a run where control has nothing more started.
+const ReasonClosed = "closed"
 
 // turnAway refuses a run that would have to begin on a draining executor, or where
 // control has nothing more started.
-func (k *Keeper) turnAway(o *order) *queue.End {
+func (k *Reconciler) turnAway(o *order) *queue.End {
 	switch {
 	case !o.pending():
 		return nil
@@ -21,7 +21,7 @@
 	case k.leave:
 		return k.refuse(o, "draining")
 	case k.closed && !o.unsure:
-		return k.refuse(o, Closed)
+		return k.refuse(o, ReasonClosed)
 	}
 	return nil
 }
@@ -29,7 +29,7 @@
 // settleClosed decides on a run that may have begun before control had nothing more
 // started: one that an account lists has, and runs on; any other is stopped, so that it
 // never does.
-func (k *Keeper) settleClosed(o *order, listed bool, asked time.Time) {
+func (k *Reconciler) settleClosed(o *order, listed bool, asked time.Time) {
 	switch {
 	case !k.closed || !o.unsure || !o.pending():
 	case listed:
--- a/runs/grant.go
+++ b/runs/grant.go
@@ -13,7 +13,7 @@
 
 // Grant takes a lease. It counts only for the life of the executor that it was given
 // to, and for the epoch whose orders are here.
-func (k *Keeper) Grant(life string, epoch uint64, l Lease) {
+func (k *Reconciler) Grant(life string, epoch uint64, l Lease) {
 	if k.outranked() || life != k.life || !k.synced || epoch != k.epoch {
 		return
 	}
--- a/runs/late_test.go
+++ b/runs/late_test.go
@@ -12,26 +12,26 @@
 
 // lateKeeper returns a keeper in its second life and that life's second epoch,
 // under the leader of term 3, with run 2 at work.
-func lateKeeper(t *testing.T) *Keeper {
+func lateKeeper(t *testing.T) *Reconciler {
 	t.Helper()
 	k := ready(1)
 	k.Reset("life-2")
 	k.SetClock(10_000, t0)
-	k.Order(wire.Orders{Incarnation: "life-2", Epoch: 3, Full: true, Start: []wire.RunOrder{{RunRef: ref(2)}}})
+	k.ApplyOrders(wire.Orders{Incarnation: "life-2", Epoch: 3, Full: true, Start: []wire.RunOrder{{RunRef: ref(2)}}})
 	k.Grant("life-2", 3, whole(t0.Add(5*time.Second)))
 	onlyCall(t, k, t0)
-	k.Started(ref(2), rudderfork.Started, nil, t0)
+	k.HandleStartResult(ref(2), rudderfork.Started, nil, t0)
 	checkUntouched(t, k)
 	return k
 }
 
 // checkUntouched holds that the keeper's run, lease and epoch are those of
 // lateKeeper.
-func checkUntouched(t *testing.T, k *Keeper) {
+func checkUntouched(t *testing.T, k *Reconciler) {
 	t.Helper()
 	checkNothingDue(t, k, t0.Add(time.Second))
-	assert.Equal(t, k.Granted(), t0.Add(5*time.Second))
-	wanted := k.Wanted()
+	assert.Equal(t, k.LeaseEnd(), t0.Add(5*time.Second))
+	wanted := k.DesiredRuns()
 	assert.Equal(t, len(wanted), 1)
 	assert.Equal(t, wanted[task].RunRef, ref(2))
 }
@@ -52,7 +52,7 @@
 		} {
 			t.Run(name, func(t *testing.T) {
 				k := lateKeeper(t)
-				k.Order(o)
+				k.ApplyOrders(o)
 				checkUntouched(t, k)
 			})
 		}
@@ -67,21 +67,21 @@
 	t.Run("a leader that has been outranked", func(t *testing.T) {
 		k := lateKeeper(t)
 		k.SetTerm(2)
-		k.Order(late("life-2", 3, true))
-		k.Order(late("life-2", 4, true))
+		k.ApplyOrders(late("life-2", 3, true))
+		k.ApplyOrders(late("life-2", 4, true))
 		k.Grant("life-2", 3, whole(t0.Add(time.Hour)))
 		checkUntouched(t, k)
-		assert.Equal(t, k.Fence(), uint64(3))
+		assert.Equal(t, k.FencingToken(), uint64(3))
 		t.Run("and then the present one again", func(t *testing.T) {
 			k.SetTerm(3)
-			k.Order(wire.Orders{Incarnation: "life-2", Epoch: 3, Stop: []rudderfork.RunRef{ref(2)}})
+			k.ApplyOrders(wire.Orders{Incarnation: "life-2", Epoch: 3, Stop: []rudderfork.RunRef{ref(2)}})
 			assert.Assert(t, onlyCall(t, k, t0.Add(time.Second)).Start == nil)
 		})
 	})
 	t.Run("answers of the executor about an earlier run", func(t *testing.T) {
 		k := lateKeeper(t)
-		assert.Assert(t, k.Started(ref(1), rudderfork.StartNoRoom, nil, t0) == nil)
-		k.Stopped(ref(1), nil, t0)
+		assert.Assert(t, k.HandleStartResult(ref(1), rudderfork.StartNoRoom, nil, t0) == nil)
+		k.HandleStopResult(ref(1), nil, t0)
 		checkUntouched(t, k)
 	})
 }
--- a/runs/liveness_test.go
+++ b/runs/liveness_test.go
@@ -105,7 +105,7 @@
 	if l.faulty && l.one(l.odd.rooms) {
 		v := l.vms[l.rng.IntN(len(l.vms))]
 		v.told = int64(l.rng.IntN(5)) * 500
-		v.keeper.SetRoom(rudderfork.Resources{CPUMilli: v.told})
+		v.keeper.SetCapacity(rudderfork.Resources{CPUMilli: v.told})
 	}
 }
 
@@ -146,7 +146,7 @@
 		v.exec.Flush()
 		v.frozen, v.cut = 0, 0
 		v.told = v.room
-		v.keeper.SetRoom(rudderfork.Resources{CPUMilli: v.told})
+		v.keeper.SetCapacity(rudderfork.Resources{CPUMilli: v.told})
 	}
 	for i := range liveCalmSteps {
 		if i == probeStep {
--- a/runs/model_test.go
+++ b/runs/model_test.go
@@ -76,7 +76,7 @@
 	s      *site
 	exec   *executor.Executor
 	lives  int
-	keeper *runs.Keeper
+	keeper *runs.Reconciler
 	ended  uint64 // ends acknowledged to the executor
 
 	open     bool     // the session
@@ -108,7 +108,7 @@
 
 // unanswered is a call that the agent still waits for.
 type unanswered struct {
-	keeper *runs.Keeper // that made it
+	keeper *runs.Reconciler // that made it
 	life   string
 	until  time.Time
 	tell   func()
@@ -193,12 +193,12 @@
 func (v *vm) restartAgent() {
 	term := uint64(0)
 	if v.keeper != nil {
-		term = v.keeper.Fence()
+		term = v.keeper.FencingToken()
 	}
 	v.keeper = runs.New()
 	v.keeper.SetTerm(term * 0) // a new process has seen no leader
 	v.keeper.Reset(v.exec.Life())
-	v.keeper.SetRoom(rudderfork.Resources{CPUMilli: v.told})
+	v.keeper.SetCapacity(rudderfork.Resources{CPUMilli: v.told})
 	v.ended, v.crash, v.begun, v.unnoted = 0, nil, nil, nil
 	v.closeSession()
 }
@@ -336,7 +336,7 @@
 		v.look()
 	}
 	v.hangUp()
-	calls, ends := v.keeper.Due(v.now())
+	calls, ends := v.keeper.NextCalls(v.now())
 	v.report(ends, 0)
 	for _, c := range calls {
 		v.call(c)
@@ -365,13 +365,13 @@
 		v.send(v.unnoted, 0) // again, as package runner does
 	}
 	sent, number, crash, has := v.now(), v.number, v.crash, v.keeper.Epoch()
-	desc := queue.VM{ID: v.id, Domain: v.domain, Incarnation: v.keeper.Life(), Service: "desk", Capacity: rudderfork.Resources{CPUMilli: v.told}}
+	desc := queue.VM{ID: v.id, Domain: v.domain, Incarnation: v.keeper.Incarnation(), Service: "desk", Capacity: rudderfork.Resources{CPUMilli: v.told}}
 	v.post(&v.toLeader, func() { v.leaderBeat(number, sent, desc, crash, has) })
 }
 
 // seeCrash notes what the agent knows of the life that is over, as package runner does.
 func (v *vm) seeCrash() {
-	v.crash = &queue.Crash{Incarnation: v.keeper.Life()}
+	v.crash = &queue.Crash{Incarnation: v.keeper.Incarnation()}
 	for _, ref := range slices.SortedFunc(maps.Keys(v.begun), byTask) {
 		k, err := queue.ParseTaskKey(string(ref.Task))
 		assert.NilError(v.s.t, err)
@@ -470,21 +470,21 @@
 	slices.SortFunc(o.Start, func(a, b wire.RunOrder) int { return byTask(a.RunRef, b.RunRef) })
 	slices.SortFunc(o.Stop, byTask)
 	if full || len(o.Start)+len(o.Stop) > 0 {
-		v.post(&v.toAgent, func() { v.keeper.Order(o) })
+		v.post(&v.toAgent, func() { v.keeper.ApplyOrders(o) })
 	}
 }
 
 func (v *vm) look() {
-	req := rudderfork.PollRequest{Fence: v.keeper.Fence(), AckedUpTo: v.ended}
-	req.UntilMS, _ = v.keeper.Until(v.now())
-	look, err := v.exec.Poll(context.Background(), v.keeper.Life(), req)
+	req := rudderfork.PollRequest{Fence: v.keeper.FencingToken(), AckedUpTo: v.ended}
+	req.UntilMS, _ = v.keeper.ExecutorLeaseEnd(v.now())
+	look, err := v.exec.Poll(context.Background(), v.keeper.Incarnation(), req)
 	if err == nil && v.s.onLook != nil {
 		err = v.s.onLook(&look)
 	}
 	if errors.Is(err, rudderfork.ErrStaleIncarnation) {
 		v.seeCrash()
 		v.keeper.Reset(v.exec.Life())
-		v.keeper.SetRoom(rudderfork.Resources{CPUMilli: v.told})
+		v.keeper.SetCapacity(rudderfork.Resources{CPUMilli: v.told})
 		v.ended, v.unnoted = 0, nil
 		return
 	}
@@ -496,7 +496,7 @@
 	for _, e := range look.Ended {
 		upTo = max(upTo, e.Seq)
 	}
-	v.report(v.keeper.Looked(look, v.now()), upTo)
+	v.report(v.keeper.HandleStatus(look, v.now()), upTo)
 	there := map[rudderfork.RunRef]bool{}
 	for _, r := range look.Running {
 		there[r.RunRef] = true
@@ -517,7 +517,7 @@
 		return
 	}
 	ends = slices.Clone(ends)
-	life, number := v.keeper.Life(), v.number
+	life, number := v.keeper.Incarnation(), v.number
 	v.post(&v.toLeader, func() {
 		if number < v.spoken {
 			return // the session was left
@@ -532,9 +532,9 @@
 			return // nobody is there to be told
 		}
 		v.post(&v.toAgent, func() {
-			if v.keeper.Life() == life {
+			if v.keeper.Incarnation() == life {
 				v.forgetEnds(ends)
-				v.keeper.Noted(ends)
+				v.keeper.ForgetEnded(ends)
 				v.ended = max(v.ended, upTo)
 			}
 		})
@@ -547,11 +547,11 @@
 }
 
 func (v *vm) call(c runs.Call) {
-	ctx, life := context.Background(), v.keeper.Life()
+	ctx, life := context.Background(), v.keeper.Incarnation()
 	v.s.calling = c.Ref
 	if c.Start == nil {
-		err := v.exec.Stop(ctx, life, c.Ref, v.keeper.Fence())
-		v.answer(err, func() { v.keeper.Stopped(c.Ref, err, v.now()) })
+		err := v.exec.Stop(ctx, life, c.Ref, v.keeper.FencingToken())
+		v.answer(err, func() { v.keeper.HandleStopResult(c.Ref, err, v.now()) })
 		return
 	}
 	if v.s.onCall != nil {
@@ -560,7 +560,7 @@
 	out, err := v.exec.Start(ctx, life, *c.Start)
 	v.noteStart(c.Ref, out, err)
 	v.answer(err, func() {
-		if end := v.keeper.Started(c.Ref, out, err, v.now()); end != nil {
+		if end := v.keeper.HandleStartResult(c.Ref, out, err, v.now()); end != nil {
 			v.report([]queue.End{*end}, 0)
 		}
 	})
@@ -573,7 +573,7 @@
 		tell()
 		return
 	}
-	v.waiting = append(v.waiting, unanswered{v.keeper, v.keeper.Life(), v.s.now.Add(v.s.patience), tell})
+	v.waiting = append(v.waiting, unanswered{v.keeper, v.keeper.Incarnation(), v.s.now.Add(v.s.patience), tell})
 }
 
 // hangUp gives up the calls that have waited for long enough.
@@ -582,7 +582,7 @@
 	v.waiting = nil
 	for _, u := range all {
 		switch {
-		case u.keeper != v.keeper || u.life != v.keeper.Life(): // nobody waits for it any more
+		case u.keeper != v.keeper || u.life != v.keeper.Incarnation(): // nobody waits for it any more
 		case v.s.now.Before(u.until):
 			v.waiting = append(v.waiting, u)
 		default:
--- a/runs/overdue.go
+++ b/runs/overdue.go
@@ -15,28 +15,28 @@
 // unanswered stands for the answer to a call that brought none.
 const unanswered = "unanswered"
 
-// Overdue is a start that has been due for long and is not confirmed.
-type Overdue struct {
+// OverdueStart is a start that has been due for long and is not confirmed.
+type OverdueStart struct {
 	rudderfork.RunRef
 	Since  time.Time
 	Reason string // what it waits for
 }
 
-// Overdue returns the starts that have become overdue, each once.
-func (k *Keeper) Overdue(now time.Time) (list []Overdue) {
+// OverdueStarts returns the starts that have become overdue, each once.
+func (k *Reconciler) OverdueStarts(now time.Time) (list []OverdueStart) {
 	for _, id := range slices.Sorted(maps.Keys(k.orders)) {
 		o := k.orders[id]
 		if o.overdue || o.stop || o.ended || !o.confirmed.IsZero() || o.dueAt.IsZero() || now.Sub(o.dueAt) < overdueAfter {
 			continue
 		}
 		o.overdue = true
-		list = append(list, Overdue{o.RunRef, o.dueAt, k.obstacle(o, now)})
+		list = append(list, OverdueStart{o.RunRef, o.dueAt, k.obstacle(o, now)})
 	}
 	return list
 }
 
 // obstacle says what keeps a start from being confirmed.
-func (k *Keeper) obstacle(o *order, now time.Time) string {
+func (k *Reconciler) obstacle(o *order, now time.Time) string {
 	switch _, obstacle := k.startUntil(now); {
 	case obstacle != "":
 		return obstacle
--- a/runs/overdue_test.go
+++ b/runs/overdue_test.go
@@ -13,17 +13,17 @@
 // TestOverdue tells, once, what a start that is not confirmed waits for.
 func TestOverdue(t *testing.T) {
 	late := t0.Add(overdueAfter)
-	check := func(t *testing.T, k *Keeper, reason string) {
+	check := func(t *testing.T, k *Reconciler, reason string) {
 		t.Helper()
-		k.Due(t0)
-		assert.Equal(t, len(k.Overdue(late.Add(-time.Millisecond))), 0)
-		assert.DeepEqual(t, k.Overdue(late), []Overdue{{ref(1), t0, reason}})
-		assert.Equal(t, len(k.Overdue(late)), 0)
+		k.NextCalls(t0)
+		assert.Equal(t, len(k.OverdueStarts(late.Add(-time.Millisecond))), 0)
+		assert.DeepEqual(t, k.OverdueStarts(late), []OverdueStart{{ref(1), t0, reason}})
+		assert.Equal(t, len(k.OverdueStarts(late)), 0)
 	}
 	t.Run("no clock", func(t *testing.T) {
 		k := New()
 		k.Reset("life-1")
-		k.Order(wire.Orders{Incarnation: "life-1", Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: ref(1)}}})
+		k.ApplyOrders(wire.Orders{Incarnation: "life-1", Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: ref(1)}}})
 		check(t, k, "the executor's clock is not known")
 	})
 	t.Run("no lease", func(t *testing.T) {
@@ -39,19 +39,19 @@
 	t.Run("no answer", func(t *testing.T) {
 		k := ready(1)
 		onlyCall(t, k, t0)
-		k.Started(ref(1), 0, errLost, t0)
+		k.HandleStartResult(ref(1), 0, errLost, t0)
 		check(t, k, unanswered)
 	})
 	t.Run("fenced", func(t *testing.T) {
 		k := ready(1)
 		onlyCall(t, k, t0)
-		k.Started(ref(1), rudderfork.StartFenced, nil, t0)
+		k.HandleStartResult(ref(1), rudderfork.StartFenced, nil, t0)
 		check(t, k, rudderfork.StartFenced.String())
 	})
 	t.Run("a confirmed start is not overdue", func(t *testing.T) {
 		k := ready(1)
 		onlyCall(t, k, t0)
-		k.Started(ref(1), rudderfork.Started, nil, t0)
-		assert.Equal(t, len(k.Overdue(late)), 0)
+		k.HandleStartResult(ref(1), rudderfork.Started, nil, t0)
+		assert.Equal(t, len(k.OverdueStarts(late)), 0)
 	})
 }
--- a/runs/partial_test.go
+++ b/runs/partial_test.go
@@ -16,24 +16,24 @@
 	asked := t0.Add(time.Second)
 	t.Run("a run that is not listed is not gone", func(t *testing.T) {
 		k := ready(1)
-		k.Started(onlyCall(t, k, t0).Ref, rudderfork.Started, nil, t0)
-		checkEnds(t, k.Looked(rudderfork.ExecutorStatus{Partial: true}, asked))
-		checkEnds(t, k.Looked(rudderfork.ExecutorStatus{}, asked), queue.EndGone)
+		k.HandleStartResult(onlyCall(t, k, t0).Ref, rudderfork.Started, nil, t0)
+		checkEnds(t, k.HandleStatus(rudderfork.ExecutorStatus{Partial: true}, asked))
+		checkEnds(t, k.HandleStatus(rudderfork.ExecutorStatus{}, asked), queue.EndGone)
 	})
 	t.Run("one that is stopped is not forgotten", func(t *testing.T) {
 		k := ready()
 		listed := rudderfork.ExecutorStatus{Running: []rudderfork.RunStatus{{RunRef: ref(7)}}}
-		k.Looked(listed, t0)
-		k.Stopped(onlyCall(t, k, t0).Ref, nil, t0)
-		k.Looked(rudderfork.ExecutorStatus{Partial: true}, asked)
+		k.HandleStatus(listed, t0)
+		k.HandleStopResult(onlyCall(t, k, t0).Ref, nil, t0)
+		k.HandleStatus(rudderfork.ExecutorStatus{Partial: true}, asked)
 		assert.Equal(t, len(k.strays), 1)
-		k.Looked(rudderfork.ExecutorStatus{}, asked)
+		k.HandleStatus(rudderfork.ExecutorStatus{}, asked)
 		assert.Equal(t, len(k.strays), 0)
 	})
 	t.Run("what is listed holds", func(t *testing.T) {
 		k := ready(1)
-		k.Started(onlyCall(t, k, t0).Ref, rudderfork.Started, nil, t0)
+		k.HandleStartResult(onlyCall(t, k, t0).Ref, rudderfork.Started, nil, t0)
 		end := rudderfork.EndedRun{RunRef: ref(1), How: "done"}
-		checkEnds(t, k.Looked(rudderfork.ExecutorStatus{Partial: true, Ended: []rudderfork.EndedRun{end}}, asked), queue.EndDone)
+		checkEnds(t, k.HandleStatus(rudderfork.ExecutorStatus{Partial: true, Ended: []rudderfork.EndedRun{end}}, asked), queue.EndDone)
 	})
 }
--- a/runs/patience.go
+++ b/runs/patience.go
@@ -16,7 +16,7 @@
 
 // giveUp ends a start that is called in vain, so that the task runs elsewhere. One that may
 // have been carried out is stopped first.
-func (k *Keeper) giveUp(o *order, now time.Time) *queue.End {
+func (k *Reconciler) giveUp(o *order, now time.Time) *queue.End {
 	if !o.pending() || o.calledAt.IsZero() || now.Sub(o.calledAt) < startPatience {
 		return nil
 	}
--- a/runs/keeper.go
+++ b/runs/reconciler.go
@@ -46,8 +46,8 @@
 	Start *rudderfork.RunStart // nil means to stop it
 }
 
-// Keeper holds one VM's orders. It is not safe for concurrent use.
-type Keeper struct {
+// Reconciler holds one VM's orders. It is not safe for concurrent use.
+type Reconciler struct {
 	life   string
 	epoch  uint64
 	term   uint64 // highest of a leader that was met; the fencing token
@@ -87,28 +87,28 @@
 }
 
 // New returns a keeper without a life of the executor.
-func New() *Keeper {
-	k := &Keeper{}
+func New() *Reconciler {
+	k := &Reconciler{}
 	k.Reset("")
 	return k
 }
 
 // Reset forgets everything: the executor has another life, which runs nothing.
-func (k *Keeper) Reset(life string) {
-	*k = Keeper{
+func (k *Reconciler) Reset(life string) {
+	*k = Reconciler{
 		life: life, term: k.term, led: k.led,
 		orders: map[rudderfork.TaskID]*order{}, strays: map[rudderfork.RunRef]*order{},
 	}
 }
 
-// Life returns the executor's life.
-func (k *Keeper) Life() string { return k.life }
+// Incarnation returns the executor's life.
+func (k *Reconciler) Incarnation() string { return k.life }
 
-// Fence returns the fencing token for the executor.
-func (k *Keeper) Fence() uint64 { return k.term }
+// FencingToken returns the fencing token for the executor.
+func (k *Reconciler) FencingToken() uint64 { return k.term }
 
 // Epoch returns the one whose full list of orders is here, or 0.
-func (k *Keeper) Epoch() uint64 {
+func (k *Reconciler) Epoch() uint64 {
 	if !k.synced {
 		return 0
 	}
@@ -116,24 +116,24 @@
 }
 
 // SetDraining tells whether the executor is draining.
-func (k *Keeper) SetDraining(leave bool) { k.leave = leave }
+func (k *Reconciler) SetDraining(leave bool) { k.leave = leave }
 
-// SetRoom tells what the executor says of its room.
-func (k *Keeper) SetRoom(room rudderfork.Resources) { k.room = room }
+// SetCapacity tells what the executor says of its room.
+func (k *Reconciler) SetCapacity(room rudderfork.Resources) { k.room = room }
 
 // SetTerm notes the term of the leader that the session is with.
-func (k *Keeper) SetTerm(term uint64) { k.led, k.term = term, max(k.term, term) }
+func (k *Reconciler) SetTerm(term uint64) { k.led, k.term = term, max(k.term, term) }
 
 // outranked reports whether the session is with a leader that a later one has
 // followed and that does not know it yet.
-func (k *Keeper) outranked() bool { return k.led < k.term }
+func (k *Reconciler) outranked() bool { return k.led < k.term }
 
-// Granted returns when the lease ends.
-func (k *Keeper) Granted() time.Time { return k.grant }
+// LeaseEnd returns when the lease ends.
+func (k *Reconciler) LeaseEnd() time.Time { return k.grant }
 
 // SetClock notes the executor's clock, read not later than now. One that is behind what the
 // life has shown is not taken: it was read before.
-func (k *Keeper) SetClock(ms int64, now time.Time) (taken bool) {
+func (k *Reconciler) SetClock(ms int64, now time.Time) (taken bool) {
 	if ms < k.clockMS {
 		return false
 	}
@@ -141,9 +141,9 @@
 	return true
 }
 
-// Until returns the end of the lease on the executor's clock; ok is false
+// ExecutorLeaseEnd returns the end of the lease on the executor's clock; ok is false
 // without a lease that is worth anything.
-func (k *Keeper) Until(now time.Time) (ms int64, ok bool) {
+func (k *Reconciler) ExecutorLeaseEnd(now time.Time) (ms int64, ok bool) {
 	if k.clockAt.IsZero() || k.grant.Sub(now) < leastLease {
 		return 0, false
 	}
@@ -153,8 +153,8 @@
 
 // startUntil returns the end of the lease that a start goes with on the executor's clock, or
 // what keeps starts from being called.
-func (k *Keeper) startUntil(now time.Time) (ms int64, obstacle string) {
-	ms, leased := k.Until(now)
+func (k *Reconciler) startUntil(now time.Time) (ms int64, obstacle string) {
+	ms, leased := k.ExecutorLeaseEnd(now)
 	switch {
 	case k.clockAt.IsZero():
 		return 0, "the executor's clock is not known"
@@ -168,10 +168,10 @@
 	return ms, ""
 }
 
-// Order takes orders of control. Those that were under way while the executor
+// ApplyOrders takes orders of control. Those that were under way while the executor
 // got a new life are for runs that are over, and so are those of an earlier epoch:
 // epochs of a VM only rise. A leader that was outranked may not know what runs.
-func (k *Keeper) Order(o wire.Orders) {
+func (k *Reconciler) ApplyOrders(o wire.Orders) {
 	if k.outranked() || o.Incarnation != k.life || o.Epoch < k.epoch {
 		return
 	}
@@ -198,7 +198,7 @@
 }
 
 // takeAll takes a full list: what it does not name is to be stopped.
-func (k *Keeper) takeAll(o wire.Orders) {
+func (k *Reconciler) takeAll(o wire.Orders) {
 	if o.Epoch != k.epoch {
 		for id, old := range k.orders {
 			k.strays[old.RunRef] = &order{RunOrder: old.RunOrder, stop: true}
@@ -219,7 +219,7 @@
 	}
 }
 
-func (k *Keeper) stop(r rudderfork.RunRef) {
+func (k *Reconciler) stop(r rudderfork.RunRef) {
 	o := k.orders[r.Task]
 	if o == nil || o.Run != r.Run || o.stop {
 		return
@@ -228,9 +228,9 @@
 	o.confirmed, o.retryAt = time.Time{}, time.Time{}
 }
 
-// Due returns the calls to make now, each to be followed by Started or Stopped,
+// NextCalls returns the calls to make now, each to be followed by Started or Stopped,
 // and the ends of runs that will not begin because the executor is draining.
-func (k *Keeper) Due(now time.Time) (calls []Call, ends []queue.End) {
+func (k *Reconciler) NextCalls(now time.Time) (calls []Call, ends []queue.End) {
 	for _, ref := range slices.SortedFunc(maps.Keys(k.strays), compareRefs) {
 		if c := k.due(k.strays[ref], now); c != nil {
 			calls = append(calls, *c)
@@ -267,7 +267,7 @@
 // pending reports whether a start of the run is to be called.
 func (o *order) pending() bool { return !o.stop && o.idle() }
 
-func (k *Keeper) due(o *order, now time.Time) *Call {
+func (k *Reconciler) due(o *order, now time.Time) *Call {
 	if !o.idle() || now.Before(o.retryAt) {
 		return nil
 	}
@@ -289,8 +289,8 @@
 	}}
 }
 
-// RetryAt returns when Due may have something again without another event.
-func (k *Keeper) RetryAt() (at time.Time, ok bool) {
+// NextRetry returns when Due may have something again without another event.
+func (k *Reconciler) NextRetry() (at time.Time, ok bool) {
 	consider := func(o *order) {
 		if o.waits() && (!ok || o.retryAt.Before(at)) {
 			at, ok = o.retryAt, true
@@ -311,9 +311,9 @@
 	return !o.retryAt.IsZero() && o.idle()
 }
 
-// Started takes the answer to a start, and returns the end to report if the run
+// HandleStartResult takes the answer to a start, and returns the end to report if the run
 // surely will never begin here.
-func (k *Keeper) Started(ref rudderfork.RunRef, out rudderfork.StartOutcome, err error, now time.Time) (refused *queue.End) {
+func (k *Reconciler) HandleStartResult(ref rudderfork.RunRef, out rudderfork.StartOutcome, err error, now time.Time) (refused *queue.End) {
 	o := k.orders[ref.Task]
 	if o == nil || o.Run != ref.Run {
 		return nil
@@ -341,7 +341,7 @@
 }
 
 // refuse reports a run that did not begin.
-func (k *Keeper) refuse(o *order, reason string) *queue.End {
+func (k *Reconciler) refuse(o *order, reason string) *queue.End {
 	key, err := queue.ParseTaskKey(string(o.Task))
 	if err != nil {
 		return nil
@@ -356,8 +356,8 @@
 	return &queue.End{Task: key, Run: o.Run, How: queue.EndRefused, Reason: reason}
 }
 
-// Stopped takes the answer to a stop.
-func (k *Keeper) Stopped(ref rudderfork.RunRef, err error, now time.Time) {
+// HandleStopResult takes the answer to a stop.
+func (k *Reconciler) HandleStopResult(ref rudderfork.RunRef, err error, now time.Time) {
 	if o := k.strays[ref]; o != nil {
 		o.stopped(err, now)
 	}
@@ -375,10 +375,10 @@
 	o.confirmed = now
 }
 
-// Looked takes an executor's account that was asked for at the given time. It
+// HandleStatus takes an executor's account that was asked for at the given time. It
 // returns the ends to report: those listed, and those of runs that the executor
 // knows nothing of though it should.
-func (k *Keeper) Looked(look rudderfork.ExecutorStatus, asked time.Time) (ends []queue.End) {
+func (k *Reconciler) HandleStatus(look rudderfork.ExecutorStatus, asked time.Time) (ends []queue.End) {
 	there := map[rudderfork.RunRef]bool{}
 	for _, r := range look.Running {
 		there[r.RunRef] = true
@@ -386,7 +386,7 @@
 	}
 	missing := func(ref rudderfork.RunRef) bool { return !there[ref] && !look.Partial }
 	maps.DeleteFunc(k.strays, func(ref rudderfork.RunRef, o *order) bool { return missing(ref) && o.stoppedBefore(asked) })
-	ends = Ends(look.Ended)
+	ends = ParseEnds(look.Ended)
 	for _, e := range look.Ended {
 		there[e.RunRef] = true
 		if o := k.orders[e.Task]; o != nil && o.Run == e.Run {
@@ -414,9 +414,9 @@
 	return ends
 }
 
-// Ends returns the ends that an executor lists. What is not a run of ours is left
+// ParseEnds returns the ends that an executor lists. What is not a run of ours is left
 // out; it is acknowledged with the others.
-func Ends(rows []rudderfork.EndedRun) (ends []queue.End) {
+func ParseEnds(rows []rudderfork.EndedRun) (ends []queue.End) {
 	for _, e := range rows {
 		if key, err := queue.ParseTaskKey(string(e.Task)); err == nil {
 			ends = append(ends, queue.End{Task: key, Run: e.Run, How: queue.Ending(e.How), Checkpoint: e.Checkpoint})
@@ -431,7 +431,7 @@
 // shows it. The contract says that a stop bars such a start; nothing here rests on
 // that but the end that is concluded. A run is listed also while its stop takes its
 // time, and no stop is sent for that.
-func (k *Keeper) checkRunning(ref rudderfork.RunRef, asked time.Time) {
+func (k *Reconciler) checkRunning(ref rudderfork.RunRef, asked time.Time) {
 	if !k.synced {
 		return
 	}
@@ -458,8 +458,8 @@
 	return o.stop && !o.confirmed.IsZero() && o.confirmed.Before(at)
 }
 
-// Noted forgets runs whose ends are committed.
-func (k *Keeper) Noted(ends []queue.End) {
+// ForgetEnded forgets runs whose ends are committed.
+func (k *Reconciler) ForgetEnded(ends []queue.End) {
 	for _, e := range ends {
 		ref := e.Task.Ref(e.Run)
 		if o := k.orders[ref.Task]; o != nil && o.Run == ref.Run {
@@ -468,9 +468,9 @@
 	}
 }
 
-// Wanted returns the orders by task, for pacing. Runs that are to stop are not
+// DesiredRuns returns the orders by task, for pacing. Runs that are to stop are not
 // among them.
-func (k *Keeper) Wanted() map[rudderfork.TaskID]wire.RunOrder {
+func (k *Reconciler) DesiredRuns() map[rudderfork.TaskID]wire.RunOrder {
 	w := make(map[rudderfork.TaskID]wire.RunOrder, len(k.orders))
 	for id, o := range k.orders {
 		if !o.stop && !o.ended {
--- a/runs/room.go
+++ b/runs/room.go
@@ -16,7 +16,7 @@
 // before it orders a start; but where an order is held up on its way, the room may have
 // shrunk since, and not every executor guards its own. (In 250 drawn days 4 starts came
 // more than 2 s after a shrink that they did not fit; none with this.)
-func (k *Keeper) noRoom(o *order, now time.Time) *queue.End {
+func (k *Reconciler) noRoom(o *order, now time.Time) *queue.End {
 	switch {
 	case k.room == (rudderfork.Resources{}) || !o.pending():
 		return nil
@@ -36,7 +36,7 @@
 }
 
 // held returns what all other runs hold that may be at work.
-func (k *Keeper) held(but *order) (sum rudderfork.Resources) {
+func (k *Reconciler) held(but *order) (sum rudderfork.Resources) {
 	for _, o := range k.orders {
 		if o != but && !o.ended && (!o.pending() || o.unsure) {
 			sum = sum.Add(o.Need)
--- a/runs/second_start_test.go
+++ b/runs/second_start_test.go
@@ -19,7 +19,7 @@
 	k.SetTerm(3)
 	begin := func(life string, epoch uint64) {
 		k.SetClock(90_000, t0)
-		k.Order(wire.Orders{Incarnation: life, Epoch: epoch, Full: true, Start: []wire.RunOrder{{RunRef: ref(1)}}})
+		k.ApplyOrders(wire.Orders{Incarnation: life, Epoch: epoch, Full: true, Start: []wire.RunOrder{{RunRef: ref(1)}}})
 		k.Grant(life, epoch, lease)
 	}
 	k.Reset(first)
@@ -30,19 +30,19 @@
 	k.SetTerm(3)
 	t.Run("nothing is wanted there, and nothing granted on its clock", func(t *testing.T) {
 		checkNothingDue(t, k, t0)
-		_, ok := k.Until(t0)
+		_, ok := k.ExecutorLeaseEnd(t0)
 		assert.Assert(t, !ok)
-		assert.Equal(t, len(k.Wanted()), 0)
+		assert.Equal(t, len(k.DesiredRuns()), 0)
 	})
 	t.Run("late orders and grants for the start before are not taken", func(t *testing.T) {
 		k.SetClock(10, t0)
-		k.Order(wire.Orders{Incarnation: first, Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: ref(1)}}})
+		k.ApplyOrders(wire.Orders{Incarnation: first, Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: ref(1)}}})
 		k.Grant(first, 1, lease)
 		checkNothingDue(t, k, t0)
-		assert.Assert(t, k.Granted().IsZero())
+		assert.Assert(t, k.LeaseEnd().IsZero())
 	})
 	t.Run("its own are, by its own clock", func(t *testing.T) {
-		k.Order(wire.Orders{Incarnation: second, Epoch: 2, Full: true, Start: []wire.RunOrder{{RunRef: ref(2)}}})
+		k.ApplyOrders(wire.Orders{Incarnation: second, Epoch: 2, Full: true, Start: []wire.RunOrder{{RunRef: ref(2)}}})
 		k.Grant(second, 2, lease)
 		c := onlyCall(t, k, t0)
 		assert.Equal(t, c.Ref, ref(2))
--- a/runs/shrink_test.go
+++ b/runs/shrink_test.go
@@ -62,7 +62,7 @@
 	for _, v := range sh.s.vms {
 		if n%tellSteps == 0 || !sh.s.faulty {
 			v.told = v.room
-			v.keeper.SetRoom(rudderfork.Resources{CPUMilli: v.told})
+			v.keeper.SetCapacity(rudderfork.Resources{CPUMilli: v.told})
 		}
 	}
 }
--- a/runs/stop_test.go
+++ b/runs/stop_test.go
@@ -20,7 +20,7 @@
 	t      *testing.T
 	now    time.Time
 	exec   *executor.Executor
-	keeper *runs.Keeper
+	keeper *runs.Reconciler
 	acked  uint64
 	stops  int // calls
 }
@@ -39,8 +39,8 @@
 	s.keeper.Reset("life-1")
 	s.keeper.SetTerm(1)
 	s.keeper.SetClock(1, s.now)
-	s.keeper.Order(wire.Orders{Incarnation: "life-1", Epoch: 1, Full: true})
-	s.keeper.Order(wire.Orders{Incarnation: "life-1", Epoch: 1, Start: starts})
+	s.keeper.ApplyOrders(wire.Orders{Incarnation: "life-1", Epoch: 1, Full: true})
+	s.keeper.ApplyOrders(wire.Orders{Incarnation: "life-1", Epoch: 1, Start: starts})
 	s.keeper.Grant("life-1", 1, runs.Lease{Until: s.now.Add(longLease), StartBy: s.now.Add(longLease)})
 	s.step()
 	assert.Equal(t, len(s.exec.Running()), len(starts))
@@ -51,14 +51,14 @@
 func (s *stopSite) step() {
 	s.t.Helper()
 	ctx := context.Background()
-	calls, _ := s.keeper.Due(s.now)
+	calls, _ := s.keeper.NextCalls(s.now)
 	for _, c := range calls {
 		if c.Start == nil {
-			s.keeper.Stopped(c.Ref, s.exec.Stop(ctx, "life-1", c.Ref, 1), s.now)
+			s.keeper.HandleStopResult(c.Ref, s.exec.Stop(ctx, "life-1", c.Ref, 1), s.now)
 			continue
 		}
 		out, err := s.exec.Start(ctx, "life-1", *c.Start)
-		assert.Assert(s.t, s.keeper.Started(c.Ref, out, err, s.now) == nil)
+		assert.Assert(s.t, s.keeper.HandleStartResult(c.Ref, out, err, s.now) == nil)
 	}
 	s.now = s.now.Add(stepTime)
 	look, err := s.exec.Poll(ctx, "life-1", rudderfork.PollRequest{Fence: 1, AckedUpTo: s.acked})
@@ -66,7 +66,7 @@
 	for _, e := range look.Ended {
 		s.acked = max(s.acked, e.Seq)
 	}
-	s.keeper.Noted(s.keeper.Looked(look, s.now))
+	s.keeper.ForgetEnded(s.keeper.HandleStatus(look, s.now))
 }
 
 // TestStopTime stops runs on an executor that confirms a stop at once, and lists the
@@ -88,7 +88,7 @@
 		} {
 			t.Run(fmt.Sprintf("%s, %v", name, stopTime), func(t *testing.T) {
 				s := newStopSite(t, stopTime, starts)
-				s.keeper.Order(o)
+				s.keeper.ApplyOrders(o)
 				for range 50 {
 					s.step()
 				}
--- a/scheduler/calm_test.go
+++ b/scheduler/calm_test.go
@@ -217,7 +217,7 @@
 		for _, v := range c.vmList {
 			info, vm := c.sched.fleet.vm(rudderfork.VMID(v.name)), st.Queues().VM(rudderfork.VMID(v.name))
 			list = append(list, fmt.Sprintf("%s usable %v mute %v beat %v ago, lease %v, session %v, state %+v, agent %q, executor %q",
-				v.name, info.usable(now), info.heartbeat.Unresponsive, now.Sub(info.heartbeatAt), info.lease.Leased(now), info.session != nil, vm, v.agent.Life(), v.exec.Life()))
+				v.name, info.usable(now), info.heartbeat.Unresponsive, now.Sub(info.heartbeatAt), info.lease.Leased(now), info.session != nil, vm, v.agent.Incarnation(), v.exec.Life()))
 		}
 	})
 	return list
--- a/scheduler/calm_vm_test.go
+++ b/scheduler/calm_vm_test.go
@@ -85,7 +85,7 @@
 		a := v.agent
 		v.mu.Unlock()
 		room := rudderfork.Resources{CPUMilli: v.cpuMilli.Load(), MemoryMB: 1000}
-		a.Describe(queue.VM{ID: rudderfork.VMID(v.name), Domain: domainOf(v.name), Incarnation: v.exec.Life(), Service: "desk", Capacity: room}, false, 0)
+		a.HandleDescription(queue.VM{ID: rudderfork.VMID(v.name), Domain: domainOf(v.name), Incarnation: v.exec.Life(), Service: "desk", Capacity: room}, false, 0)
 		steady.Pause(v.cluster.ctx, 50*time.Millisecond)
 	}
 }
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -360,7 +360,7 @@
 	v := f.vm(vm)
 	ref := e.Task.Ref(e.Run)
 	switch {
-	case e.How == queue.EndRefused && e.Reason == runs.Closed:
+	case e.How == queue.EndRefused && e.Reason == runs.ReasonClosed:
 		return // it says nothing of the VM, and the task may begin elsewhere at once
 	case e.How == queue.EndFailed && v.hadWorked(e, now):
 		return // it says nothing of the VM
--- a/scheduler/refusal_test.go
+++ b/scheduler/refusal_test.go
@@ -156,7 +156,7 @@
 	}
 	wg.Go(func() {
 		for ctx.Err() == nil {
-			a.Describe(queue.VM{ID: rudderfork.VMID(name), Domain: domainOf(name), Incarnation: e.Life(), Service: "desk", Capacity: e.Room()}, false, 0)
+			a.HandleDescription(queue.VM{ID: rudderfork.VMID(name), Domain: domainOf(name), Incarnation: e.Life(), Service: "desk", Capacity: e.Room()}, false, 0)
 			steady.Pause(ctx, 50*time.Millisecond)
 		}
 	})
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -147,7 +147,7 @@
 	go func() {
 		for s.ctx.Err() == nil {
 			if l := life(); l != "" {
-				a.Describe(queue.VM{ID: rudderfork.VMID(name), Domain: domainOf(name), Incarnation: l, Service: "desk", Capacity: room}, false, 0)
+				a.HandleDescription(queue.VM{ID: rudderfork.VMID(name), Domain: domainOf(name), Incarnation: l, Service: "desk", Capacity: room}, false, 0)
 			}
 			steady.Pause(s.ctx, 50*time.Millisecond)
 		}
@@ -451,7 +451,7 @@
 		s.putDocument(nil)
 		s.submit("roster", "work=50ms", smallStep)
 		<-e.listed
-		a.Gone("vm1-life-1")
+		a.HandleShutdownNotice("vm1-life-1")
 		e.Restart("")
 		close(e.release)
 		s.addVM(begun(&starts))
@@ -468,7 +468,7 @@
 		s.waitUntil("the lasting task runs", func() bool { return len(e.Running()) == 1 })
 		second := s.addVM(begun(&starts))
 		e.Restart("")
-		a.Gone("vm1-life-1")
+		a.HandleShutdownNotice("vm1-life-1")
 		s.waitUntil("the task runs elsewhere", func() bool { return len(second.Running()) == 1 })
 	})
 }
--- a/scheduler/taken_up_test.go
+++ b/scheduler/taken_up_test.go
@@ -28,8 +28,8 @@
 			}
 			return executor.Answered
 		})
-		s.waitUntil("the agent takes the life for over", func() bool { return a.Life() == "" })
-		s.waitUntil("it takes it up again", func() bool { return a.Life() == e.Life() })
+		s.waitUntil("the agent takes the life for over", func() bool { return a.Incarnation() == "" })
+		s.waitUntil("it takes it up again", func() bool { return a.Incarnation() == e.Life() })
 	}
 }
 
