--- a/dispatch/account.go
+++ b/dispatch/account.go
@@ -18,11 +18,11 @@
 }
 
 // account sums up the fleet and what waits.
-func (p *planner) account() *FleetSummary {
+func (p *pass) summarize() *FleetSummary {
 	a := &FleetSummary{}
 	for _, v := range p.vms {
-		if v.fit {
-			p.accountVM(a, v)
+		if v.schedulable {
+			p.summarizeVM(a, v)
 		}
 	}
 	planned := map[queue.StepKey]int{}
@@ -30,12 +30,12 @@
 		planned[st.Task.StepKey()]++
 	}
 	for _, n := range p.jobs {
-		p.accountJob(a, n, planned)
+		p.summarizeWaiting(a, n, planned)
 	}
 	return a
 }
 
-func (p *planner) accountVM(a *FleetSummary, v *vmNote) {
+func (p *pass) summarizeVM(a *FleetSummary, v *vmState) {
 	const perCore = 1_000
 	a.VMs++
 	a.ServingImages += len(v.colocation.serving)
@@ -47,14 +47,14 @@
 		a.FillerCores += f.cpu / perCore
 		a.PacedCores += f.cpu * (1 - f.speed) / perCore
 	}
-	a.IdleCores += max(0, v.colocation.idle) / perCore
-	a.TolerableCores += p.room(&v.colocation, nil, noImage) * v.colocation.whole / perCore
+	a.IdleCores += max(0, v.colocation.idleCPU) / perCore
+	a.TolerableCores += p.fillerCapacity(&v.colocation, nil, noImage) * v.colocation.totalCPU / perCore
 }
 
 // accountJob adds what a job waits for, but for what the plan starts.
-func (p *planner) accountJob(a *FleetSummary, n *jobNote, planned map[queue.StepKey]int) {
+func (p *pass) summarizeWaiting(a *FleetSummary, n *jobState, planned map[queue.StepKey]int) {
 	for _, w := range n.waiting {
-		if !p.hasTurn(n, w) {
+		if !p.isReady(n, w) {
 			continue
 		}
 		waiting := max(0, w.tasks-planned[w.StepKey])
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -142,15 +142,15 @@
 	state    *queue.State
 	document *queue.Document // under which the jobs were read
 	images   images
-	vms      map[rudderfork.VMID]*vmNote
-	jobs     map[rudderfork.JobID]*jobNote
-	order    []*jobNote // all of jobs, as the last plan ranked them
+	vms      map[rudderfork.VMID]*vmState
+	jobs     map[rudderfork.JobID]*jobState
+	order    []*jobState // all of jobs, as the last plan ranked them
 }
 
 // NewPlanner returns a planner that has read nothing yet.
 func NewPlanner() *Planner {
 	pl := &Planner{}
-	pl.forget()
+	pl.reset()
 	return pl
 }
 
@@ -159,32 +159,32 @@
 
 // Plan returns what to do now.
 func (pl *Planner) Plan(s *queue.State, v View) Plan {
-	p := pl.begin(s, v)
+	p := pl.newPass(s, v)
 	jobs := p.ranked()
 	for _, j := range jobs {
-		p.stops(j)
+		p.planStops(j)
 	}
-	p.regroup(jobs)
+	p.planRelocation(jobs)
 	for _, j := range jobs {
-		p.starts(j)
+		p.planStarts(j)
 	}
 	for _, j := range jobs {
-		p.copies(j)
+		p.planCopies(j)
 	}
 	p.plan.LastOfStep = p.lastOfSteps(jobs)
 	if v.Summarize {
-		p.plan.Summary = p.account()
+		p.plan.Summary = p.summarize()
 	}
 	return p.plan
 }
 
-// begin reads what has changed since the plan before.
-func (pl *Planner) begin(s *queue.State, v View) *planner {
-	if pl.state != s || pl.images.crowded() {
-		pl.forget()
+// newPass reads what has changed since the plan before.
+func (pl *Planner) newPass(s *queue.State, v View) *pass {
+	if pl.state != s || pl.images.tooMany() {
+		pl.reset()
 		pl.state = s
 	}
-	p := &planner{
+	p := &pass{
 		state: s, view: v, images: &pl.images, placed: map[stepOnVM]int{},
 		started: map[rudderfork.JobID]int{}, rates: map[queue.StepKey][]siblingRate{},
 	}
@@ -195,34 +195,34 @@
 	return p
 }
 
-func (pl *Planner) forget() {
+func (pl *Planner) reset() {
 	pl.images = newImages()
-	pl.vms = map[rudderfork.VMID]*vmNote{}
-	pl.jobs = map[rudderfork.JobID]*jobNote{}
+	pl.vms = map[rudderfork.VMID]*vmState{}
+	pl.jobs = map[rudderfork.JobID]*jobState{}
 	pl.document, pl.order = nil, nil
 }
 
-// planner makes one plan.
-type planner struct {
+// pass makes one plan.
+type pass struct {
 	state  *queue.State
 	view   View
 	images *images
-	vms    []*vmNote               // in the order of their names
+	vms    []*vmState              // in the order of their names
 	at     map[rudderfork.VMID]int // index in vms
-	jobs   []*jobNote
+	jobs   []*jobState
 	plan   Plan
 
-	placed      map[stepOnVM]int // by the starts of this plan
-	started     map[rudderfork.JobID]int
-	groups      int
-	moves       int
-	quarantines int // VMs in quarantine
-	shortage    shortage
-	reserve     reserve
-	costs       []float64 // by VM, of the step that is weighed
-	rates       map[queue.StepKey][]siblingRate
-	wanted      []float64 // by image of fillers; nil until asked for
-	pairs       [][]float64
+	placed       map[stepOnVM]int // by the starts of this plan
+	started      map[rudderfork.JobID]int
+	gangs        int
+	fillerMoves  int
+	quarantines  int // VMs in quarantine
+	unmet        unmetList
+	reserve      reserve
+	costs        []float64 // by VM, of the step that is weighed
+	rates        map[queue.StepKey][]siblingRate
+	demandShares []float64 // by image of fillers; nil until asked for
+	pressures    [][]float64
 }
 
 // stepOnVM names the tasks of a step, of one time, on a VM.
@@ -232,7 +232,7 @@
 }
 
 // vmOf returns what is read of a VM, or nil.
-func (p *planner) vmOf(id rudderfork.VMID) *vmNote {
+func (p *pass) vmByID(id rudderfork.VMID) *vmState {
 	if i, ok := p.at[id]; ok {
 		return p.vms[i]
 	}
@@ -240,13 +240,13 @@
 }
 
 // starts plans the tasks of a job whose turn has come.
-func (p *planner) starts(n *jobNote) {
+func (p *pass) planStarts(n *jobState) {
 	for _, w := range n.waiting {
-		if !p.hasTurn(n, w) {
+		if !p.isReady(n, w) {
 			continue
 		}
 		cl := p.classOf(n, w.StepKey)
-		cl.since = w.readyAt
+		cl.readyAt = w.readyAt
 		if cl.step.Gang {
 			p.startGang(cl)
 			continue
@@ -256,85 +256,85 @@
 }
 
 // hasTurn reports whether the tasks of a step may start now.
-func (p *planner) hasTurn(n *jobNote, w waitingStep) bool {
-	return w.ready && n.job.Times[w.Time].DueMS <= p.view.Now
+func (p *pass) isReady(n *jobState, w waitingStep) bool {
+	return w.dependenciesDone && n.job.Times[w.Time].DueMS <= p.view.Now
 }
 
-func (p *planner) startStep(cl *class) {
+func (p *pass) startStep(cl *taskClass) {
 	c := candidates{}
 	for index := range cl.tasks {
 		k := cl.task(index)
-		if !p.wants(&cl.tasks[index], k) {
+		if !p.needsStart(&cl.tasks[index], k) {
 			continue
 		}
 		if c.costs == nil {
-			if p.hopeless(cl) {
+			if p.cannotStart(cl) {
 				return
 			}
-			c = p.weigh(cl, "")
+			c = p.findCandidates(cl, "")
 		}
-		v, reason, held := p.chooseFor(&c, k)
+		v, reason, held := p.chooseVMFor(&c, k)
 		if held {
 			continue
 		}
 		if v == nil {
-			p.askFor(cl, k)
+			p.requestAdvice(cl, k)
 			return // the others of the step are alike
 		}
-		if p.worthless(cl, v) {
-			p.noteSlow(cl)
+		if p.tooSlowToStart(cl, v) {
+			p.recordSlowEverywhere(cl)
 			return
 		}
 		if !p.reserve.allows(cl, &cl.tasks[index], v) {
 			continue // others of the step may have run before
 		}
-		p.add(cl, k, v, reason, 0)
-		p.weighAgain(&c, v)
+		p.addStart(cl, k, v, reason, 0)
+		p.updateCost(&c, v)
 	}
 }
 
 // wants reports whether a task lacks a run and is not held back.
-func (p *planner) wants(t *queue.Task, k queue.TaskKey) bool {
+func (p *pass) needsStart(t *queue.Task, k queue.TaskKey) bool {
 	return lacksRun(t) && p.view.BackOffUntil[k] <= p.view.Now
 }
 
-func (p *planner) add(cl *class, k queue.TaskKey, v *vmNote, reason string, group int) {
+func (p *pass) addStart(cl *taskClass, k queue.TaskKey, v *vmState, reason string, group int) {
 	p.plan.Starts = append(p.plan.Starts, Start{queue.Start{
 		Task: k, VM: v.vm.ID, Incarnation: v.vm.Incarnation, Group: group, Ticket: cl.tickets[v.vm.ID],
-	}, kindOf(cl.step), reason, p.waited(cl, k)})
-	p.reserve.slots -= p.reserve.taken(cl, v)
-	v.add(p, cl)
+	}, kindOf(cl.step), reason, p.waitedMS(cl, k)})
+	p.reserve.slots -= p.reserve.slotsTaken(cl, v)
+	v.addStart(p, cl)
 	if cl.tasks[k.Index].Suspect() {
-		p.noteQuarantine(v)
+		p.markQuarantined(v)
 	}
 	p.placed[stepOnVM{cl.key, v.vm.ID}]++
 	p.started[cl.job.ID]++
 }
 
 // waited is how long a task that was never started has waited, in ms, else -1.
-func (p *planner) waited(cl *class, k queue.TaskKey) int64 {
-	if cl.tasks[k.Index].LastRun > 0 || cl.since == 0 {
+func (p *pass) waitedMS(cl *taskClass, k queue.TaskKey) int64 {
+	if cl.tasks[k.Index].LastRun > 0 || cl.readyAt == 0 {
 		return -1
 	}
-	return max(0, p.view.Now-cl.since)
+	return max(0, p.view.Now-cl.readyAt)
 }
 
 // startGang starts all tasks of a gang, or none.
-func (p *planner) startGang(cl *class) {
+func (p *pass) startGang(cl *taskClass) {
 	for i := range cl.tasks {
-		if !p.wants(&cl.tasks[i], cl.task(i)) {
+		if !p.needsStart(&cl.tasks[i], cl.task(i)) {
 			return
 		}
 	}
 	for _, rack := range p.racks(cl.step) {
-		if p.gangOn(cl, rack) {
+		if p.startGangIn(cl, rack) {
 			return
 		}
 	}
 }
 
 // racks returns the racks to try for a gang; "" stands for all together.
-func (p *planner) racks(st *queue.Step) []string {
+func (p *pass) racks(st *queue.Step) []string {
 	if !st.SameRack {
 		return []string{""}
 	}
@@ -355,36 +355,36 @@
 }
 
 // gangOn plans a gang on the VMs of one rack; on failure the plan is as before.
-func (p *planner) gangOn(cl *class, rack string) bool {
-	p.groups++
+func (p *pass) startGangIn(cl *taskClass, rack string) bool {
+	p.gangs++
 	mark := len(p.plan.Starts)
-	c := p.weigh(cl, rack)
+	c := p.findCandidates(cl, rack)
 	for i := range cl.tasks {
 		k := cl.task(i)
-		v, reason := p.choose(&c, k)
+		v, reason := p.chooseVM(&c, k)
 		if v == nil {
-			p.askFor(cl, k)
-			p.drop(cl, mark)
+			p.requestAdvice(cl, k)
+			p.rollBack(cl, mark)
 			return false
 		}
-		p.add(cl, k, v, "with its gang: "+reason, p.groups)
-		p.weighAgain(&c, v)
+		p.addStart(cl, k, v, "with its gang: "+reason, p.gangs)
+		p.updateCost(&c, v)
 	}
 	return true
 }
 
 // drop takes back the starts from mark on.
-func (p *planner) drop(cl *class, mark int) {
+func (p *pass) rollBack(cl *taskClass, mark int) {
 	for _, st := range p.plan.Starts[mark:] {
-		v := p.vmOf(st.VM)
-		p.reserve.slots += p.reserve.slotsOf(v.free.CPUMilli+cl.need.CPUMilli) - p.reserve.slotsOf(v.free.CPUMilli)
+		v := p.vmByID(st.VM)
+		p.reserve.slots += p.reserve.slotsIn(v.free.CPUMilli+cl.need.CPUMilli) - p.reserve.slotsIn(v.free.CPUMilli)
 		v.free = v.free.Add(cl.need)
-		v.full = v.fullness()
+		v.utilization = v.maxShare()
 		v.colocation = v.colocationWithout(queue.TaskKey{}) // and without the plan's other starts: an estimate
-		v.colocation.weigh(p)
+		v.colocation.updateSlack(p)
 		p.placed[stepOnVM{cl.key, st.VM}]--
 		p.started[cl.job.ID]--
 	}
 	p.plan.Starts = p.plan.Starts[:mark]
-	p.shortage = nil // there is more room again
+	p.unmet = nil // there is more room again
 }
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -295,9 +295,9 @@
 			w.s.Job("s").Spec.Steps[0].TailMS = 18_000 // so that loads are fine-grained
 			return len(PlanOnce(w.s, w.view).Starts)
 		}
-		assert.Equal(t, beside(leftHeadroom+0.3), 0)
-		assert.Equal(t, beside(leftHeadroom+0.6), 1)
-		assert.Equal(t, beside(leftHeadroom+1.1), 2)
+		assert.Equal(t, beside(placementHeadroom+0.3), 0)
+		assert.Equal(t, beside(placementHeadroom+0.6), 1)
+		assert.Equal(t, beside(placementHeadroom+1.1), 2)
 	})
 	t.Run("fillers that would crawl wait, as long as their job has other runs", func(t *testing.T) {
 		w := newWorld(t, 1)
@@ -308,7 +308,7 @@
 		many.Count = 3
 		w.submit("later", "f", 900, many)
 		assert.Equal(t, len(w.run()), 0)
-		w.view.Now += waitMS
+		w.view.Now += maxSlowWaitMS
 		assert.Equal(t, len(w.run()), 1, "one begins at last")
 		assert.Equal(t, len(w.run()), 0)
 	})
@@ -318,7 +318,7 @@
 // at work.
 func (w *world) progress(k queue.TaskKey, percents ...int) {
 	begun := w.view.Now
-	w.view.Now += slowAfterMS
+	w.view.Now += minWatchMS
 	for i, percent := range percents {
 		k.Index = i
 		w.view.Runs[k.Run(1)] = RunView{Percent: percent, FirstSeenAt: begun, ProgressedAt: w.view.Now}
@@ -413,7 +413,7 @@
 		w.run()
 		w.view.Runs[k.Run(1)] = RunView{Percent: 40, ProgressedAt: w.view.Now}
 		assert.Equal(t, len(stops(w)), 0)
-		w.view.Now += stillMS + 1
+		w.view.Now += stallMS + 1
 		assert.DeepEqual(t, stops(w), map[string]string{"j.0.0.0": ReasonStalled})
 	})
 	t.Run("a lasting task only if it never came to work", func(t *testing.T) {
--- a/dispatch/drawn_test.go
+++ b/dispatch/drawn_test.go
@@ -193,7 +193,7 @@
 			fillers = append(fillers, f)
 			idle -= f.cpu
 		case st.TailMS > 0:
-			headroom := usualHeadroom
+			headroom := defaultHeadroom
 			if run.Load > 0 {
 				headroom = min(pace.Headroom(st.TailMS, run.Load), pace.MaxHeadroom)
 			}
@@ -208,7 +208,7 @@
 	}
 	for k, n := range vm.Runs() {
 		run, seen := p.view.Runs[k.Run(n)]
-		add(p.s.Job(k.Job).Spec.Steps[k.Step], run, !seen || p.view.Now-run.FirstSeenAt < freshMS)
+		add(p.s.Job(k.Job).Spec.Steps[k.Step], run, !seen || p.view.Now-run.FirstSeenAt < headroomDelayMS)
 	}
 	for _, s := range p.starts {
 		if s.VM == vm.ID {
@@ -230,7 +230,7 @@
 	cpu, whole := float64(max(1, st.Size.CPUMilli)), float64(vm.Capacity.CPUMilli)
 	speed := min(1, max(0, idle)/cpu)
 	for image, headroom := range headrooms {
-		room := headroom - leftHeadroom
+		room := headroom - placementHeadroom
 		for _, f := range fillers {
 			if f.fresh {
 				room -= p.view.Pressure(image, f.image) * f.cpu / whole
@@ -252,18 +252,18 @@
 		}
 	}
 	full := max(share(held.CPUMilli, vm.Capacity.CPUMilli), share(held.MemoryMB, vm.Capacity.MemoryMB))
-	c := full + costDoubt*p.view.VMs[vm.ID].FailureScore
+	c := full + costFailureScore*p.view.VMs[vm.ID].FailureScore
 	if st.DataRack != "" && vm.Rack != st.DataRack {
-		c += costFar
+		c += costRemoteData
 	}
 	if slices.Contains(p.view.FailedOn[k], vm.ID) {
-		c += costFailed
+		c += costFailedBefore
 	}
 	switch {
 	case st.Filler:
-		c += 1/max(leastSpeed, p.speed(st, vm)) - 1
+		c += 1/max(minSpeed, p.speed(st, vm)) - 1
 	case st.TailMS > 0:
-		c += p.servingCost(st, vm) - packing*full
+		c += p.servingCost(st, vm) - packingBonus*full
 	}
 	return c
 }
@@ -283,15 +283,15 @@
 		}
 		return max(0, spare) / whole * p.openness(tasks, images)
 	}
-	c = costShadow * (room(0) - room(st.Size.CPUMilli, st.Image))
+	c = costFillerLoss * (room(0) - room(st.Size.CPUMilli, st.Image))
 	all := 0
 	for _, n := range tasks {
 		all += n
 	}
 	if all == 0 {
-		c += costEmpty
+		c += costNoServing
 	} else {
-		c += costOthers * float64(all-tasks[st.Image]) / float64(all)
+		c += costOtherImages * float64(all-tasks[st.Image]) / float64(all)
 	}
 	for _, f := range fillers {
 		c += p.view.Pressure(st.Image, f.image) * f.cpu / whole
@@ -331,7 +331,7 @@
 		for _, image := range more {
 			most = max(most, p.view.Pressure(image, filler))
 		}
-		open += part / max(1, sum) / (1 + most*most/(heavyPressure*heavyPressure))
+		open += part / max(1, sum) / (1 + most*most/(halfTolerancePressure*halfTolerancePressure))
 	}
 	return open
 }
@@ -381,7 +381,7 @@
 				continue
 			}
 			best, _ := p.least(j, k)
-			crawls := st.Filler && slices.ContainsFunc(p.s.VMs(), func(vm *queue.VM) bool { return p.speed(st, vm) < startSpeed })
+			crawls := st.Filler && slices.ContainsFunc(p.s.VMs(), func(vm *queue.VM) bool { return p.speed(st, vm) < minStartSpeed })
 			yields := st.Lasting && j.Task(k).LastRun == 0 && p.view.ShortDemand.tasks > 0
 			assert.Assert(p.t, best == nil || crawls || yields, "%s waits, and %s could take it", k, nameOf(best))
 		}
--- a/dispatch/image.go
+++ b/dispatch/image.go
@@ -9,34 +9,34 @@
 // images numbers the names of images, so that what is known by pair of images is
 // found without hashing names.
 type images struct {
-	number map[string]int
-	names  []string
+	numbers map[string]int
+	names   []string
 }
 
-func newImages() images { return images{number: map[string]int{}} }
+func newImages() images { return images{numbers: map[string]int{}} }
 
 // of returns the number of an image.
-func (m *images) of(name string) int {
-	n, known := m.number[name]
+func (m *images) number(name string) int {
+	n, known := m.numbers[name]
 	if !known {
 		n = len(m.names)
-		m.number[name] = n
+		m.numbers[name] = n
 		m.names = append(m.names, name)
 	}
 	return n
 }
 
-func (m *images) crowded() bool { return len(m.names) > maxImages }
+func (m *images) tooMany() bool { return len(m.names) > maxImages }
 
 // pressure is the view's, which is asked once a plan for each pair of images.
-func (p *planner) pressure(serving, filler int) float64 {
-	for len(p.pairs) <= serving {
-		p.pairs = append(p.pairs, nil)
+func (p *pass) pressure(serving, filler int) float64 {
+	for len(p.pressures) <= serving {
+		p.pressures = append(p.pressures, nil)
 	}
-	row := p.pairs[serving]
+	row := p.pressures[serving]
 	if len(row) <= filler {
-		row = append(row, unasked(len(p.images.names)-len(row))...)
-		p.pairs[serving] = row
+		row = append(row, unknowns(len(p.images.names)-len(row))...)
+		p.pressures[serving] = row
 	}
 	if math.IsNaN(row[filler]) {
 		row[filler] = p.view.Pressure(p.images.names[serving], p.images.names[filler])
@@ -45,7 +45,7 @@
 }
 
 // unasked returns n figures that are not known yet.
-func unasked(n int) []float64 {
+func unknowns(n int) []float64 {
 	list := make([]float64, n)
 	for i := range list {
 		list[i] = math.NaN()
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -8,30 +8,30 @@
 	"rudderfork.example/rudderfork/queue"
 )
 
-// jobNote is what a planner has read of a job.
-type jobNote struct {
+// jobState is what a planner has read of a job.
+type jobState struct {
 	job     *queue.Job
 	changes uint64 // of the job, when it was read
 	row     queue.Queue
 
-	asked int64 // ms; rank.go
-	lasts bool
+	objectiveFrom int64 // ms; rank.go
+	lasting       bool
 
 	// What follows is expected; expect.
-	works      []float64 // of a task, by step, ms
-	span, left int64     // ms
-	work       float64   // that is left; leftWork
-	demand     []fillerWork
-	expectedAt uint64 // View.WorktimesAt then
-
-	lastEnd int64 // of a run, Unix ms; 0 for none
-	images  []int // by step
-
-	runs    []taskRun                          // active ones, by task
-	last    map[rudderfork.VMID][]queue.RunKey // of these, the last of their steps
-	waiting []waitingStep                      // with tasks that lack a run; none once it is over
-	short   ShortTasks                         // that run
-	copied  bool                               // some step allows copies
+	workMS              []float64 // of a task, by step, ms
+	objective, pathLeft int64     // ms
+	workLeft            float64   // that is left; leftWork
+	fillerWork          []fillerWork
+	workTimeVersion     uint64 // View.WorktimesAt then
+
+	lastEndedAt int64 // of a run, Unix ms; 0 for none
+	images      []int // by step
+
+	runs         []taskRun                          // active ones, by task
+	lastOfStep   map[rudderfork.VMID][]queue.RunKey // of these, the last of their steps
+	waiting      []waitingStep                      // with tasks that lack a run; none once it is over
+	shortRunning ShortTasks                         // that run
+	allowsCopies bool                               // some step allows copies
 }
 
 // taskRun is an active run.
@@ -44,9 +44,9 @@
 // waitingStep is a step with tasks that lack a run.
 type waitingStep struct {
 	queue.StepKey
-	tasks   int   // that lack a run
-	ready   bool  // the steps before it are done
-	readyAt int64 // when its turn comes or came, Unix ms, if it is ready
+	tasks            int   // that lack a run
+	dependenciesDone bool  // the steps before it are done
+	readyAt          int64 // when its turn comes or came, Unix ms, if it is ready
 }
 
 // fillerWork is how much work of one image a job has left, in thousandths of a core
@@ -58,12 +58,12 @@
 
 // readJobs returns the live jobs, those anew that have changed, about in the order of
 // the plan before, so that they are soon in order again.
-func (pl *Planner) readJobs(p *planner) []*jobNote {
+func (pl *Planner) readJobs(p *pass) []*jobState {
 	if doc := p.state.Document(); pl.document != doc {
-		pl.jobs, pl.order, pl.document = map[rudderfork.JobID]*jobNote{}, nil, doc
+		pl.jobs, pl.order, pl.document = map[rudderfork.JobID]*jobState{}, nil, doc
 	}
 	live := p.state.Live()
-	list := make([]*jobNote, 0, len(live))
+	list := make([]*jobState, 0, len(live))
 	for _, old := range pl.order {
 		n := pl.readJob(p, live[old.job.ID])
 		if n == nil {
@@ -84,30 +84,30 @@
 }
 
 // readJob reads a job if it has changed; nil stands for one that is over.
-func (pl *Planner) readJob(p *planner, j *queue.Job) *jobNote {
+func (pl *Planner) readJob(p *pass, j *queue.Job) *jobState {
 	if j == nil {
 		return nil
 	}
 	n := pl.jobs[j.ID]
 	if n == nil || n.job != j || n.changes != j.Changes() {
-		n = p.note(j)
+		n = p.newJobState(j)
 		pl.jobs[j.ID] = n
-	} else if n.expectedAt != p.view.WorkTimeVersion {
-		n.expect(p)
+	} else if n.workTimeVersion != p.view.WorkTimeVersion {
+		n.estimate(p)
 	}
 	return n
 }
 
 // note reads a job.
-func (p *planner) note(j *queue.Job) *jobNote {
+func (p *pass) newJobState(j *queue.Job) *jobState {
 	row := p.state.Row(j)
-	n := &jobNote{job: j, changes: j.Changes(), row: row, asked: askedMS(j), lasts: lasting(j)}
+	n := &jobState{job: j, changes: j.Changes(), row: row, objectiveFrom: objectiveFromMS(j), lasting: hasLastingStep(j)}
 	for i := range j.Spec.Steps {
 		st := &j.Spec.Steps[i]
-		n.images = append(n.images, p.images.of(st.Image))
-		n.copied = n.copied || st.Speculative && !st.Gang && !st.Lasting
+		n.images = append(n.images, p.images.number(st.Image))
+		n.allowsCopies = n.allowsCopies || st.Speculative && !st.Gang && !st.Lasting
 	}
-	n.expect(p)
+	n.estimate(p)
 	for time, o := range j.Times {
 		for step := range o.Steps {
 			n.readStep(queue.StepKey{Job: j.ID, Time: time, Step: step}, o.Steps[step])
@@ -118,11 +118,11 @@
 }
 
 // expect works out what the job's work may be expected to be.
-func (n *jobNote) expect(p *planner) {
+func (n *jobState) estimate(p *pass) {
 	j := n.job
-	n.works, n.expectedAt = p.view.WorkTime.of(n.row, j, openTime(j)), p.view.WorkTimeVersion
-	n.span, n.left, n.work = objectiveMS(n.row, j, n.works), leftMS(j, n.works), leftWork(j, n.works)
-	n.demand = n.demand[:0]
+	n.workMS, n.workTimeVersion = p.view.WorkTime.estimates(n.row, j, openOccurrence(j)), p.view.WorkTimeVersion
+	n.objective, n.pathLeft, n.workLeft = objectiveMS(n.row, j, n.workMS), pathLeftMS(j, n.workMS), workLeft(j, n.workMS)
+	n.fillerWork = n.fillerWork[:0]
 	for i := range j.Spec.Steps {
 		st := &j.Spec.Steps[i]
 		if !st.Filler {
@@ -132,15 +132,15 @@
 		for _, o := range j.Times {
 			left += o.Left[i]
 		}
-		n.demand = append(n.demand, fillerWork{n.images[i], expectedWork(st, n.works[i], left)})
+		n.fillerWork = append(n.fillerWork, fillerWork{n.images[i], expectedWork(st, n.workMS[i], left)})
 	}
 }
 
-func (n *jobNote) readStep(key queue.StepKey, tasks []queue.Task) {
+func (n *jobState) readStep(key queue.StepKey, tasks []queue.Task) {
 	waiting := 0
 	for index := range tasks {
 		t := &tasks[index]
-		n.lastEnd = max(n.lastEnd, t.EndedAt)
+		n.lastEndedAt = max(n.lastEndedAt, t.EndedAt)
 		if lacksRun(t) {
 			waiting++
 		}
@@ -155,17 +155,17 @@
 }
 
 // readRuns notes which runs are the last of their steps, and which are of short tasks.
-func (n *jobNote) readRuns() {
-	n.last = map[rudderfork.VMID][]queue.RunKey{}
+func (n *jobState) readRuns() {
+	n.lastOfStep = map[rudderfork.VMID][]queue.RunKey{}
 	for i := range n.runs {
 		r := &n.runs[i]
 		st := &n.job.Spec.Steps[r.key.Step]
-		if !n.job.Status.Final() && n.isLast(r.key.StepKey()) {
-			n.last[r.run.VM] = append(n.last[r.run.VM], r.key.Run(r.run.Number))
+		if !n.job.Status.Final() && n.isNearlyDone(r.key.StepKey()) {
+			n.lastOfStep[r.run.VM] = append(n.lastOfStep[r.run.VM], r.key.Run(r.run.Number))
 		}
 		if kindOf(st) == Short {
-			n.short.Running++
-			n.short.CPUMilli += st.Size.CPUMilli
+			n.shortRunning.Running++
+			n.shortRunning.CPUMilli += st.Size.CPUMilli
 		}
 	}
 }
@@ -175,10 +175,10 @@
 
 // waitingStep notes when the turn of a step came: when it was handed in or falls due,
 // and the last task of the steps before it has ended.
-func (n *jobNote) waitingStep(key queue.StepKey, tasks int) waitingStep {
+func (n *jobState) waitingStep(key queue.StepKey, tasks int) waitingStep {
 	o := n.job.Times[key.Time]
 	st := n.job.Spec.Steps[key.Step]
-	w := waitingStep{StepKey: key, tasks: tasks, ready: o.StepReady(st), readyAt: max(n.job.SubmittedAt, o.DueMS)}
+	w := waitingStep{StepKey: key, tasks: tasks, dependenciesDone: o.StepReady(st), readyAt: max(n.job.SubmittedAt, o.DueMS)}
 	for _, before := range st.DependsOn {
 		for i := range o.Steps[before] {
 			w.readyAt = max(w.readyAt, o.Steps[before][i].EndedAt)
@@ -188,9 +188,9 @@
 }
 
 // ranked returns the live jobs, first things first.
-func (p *planner) ranked() []*jobNote {
+func (p *pass) ranked() []*jobState {
 	type ranked struct {
-		note *jobNote
+		job  *jobState
 		rank rank
 	}
 	list := make([]ranked, len(p.jobs))
@@ -201,10 +201,10 @@
 		if c := a.rank.compare(b.rank); c != 0 {
 			return c
 		}
-		return cmp.Compare(a.note.job.ID, b.note.job.ID)
+		return cmp.Compare(a.job.job.ID, b.job.job.ID)
 	})
 	for i, r := range list {
-		p.jobs[i] = r.note
+		p.jobs[i] = r.job
 	}
 	return p.jobs
 }
--- a/dispatch/moves_test.go
+++ b/dispatch/moves_test.go
@@ -47,11 +47,11 @@
 		after int64 // ms since its start
 		moved int
 	}{
-		{"half held down, with most of its work left", RunView{Percent: 10, PacedDownPercent: 50}, restMS, 1},
-		{"not before it has run for a while", RunView{Percent: 10, PacedDownPercent: 50}, restMS - 1, 0},
-		{"held down by too little to gain", RunView{Percent: 10, PacedDownPercent: 20}, restMS, 0},
-		{"half held down, with little left", RunView{Percent: 85, PacedDownPercent: 50}, restMS, 0},
-		{"at a standstill, with little left", RunView{Percent: 85, PacedDownPercent: 100}, restMS, 1},
+		{"half held down, with most of its work left", RunView{Percent: 10, PacedDownPercent: 50}, minRunMS, 1},
+		{"not before it has run for a while", RunView{Percent: 10, PacedDownPercent: 50}, minRunMS - 1, 0},
+		{"held down by too little to gain", RunView{Percent: 10, PacedDownPercent: 20}, minRunMS, 0},
+		{"half held down, with little left", RunView{Percent: 85, PacedDownPercent: 50}, minRunMS, 0},
+		{"at a standstill, with little left", RunView{Percent: 85, PacedDownPercent: 100}, minRunMS, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := heldFillers(t, 1, c.run)
@@ -62,19 +62,19 @@
 	t.Run("no member of a gang, whose end would end the others", func(t *testing.T) {
 		w := heldFillers(t, 1, RunView{Percent: 10, PacedDownPercent: 100})
 		w.s.Job("f0").Spec.Steps[0].Gang = true
-		w.view.Now += restMS
+		w.view.Now += minRunMS
 		assert.Equal(t, moved(w), 0)
 	})
 	t.Run("not without a better place", func(t *testing.T) {
 		w := heldFillers(t, 1, RunView{Percent: 10, PacedDownPercent: 100})
 		w.view.VMs["vm2"] = VMView{}
-		w.view.Now += restMS
+		w.view.Now += minRunMS
 		assert.Equal(t, moved(w), 0)
 	})
 	t.Run("as many at once as the fleet is large", func(t *testing.T) {
 		const vms = 80
 		w := heldFillers(t, vms, RunView{Percent: 10, PacedDownPercent: 100})
-		w.view.Now += restMS
-		assert.Equal(t, moved(w), 2*vms/vmsAMove)
+		w.view.Now += minRunMS
+		assert.Equal(t, moved(w), 2*vms/vmsPerMove)
 	})
 }
--- a/dispatch/obstacle.go
+++ b/dispatch/obstacle.go
@@ -7,26 +7,26 @@
 
 // Explanation says why tasks of a job wait, at one moment.
 type Explanation struct {
-	p    *planner
-	note *jobNote
+	p   *pass
+	job *jobState
 }
 
 // Explain returns the reasons for a job at the moment. They are good until the state or
 // the view changes, or the planner plans again.
 func (pl *Planner) Explain(s *queue.State, v View, j *queue.Job) Explanation {
-	p := pl.begin(s, v)
-	return Explanation{p, p.note(j)}
+	p := pl.newPass(s, v)
+	return Explanation{p, p.newJobState(j)}
 }
 
 // RejectReasons says for each VM why it cannot take a task now, or "" if it can.
 func (e Explanation) RejectReasons(k queue.TaskKey) map[rudderfork.VMID]string {
-	p, cl := e.p, e.p.classOf(e.note, k.StepKey())
+	p, cl := e.p, e.p.classOf(e.job, k.StepKey())
 	why := map[rudderfork.VMID]string{}
 	for _, v := range p.vms {
-		why[v.vm.ID] = p.obstacle(cl, k, v)
+		why[v.vm.ID] = p.rejectReason(cl, k, v)
 		switch {
 		case why[v.vm.ID] != "":
-		case p.worthless(cl, v):
+		case p.tooSlowToStart(cl, v):
 			why[v.vm.ID] = "the task would crawl beside the serving tasks there"
 		case !p.reserve.allows(cl, cl.job.Task(k), v):
 			why[v.vm.ID] = "room is kept there for short tasks"
@@ -38,7 +38,7 @@
 }
 
 // obstacle is able in words: why a VM cannot take a task, or "" if it can.
-func (p *planner) obstacle(cl *class, k queue.TaskKey, v *vmNote) string {
+func (p *pass) rejectReason(cl *taskClass, k queue.TaskKey, v *vmState) string {
 	switch {
 	case cl.advised && cl.tickets[v.vm.ID] == "":
 		return "the adviser has given no leave for it"
--- a/dispatch/quarantine.go
+++ b/dispatch/quarantine.go
@@ -20,16 +20,16 @@
 	// quarantinePart is the part of the VMs, one of so many, that may hold suspects in
 	// quarantine at a time. (With two, 3.03 crashes a poison task for 2.84 where 30 come
 	// within 30 s; modelled days.)
-	quarantinePart = 4
+	quarantineDivisor = 4
 	// patienceMS is how long a suspect waits for a place apart, at most: short beside
 	// the 3 s after which users take a job for forgotten that has nothing running.
-	patienceMS = 1_500
+	maxQuarantineWaitMS = 1_500
 	// costQuarantine is what a VM in quarantine costs other tasks: its executor may crash.
 	costQuarantine = 4.0
 )
 
 // holdsSuspect reports whether a suspect on the VM has not been seen at work for long.
-func (v *vmNote) holdsSuspect(p *planner) bool {
+func (v *vmState) hasUnprovenSuspect(p *pass) bool {
 	return slices.ContainsFunc(v.suspects, func(k queue.RunKey) bool {
 		run, seen := p.view.Runs[k]
 		return !seen || p.view.Now-run.FirstSeenAt < quarantineMS
@@ -37,7 +37,7 @@
 }
 
 // noteQuarantine notes that a suspect is in quarantine on a VM.
-func (p *planner) noteQuarantine(v *vmNote) {
+func (p *pass) markQuarantined(v *vmState) {
 	if !v.quarantine {
 		v.quarantine = true
 		p.quarantines++
@@ -46,34 +46,34 @@
 
 // chooseFor is choose with a place apart for a suspect. held says that a suspect waits
 // for one.
-func (p *planner) chooseFor(c *candidates, k queue.TaskKey) (v *vmNote, reason string, held bool) {
+func (p *pass) chooseVMFor(c *candidates, k queue.TaskKey) (v *vmState, reason string, held bool) {
 	t := &c.class.tasks[k.Index]
 	if !t.Suspect() {
-		v, reason = p.choose(c, k)
+		v, reason = p.chooseVM(c, k)
 		return v, reason, false
 	}
-	if v = p.chooseApart(c, k); v != nil {
+	if v = p.chooseQuarantine(c, k); v != nil {
 		return v, "a suspect of a crash, in quarantine where least runs", false
 	}
-	if c.able > 0 && p.isPatient(t) {
+	if c.feasible > 0 && p.mayWaitForQuarantine(t) {
 		return nil, "", true
 	}
-	v, reason = p.choose(c, k)
+	v, reason = p.chooseVM(c, k)
 	return v, reason, false
 }
 
 // isPatient reports whether a suspect waits on for a place apart. An end by the clock of
 // an earlier leader may lie ahead; nothing waits for that.
-func (p *planner) isPatient(t *queue.Task) bool {
+func (p *pass) mayWaitForQuarantine(t *queue.Task) bool {
 	waited := p.view.Now - t.EndedAt
-	return waited >= 0 && waited < patienceMS
+	return waited >= 0 && waited < maxQuarantineWaitMS
 }
 
 // chooseApart returns the VM with the fewest runs of those that are not in quarantine, of
 // those where nothing speaks against the task if there are any; nil if there is none, or
 // enough are in quarantine.
-func (p *planner) chooseApart(c *candidates, k queue.TaskKey) (best *vmNote) {
-	if p.quarantines >= max(1, len(p.vms)/quarantinePart) {
+func (p *pass) chooseQuarantine(c *candidates, k queue.TaskKey) (best *vmState) {
+	if p.quarantines >= max(1, len(p.vms)/quarantineDivisor) {
 		return nil
 	}
 	for i, cost := range c.costs {
@@ -81,7 +81,7 @@
 		if math.IsInf(cost, 1) || v.quarantine || c.class.runsOn(k, v) {
 			continue
 		}
-		if best == nil || p.compareApart(k, v, best) < 0 {
+		if best == nil || p.compareQuarantine(k, v, best) < 0 {
 			best = v
 		}
 	}
@@ -89,14 +89,14 @@
 }
 
 // compareApart compares VMs as places for a suspect, the better one first.
-func (p *planner) compareApart(k queue.TaskKey, v, o *vmNote) int {
+func (p *pass) compareQuarantine(k queue.TaskKey, v, o *vmState) int {
 	return cmp.Or(
-		compareBool(p.objectionable(k, v), p.objectionable(k, o)),
-		cmp.Compare(len(v.runs)+v.added, len(o.runs)+o.added),
+		compareBool(p.isRisky(k, v), p.isRisky(k, o)),
+		cmp.Compare(len(v.runs)+v.starts, len(o.runs)+o.starts),
 	)
 }
 
 // objectionable reports whether the task has failed on a VM, or the VM is in doubt.
-func (p *planner) objectionable(k queue.TaskKey, v *vmNote) bool {
-	return v.view.FailureScore >= doubtful || p.failedCost(k, v) > 0
+func (p *pass) isRisky(k queue.TaskKey, v *vmState) bool {
+	return v.view.FailureScore >= riskyFailureScore || p.failedCost(k, v) > 0
 }
--- a/dispatch/quarantine_test.go
+++ b/dispatch/quarantine_test.go
@@ -49,7 +49,7 @@
 	t.Run("each runs on a VM of its own, on a part of the VMs", func(t *testing.T) {
 		w := suspects(t, 8, 5)
 		places := w.run()
-		assert.Equal(t, len(places), 8/quarantinePart)
+		assert.Equal(t, len(places), 8/quarantineDivisor)
 		assert.Assert(t, places["s0.0.0.0"] != places["s1.0.0.0"])
 		assert.Equal(t, len(w.run()), 0)
 	})
@@ -80,7 +80,7 @@
 	t.Run("none waits for long", func(t *testing.T) {
 		w := suspects(t, 4, 3)
 		assert.Equal(t, len(w.run()), 1)
-		w.view.Now += patienceMS - 1
+		w.view.Now += maxQuarantineWaitMS - 1
 		assert.Equal(t, len(w.run()), 0)
 		w.view.Now++
 		assert.Equal(t, len(w.run()), 2)
--- a/dispatch/rank.go
+++ b/dispatch/rank.go
@@ -9,7 +9,7 @@
 // hopeFactor is how many times its objective a job may take before finishing it
 // is worth nothing to its owner (the users' pages count up to three times as
 // late).
-const hopeFactor = 3
+const worthlessFactor = 3
 
 // rank orders jobs. Within a priority, those that can be in time go first: when
 // there is too little room for all, serving the oldest first would make all late.
@@ -18,31 +18,31 @@
 // not all can be in time, more are (shortest remaining processing time, Schrage 1968).
 // Those past all hope go by their age, so that each has its turn.
 type rank struct {
-	hopeless bool
-	priority int
-	late     bool    // it cannot be in time any more
-	work     float64 // that is left, thousandths of a core times ms; 0 if it lasts
-	deadline int64   // of the objective, leader's clock, Unix ms
+	worthless bool
+	priority  int
+	late      bool    // it cannot be in time any more
+	workLeft  float64 // that is left, thousandths of a core times ms; 0 if it lasts
+	deadline  int64   // of the objective, leader's clock, Unix ms
 }
 
 // rank returns where a job stands now.
-func (n *jobNote) rank(now int64) rank {
+func (n *jobState) rank(now int64) rank {
 	r := rank{
-		hopeless: now > n.asked+hopeFactor*n.span && !n.lasts,
-		priority: n.row.Priority,
-		late:     now+n.left > n.asked+n.span && !n.lasts,
-		deadline: n.asked + n.span,
+		worthless: now > n.objectiveFrom+worthlessFactor*n.objective && !n.lasting,
+		priority:  n.row.Priority,
+		late:      now+n.pathLeft > n.objectiveFrom+n.objective && !n.lasting,
+		deadline:  n.objectiveFrom + n.objective,
 	}
-	if !r.hopeless {
-		r.work = n.work
+	if !r.worthless {
+		r.workLeft = n.workLeft
 	}
 	return r
 }
 
 func (r rank) compare(o rank) int {
 	return cmp.Or(
-		compareBool(r.hopeless, o.hopeless), cmp.Compare(r.priority, o.priority),
-		compareBool(r.late, o.late), cmp.Compare(r.work, o.work), cmp.Compare(r.deadline, o.deadline),
+		compareBool(r.worthless, o.worthless), cmp.Compare(r.priority, o.priority),
+		compareBool(r.late, o.late), cmp.Compare(r.workLeft, o.workLeft), cmp.Compare(r.deadline, o.deadline),
 	)
 }
 
@@ -56,7 +56,7 @@
 	return -1
 }
 
-func lasting(j *queue.Job) bool {
+func hasLastingStep(j *queue.Job) bool {
 	for _, st := range j.Spec.Steps {
 		if st.Lasting {
 			return true
@@ -67,7 +67,7 @@
 
 // askedMS is when a job's objective began to run: when it was handed in, or when
 // the oldest of its times fell due that is not done.
-func askedMS(j *queue.Job) int64 {
+func objectiveFromMS(j *queue.Job) int64 {
 	if j.Spec.Repeat == nil {
 		return j.SubmittedAt
 	}
@@ -84,7 +84,7 @@
 type WorkTimeFunc func(queueName string, k queue.StepKey, st *queue.Step) float64
 
 // of returns the expectations for the steps of a job at a time, by step.
-func (w WorkTimeFunc) of(row queue.Queue, j *queue.Job, time int) []float64 {
+func (w WorkTimeFunc) estimates(row queue.Queue, j *queue.Job, time int) []float64 {
 	list := make([]float64, len(j.Spec.Steps))
 	for i := range list {
 		st := &j.Spec.Steps[i]
@@ -99,16 +99,16 @@
 // ObjectiveMS is how long a job of the queue may take: a multiple of its
 // longest chain of work, and the queue's latency.
 func ObjectiveMS(row queue.Queue, j *queue.Job, w WorkTimeFunc) int64 {
-	return objectiveMS(row, j, w.of(row, j, openTime(j)))
+	return objectiveMS(row, j, w.estimates(row, j, openOccurrence(j)))
 }
 
 func objectiveMS(row queue.Queue, j *queue.Job, works []float64) int64 {
-	chain := chainMS(j.Spec, works, func(int) bool { return true })
+	chain := criticalPathMS(j.Spec, works, func(int) bool { return true })
 	return int64(max(1, row.Stretch)*chain) + row.LatencyMS
 }
 
 // openTime is the oldest time of a job that is not done, or the last one.
-func openTime(j *queue.Job) int {
+func openOccurrence(j *queue.Job) int {
 	for i, o := range j.Times {
 		if !o.Done() {
 			return i
@@ -119,22 +119,22 @@
 
 // leftMS is the expected length of the longest chain of steps that are not done,
 // of the oldest time of a job that is not done.
-func leftMS(j *queue.Job, works []float64) int64 {
+func pathLeftMS(j *queue.Job, works []float64) int64 {
 	if len(j.Times) == 0 {
 		return 0
 	}
-	o := j.Times[openTime(j)]
-	return int64(chainMS(j.Spec, works, func(step int) bool { return o.Left[step] > 0 }))
+	o := j.Times[openOccurrence(j)]
+	return int64(criticalPathMS(j.Spec, works, func(step int) bool { return o.Left[step] > 0 }))
 }
 
 // leftWork is the expected work of the tasks that are not done, of the oldest time of
 // a job that is not done, in thousandths of a core times ms. A lasting job has none
 // that could be compared.
-func leftWork(j *queue.Job, works []float64) (work float64) {
-	if lasting(j) || len(j.Times) == 0 {
+func workLeft(j *queue.Job, works []float64) (work float64) {
+	if hasLastingStep(j) || len(j.Times) == 0 {
 		return 0
 	}
-	o := j.Times[openTime(j)]
+	o := j.Times[openOccurrence(j)]
 	for i := range j.Spec.Steps {
 		work += expectedWork(&j.Spec.Steps[i], works[i], o.Left[i])
 	}
@@ -147,7 +147,7 @@
 }
 
 // chainMS is the expected length of the longest chain of the steps that count.
-func chainMS(spec queue.Spec, works []float64, counts func(step int) bool) (longest float64) {
+func criticalPathMS(spec queue.Spec, works []float64, counts func(step int) bool) (longest float64) {
 	ends := make([]float64, len(spec.Steps))
 	for i, st := range spec.Steps {
 		for _, d := range st.DependsOn {
--- a/dispatch/regroup_test.go
+++ b/dispatch/regroup_test.go
@@ -89,7 +89,7 @@
 		other := w.serve("d", "audio", "vm2")
 		w.view.LastRelocation = Relocation{Task: other, Run: 1, At: w.view.Now - 1}
 		assert.DeepEqual(t, regroupings(PlanOnce(w.s, w.view)), []queue.TaskKey{other})
-		w.view.LastRelocation.At = w.view.Now - 10*regroupRestMS
+		w.view.LastRelocation.At = w.view.Now - 10*relocationPauseMS
 		assert.DeepEqual(t, regroupings(PlanOnce(w.s, w.view)), []queue.TaskKey{other}) // its stop is not done
 		w.view.LastRelocation.Run++
 		assert.DeepEqual(t, regroupings(PlanOnce(w.s, w.view)), []queue.TaskKey{stray})
--- a/dispatch/reserve.go
+++ b/dispatch/reserve.go
@@ -18,7 +18,7 @@
 	// reserveFrom is the part of the processors from which room is kept. Below it
 	// lasting tasks always begin: users count them as lost where they wait while less
 	// than half is in use.
-	reserveFrom = 0.75
+	reserveUtilization = 0.75
 )
 
 // ShortTasks is what a plan found of short tasks.
@@ -59,41 +59,41 @@
 
 // reserve is the room that is kept for short tasks in a plan.
 type reserve struct {
-	cpu   int64 // of a short task, thousandths of a core; 0 while none was seen
-	slots int   // for further ones, on all VMs
-	kept  int   // how many of these are to be left
-	full  bool  // VMs are nearly full
+	taskCPU    int64 // of a short task, thousandths of a core; 0 while none was seen
+	slots      int   // for further ones, on all VMs
+	keep       int   // how many of these are to be left
+	nearlyFull bool  // VMs are nearly full
 }
 
 // reserveRoom finds out what there is of short tasks, and the room to keep for them.
-func (p *planner) reserveRoom() {
+func (p *pass) reserveRoom() {
 	for _, n := range p.jobs {
-		p.addShort(n)
+		p.countShort(n)
 	}
 	seen := p.view.ShortDemand
-	r := reserve{cpu: int64(seen.cpu), kept: int(math.Ceil(seen.tasks+seen.spread)) - p.plan.ShortTasks.Running}
+	r := reserve{taskCPU: int64(seen.cpu), keep: int(math.Ceil(seen.tasks+seen.spread)) - p.plan.ShortTasks.Running}
 	free, whole := int64(0), int64(0)
 	for _, v := range p.vms {
-		if v.fit {
+		if v.schedulable {
 			free += v.free.CPUMilli
 			whole += v.vm.Capacity.CPUMilli
-			r.slots += r.slotsOf(v.free.CPUMilli)
+			r.slots += r.slotsIn(v.free.CPUMilli)
 		}
 	}
-	r.full = float64(whole-free) > reserveFrom*float64(whole)
+	r.nearlyFull = float64(whole-free) > reserveUtilization*float64(whole)
 	p.reserve = r
 }
 
 // addShort counts a job's short tasks.
-func (p *planner) addShort(n *jobNote) {
+func (p *pass) countShort(n *jobState) {
 	found := &p.plan.ShortTasks
-	found.Running += n.short.Running
-	found.CPUMilli += n.short.CPUMilli
+	found.Running += n.shortRunning.Running
+	found.CPUMilli += n.shortRunning.CPUMilli
 	if n.rank(p.view.Now).late {
 		return
 	}
 	for _, w := range n.waiting {
-		if st := &n.job.Spec.Steps[w.Step]; kindOf(st) == Short && p.hasTurn(n, w) {
+		if st := &n.job.Spec.Steps[w.Step]; kindOf(st) == Short && p.isReady(n, w) {
 			found.Waiting += w.tasks
 			found.CPUMilli += int64(w.tasks) * st.Size.CPUMilli
 		}
@@ -101,23 +101,23 @@
 }
 
 // slotsOf is how many short tasks a VM has room for.
-func (r *reserve) slotsOf(free int64) int {
-	if r.cpu <= 0 {
+func (r *reserve) slotsIn(free int64) int {
+	if r.taskCPU <= 0 {
 		return 0
 	}
-	return int(max(0, free) / r.cpu)
+	return int(max(0, free) / r.taskCPU)
 }
 
 // allows reports whether a task may take room on a VM: one that lasts and never began
 // leaves enough for short ones.
-func (r *reserve) allows(cl *class, t *queue.Task, v *vmNote) bool {
-	if !r.full || r.cpu <= 0 || !cl.step.Lasting || t.LastRun > 0 {
+func (r *reserve) allows(cl *taskClass, t *queue.Task, v *vmState) bool {
+	if !r.nearlyFull || r.taskCPU <= 0 || !cl.step.Lasting || t.LastRun > 0 {
 		return true
 	}
-	return r.slots-r.taken(cl, v) >= r.kept
+	return r.slots-r.slotsTaken(cl, v) >= r.keep
 }
 
 // taken is how many short tasks less the VM has room for with a task of a class.
-func (r *reserve) taken(cl *class, v *vmNote) int {
-	return r.slotsOf(v.free.CPUMilli) - r.slotsOf(v.free.CPUMilli-cl.need.CPUMilli)
+func (r *reserve) slotsTaken(cl *taskClass, v *vmState) int {
+	return r.slotsIn(v.free.CPUMilli) - r.slotsIn(v.free.CPUMilli-cl.need.CPUMilli)
 }
