--- a/bench/fleetgroup.go
+++ b/bench/fleetgroup.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	r.sched = scheduler.New(scheduler.Settings{Lease: fleetLease, KeepStatus: time.Minute}, r.rep, nil, log, fleetRecorder{})
+	r.sched = scheduler.New(scheduler.Settings{Lease: fleetLease, StatusRetention: time.Minute}, r.rep, nil, log, fleetRecorder{})
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /peer", r.peers.Accept(r.rep))
 	mux.HandleFunc("GET /queues", r.sched.Accept)
--- a/cmd/rudderctl/queues.go
+++ b/cmd/rudderctl/queues.go
@@ -148,7 +148,7 @@
 	return show(list, func(w io.Writer) {
 		fmt.Fprintln(w, "TASK\tQUEUE\tCRASHES\tIN DOUBT\tSUSPICION\tON")
 		for _, t := range list {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.1f%%\t%s\n", t.Task, t.Queue, t.Crashes, t.Doubts, float64(t.Suspicion)/milliPerCent, strings.Join(t.On, " "))
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.1f%%\t%s\n", t.Task, t.Queue, t.Crashes, t.Doubts, float64(t.Suspicion)/milliPerCent, strings.Join(t.VMs, " "))
 		}
 	})
 }
@@ -195,7 +195,7 @@
 		for _, t := range j.Tasks {
 			fmt.Fprintf(w, "%s\t%s\t%d starts, %d failures\n", t.Task, t.State, t.Runs, t.Failures)
 		}
-		for _, line := range j.Story {
+		for _, line := range j.Events {
 			fmt.Fprintln(w, line)
 		}
 	})
@@ -249,7 +249,7 @@
 }
 
 func cancelInQueue(ctx context.Context, c *operator.Client, args []string) error {
-	if err := c.CancelInQueue(ctx, scheduler.PlaceBody{Host: args[0], Path: args[1]}); err != nil {
+	if err := c.CancelInQueue(ctx, scheduler.JobPathBody{Host: args[0], Path: args[1]}); err != nil {
 		return err
 	}
 	fmt.Println("cancelled")
--- a/control/control.go
+++ b/control/control.go
@@ -90,7 +90,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /peer", peers.Accept(rep))
 	mux.HandleFunc("GET /node", hub.accept)
-	queues := scheduler.New(scheduler.Settings{Lease: cfg.LeaseTerm, KeepStatus: keepStatus}, rep, nil, log, ring)
+	queues := scheduler.New(scheduler.Settings{Lease: cfg.LeaseTerm, StatusRetention: keepStatus}, rep, nil, log, ring)
 	queues.Routes(mux, ring)
 	mux.HandleFunc("GET /queues", queues.Accept)
 	adm.Registry().MustRegister(queues.Collectors()...)
--- a/operator/queues.go
+++ b/operator/queues.go
@@ -42,7 +42,7 @@
 }
 
 // CancelInQueue cancels a job.
-func (c *Client) CancelInQueue(ctx context.Context, b scheduler.PlaceBody) error {
+func (c *Client) CancelInQueue(ctx context.Context, b scheduler.JobPathBody) error {
 	return c.send(ctx, http.MethodPost, "/v1/queue-jobs/cancel", b)
 }
 
--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -75,8 +75,8 @@
 	Spec queue.Spec `json:"spec"`
 }
 
-// PlaceBody names a job by host and path.
-type PlaceBody struct {
+// JobPathBody names a job by host and path.
+type JobPathBody struct {
 	Host string `json:"host"`
 	Path string `json:"path"`
 }
@@ -108,7 +108,7 @@
 }
 
 func (a *api) cancel(w http.ResponseWriter, r *http.Request) {
-	var b PlaceBody
+	var b JobPathBody
 	if read(w, r, &b) {
 		a.answer(w, r, wire.QueueRequest{Cancel: &queue.Cancel{Host: b.Host, Path: b.Path}})
 	}
@@ -116,7 +116,7 @@
 
 // answer carries an order out and writes how it ended.
 func (a *api) answer(w http.ResponseWriter, r *http.Request, ask wire.QueueRequest) {
-	ans := a.s.Answer(r.Context(), ask)
+	ans := a.s.Handle(r.Context(), ask)
 	switch {
 	case ans.Unsure:
 		fail(w, http.StatusGatewayTimeout, "unknown", ans.Text, rudderfork.RanUnknown)
@@ -191,7 +191,7 @@
 		jv := jobView(s, j, v.WorkTime)
 		jv.Tasks = taskViews(j, v.Now, a.s.fleet.planner.Explain(s, v, j))
 		for _, e := range a.story.Select(timeline.Query{Subject: string(id), Limit: storyLimit}) {
-			jv.Story = append(jv.Story, time.UnixMicro(e.At).UTC().Format("15:04:05.000")+" "+e.Subject+" "+e.Kind+": "+e.Text)
+			jv.Events = append(jv.Events, time.UnixMicro(e.At).UTC().Format("15:04:05.000")+" "+e.Subject+" "+e.Kind+": "+e.Text)
 		}
 		return jv
 	})
--- a/scheduler/ask.go
+++ b/scheduler/ask.go
@@ -15,14 +15,14 @@
 
 // ask answers a front's call on its own session.
 func (ses *session) ask(ctx context.Context, a wire.QueueRequest) {
-	ans := ses.s.Answer(ctx, a)
+	ans := ses.s.Handle(ctx, a)
 	ans.ID = a.ID
 	ses.reply(wire.ToQueueNode{Response: &ans})
 }
 
-// Answer carries out a call: it commits orders, and reads at a point that the
+// Handle carries out a call: it commits orders, and reads at a point that the
 // quorum confirmed.
-func (s *Scheduler) Answer(ctx context.Context, a wire.QueueRequest) (ans wire.QueueResponse) {
+func (s *Scheduler) Handle(ctx context.Context, a wire.QueueRequest) (ans wire.QueueResponse) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	began := steady.Now()
@@ -30,7 +30,7 @@
 	defer func() { s.noteAnswer(kind, ans, began) }()
 	switch {
 	case a.Submit != nil:
-		a.Submit.KeepMS = s.cfg.KeepStatus.Milliseconds()
+		a.Submit.KeepMS = s.cfg.StatusRetention.Milliseconds()
 		ans = s.commit(ctx, queue.Command{Submit: a.Submit})
 		s.logAsk(kind, a.Submit.Path, ans)
 	case a.Cancel != nil:
--- a/scheduler/calm_test.go
+++ b/scheduler/calm_test.go
@@ -64,7 +64,7 @@
 	}
 	rep := newReplicaWithStore(t, func(s replica.Store) replica.Store { c.store.Store = s; return c.store }, selfMember)
 	c.testCluster = &testCluster{t: t, ctx: t.Context()}
-	c.sched = New(Settings{Lease: maxPlatformLease, StartSpan: 2 * time.Second, KeepStatus: time.Minute}, rep, nil, zerolog.Nop(), noPeers{})
+	c.sched = New(Settings{Lease: maxPlatformLease, StartWindow: 2 * time.Second, StatusRetention: time.Minute}, rep, nil, zerolog.Nop(), noPeers{})
 	c.addr = serveSessions(t, c.sched)
 	c.front = front.New("front", c.seeds, zerolog.Nop())
 	c.serve(rep, c.sched, c.front)
--- a/scheduler/evacuation.go
+++ b/scheduler/evacuation.go
@@ -39,7 +39,7 @@
 
 // knowsDomain reports whether the settings name a failure domain, or a VM is in it.
 func (s *Scheduler) knowsDomain(d rudderfork.Domain) (known bool) {
-	if s.cfg.Domains != nil && s.cfg.Domains(d) {
+	if s.cfg.HasDomain != nil && s.cfg.HasDomain(d) {
 		return true
 	}
 	s.rep.View(func(st *state.State) {
@@ -62,10 +62,10 @@
 // startsLeft is what of a lease's rest is left for starts: they may be made for the
 // shorter StartSpan, counted from the same time.
 func (s *Scheduler) startsLeft(left time.Duration) time.Duration {
-	if s.cfg.StartSpan == 0 {
+	if s.cfg.StartWindow == 0 {
 		return left
 	}
-	return max(0, left-max(0, s.cfg.Lease-s.cfg.StartSpan))
+	return max(0, left-max(0, s.cfg.Lease-s.cfg.StartWindow))
 }
 
 func evacuationViews(s *queue.State) []EvacuationView {
--- a/scheduler/evacuation_test.go
+++ b/scheduler/evacuation_test.go
@@ -91,7 +91,7 @@
 		{"a span above the lease", 9 * time.Second, 3 * time.Second, 3 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := &Scheduler{cfg: Settings{Lease: 5 * time.Second, StartSpan: c.span}}
+			s := &Scheduler{cfg: Settings{Lease: 5 * time.Second, StartWindow: c.span}}
 			assert.Equal(t, s.startsLeft(c.left), c.want)
 		})
 	}
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -256,7 +256,7 @@
 		ShortDemand:    f.short,
 
 		WorkTime: f.worktimes.Estimate, WorkTimeVersion: f.worktimes.Changes() / worktimesStep,
-		Pressure: func(serving, filler string) float64 { return f.pressures.of(serving, filler, now) },
+		Pressure: func(serving, filler string) float64 { return f.pressures.estimate(serving, filler, now) },
 	}
 	for _, vm := range s.VMs() {
 		v := f.vm(vm.ID)
--- a/scheduler/pressures.go
+++ b/scheduler/pressures.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// learn takes a VM's account.
-func (p *pressures) learn(c workload, b wire.VMHeartbeat, now time.Time) {
+// observe takes a VM's account.
+func (p *pressures) observe(c workload, b wire.VMHeartbeat, now time.Time) {
 	if !b.Measured {
 		return
 	}
@@ -87,19 +87,19 @@
 	s.log.Info().Int("told", len(list)).Int("taken", taken).Msg("pressures_assumed")
 }
 
-// of returns what is known or assumed of a pair, on the cautious side.
-func (p *pressures) of(serving, filler string, now time.Time) float64 {
+// estimate returns what is known or assumed estimate a pair, on the cautious side.
+func (p *pressures) estimate(serving, filler string, now time.Time) float64 {
 	pressure, stderr := p.model.Of(serving, filler, now)
 	return pressure + caution*stderr
 }
 
-// news returns the pressures between the images on a VM that an agent has not
+// changedFor returns the pressures between the images on a VM that an agent has not
 // been told of, or that have changed since.
-func (p *pressures) news(c workload, told map[interference.Pair]float64, now time.Time) (list []wire.PairPressure) {
+func (p *pressures) changedFor(c workload, told map[interference.Pair]float64, now time.Time) (list []wire.PairPressure) {
 	for serving := range c.serving {
 		for filler := range c.fillers {
 			pair := interference.Pair{Serving: serving, Filler: filler}
-			pressure := p.of(serving, filler, now)
+			pressure := p.estimate(serving, filler, now)
 			old, ok := told[pair]
 			if ok && math.Abs(pressure-old) < max(leastChange, tellChange*math.Abs(old)) {
 				continue
--- a/scheduler/reports.go
+++ b/scheduler/reports.go
@@ -10,8 +10,8 @@
 // agent sends unasked.
 const maxReports = 64
 
-// reports commits what an agent reports, in order, beside the heartbeats of its session.
-type reports struct {
+// reportQueue commits what an agent reportQueue, in order, beside the heartbeats of its session.
+type reportQueue struct {
 	queue  chan report
 	commit func(ctx context.Context, r wire.EndsReport) error
 }
@@ -22,12 +22,12 @@
 	done chan struct{}
 }
 
-func newReports(commit func(ctx context.Context, r wire.EndsReport) error) *reports {
-	return &reports{queue: make(chan report, maxReports), commit: commit}
+func newReportQueue(commit func(ctx context.Context, r wire.EndsReport) error) *reportQueue {
+	return &reportQueue{queue: make(chan report, maxReports), commit: commit}
 }
 
 // Run commits reports until ctx ends or one cannot be committed.
-func (q *reports) Run(ctx context.Context) error {
+func (q *reportQueue) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -44,7 +44,7 @@
 
 // Add queues a report. One that tells that the life has left is waited for: a heartbeat
 // after it is of another life, or of one that has to be registered again.
-func (q *reports) Add(ctx context.Context, ends wire.EndsReport) error {
+func (q *reportQueue) Add(ctx context.Context, ends wire.EndsReport) error {
 	if err := q.add(ctx, report{ends: &ends}); err != nil || !ends.Left {
 		return err
 	}
@@ -52,7 +52,7 @@
 }
 
 // Wait returns once all reports that were added are committed.
-func (q *reports) Wait(ctx context.Context) error {
+func (q *reportQueue) Wait(ctx context.Context) error {
 	done := make(chan struct{})
 	if err := q.add(ctx, report{done: done}); err != nil {
 		return err
@@ -65,7 +65,7 @@
 	}
 }
 
-func (q *reports) add(ctx context.Context, r report) error {
+func (q *reportQueue) add(ctx context.Context, r report) error {
 	select {
 	case <-ctx.Done():
 		return context.Cause(ctx)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -36,15 +36,15 @@
 type Settings struct {
 	// Lease is how long a VM may run on without contact to the leader.
 	Lease time.Duration
-	// StartSpan is how long after its last contact to the leader a VM may start what it
+	// StartWindow is how long after its last contact to the leader a VM may start what it
 	// was ordered; 0 means as long as the lease. It bounds how long after an evacuation
 	// is acknowledged a VM that does not hear of it may start something.
-	StartSpan time.Duration
-	// KeepStatus is how long the status of a finished job can be asked for.
-	KeepStatus time.Duration
-	// Domains reports whether the settings of the moment name a failure domain; nil if
+	StartWindow time.Duration
+	// StatusRetention is how long the status of a finished job can be asked for.
+	StatusRetention time.Duration
+	// HasDomain reports whether the settings of the moment name a failure domain; nil if
 	// they name none.
-	Domains func(rudderfork.Domain) bool
+	HasDomain func(rudderfork.Domain) bool
 }
 
 // Scheduler is the leader's part for the queues. It runs on every control
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -66,7 +66,7 @@
 func newTestClusterWithLease(t *testing.T, adviser rudderfork.Adviser, lease time.Duration) *testCluster {
 	rep := newReplica(t, selfMember)
 	s := &testCluster{t: t, ctx: t.Context()}
-	s.sched = New(Settings{Lease: lease, KeepStatus: time.Minute}, rep, adviser, zerolog.Nop(), noPeers{})
+	s.sched = New(Settings{Lease: lease, StatusRetention: time.Minute}, rep, adviser, zerolog.Nop(), noPeers{})
 	s.addr = serveSessions(t, s.sched)
 	s.front = front.New("front", s.seeds, zerolog.Nop())
 	s.serve(rep, s.sched, s.front)
@@ -514,7 +514,7 @@
 	const term = 5
 	rep.Step(s.ctx, quorum.Message{Type: quorum.MsgAppend, From: peer.ID, To: selfMember.ID, Term: term})
 	s.waitUntil("the replica follows", func() bool { return rep.Status().Term == term })
-	s.sched = New(Settings{Lease: testLease, KeepStatus: time.Minute}, rep, nil, zerolog.Nop(), noPeers{})
+	s.sched = New(Settings{Lease: testLease, StatusRetention: time.Minute}, rep, nil, zerolog.Nop(), noPeers{})
 	s.sched.startTerm(term)
 	addr := serveSessions(t, s.sched)
 
@@ -537,7 +537,7 @@
 		s := &testCluster{t: t, ctx: t.Context()}
 		rep := newReplica(t, selfMember, peer)
 		s.serve(rep)
-		addr := serveSessions(t, New(Settings{Lease: testLease, KeepStatus: time.Minute}, rep, nil, zerolog.Nop(), noPeers{}))
+		addr := serveSessions(t, New(Settings{Lease: testLease, StatusRetention: time.Minute}, rep, nil, zerolog.Nop(), noPeers{}))
 		c, err := wire.Dial[wire.FromNode, wire.ToQueueNode](s.ctx, "ws://"+addr+"/queues", wire.QueueSession)
 		assert.NilError(t, err)
 		defer c.Close()
--- a/scheduler/session.go
+++ b/scheduler/session.go
@@ -43,7 +43,7 @@
 	out    chan wire.ToQueueNode
 	woken  wakeup.Signal // orders may have changed
 
-	reports *reports // of an agent
+	reports *reportQueue // of an agent
 
 	// Guarded by the scheduler's mu.
 	vm    rudderfork.VMID // of an agent, once its first heartbeat came
@@ -81,7 +81,7 @@
 		woken: wakeup.New(), sent: map[rudderfork.RunRef]bool{}, stops: map[rudderfork.RunRef]bool{},
 		told: map[interference.Pair]float64{},
 	}
-	ses.reports = newReports(ses.ends)
+	ses.reports = newReportQueue(ses.ends)
 	if !s.openOrRedirect(ctx, ses) {
 		_ = c.Send(ctx, wire.ToQueueNode{Redirect: s.redirect()}) // the node asks another if it is lost
 		return
--- a/scheduler/views.go
+++ b/scheduler/views.go
@@ -19,18 +19,18 @@
 
 // VMView is one VM as operators see it.
 type VMView struct {
-	ID       rudderfork.VMID      `json:"vm"`
-	Service  rudderfork.Service   `json:"service"`
-	Domain   rudderfork.Domain    `json:"domain"`
-	Rack     string               `json:"rack,omitempty"`
-	Life     string               `json:"life"`
-	Live     bool                 `json:"live"`
-	Usable   bool                 `json:"usable"`
-	Draining bool                 `json:"draining"`
-	Doubt    float64              `json:"doubt"`
-	Capacity rudderfork.Resources `json:"capacity"`
-	Used     rudderfork.Resources `json:"used"`
-	Runs     int                  `json:"runs"`
+	ID           rudderfork.VMID      `json:"vm"`
+	Service      rudderfork.Service   `json:"service"`
+	Domain       rudderfork.Domain    `json:"domain"`
+	Rack         string               `json:"rack,omitempty"`
+	Incarnation  string               `json:"life"`
+	Live         bool                 `json:"live"`
+	Usable       bool                 `json:"usable"`
+	Draining     bool                 `json:"draining"`
+	FailureScore float64              `json:"doubt"`
+	Capacity     rudderfork.Resources `json:"capacity"`
+	Used         rudderfork.Resources `json:"used"`
+	Runs         int                  `json:"runs"`
 }
 
 // JobView is one job as operators see it, with its story: every decision on it
@@ -43,7 +43,7 @@
 	ObjectiveMS int64            `json:"objective_ms"`
 	EndedAt     int64            `json:"ended_at,omitempty"`
 	Tasks       []TaskView       `json:"tasks"`
-	Story       []string         `json:"story"`
+	Events      []string         `json:"story"`
 }
 
 // TaskView is one task of a job.
@@ -62,7 +62,7 @@
 	Doubts    int      `json:"doubts"`    // runs on VMs that fell silent and are not back
 	Suspicion int      `json:"suspicion"` // thousandths
 	Suspect   bool     `json:"suspect"`   // it runs apart from other suspects
-	On        []string `json:"on"`
+	VMs       []string `json:"on"`
 }
 
 func suspectViews(s *queue.State) []SuspectView {
@@ -70,10 +70,10 @@
 	for _, a := range s.CrashedTasks() {
 		v := SuspectView{
 			Task: a.Key.String(), Queue: s.Job(a.Key.Job).Queue.Name, Crashes: a.Task.Crashes, Doubts: a.Task.Doubts,
-			Suspicion: a.Task.Suspicion, Suspect: a.Task.Suspect(), On: []string{},
+			Suspicion: a.Task.Suspicion, Suspect: a.Task.Suspect(), VMs: []string{},
 		}
 		for _, r := range a.Task.Runs {
-			v.On = append(v.On, string(r.VM))
+			v.VMs = append(v.VMs, string(r.VM))
 		}
 		views = append(views, v)
 	}
@@ -102,8 +102,8 @@
 	for _, vm := range s.VMs() {
 		now := view.VMs[vm.ID]
 		views = append(views, VMView{
-			ID: vm.ID, Service: vm.Service, Domain: vm.Domain, Rack: vm.Rack, Life: vm.Incarnation, Live: vm.Live,
-			Usable: now.Usable, Draining: now.Draining, Doubt: now.FailureScore,
+			ID: vm.ID, Service: vm.Service, Domain: vm.Domain, Rack: vm.Rack, Incarnation: vm.Incarnation, Live: vm.Live,
+			Usable: now.Usable, Draining: now.Draining, FailureScore: now.FailureScore,
 			Capacity: vm.Capacity, Used: vm.Used(), Runs: len(vm.Runs()),
 		})
 	}
--- a/scheduler/vm.go
+++ b/scheduler/vm.go
@@ -80,7 +80,7 @@
 		for k := range vm.Runs() {
 			c.add(qs.Job(k.Job).Spec.Steps[k.Step])
 		}
-		o.Pressures = ses.s.fleet.pressures.news(c, ses.told, steady.Now())
+		o.Pressures = ses.s.fleet.pressures.changedFor(c, ses.told, steady.Now())
 	}
 	return o
 }
@@ -190,10 +190,10 @@
 		}
 		v := ses.s.fleet.vm(ses.vm)
 		c := workloadOf(st.Queues(), vm, v)
-		ses.s.fleet.pressures.learn(c, v.heartbeat, now)
+		ses.s.fleet.pressures.observe(c, v.heartbeat, now)
 		ses.s.fleet.observeSwings(st.Queues(), c, v.heartbeat, now)
 		ses.s.fleet.updateForecasts(st.Queues(), v, now)
-		list = ses.s.fleet.pressures.news(c, ses.told, now)
+		list = ses.s.fleet.pressures.changedFor(c, ses.told, now)
 	})
 	return list
 }
@@ -403,7 +403,7 @@
 		defer s.mu.Unlock()
 		now, v, vm := steady.Now(), s.fleet.vm(ends.VM), st.Queues().VM(ends.VM)
 		for i, e := range ends.List {
-			worked[i] = v.workedOf(e, now)
+			worked[i] = v.totalWork(e, now)
 			if vm != nil && vm.Incarnation == ends.Incarnation && vm.Runs()[e.Task] == e.Run {
 				s.fleet.recordEnd(ends.VM, e, now)
 			}
@@ -417,7 +417,7 @@
 	ses.s.rep.View(func(st *state.State) {
 		ses.s.mu.Lock()
 		defer ses.s.mu.Unlock()
-		ses.s.fleet.learnWorktime(st.Queues(), e, worked, now)
+		ses.s.fleet.observeWorkTime(st.Queues(), e, worked, now)
 	})
 }
 
--- a/scheduler/worktimes.go
+++ b/scheduler/worktimes.go
@@ -21,8 +21,8 @@
 	return r.workedMS + speed*float64(max(0, now.Sub(r.reportedAt)))/float64(time.Millisecond)
 }
 
-// workedOf is what a run that has ended worked in all, ms; 0 if heartbeats do not tell.
-func (v *vmInfo) workedOf(e queue.End, now time.Time) float64 {
+// totalWork is what a run that has ended worked in all, ms; 0 if heartbeats do not tell.
+func (v *vmInfo) totalWork(e queue.End, now time.Time) float64 {
 	r := v.runs[e.Task]
 	if r == nil || r.status.Run != e.Run || r.firstPercent >= mostUnseen {
 		return 0
@@ -30,10 +30,10 @@
 	return r.worked(now) * fullPercent / float64(fullPercent-r.firstPercent)
 }
 
-// learnWorktime takes what a task that is done worked, if its only run has done it all.
+// observeWorkTime takes what a task that is done worked, if its only run has done it all.
 // Without figures of heartbeats, runs that are too short for these, it is the time from
 // the start on.
-func (f *fleet) learnWorktime(s *queue.State, e queue.End, worked float64, now time.Time) {
+func (f *fleet) observeWorkTime(s *queue.State, e queue.End, worked float64, now time.Time) {
 	j := s.Job(e.Task.Job)
 	if e.How != queue.EndDone || e.Run != 1 || j == nil || j.Task(e.Task) == nil {
 		return
--- a/scheduler/worktimes_test.go
+++ b/scheduler/worktimes_test.go
@@ -23,13 +23,13 @@
 		f := newFleet()
 		tell(f, 0, 20, 0)
 		tell(f, time.Second, 60, 50)
-		assert.Equal(t, f.vm("vm1").workedOf(done, at.Add(3*time.Second)), 2000*100/80.0)
+		assert.Equal(t, f.vm("vm1").totalWork(done, at.Add(3*time.Second)), 2000*100/80.0)
 	})
 	t.Run("a run that was not seen, or was nearly done by then, tells nothing", func(t *testing.T) {
 		f := newFleet()
-		assert.Equal(t, f.vm("vm1").workedOf(done, at), 0.0)
+		assert.Equal(t, f.vm("vm1").totalWork(done, at), 0.0)
 		tell(f, 0, 90, 0)
-		assert.Equal(t, f.vm("vm1").workedOf(done, at.Add(time.Second)), 0.0)
+		assert.Equal(t, f.vm("vm1").totalWork(done, at.Add(time.Second)), 0.0)
 	})
 	t.Run("the end of a first run tells of its queue", func(t *testing.T) {
 		qs, f := stateWithRun(t), newFleet()
@@ -37,7 +37,7 @@
 		other := queue.StepKey{Job: "other"}
 		before := f.worktimes.Estimate("q", other, st)
 		qs.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Incarnation: "life-1", List: []queue.End{done}}}, 2)
-		f.learnWorktime(qs, done, 4000, at)
+		f.observeWorkTime(qs, done, 4000, at)
 		assert.Assert(t, f.worktimes.Estimate("q", other, st) > before)
 	})
 }
