--- a/bench/crashes.go
+++ b/bench/crashes.go
@@ -205,12 +205,12 @@
 	for _, k := range sortedRuns(v.began) {
 		s.seen[k] = dispatch.RunView{FirstSeenAt: v.began[k], ProgressedAt: s.now}
 		if s.state.Job(k.Job).Status.Final() {
-			list.List = append(list.List, queue.End{Task: k.TaskKey, Run: k.Number, How: queue.EndStopped})
+			list.List = append(list.List, queue.End{Task: k.TaskKey, Run: k.Number, Outcome: queue.OutcomeStopped})
 			delete(v.began, k)
 			continue
 		}
 		if !s.state.Job(k.Job).Spec.Steps[k.Step].Lasting && s.now-v.began[k] >= crashWorkMS {
-			list.List = append(list.List, queue.End{Task: k.TaskKey, Run: k.Number, How: queue.EndDone})
+			list.List = append(list.List, queue.End{Task: k.TaskKey, Run: k.Number, Outcome: queue.OutcomeDone})
 			delete(v.began, k)
 		}
 	}
--- a/bench/fleetagent.go
+++ b/bench/fleetagent.go
@@ -95,7 +95,7 @@
 		for _, ref := range m.Orders.Stop {
 			if r := a.runs[ref]; r != nil {
 				delete(a.runs, ref)
-				ends = append(ends, queue.End{Task: r.key, Run: ref.Run, How: queue.EndStopped})
+				ends = append(ends, queue.End{Task: r.key, Run: ref.Run, Outcome: queue.OutcomeStopped})
 			}
 		}
 		a.report(ends)
@@ -156,7 +156,7 @@
 		default:
 			delete(a.runs, ref)
 			a.p.done(r.key)
-			ends = append(ends, queue.End{Task: r.key, Run: ref.Run, How: queue.EndDone})
+			ends = append(ends, queue.End{Task: r.key, Run: ref.Run, Outcome: queue.OutcomeDone})
 		}
 	}
 	a.report(ends)
--- a/cmd/rudderctl/where.go
+++ b/cmd/rudderctl/where.go
@@ -42,7 +42,7 @@
 // of returns the line as an event; ok is false for lines that tell nothing of jobs.
 func (l eventLine) of() (e jobtime.Event, ok bool) {
 	e = jobtime.Event{
-		Kind: eventKinds[l.Event], At: time.UnixMicro(l.TimeUS), Run: l.Run, How: queue.Ending(l.How), Reason: l.Reason, Percent: l.Percent,
+		Kind: eventKinds[l.Event], At: time.UnixMicro(l.TimeUS), Run: l.Run, How: queue.Outcome(l.How), Reason: l.Reason, Percent: l.Percent,
 	}
 	if l.Event == "ask_answered" && l.Ask == "submit" && l.Result == "ok" {
 		e.Kind, e.Job = jobtime.Submitted, rudderfork.JobID(l.Path[strings.LastIndexByte(l.Path, '/')+1:])
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -376,7 +376,7 @@
 		w, k := begun(t, twice)
 		w.progress(k, 20, 80, 80)
 		w.run()
-		w.s.Apply(queue.Command{Ends: &queue.Ends{VM: "vm4", Incarnation: "life", List: []queue.End{{Task: k, Run: 2, How: queue.EndDone}}}}, w.view.Now)
+		w.s.Apply(queue.Command{Ends: &queue.Ends{VM: "vm4", Incarnation: "life", List: []queue.End{{Task: k, Run: 2, Outcome: queue.OutcomeDone}}}}, w.view.Now)
 		assert.DeepEqual(t, stops(w), map[string]string{"j.0.0.0": "another run has done the task"})
 	})
 }
@@ -454,7 +454,7 @@
 			other := k
 			other.Index = i
 			w.s.Apply(queue.Command{Ends: &queue.Ends{
-				VM: rudderfork.VMID(fmt.Sprintf("vm%d", i+1)), Incarnation: "life", List: []queue.End{{Task: other, Run: 1, How: queue.EndDone}},
+				VM: rudderfork.VMID(fmt.Sprintf("vm%d", i+1)), Incarnation: "life", List: []queue.End{{Task: other, Run: 1, Outcome: queue.OutcomeDone}},
 			}}, w.view.Now+500)
 		}
 		w.progress(k, 20)
--- a/dispatch/drawn_test.go
+++ b/dispatch/drawn_test.go
@@ -121,7 +121,7 @@
 		for k, number := range vm.Runs() {
 			switch n := w.rnd.IntN(5); {
 			case n == 0:
-				ends = append(ends, queue.End{Task: k, Run: number, How: queue.EndDone})
+				ends = append(ends, queue.End{Task: k, Run: number, Outcome: queue.OutcomeDone})
 			case n == 1:
 				w.view.FailedOn[k] = append(w.view.FailedOn[k], vm.ID)
 			case figures:
--- a/dispatch/last_test.go
+++ b/dispatch/last_test.go
@@ -22,7 +22,7 @@
 		for i := range done {
 			k.Index = i
 			r := w.s.Job("f").Task(k).Runs[0]
-			w.s.Apply(queue.Command{Ends: &queue.Ends{VM: r.VM, Incarnation: "life", List: []queue.End{{Task: k, Run: 1, How: queue.EndDone}}}}, w.view.Now)
+			w.s.Apply(queue.Command{Ends: &queue.Ends{VM: r.VM, Incarnation: "life", List: []queue.End{{Task: k, Run: 1, Outcome: queue.OutcomeDone}}}}, w.view.Now)
 		}
 		for _, vm := range []rudderfork.VMID{"vm1", "vm2"} {
 			last = append(last, PlanOnce(w.s, w.view).LastOfStep[vm]...)
--- a/dispatch/load_test.go
+++ b/dispatch/load_test.go
@@ -57,7 +57,7 @@
 			e := l.ends[0]
 			l.ends = l.ends[1:]
 			l.s.Apply(queue.Command{Ends: &queue.Ends{
-				VM: e.start.VM, Incarnation: e.start.Incarnation, List: []queue.End{{Task: e.start.Task, Run: e.run, How: queue.EndDone}},
+				VM: e.start.VM, Incarnation: e.start.Incarnation, List: []queue.End{{Task: e.start.Task, Run: e.run, Outcome: queue.OutcomeDone}},
 			}}, e.at)
 		}
 		left = l.noteDone(next)
@@ -195,11 +195,11 @@
 	assert.Equal(t, plan.Starts[0].WaitedMS, int64(600))
 	assert.Equal(t, plan.Starts[0].Kind, Short)
 	w.run()
-	w.s.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Incarnation: "life", List: []queue.End{{Task: k, Run: 1, How: queue.EndStopped}}}}, 1_100)
+	w.s.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Incarnation: "life", List: []queue.End{{Task: k, Run: 1, Outcome: queue.OutcomeStopped}}}}, 1_100)
 	w.view.Now = 1_200
 	assert.Equal(t, PlanOnce(w.s, w.view).Starts[0].WaitedMS, int64(-1), "it was started before")
 	w.run()
-	w.s.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Incarnation: "life", List: []queue.End{{Task: k, Run: 2, How: queue.EndDone}}}}, 1_500)
+	w.s.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Incarnation: "life", List: []queue.End{{Task: k, Run: 2, Outcome: queue.OutcomeDone}}}}, 1_500)
 	w.view.Now = 1_700
 	assert.Equal(t, PlanOnce(w.s, w.view).Starts[0].WaitedMS, int64(200), "since the step before it was done")
 }
--- a/dispatch/regroup_test.go
+++ b/dispatch/regroup_test.go
@@ -62,7 +62,7 @@
 		w, stray := mixedWorld(t)
 		assert.DeepEqual(t, regroupings(PlanOnce(w.s, w.view)), []queue.TaskKey{stray})
 		w.s.Apply(queue.Command{Ends: &queue.Ends{
-			VM: "vm1", Incarnation: "life", List: []queue.End{{Task: stray, Run: 1, How: queue.EndStopped}},
+			VM: "vm1", Incarnation: "life", List: []queue.End{{Task: stray, Run: 1, Outcome: queue.OutcomeStopped}},
 		}}, w.view.Now)
 		w.view.LastRelocation = Relocation{Task: stray, Run: 1, At: w.view.Now}
 		assert.Equal(t, w.run()[stray.String()], rudderfork.VMID("vm2"))
--- a/dispatch/reserve_test.go
+++ b/dispatch/reserve_test.go
@@ -53,7 +53,7 @@
 		w := seen(t, 9)
 		k := queue.TaskKey{Job: "feed"}
 		on := w.s.Job("feed").Task(k).Runs[0].VM
-		w.s.Apply(queue.Command{Ends: &queue.Ends{VM: on, Incarnation: "life", List: []queue.End{{Task: k, Run: 1, How: queue.EndFailed}}}}, w.view.Now)
+		w.s.Apply(queue.Command{Ends: &queue.Ends{VM: on, Incarnation: "life", List: []queue.End{{Task: k, Run: 1, Outcome: queue.OutcomeFailed}}}}, w.view.Now)
 		assert.Equal(t, len(w.run()), 1)
 	})
 	t.Run("nothing is kept while the fleet is not nearly full", func(t *testing.T) {
--- a/dispatch/room_test.go
+++ b/dispatch/room_test.go
@@ -36,7 +36,7 @@
 	resize(2000)
 	assert.Equal(t, starts(), 0)
 	assert.Assert(t, w.s.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Incarnation: "life", List: []queue.End{
-		{Task: queue.TaskKey{Job: "j1"}, Run: 1, How: queue.EndDone},
+		{Task: queue.TaskKey{Job: "j1"}, Run: 1, Outcome: queue.OutcomeDone},
 	}}}, w.view.Now).Taken[0])
 	assert.Equal(t, starts(), 0)
 	resize(5000)
--- a/executor.go
+++ b/executor.go
@@ -59,7 +59,7 @@
 type EndedRun struct {
 	Seq uint64 // 0 if it must not be acknowledged, since one before it could not be read
 	RunRef
-	How        string // an ending of package queue
+	Outcome    string // an ending of package queue
 	Checkpoint string
 }
 
--- a/jobtime/jobtime.go
+++ b/jobtime/jobtime.go
@@ -56,9 +56,9 @@
 	Job     rudderfork.JobID // of a submission
 	Task    queue.TaskKey
 	Run     uint32
-	How     queue.Ending // of an end
-	Reason  string       // of a stop
-	Percent int          // of a pace
+	How     queue.Outcome // of an end
+	Reason  string        // of a stop
+	Percent int           // of a pace
 }
 
 // Job is where a job's time went.
@@ -81,7 +81,7 @@
 
 type run struct {
 	placed, ended time.Time
-	how           queue.Ending
+	how           queue.Outcome
 	reason        string
 	paces         []pace
 }
@@ -183,7 +183,7 @@
 // done returns the run that did the task, or nil: the first, if a copy did it too.
 func (t *task) done() (first *run) {
 	for _, r := range t.runs {
-		if r.how == queue.EndDone && !r.placed.IsZero() && (first == nil || r.ended.Before(first.ended)) {
+		if r.how == queue.OutcomeDone && !r.placed.IsZero() && (first == nil || r.ended.Before(first.ended)) {
 			first = r
 		}
 	}
--- a/jobtime/jobtime_test.go
+++ b/jobtime/jobtime_test.go
@@ -25,7 +25,7 @@
 }
 
 // runOf is the events of a run.
-func runOf(task string, number uint32, placed, ended float64, how queue.Ending) []Event {
+func runOf(task string, number uint32, placed, ended float64, how queue.Outcome) []Event {
 	return []Event{
 		{Kind: Placed, At: at(placed), Task: key(task), Run: number},
 		{Kind: Ended, At: at(ended), Task: key(task), Run: number, How: how},
@@ -68,21 +68,21 @@
 func TestJobs(t *testing.T) {
 	t.Run("the chain of the slowest tasks", func(t *testing.T) {
 		assertParts(t, logOf(
-			runOf("j.0.0.0", 1, 1, 2, queue.EndDone), runOf("j.0.0.1", 1, 1, 4, queue.EndDone), runOf("j.0.1.0", 1, 4.5, 6, queue.EndDone),
+			runOf("j.0.0.0", 1, 1, 2, queue.OutcomeDone), runOf("j.0.0.1", 1, 1, 4, queue.OutcomeDone), runOf("j.0.1.0", 1, 4.5, 6, queue.OutcomeDone),
 		), map[Part]float64{Waiting: 1.5, Working: 4.5})
 	})
 	t.Run("a run that failed, and the wait after it", func(t *testing.T) {
-		assertParts(t, logOf(runOf("j.0.0.0", 1, 1, 2, "failed"), runOf("j.0.0.0", 2, 3, 5, queue.EndDone)),
+		assertParts(t, logOf(runOf("j.0.0.0", 1, 1, 2, "failed"), runOf("j.0.0.0", 2, 3, 5, queue.OutcomeDone)),
 			map[Part]float64{Waiting: 1, lost + "ended failed": 1, Between: 1, Working: 2})
 	})
 	t.Run("a run that was stopped", func(t *testing.T) {
 		stop := []Event{{Kind: Stopping, At: at(1.5), Task: key("j.0.0.0"), Run: 1, Reason: "held back"}}
-		assertParts(t, logOf(runOf("j.0.0.0", 1, 0, 2, "stopped"), stop, runOf("j.0.0.0", 2, 2, 4, queue.EndDone)),
+		assertParts(t, logOf(runOf("j.0.0.0", 1, 0, 2, "stopped"), stop, runOf("j.0.0.0", 2, 2, 4, queue.OutcomeDone)),
 			map[Part]float64{lost + "was stopped: held back": 2, Working: 2})
 	})
 	t.Run("a run that was lost with its VM", func(t *testing.T) {
 		lostRun := runOf("j.0.0.0", 1, 0, 0, "")[:1]
-		assertParts(t, logOf(lostRun, runOf("j.0.0.0", 2, 6, 8, queue.EndDone)),
+		assertParts(t, logOf(lostRun, runOf("j.0.0.0", 2, 6, 8, queue.OutcomeDone)),
 			map[Part]float64{lost + "ended with its VM": 6, Working: 2})
 	})
 	t.Run("a filler that was paced down", func(t *testing.T) {
@@ -90,21 +90,21 @@
 			{Kind: PacedTo, At: at(1), Task: key("j.0.0.0"), Run: 1, Percent: 50},
 			{Kind: PacedTo, At: at(3), Task: key("j.0.0.0"), Run: 1, Percent: 100},
 		}
-		assertParts(t, logOf(paces, runOf("j.0.0.0", 1, 0, 4, queue.EndDone)), map[Part]float64{Paced: 1, Working: 3})
+		assertParts(t, logOf(paces, runOf("j.0.0.0", 1, 0, 4, queue.OutcomeDone)), map[Part]float64{Paced: 1, Working: 3})
 	})
 	t.Run("a copy beside the run that did it", func(t *testing.T) {
-		assertParts(t, logOf(runOf("j.0.0.0", 1, 0, 4, queue.EndDone), runOf("j.0.0.0", 2, 2, 4.5, "stopped")),
+		assertParts(t, logOf(runOf("j.0.0.0", 1, 0, 4, queue.OutcomeDone), runOf("j.0.0.0", 2, 2, 4.5, "stopped")),
 			map[Part]float64{Working: 4})
 	})
 	t.Run("a copy that did it too, later", func(t *testing.T) {
 		for range 20 { // whatever the order of the runs
-			assertParts(t, logOf(runOf("j.0.0.0", 1, 0, 4, queue.EndDone), runOf("j.0.0.0", 2, 2, 4.5, queue.EndDone)), map[Part]float64{Working: 4})
+			assertParts(t, logOf(runOf("j.0.0.0", 1, 0, 4, queue.OutcomeDone), runOf("j.0.0.0", 2, 2, 4.5, queue.OutcomeDone)), map[Part]float64{Working: 4})
 		}
 	})
 	t.Run("jobs that have not ended are left out", func(t *testing.T) {
 		assert.Equal(t, len(logOf(runOf("j.0.0.0", 1, 0, 4, "failed")).Jobs()), 0)
 	})
 	t.Run("tasks that take no time end the walk", func(t *testing.T) {
-		assertParts(t, logOf(runOf("j.0.0.0", 1, 1, 1, queue.EndDone), runOf("j.0.1.0", 1, 1, 1, queue.EndDone)), map[Part]float64{Waiting: 1})
+		assertParts(t, logOf(runOf("j.0.0.0", 1, 1, 1, queue.OutcomeDone), runOf("j.0.1.0", 1, 1, 1, queue.OutcomeDone)), map[Part]float64{Waiting: 1})
 	})
 }
--- a/queue/apply.go
+++ b/queue/apply.go
@@ -249,11 +249,11 @@
 	for i, r := range t.Runs {
 		if r.VM == vm && r.Number == e.Run {
 			s.removeRun(j, e.Task, t, i)
-			if e.How.began() {
+			if e.Outcome.began() {
 				j.Begun = true
-				t.noteEnd(e.How, at-r.StartedAt)
+				t.noteEnd(e.Outcome, at-r.StartedAt)
 			}
-			if e.How == EndDone {
+			if e.Outcome == OutcomeDone {
 				t.TookMS = at - r.StartedAt
 			}
 			s.settle(j, e, t, at)
@@ -277,15 +277,15 @@
 	switch {
 	case st.Lasting:
 		// However it ended, it is started again.
-	case e.How == EndDone && st.Gang:
+	case e.Outcome == OutcomeDone && st.Gang:
 		for i := range j.Times[e.Task.Time].Steps[e.Task.Step] {
 			k := e.Task
 			k.Index = i
 			s.taskDone(j, k, at)
 		}
-	case e.How == EndDone:
+	case e.Outcome == OutcomeDone:
 		s.taskDone(j, e.Task, at)
-	case e.How == EndFailed && !t.Done:
+	case e.Outcome == OutcomeFailed && !t.Done:
 		s.taskFailed(j, e.Task, at)
 	}
 }
@@ -416,7 +416,7 @@
 func (s *State) endAll(vm *VM, checkpoints map[TaskKey]string, at int64) (gone []Gone) {
 	for _, k := range sortedKeys(vm.runs) {
 		run := vm.runs[k]
-		s.endRun(vm.ID, End{Task: k, Run: run, How: EndGone, Checkpoint: checkpoints[k]}, at)
+		s.endRun(vm.ID, End{Task: k, Run: run, Outcome: OutcomeLost, Checkpoint: checkpoints[k]}, at)
 		gone = append(gone, Gone{Task: k, Run: run})
 	}
 	return gone
--- a/queue/blame.go
+++ b/queue/blame.go
@@ -202,8 +202,8 @@
 }
 
 // noteEnd draws on an end that an executor has listed: it lives.
-func (t *Task) noteEnd(how Ending, tookMS int64) {
-	if how == EndDone || how == EndFailed || tookMS >= provenMS {
+func (t *Task) noteEnd(how Outcome, tookMS int64) {
+	if how == OutcomeDone || how == OutcomeFailed || tookMS >= provenMS {
 		t.clear()
 	}
 }
--- a/queue/blame_test.go
+++ b/queue/blame_test.go
@@ -68,7 +68,7 @@
 		w.start(bad, "vm2")
 		w.start(good, "vm3")
 		w.crash("vm2", "life-2", aged(bad, 2, 0))
-		assert.Assert(t, w.end(good, "vm3", 2, EndDone))
+		assert.Assert(t, w.end(good, "vm3", 2, OutcomeDone))
 		assert.Equal(t, w.status("bad"), Failed)
 		assert.Equal(t, w.status("good"), Completed)
 	})
--- a/queue/command.go
+++ b/queue/command.go
@@ -66,7 +66,7 @@
 type End struct {
 	Task       TaskKey `cbor:"1,keyasint"`
 	Run        uint32  `cbor:"2,keyasint"`
-	How        Ending  `cbor:"3,keyasint"`
+	Outcome    Outcome `cbor:"3,keyasint"`
 	Checkpoint string  `cbor:"4,keyasint,omitempty"`
 	Reason     string  `cbor:"5,keyasint,omitempty"`
 }
--- a/queue/evacuation_test.go
+++ b/queue/evacuation_test.go
@@ -52,7 +52,7 @@
 		w.evacuate("north", false)
 		res := w.apply(Command{Starts: []Start{{Task: key("j", 0, 1), VM: "vm1", Incarnation: w.s.VM("vm1").Incarnation, Copy: true}}})
 		assert.DeepEqual(t, res.Numbers, []uint32{0})
-		assert.Assert(t, w.end(key("j", 0, 0), "vm1", 1, EndDone))
+		assert.Assert(t, w.end(key("j", 0, 0), "vm1", 1, OutcomeDone))
 	})
 	t.Run("a gang that needs a VM there does not begin", func(t *testing.T) {
 		w := begin(t)
--- a/queue/model.go
+++ b/queue/model.go
@@ -185,23 +185,23 @@
 // Final reports whether a job in this status will never run again.
 func (s Status) Final() bool { return s == Completed || s == Failed || s == Cancelled }
 
-// Ending says how a run ended.
-type Ending string
+// Outcome says how a run ended.
+type Outcome string
 
-// The endings. Only EndFailed counts as an attempt.
+// The endings. Only OutcomeFailed counts as an attempt.
 const (
-	EndDone    Ending = "done"
-	EndFailed  Ending = "failed"
-	EndStopped Ending = "stopped"
-	EndLapsed  Ending = "lapsed"  // the VM's lease ran out
-	EndBroken  Ending = "broken"  // another member of its gang ended
-	EndAlone   Ending = "alone"   // the other members of its gang did not come
-	EndRefused Ending = "refused" // the VM did not start it
-	EndGone    Ending = "gone"    // the VM knows nothing of it and never will
+	OutcomeDone           Outcome = "done"
+	OutcomeFailed         Outcome = "failed"
+	OutcomeStopped        Outcome = "stopped"
+	OutcomeLeaseExpired   Outcome = "lapsed"  // the VM's lease ran out
+	OutcomeGangBroken     Outcome = "broken"  // another member of its gang ended
+	OutcomeGangIncomplete Outcome = "alone"   // the other members of its gang did not come
+	OutcomeRefused        Outcome = "refused" // the VM did not start it
+	OutcomeLost           Outcome = "gone"    // the VM knows nothing of it and never will
 )
 
 // began reports whether a run that ended so had begun: an executor has listed the end.
-func (e Ending) began() bool { return e != EndRefused && e != EndGone }
+func (e Outcome) began() bool { return e != OutcomeRefused && e != OutcomeLost }
 
 // Run is one run of a task on a VM, from its start until its end is known.
 type Run struct {
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -94,8 +94,8 @@
 	return w.apply(Command{Starts: []Start{{Task: k, VM: vm, Incarnation: w.s.VM(vm).Incarnation}}}).Numbers[0]
 }
 
-func (w *world) end(k TaskKey, vm rudderfork.VMID, run uint32, how Ending) bool {
-	return w.apply(Command{Ends: &Ends{VM: vm, Incarnation: w.s.VM(vm).Incarnation, List: []End{{Task: k, Run: run, How: how}}}}).Taken[0]
+func (w *world) end(k TaskKey, vm rudderfork.VMID, run uint32, how Outcome) bool {
+	return w.apply(Command{Ends: &Ends{VM: vm, Incarnation: w.s.VM(vm).Incarnation, List: []End{{Task: k, Run: run, Outcome: how}}}}).Taken[0]
 }
 
 func (w *world) status(id rudderfork.JobID) Status { return w.s.Job(id).Status }
@@ -249,7 +249,7 @@
 		w.apply(Command{Cancel: &Cancel{Host: testHost, Path: "/holds/j"}})
 		w.submit("k", big)
 		assert.Equal(t, w.start(key("k", 0, 0), "vm1"), uint32(0))
-		assert.Assert(t, w.end(key("j", 0, 0), "vm1", 1, EndStopped))
+		assert.Assert(t, w.end(key("j", 0, 0), "vm1", 1, OutcomeStopped))
 		assert.Equal(t, w.start(key("k", 0, 0), "vm1"), uint32(1))
 	})
 }
@@ -272,16 +272,16 @@
 	})
 	t.Run("a checkpoint of one serves all", func(t *testing.T) {
 		w.apply(Command{Ends: &Ends{VM: "vm1", Incarnation: "life-1", List: []End{
-			{Task: key("g", 0, 0), Run: 1, How: EndFailed, Checkpoint: "half"}, {Task: key("g", 0, 1), Run: 1, How: EndBroken},
+			{Task: key("g", 0, 0), Run: 1, Outcome: OutcomeFailed, Checkpoint: "half"}, {Task: key("g", 0, 1), Run: 1, Outcome: OutcomeGangBroken},
 		}}})
-		w.end(key("g", 0, 2), "vm2", 1, EndBroken)
+		w.end(key("g", 0, 2), "vm2", 1, OutcomeGangBroken)
 		for i := range 3 {
 			assert.Equal(t, w.s.Job("g").Task(key("g", 0, i)).Checkpoint, "half")
 		}
 	})
 	t.Run("one member that is done stands for all", func(t *testing.T) {
 		assert.DeepEqual(t, together("vm1", "vm1", "vm2"), []uint32{2, 2, 2})
-		w.end(key("g", 0, 1), "vm1", 2, EndDone)
+		w.end(key("g", 0, 1), "vm1", 2, OutcomeDone)
 		assert.Equal(t, w.status("g"), Completed)
 	})
 }
@@ -291,15 +291,15 @@
 		w := newWorld(t, 1)
 		w.submit("j", one)
 		w.start(key("j", 0, 0), "vm1")
-		assert.Assert(t, w.end(key("j", 0, 0), "vm1", 1, EndDone))
-		assert.Assert(t, !w.end(key("j", 0, 0), "vm1", 1, EndDone))
+		assert.Assert(t, w.end(key("j", 0, 0), "vm1", 1, OutcomeDone))
+		assert.Assert(t, !w.end(key("j", 0, 0), "vm1", 1, OutcomeDone))
 		assert.Equal(t, w.status("j"), Completed)
 		assert.Equal(t, w.start(key("j", 0, 0), "vm1"), uint32(0))
 	})
 	t.Run("only failures count as attempts", func(t *testing.T) {
 		w := newWorld(t, 1)
 		w.submit("j", one)
-		for run, how := range []Ending{EndRefused, EndLapsed, EndStopped, EndGone, EndFailed, EndAlone, EndFailed} {
+		for run, how := range []Outcome{OutcomeRefused, OutcomeLeaseExpired, OutcomeStopped, OutcomeLost, OutcomeFailed, OutcomeGangIncomplete, OutcomeFailed} {
 			assert.Equal(t, w.status("j") == Failed, false)
 			assert.Equal(t, w.start(key("j", 0, 0), "vm1"), uint32(run+1))
 			w.end(key("j", 0, 0), "vm1", uint32(run+1), how)
@@ -314,7 +314,7 @@
 		w.submit("j", lasting)
 		for run := range uint32(5) {
 			assert.Equal(t, w.start(key("j", 0, 0), "vm1"), run+1)
-			w.end(key("j", 0, 0), "vm1", run+1, EndFailed)
+			w.end(key("j", 0, 0), "vm1", run+1, OutcomeFailed)
 		}
 		assert.Equal(t, w.status("j"), Running)
 	})
@@ -322,9 +322,9 @@
 		w := newWorld(t, 2)
 		w.submit("j", one)
 		w.start(key("j", 0, 0), "vm1")
-		assert.Assert(t, !w.end(key("j", 0, 0), "vm1", 2, EndDone))
-		assert.Assert(t, !w.end(key("j", 0, 0), "vm2", 1, EndDone))
-		res := w.apply(Command{Ends: &Ends{VM: "vm1", Incarnation: "life-0", List: []End{{Task: key("j", 0, 0), Run: 1, How: EndDone}}}})
+		assert.Assert(t, !w.end(key("j", 0, 0), "vm1", 2, OutcomeDone))
+		assert.Assert(t, !w.end(key("j", 0, 0), "vm2", 1, OutcomeDone))
+		res := w.apply(Command{Ends: &Ends{VM: "vm1", Incarnation: "life-0", List: []End{{Task: key("j", 0, 0), Run: 1, Outcome: OutcomeDone}}}})
 		assert.Assert(t, !res.Taken[0])
 	})
 	t.Run("checkpoints are kept where the step has them", func(t *testing.T) {
@@ -334,7 +334,7 @@
 		w.submit("j", saving, one)
 		for step, want := range []string{"c1", ""} {
 			w.start(key("j", step, 0), "vm1")
-			w.apply(Command{Ends: &Ends{VM: "vm1", Incarnation: "life-1", List: []End{{Task: key("j", step, 0), Run: 1, How: EndLapsed, Checkpoint: "c1"}}}})
+			w.apply(Command{Ends: &Ends{VM: "vm1", Incarnation: "life-1", List: []End{{Task: key("j", step, 0), Run: 1, Outcome: OutcomeLeaseExpired, Checkpoint: "c1"}}}})
 			assert.Equal(t, w.s.Job("j").Task(key("j", step, 0)).Checkpoint, want)
 		}
 	})
@@ -354,7 +354,7 @@
 	t.Run("what is completed stays so", func(t *testing.T) {
 		w.submit("k", one)
 		w.start(key("k", 0, 0), "vm1")
-		w.end(key("k", 0, 0), "vm1", 1, EndDone)
+		w.end(key("k", 0, 0), "vm1", 1, OutcomeDone)
 		assert.Equal(t, cancel("k"), OK)
 		assert.Equal(t, w.status("k"), Completed)
 	})
@@ -401,9 +401,9 @@
 	assert.Equal(t, w.start(TaskKey{Job: "r", Time: 1}, "vm1"), uint32(0))
 	w.n = 6000
 	assert.Equal(t, w.start(TaskKey{Job: "r", Time: 1}, "vm1"), uint32(1))
-	w.end(TaskKey{Job: "r"}, "vm1", 1, EndDone)
+	w.end(TaskKey{Job: "r"}, "vm1", 1, OutcomeDone)
 	assert.Equal(t, w.status("r"), Running)
-	w.end(TaskKey{Job: "r", Time: 1}, "vm1", 1, EndDone)
+	w.end(TaskKey{Job: "r", Time: 1}, "vm1", 1, OutcomeDone)
 	assert.Equal(t, w.status("r"), Completed)
 }
 
@@ -443,7 +443,7 @@
 	assert.Equal(t, count("a"), [3]int{1, 0, 1})
 	w.apply(Command{Starts: []Start{{Task: key("b", 0, 0), VM: "vm1", Incarnation: oldLife}}, Begun: []rudderfork.JobID{"a", "none"}})
 	assert.Equal(t, count(), [3]int{1, 1, 1})
-	w.end(key("b", 0, 0), "vm1", 1, EndFailed)
+	w.end(key("b", 0, 0), "vm1", 1, OutcomeFailed)
 	assert.Equal(t, count(), [3]int{0, 0, 1})
 }
 
@@ -453,12 +453,12 @@
 	w.submit("j", Step{Count: 2, Size: rudderfork.Resources{CPUMilli: 1000}}, Step{Count: 1, DependsOn: []int{0}})
 	w.submit("done", one)
 	w.start(key("done", 0, 0), "vm2")
-	w.end(key("done", 0, 0), "vm2", 1, EndDone)
+	w.end(key("done", 0, 0), "vm2", 1, OutcomeDone)
 	w.start(key("j", 0, 0), "vm1")
 	w.restore()
 	checkLedger(t, w.s)
 	assert.Equal(t, w.status("done"), Completed)
-	assert.Assert(t, w.end(key("j", 0, 0), "vm1", 1, EndDone))
+	assert.Assert(t, w.end(key("j", 0, 0), "vm1", 1, OutcomeDone))
 	assert.Equal(t, w.start(key("j", 0, 1), "vm2"), uint32(1))
 	assert.Equal(t, string(w.s.Document().Text), "document 1")
 }
--- a/queue/room_test.go
+++ b/queue/room_test.go
@@ -32,9 +32,9 @@
 	})
 	t.Run("nothing is started over the room that is left", func(t *testing.T) {
 		assert.Equal(t, w.start(key("j1", 0, 3), "vm1"), uint32(0))
-		w.end(key("j1", 0, 0), "vm1", 1, EndDone)
+		w.end(key("j1", 0, 0), "vm1", 1, OutcomeDone)
 		assert.Equal(t, w.start(key("j1", 0, 3), "vm1"), uint32(0))
-		w.end(key("j1", 0, 1), "vm1", 1, EndDone)
+		w.end(key("j1", 0, 1), "vm1", 1, OutcomeDone)
 		assert.Assert(t, w.start(key("j1", 0, 3), "vm1") > 0)
 	})
 	t.Run("room that has grown is used at once", func(t *testing.T) {
--- a/queue/second_start_test.go
+++ b/queue/second_start_test.go
@@ -38,7 +38,7 @@
 		assert.Equal(t, start(second), uint32(2))
 	})
 	t.Run("late words of the start before change nothing", func(t *testing.T) {
-		late := apply(Command{Ends: &Ends{VM: "vm1", Incarnation: first, List: []End{{Task: k, Run: 2, How: EndDone}}}})
+		late := apply(Command{Ends: &Ends{VM: "vm1", Incarnation: first, List: []End{{Task: k, Run: 2, Outcome: OutcomeDone}}}})
 		assert.Assert(t, !late.Taken[0])
 		assert.Equal(t, apply(Command{Lost: &Lost{VM: "vm1", Incarnation: first, Left: true}}).Code, Stale)
 		apply(Command{Upkeep: &UpkeepNote{Wave: 1, Machine: "m", Incarnation: first}})
--- a/queue/waiting_test.go
+++ b/queue/waiting_test.go
@@ -18,8 +18,8 @@
 func TestJobWhoseStartsFailedWaits(t *testing.T) {
 	k := key("j", 0, 0)
 	for name, undo := range map[string]func(w *world, run uint32){
-		"refused":            func(w *world, run uint32) { w.end(k, "vm1", run, EndRefused) },
-		"unknown there":      func(w *world, run uint32) { w.end(k, "vm1", run, EndGone) },
+		"refused":            func(w *world, run uint32) { w.end(k, "vm1", run, OutcomeRefused) },
+		"unknown there":      func(w *world, run uint32) { w.end(k, "vm1", run, OutcomeLost) },
 		"its VM is lost":     func(w *world, _ uint32) { w.lose("vm1", Lost{}) },
 		"its VM has left":    func(w *world, _ uint32) { w.lose("vm1", Lost{Left: true}) },
 		"another life began": func(w *world, _ uint32) { w.crash("vm1", "life-2") },
@@ -36,7 +36,7 @@
 // TestJobThatBeganWaitsNoMore holds that a job whose task an executor has begun stays begun.
 func TestJobThatBeganWaitsNoMore(t *testing.T) {
 	k := key("j", 0, 0)
-	for _, how := range []Ending{EndFailed, EndStopped, EndLapsed, EndBroken, EndAlone} {
+	for _, how := range []Outcome{OutcomeFailed, OutcomeStopped, OutcomeLeaseExpired, OutcomeGangBroken, OutcomeGangIncomplete} {
 		t.Run(string(how), func(t *testing.T) {
 			w := newWorld(t, 1)
 			w.submit("j", one)
--- a/runner/look.go
+++ b/runner/look.go
@@ -160,7 +160,7 @@
 // holds mu.
 func (a *Agent) noteVanished(ends []queue.End, look rudderfork.ExecutorStatus) {
 	for _, e := range ends {
-		if e.How == queue.EndGone {
+		if e.Outcome == queue.OutcomeLost {
 			a.log.Warn().Str("task", e.Task.String()).Uint32("run", e.Run).Int64("clock_ms", look.ClockMS).
 				Uint64("acked", a.acked).Msg("run_vanished")
 		}
--- a/runner/report.go
+++ b/runner/report.go
@@ -48,7 +48,7 @@
 // mu.
 func (a *Agent) reportLooked(ends []queue.End, upTo uint64) {
 	if len(a.reports) >= maxReports {
-		ends = slices.DeleteFunc(ends, func(e queue.End) bool { return e.How != queue.EndGone })
+		ends = slices.DeleteFunc(ends, func(e queue.End) bool { return e.Outcome != queue.OutcomeLost })
 		upTo = 0
 	}
 	a.report(ends, upTo)
@@ -60,7 +60,7 @@
 		return
 	}
 	for _, e := range ends {
-		a.met.ends.WithLabelValues(string(e.How)).Inc()
+		a.met.ends.WithLabelValues(string(e.Outcome)).Inc()
 	}
 	a.send(report{ends: queue.Ends{VM: a.vm.ID, Incarnation: life, List: ends}, upTo: upTo})
 }
--- a/runner/runner_test.go
+++ b/runner/runner_test.go
@@ -226,7 +226,7 @@
 	a := newAgentAlone(lost)
 	account := rudderfork.ExecutorStatus{
 		ClockMS: 1, Running: []rudderfork.RunStatus{{RunRef: lost}},
-		Ended: []rudderfork.EndedRun{{Seq: 1, RunRef: rudderfork.RunRef{Task: "j.0.0.0", Run: 1}, How: "done"}},
+		Ended: []rudderfork.EndedRun{{Seq: 1, RunRef: rudderfork.RunRef{Task: "j.0.0.0", Run: 1}, Outcome: "done"}},
 	}
 	look := func() { a.looked(t.Context(), "life-1", account, steady.Now()) }
 	for range 3 * maxReports {
@@ -239,7 +239,7 @@
 		look()
 		last := a.reports[a.reportID].ends.List
 		assert.Equal(t, len(last), 1)
-		assert.Equal(t, last[0].How, queue.EndGone)
+		assert.Equal(t, last[0].Outcome, queue.OutcomeLost)
 	})
 	t.Run("once one is noted, the list is told again", func(t *testing.T) {
 		for id := range a.reports {
--- a/runner/second_start_test.go
+++ b/runner/second_start_test.go
@@ -64,7 +64,7 @@
 	a := newAgentAlone()
 	describe(a, firstStart, false, 0)
 	describe(a, secondStart, false, 0)
-	end := rudderfork.EndedRun{Seq: 57, RunRef: rudderfork.RunRef{Task: "j.0.0.0", Run: 1}, How: "done"}
+	end := rudderfork.EndedRun{Seq: 57, RunRef: rudderfork.RunRef{Task: "j.0.0.0", Run: 1}, Outcome: "done"}
 	a.looked(t.Context(), firstStart, rudderfork.ExecutorStatus{ClockMS: 90_000, Ended: []rudderfork.EndedRun{end}}, time.Now())
 	assert.Equal(t, len(a.reports), 1)
 	for id, r := range a.reports {
--- a/runs/partial_test.go
+++ b/runs/partial_test.go
@@ -18,7 +18,7 @@
 		k := ready(1)
 		k.HandleStartResult(onlyCall(t, k, t0).Ref, rudderfork.Started, nil, t0)
 		checkEnds(t, k.HandleStatus(rudderfork.ExecutorStatus{Partial: true}, asked))
-		checkEnds(t, k.HandleStatus(rudderfork.ExecutorStatus{}, asked), queue.EndGone)
+		checkEnds(t, k.HandleStatus(rudderfork.ExecutorStatus{}, asked), queue.OutcomeLost)
 	})
 	t.Run("one that is stopped is not forgotten", func(t *testing.T) {
 		k := ready()
@@ -33,7 +33,7 @@
 	t.Run("what is listed holds", func(t *testing.T) {
 		k := ready(1)
 		k.HandleStartResult(onlyCall(t, k, t0).Ref, rudderfork.Started, nil, t0)
-		end := rudderfork.EndedRun{RunRef: ref(1), How: "done"}
-		checkEnds(t, k.HandleStatus(rudderfork.ExecutorStatus{Partial: true, Ended: []rudderfork.EndedRun{end}}, asked), queue.EndDone)
+		end := rudderfork.EndedRun{RunRef: ref(1), Outcome: "done"}
+		checkEnds(t, k.HandleStatus(rudderfork.ExecutorStatus{Partial: true, Ended: []rudderfork.EndedRun{end}}, asked), queue.OutcomeDone)
 	})
 }
--- a/runs/patience_test.go
+++ b/runs/patience_test.go
@@ -22,7 +22,7 @@
 		assert.Assert(t, onlyCall(t, k, late).Start == nil)
 		k.HandleStopResult(ref(1), nil, late)
 		ends := k.HandleStatus(rudderfork.ExecutorStatus{}, late.Add(time.Millisecond))
-		checkEnds(t, ends, queue.EndRefused)
+		checkEnds(t, ends, queue.OutcomeRefused)
 		assert.Equal(t, ends[0].Reason, notStarted)
 	})
 	t.Run("one that began all the same is stopped, and ends as the executor says", func(t *testing.T) {
@@ -31,8 +31,8 @@
 		k.HandleStartResult(ref(1), 0, errLost, t0)
 		assert.Assert(t, onlyCall(t, k, late).Start == nil)
 		k.HandleStopResult(ref(1), nil, late)
-		ended := rudderfork.ExecutorStatus{Ended: []rudderfork.EndedRun{{RunRef: ref(1), Seq: 1, How: string(queue.EndStopped)}}}
-		checkEnds(t, k.HandleStatus(ended, late.Add(time.Millisecond)), queue.EndStopped)
+		ended := rudderfork.ExecutorStatus{Ended: []rudderfork.EndedRun{{RunRef: ref(1), Seq: 1, Outcome: string(queue.OutcomeStopped)}}}
+		checkEnds(t, k.HandleStatus(ended, late.Add(time.Millisecond)), queue.OutcomeStopped)
 	})
 	t.Run("one that is refused for a while is refused for good", func(t *testing.T) {
 		k := ready(1)
@@ -40,7 +40,7 @@
 		k.HandleStartResult(ref(1), rudderfork.StartLate, nil, t0)
 		calls, ends := k.NextCalls(late)
 		assert.Equal(t, len(calls), 0)
-		checkEnds(t, ends, queue.EndRefused)
+		checkEnds(t, ends, queue.OutcomeRefused)
 	})
 	t.Run("one that was not called yet waits on", func(t *testing.T) {
 		k := ready(1)
--- a/runs/reconciler.go
+++ b/runs/reconciler.go
@@ -353,7 +353,7 @@
 		return nil
 	}
 	o.ended = true
-	return &queue.End{Task: key, Run: o.Run, How: queue.EndRefused, Reason: reason}
+	return &queue.End{Task: key, Run: o.Run, Outcome: queue.OutcomeRefused, Reason: reason}
 }
 
 // HandleStopResult takes the answer to a stop.
@@ -405,9 +405,9 @@
 			continue
 		}
 		o.ended = true
-		end := queue.End{Task: key, Run: o.Run, How: queue.EndGone, Reason: "the executor knows nothing of it"}
+		end := queue.End{Task: key, Run: o.Run, Outcome: queue.OutcomeLost, Reason: "the executor knows nothing of it"}
 		if o.gaveUp {
-			end.How, end.Reason = queue.EndRefused, notStarted
+			end.Outcome, end.Reason = queue.OutcomeRefused, notStarted
 		}
 		ends = append(ends, end)
 	}
@@ -419,7 +419,7 @@
 func ParseEnds(rows []rudderfork.EndedRun) (ends []queue.End) {
 	for _, e := range rows {
 		if key, err := queue.ParseTaskKey(string(e.Task)); err == nil {
-			ends = append(ends, queue.End{Task: key, Run: e.Run, How: queue.Ending(e.How), Checkpoint: e.Checkpoint})
+			ends = append(ends, queue.End{Task: key, Run: e.Run, Outcome: queue.Outcome(e.Outcome), Checkpoint: e.Checkpoint})
 		}
 	}
 	return ends
--- a/runs/reconciler_test.go
+++ b/runs/reconciler_test.go
@@ -54,11 +54,11 @@
 	assert.Equal(t, len(calls)+len(ends), 0, "%v %v", calls, ends)
 }
 
-func checkEnds(t *testing.T, got []queue.End, how ...queue.Ending) {
+func checkEnds(t *testing.T, got []queue.End, how ...queue.Outcome) {
 	t.Helper()
 	assert.Equal(t, len(got), len(how), "%v", got)
 	for i, h := range how {
-		assert.Equal(t, got[i].How, h)
+		assert.Equal(t, got[i].Outcome, h)
 	}
 }
 
@@ -118,7 +118,7 @@
 		k := ready(1)
 		onlyCall(t, k, t0)
 		end := k.HandleStartResult(ref(1), rudderfork.StartNoRoom, nil, t0)
-		checkEnds(t, []queue.End{*end}, queue.EndRefused)
+		checkEnds(t, []queue.End{*end}, queue.OutcomeRefused)
 		checkNothingDue(t, k, t0.Add(time.Second))
 	})
 	t.Run("after a try without an answer only a stop ends it", func(t *testing.T) {
@@ -130,14 +130,14 @@
 		assert.Assert(t, onlyCall(t, k, t0.Add(time.Second)).Start == nil)
 		k.HandleStopResult(ref(1), nil, t0.Add(2*time.Second))
 		checkEnds(t, k.HandleStatus(rudderfork.ExecutorStatus{}, t0.Add(1900*time.Millisecond)))
-		checkEnds(t, k.HandleStatus(rudderfork.ExecutorStatus{}, t0.Add(2100*time.Millisecond)), queue.EndGone)
+		checkEnds(t, k.HandleStatus(rudderfork.ExecutorStatus{}, t0.Add(2100*time.Millisecond)), queue.OutcomeLost)
 	})
 	t.Run("a draining executor is sent nothing", func(t *testing.T) {
 		k := ready(1)
 		k.SetDraining(true)
 		calls, ends := k.NextCalls(t0)
 		assert.Equal(t, len(calls), 0)
-		checkEnds(t, ends, queue.EndRefused)
+		checkEnds(t, ends, queue.OutcomeRefused)
 	})
 	t.Run("a start that is late is tried with a newer lease", func(t *testing.T) {
 		k := ready(1)
@@ -157,14 +157,14 @@
 		k.HandleStartResult(ref(1), rudderfork.Started, nil, t0.Add(time.Second))
 		checkEnds(t, k.HandleStatus(rudderfork.ExecutorStatus{}, t0))
 		checkEnds(t, k.HandleStatus(running(1), t0.Add(2*time.Second)))
-		checkEnds(t, k.HandleStatus(rudderfork.ExecutorStatus{}, t0.Add(3*time.Second)), queue.EndGone)
+		checkEnds(t, k.HandleStatus(rudderfork.ExecutorStatus{}, t0.Add(3*time.Second)), queue.OutcomeLost)
 		checkEnds(t, k.HandleStatus(rudderfork.ExecutorStatus{}, t0.Add(4*time.Second)))
 	})
 	t.Run("ends are reported until they are noted", func(t *testing.T) {
 		k := ready(1)
-		look := rudderfork.ExecutorStatus{Ended: []rudderfork.EndedRun{{Seq: 1, RunRef: ref(1), How: "done"}}}
+		look := rudderfork.ExecutorStatus{Ended: []rudderfork.EndedRun{{Seq: 1, RunRef: ref(1), Outcome: "done"}}}
 		for range 2 {
-			checkEnds(t, k.HandleStatus(look, t0), queue.EndDone)
+			checkEnds(t, k.HandleStatus(look, t0), queue.OutcomeDone)
 		}
 		k.ForgetEnded([]queue.End{{Task: queue.TaskKey{Job: "j"}, Run: 1}})
 		assert.Equal(t, len(k.DesiredRuns()), 0)
@@ -263,7 +263,7 @@
 		k.ApplyOrders(stopOrder)
 		checkStops(t, k, 1, t0)
 		k.HandleStopResult(ref(1), nil, t0)
-		checkEnds(t, k.HandleStatus(rudderfork.ExecutorStatus{}, t0.Add(time.Second)), queue.EndGone)
+		checkEnds(t, k.HandleStatus(rudderfork.ExecutorStatus{}, t0.Add(time.Second)), queue.OutcomeLost)
 		checkEnds(t, k.HandleStatus(listed(1), t0.Add(2*time.Second)))
 		checkStops(t, k, 1, t0.Add(2*time.Second))
 		k.HandleStopResult(ref(1), nil, t0.Add(2*time.Second))
@@ -310,7 +310,7 @@
 		assert.Assert(t, k.HandleStartResult(ref(1), rudderfork.StartNoRoom, nil, t0) == nil)
 		checkStops(t, k, 1, t0)
 		k.HandleStopResult(ref(1), nil, t0)
-		checkEnds(t, k.HandleStatus(rudderfork.ExecutorStatus{}, t0.Add(time.Second)), queue.EndGone)
+		checkEnds(t, k.HandleStatus(rudderfork.ExecutorStatus{}, t0.Add(time.Second)), queue.OutcomeLost)
 	})
 	again := wire.Orders{Incarnation: "life-1", Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: ref(1)}}}
 	for _, why := range []rudderfork.StartOutcome{rudderfork.StartTicket, rudderfork.StartNoRoom} {
@@ -321,7 +321,7 @@
 			onlyCall(t, k, t0)
 			end := k.HandleStartResult(ref(1), why, nil, t0)
 			assert.Assert(t, end != nil)
-			checkEnds(t, []queue.End{*end}, queue.EndRefused)
+			checkEnds(t, []queue.End{*end}, queue.OutcomeRefused)
 			checkNothingDue(t, k, t0.Add(time.Second))
 		})
 	}
@@ -401,5 +401,5 @@
 	c := onlyCall(t, k, t0)
 	assert.Assert(t, c.Start == nil, "a run that was never sent is barred there")
 	k.HandleStopResult(ref(1), nil, t0)
-	checkEnds(t, k.HandleStatus(rudderfork.ExecutorStatus{}, t0.Add(time.Second)), queue.EndGone)
+	checkEnds(t, k.HandleStatus(rudderfork.ExecutorStatus{}, t0.Add(time.Second)), queue.OutcomeLost)
 }
--- a/scheduler/beside_test.go
+++ b/scheduler/beside_test.go
@@ -80,7 +80,7 @@
 	c := h.registerAgent(onlyVM)
 	h.blockCommits()
 	last := h.rep.Status().Last
-	ends := queue.Ends{VM: onlyVM.ID, Incarnation: onlyVM.Incarnation, List: []queue.End{{Task: queue.TaskKey{Job: "j"}, Run: 1, How: queue.EndDone}}}
+	ends := queue.Ends{VM: onlyVM.ID, Incarnation: onlyVM.Incarnation, List: []queue.End{{Task: queue.TaskKey{Job: "j"}, Run: 1, Outcome: queue.OutcomeDone}}}
 	assert.NilError(t, c.Send(h.ctx, wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: ends}}))
 	h.waitUntil("the report is proposed", func() bool { return h.rep.Status().Last > last })
 	h.sendHeartbeat(c, onlyVM, 2)
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -360,20 +360,20 @@
 	v := f.vm(vm)
 	ref := e.Task.Ref(e.Run)
 	switch {
-	case e.How == queue.EndRefused && e.Reason == runs.ReasonClosed:
+	case e.How == queue.OutcomeRefused && e.Reason == runs.ReasonClosed:
 		return // it says nothing of the VM, and the task may begin elsewhere at once
-	case e.How == queue.EndFailed && v.hadWorked(e, now):
+	case e.Outcome == queue.OutcomeFailed && v.hadWorked(e, now):
 		return // it says nothing of the VM
-	case e.How == queue.EndDone:
+	case e.Outcome == queue.OutcomeDone:
 		v.addFailures(-failureStep, now)
-	case e.How == queue.EndFailed, e.How == queue.EndRefused, f.stops[ref] == dispatch.ReasonStalled, f.stops[ref] == dispatch.ReasonSlow:
+	case e.Outcome == queue.OutcomeFailed, e.Outcome == queue.OutcomeRefused, f.stops[ref] == dispatch.ReasonStalled, f.stops[ref] == dispatch.ReasonSlow:
 		v.addFailures(failureStep, now)
 		f.failedOn(e.Task, vm)
 	}
-	if e.How == queue.EndRefused && e.Reason == rudderfork.StartTicket.String() {
+	if e.Outcome == queue.OutcomeRefused && e.Reason == rudderfork.StartTicket.String() {
 		f.advice.refuse(e.Task.StepKey(), vm)
 	}
-	if e.How == queue.EndRefused {
+	if e.Outcome == queue.OutcomeRefused {
 		f.putOff[e.Task] = now.Add(refusalPause)
 	}
 }
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -64,7 +64,7 @@
 	t.Run("a run that is over is forgotten, with its checkpoint", func(t *testing.T) {
 		qs, f := stateWithRun(t), newFleet()
 		report(f, "life-1", 1, 10, "old")
-		qs.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Incarnation: "life-1", List: []queue.End{{Task: key, Run: 1, How: queue.EndStopped}}}}, 2)
+		qs.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Incarnation: "life-1", List: []queue.End{{Task: key, Run: 1, Outcome: queue.OutcomeStopped}}}}, 2)
 		qs.Apply(queue.Command{Starts: []queue.Start{{Task: key, VM: "vm1", Incarnation: "life-1"}}}, 2)
 		assert.Equal(t, len(f.view(qs, at).Runs), 0)
 		assert.Equal(t, len(f.vm("vm1").checkpoints()), 0)
--- a/scheduler/last_test.go
+++ b/scheduler/last_test.go
@@ -34,6 +34,6 @@
 func (p *agentClient) reportDone(job rudderfork.JobID, index int) {
 	p.cluster.t.Helper()
 	assert.NilError(p.cluster.t, p.conn.Send(p.cluster.ctx, wire.FromNode{Ends: &wire.EndsReport{Seq: uint64(index) + 1, Ends: queue.Ends{
-		VM: testVM, Incarnation: newIncarnation, List: []queue.End{{Task: queue.TaskKey{Job: job, Index: index}, Run: 1, How: queue.EndDone}},
+		VM: testVM, Incarnation: newIncarnation, List: []queue.End{{Task: queue.TaskKey{Job: job, Index: index}, Run: 1, Outcome: queue.OutcomeDone}},
 	}}}))
 }
--- a/scheduler/late_test.go
+++ b/scheduler/late_test.go
@@ -179,14 +179,14 @@
 	t.Run("ends, and that it has left", func(t *testing.T) {
 		s := newTestCluster(t, nil)
 		before, now, epoch := s.connectAgentTwice(oldIncarnation)
-		list := []queue.End{{Task: queue.TaskKey{Job: "feed"}, Run: 1, How: queue.EndFailed}}
+		list := []queue.End{{Task: queue.TaskKey{Job: "feed"}, Run: 1, Outcome: queue.OutcomeFailed}}
 		before.sendAndWait(wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: queue.Ends{VM: testVM, Incarnation: oldIncarnation, List: list}, Left: true}})
 		s.assertCurrent(now, epoch)
 	})
 	t.Run("a refusal of a run that the next process has started", func(t *testing.T) {
 		s := newTestCluster(t, nil)
 		before, now, epoch := s.connectAgentTwice(newIncarnation)
-		list := []queue.End{{Task: queue.TaskKey{Job: "feed"}, Run: 1, How: queue.EndRefused}}
+		list := []queue.End{{Task: queue.TaskKey{Job: "feed"}, Run: 1, Outcome: queue.OutcomeRefused}}
 		before.sendAndWait(wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: queue.Ends{VM: testVM, Incarnation: newIncarnation, List: list}}})
 		s.assertCurrent(now, epoch)
 	})
--- a/scheduler/learning_test.go
+++ b/scheduler/learning_test.go
@@ -94,7 +94,7 @@
 }
 
 // tell has vm1 report the end of the run, up to where it is proposed.
-func (s *manualLeader) reportEnd(ctx context.Context, how queue.Ending) (commit func(), told chan error) {
+func (s *manualLeader) reportEnd(ctx context.Context, how queue.Outcome) (commit func(), told chan error) {
 	s.t.Helper()
 	gate := make(chan struct{})
 	s.store.gate.Store(&gate)
@@ -102,7 +102,7 @@
 	told = make(chan error, 1)
 	go func() {
 		told <- s.session.ends(ctx, wire.EndsReport{Seq: 1, Ends: queue.Ends{
-			VM: "vm1", Incarnation: "vm1-life", List: []queue.End{{Task: reportedTask, Run: 1, How: how}},
+			VM: "vm1", Incarnation: "vm1-life", List: []queue.End{{Task: reportedTask, Run: 1, Outcome: how}},
 		}})
 	}()
 	s.waitUntil("the end is proposed", func() bool { return s.sched.rep.Status().Last == last+1 })
@@ -117,17 +117,17 @@
 var failureCases = []struct {
 	name    string
 	lasting bool
-	how     queue.Ending
+	how     queue.Outcome
 	stop    string // why the leader stopped the run, if it did
 }{
-	{"a short task that has one attempt left", false, queue.EndFailed, ""},
-	{"a lasting task", true, queue.EndFailed, ""},
-	{"a lasting task that was refused", true, queue.EndRefused, ""},
-	{"a lasting task that stood still", true, queue.EndStopped, dispatch.ReasonStalled},
+	{"a short task that has one attempt left", false, queue.OutcomeFailed, ""},
+	{"a lasting task", true, queue.OutcomeFailed, ""},
+	{"a lasting task that was refused", true, queue.OutcomeRefused, ""},
+	{"a lasting task that stood still", true, queue.OutcomeStopped, dispatch.ReasonStalled},
 }
 
 // forLessons calls a test for each of the lessons, before the end is told.
-func forEachFailure(t *testing.T, test func(s *manualLeader, how queue.Ending)) {
+func forEachFailure(t *testing.T, test func(s *manualLeader, how queue.Outcome)) {
 	for _, l := range failureCases {
 		t.Run(l.name, func(t *testing.T) {
 			step := smallStep
@@ -146,7 +146,7 @@
 // TestFailureForgottenWhenSessionEnds has a session end before it hears that a failure
 // is committed.
 func TestFailureForgottenWhenSessionEnds(t *testing.T) {
-	forEachFailure(t, func(s *manualLeader, how queue.Ending) {
+	forEachFailure(t, func(s *manualLeader, how queue.Outcome) {
 		ctx, cancel := context.WithCancel(s.ctx)
 		commit, told := s.reportEnd(ctx, how)
 		cancel()
@@ -160,7 +160,7 @@
 // TestFirstPlanAfterFailureIgnoresIt makes a plan as soon as a failure is committed, before
 // its session has got any further.
 func TestFirstPlanAfterFailureIgnoresIt(t *testing.T) {
-	forEachFailure(t, func(s *manualLeader, how queue.Ending) {
+	forEachFailure(t, func(s *manualLeader, how queue.Outcome) {
 		commit, told := s.reportEnd(s.ctx, how)
 		s.sched.mu.Lock()
 		commit()
--- a/scheduler/liveness_test.go
+++ b/scheduler/liveness_test.go
@@ -278,7 +278,7 @@
 func (s *randomFleet) failOne(v *simVM) {
 	var ends []queue.End
 	for k, number := range s.qs.VM(v.id).Runs() {
-		ends = append(ends, queue.End{Task: k, Run: number, How: queue.EndFailed})
+		ends = append(ends, queue.End{Task: k, Run: number, Outcome: queue.OutcomeFailed})
 	}
 	slices.SortFunc(ends, func(a, b queue.End) int { return a.Task.Compare(b.Task) })
 	s.reportEnds(v, ends[:min(1, len(ends))]...)
@@ -431,8 +431,8 @@
 			s.submit("feed", lastingStep(1))
 			s.advance(c.span)
 			on, run := s.vmOf(k), s.task(k).LastRun
-			s.fleet.recordEnd(on.id, queue.End{Task: k, Run: run, How: queue.EndFailed}, s.leaderTime())
-			s.apply(queue.Command{Ends: &queue.Ends{VM: on.id, Incarnation: on.incarnationName(), List: []queue.End{{Task: k, Run: run, How: queue.EndFailed}}}})
+			s.fleet.recordEnd(on.id, queue.End{Task: k, Run: run, Outcome: queue.OutcomeFailed}, s.leaderTime())
+			s.apply(queue.Command{Ends: &queue.Ends{VM: on.id, Incarnation: on.incarnationName(), List: []queue.End{{Task: k, Run: run, Outcome: queue.OutcomeFailed}}}})
 			s.plan()
 			assert.Equal(t, s.vmOf(k) == on, c.same)
 		})
--- a/scheduler/orders_test.go
+++ b/scheduler/orders_test.go
@@ -107,7 +107,7 @@
 	})
 	t.Run("a run has ended", func(t *testing.T) {
 		qs, ses := told(t)
-		qs.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Incarnation: "life-1", List: []queue.End{{Task: key, Run: 1, How: queue.EndFailed}}}}, 2)
+		qs.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Incarnation: "life-1", List: []queue.End{{Task: key, Run: 1, Outcome: queue.OutcomeFailed}}}}, 2)
 		assert.Assert(t, ses.behind(qs))
 	})
 	t.Run("a run is to be stopped", func(t *testing.T) {
--- a/scheduler/refusal_test.go
+++ b/scheduler/refusal_test.go
@@ -60,7 +60,7 @@
 	h.t.Helper()
 	key, err := queue.ParseTaskKey(string(refusedRun.Task))
 	assert.NilError(h.t, err)
-	ends := queue.Ends{VM: vm.ID, Incarnation: vm.Incarnation, List: []queue.End{{Task: key, Run: refusedRun.Run, How: queue.EndRefused}}}
+	ends := queue.Ends{VM: vm.ID, Incarnation: vm.Incarnation, List: []queue.End{{Task: key, Run: refusedRun.Run, Outcome: queue.OutcomeRefused}}}
 	assert.NilError(h.t, c.Send(h.ctx, wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: ends}}))
 }
 
--- a/scheduler/simfleet_test.go
+++ b/scheduler/simfleet_test.go
@@ -220,12 +220,12 @@
 		_, stop := s.fleet.stops[k.Ref(number)]
 		switch {
 		case stop:
-			ends = append(ends, queue.End{Task: k, Run: number, How: queue.EndStopped})
+			ends = append(ends, queue.End{Task: k, Run: number, Outcome: queue.OutcomeStopped})
 		case begun && v.health == failing && s.now.Sub(at) > simStartupTime/2:
-			ends = append(ends, queue.End{Task: k, Run: number, How: queue.EndFailed})
+			ends = append(ends, queue.End{Task: k, Run: number, Outcome: queue.OutcomeFailed})
 		case begun:
 		case v.health == refusing:
-			ends = append(ends, queue.End{Task: k, Run: number, How: queue.EndRefused, Reason: "503"})
+			ends = append(ends, queue.End{Task: k, Run: number, Outcome: queue.OutcomeRefused, Reason: "503"})
 		default:
 			v.startedAt[run] = s.now
 		}
--- a/scheduler/vm.go
+++ b/scheduler/vm.go
@@ -383,11 +383,11 @@
 		if !res.Taken[i] {
 			continue
 		}
-		ses.s.met.ends.WithLabelValues(string(e.How)).Inc()
+		ses.s.met.ends.WithLabelValues(string(e.Outcome)).Inc()
 		ses.learnWorktime(e, worked[i], now)
 		ses.s.log.Info().Str("task", e.Task.String()).Uint32("run", e.Run).Str("on", string(r.Ends.VM)).
-			Str("how", string(e.How)).Str("reason", e.Reason).Msg("task_ended")
-		ses.s.record("task_ended", e.Task.String(), "on "+string(r.Ends.VM)+": "+string(e.How)+" "+e.Reason)
+			Str("how", string(e.Outcome)).Str("reason", e.Reason).Msg("task_ended")
+		ses.s.record("task_ended", e.Task.String(), "on "+string(r.Ends.VM)+": "+string(e.Outcome)+" "+e.Reason)
 	}
 	return nil
 }
--- a/scheduler/worktimes.go
+++ b/scheduler/worktimes.go
@@ -35,7 +35,7 @@
 // the start on.
 func (f *fleet) observeWorkTime(s *queue.State, e queue.End, worked float64, now time.Time) {
 	j := s.Job(e.Task.Job)
-	if e.How != queue.EndDone || e.Run != 1 || j == nil || j.Task(e.Task) == nil {
+	if e.Outcome != queue.OutcomeDone || e.Run != 1 || j == nil || j.Task(e.Task) == nil {
 		return
 	}
 	if worked == 0 {
--- a/scheduler/worktimes_test.go
+++ b/scheduler/worktimes_test.go
@@ -14,7 +14,7 @@
 // TestLearnedWorktimeIsAtFullSpeed holds that what is learned of run times is the work at full speed.
 func TestLearnedWorktimeIsAtFullSpeed(t *testing.T) {
 	key := queue.TaskKey{Job: "j"}
-	done := queue.End{Task: key, Run: 1, How: queue.EndDone}
+	done := queue.End{Task: key, Run: 1, Outcome: queue.OutcomeDone}
 	at := time.Unix(1000, 0)
 	tell := func(f *fleet, after time.Duration, percent, held int) {
 		f.recordHeartbeat(f.vm("vm1"), wire.VMHeartbeat{Rows: []rudderfork.RunStatus{{RunRef: key.Ref(1), Percent: percent, Held: held}}}, at.Add(after))
--- a/standin/executor/executor.go
+++ b/standin/executor/executor.go
@@ -264,7 +264,7 @@
 	e.barred[r.ref.Task] = max(e.barred[r.ref.Task], r.ref.Run)
 	e.seq++
 	if e.seq > e.acked {
-		e.ended = append(e.ended, rudderfork.EndedRun{Seq: e.seq, RunRef: r.ref, How: how})
+		e.ended = append(e.ended, rudderfork.EndedRun{Seq: e.seq, RunRef: r.ref, Outcome: how})
 	}
 	e.tell(r.ref, how)
 }
