--- a/scheduler/advice_test.go
+++ b/scheduler/advice_test.go
@@ -13,9 +13,9 @@
 	"rudderfork.example/rudderfork/state"
 )
 
-// newAdvised is a leader with idle VMs, and a queue with an adviser.
+// newAdvisedLeader returns a leader with idle VMs and a queue with an adviser.
 func newAdvisedLeader(t *testing.T, adv *fakeAdviser, vms int) *manualLeader {
-	adv.calls = 1 // the first one fails
+	adv.calls = 1 // skips the first call, which fails
 	rep := newReplica(t, selfMember)
 	s := &manualLeader{testCluster: &testCluster{t: t, ctx: t.Context()}}
 	s.serve(rep)
@@ -32,13 +32,14 @@
 	return s
 }
 
-// handIn hands in a job of one task.
+// submitJob submits a job of one task.
 func (s *manualLeader) submitJob(id rudderfork.JobID) {
 	s.commit(queue.Command{Submit: &queue.Submit{Host: testHost, Path: "/q/" + string(id), Spec: queue.Spec{Steps: []queue.Step{smallStep}}}})
 }
 
-// advise makes plans, each of which finds the adviser free after a call that took longer
-// than a step rests. It returns after so many calls.
+// planWithAdvice makes plans, each of which finds the adviser free after a call that took longer
+// than the pause between two requests for a step. It returns after the given number of calls and
+// one more plan.
 func (s *manualLeader) planWithAdvice(calls int) {
 	s.t.Helper()
 	for range calls {
@@ -48,21 +49,22 @@
 	s.planAndAwaitAdvice()
 }
 
-// planAdvised makes a plan, and waits for the adviser's answer to what it asks.
+// planAndAwaitAdvice makes a plan and waits for the adviser's answer to its request.
 func (s *manualLeader) planAndAwaitAdvice() {
 	s.t.Helper()
 	s.plan()
 	s.waitUntil("the adviser has answered", func() bool { return !s.adviserBusy() })
 }
 
-// asking reports whether a call to the adviser is under way.
+// adviserBusy reports whether a call to the adviser is in progress.
 func (s *manualLeader) adviserBusy() bool {
 	s.sched.mu.Lock()
 	defer s.sched.mu.Unlock()
 	return s.sched.fleet.advice.busy
 }
 
-// rest lets the time of a rest pass for all steps but the one asked for last.
+// expireAdvicePause lets the pause between two requests run out for all steps but the one requested
+// last, or for the only step.
 func (s *manualLeader) expireAdvicePause() {
 	s.sched.mu.Lock()
 	defer s.sched.mu.Unlock()
@@ -80,7 +82,7 @@
 	}
 }
 
-// started reports whether the task of a job has a run.
+// hasRun reports whether the task of a job has a run.
 func (s *manualLeader) hasRun(id rudderfork.JobID) (started bool) {
 	s.sched.rep.View(func(st *state.State) {
 		started = st.Queues().Job(id).ActiveRuns > 0
@@ -90,18 +92,18 @@
 
 const adviserCalls = 10
 
-// TestAdviserNotAskedAboutAllVMs has a step that only the last VM may run, of more than an
-// adviser is asked about at once.
+// TestAdviserNotAskedAboutAllVMs guards against a step that never starts because the only VM that
+// may run it is beyond the number of VMs in one request to the adviser.
 func TestAdviserNotAskedAboutAllVMs(t *testing.T) {
 	adv := &fakeAdviser{allow: func(life string) bool { return life == "vm39-life" }}
 	s := newAdvisedLeader(t, adv, 40)
 	s.submitJob("job")
 	s.planWithAdvice(adviserCalls)
-	assert.Assert(t, s.hasRun("job"), "after %d calls about %d VMs at most", adv.calls-1, adv.maxAsked)
+	assert.Assert(t, s.hasRun("job"), "not started after %d calls about %d VMs at most", adv.calls-1, adv.maxAsked)
 }
 
-// TestAdviserNotAskedForAllSteps has two steps that no VM may run go before one that any
-// may.
+// TestAdviserNotAskedForAllSteps guards against a step that never starts because requests for two
+// earlier steps, which no VM may run, take all calls to the adviser.
 func TestAdviserNotAskedForAllSteps(t *testing.T) {
 	adv := &fakeAdviser{}
 	s := newAdvisedLeader(t, adv, 2)
@@ -111,11 +113,11 @@
 		s.submitJob(id)
 	}
 	s.planWithAdvice(adviserCalls)
-	assert.Assert(t, s.hasRun("job-3"), "after %d calls", adv.calls-1)
+	assert.Assert(t, s.hasRun("job-3"), "not started after %d calls", adv.calls-1)
 }
 
-// TestWrongAdviceBlocksStep guards against a step that never starts after one answer of its
-// adviser that was not its own or not whole.
+// TestWrongAdviceBlocksStep guards against a step that never starts after a single wrong or
+// incomplete answer of its adviser.
 func TestWrongAdviceBlocksStep(t *testing.T) {
 	adv := &fakeAdviser{}
 	s := newAdvisedLeader(t, adv, 2)
@@ -123,5 +125,5 @@
 	adv.allow = func(string) bool { return adv.calls > wrong }
 	s.submitJob("job")
 	s.planWithAdvice(adviserCalls)
-	assert.Assert(t, s.hasRun("job"), "after %d calls", adv.calls-1)
+	assert.Assert(t, s.hasRun("job"), "not started after %d calls", adv.calls-1)
 }
--- a/scheduler/beside_test.go
+++ b/scheduler/beside_test.go
@@ -14,8 +14,8 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// heldSite is a site whose commits wait while a gate is closed. Its rounds are made by the
-// test.
+// gatedCluster is a cluster whose commits the test can block. Rounds run only when the test makes
+// them.
 type gatedCluster struct {
 	*testCluster
 	rep   *replica.Replica
@@ -34,7 +34,7 @@
 	return h
 }
 
-// hold closes the gate until release is called, or the test ends.
+// blockCommits blocks commits until release is called or the test ends.
 func (h *gatedCluster) blockCommits() (release func()) {
 	gate := make(chan struct{})
 	h.store.gate.Store(&gate)
@@ -43,7 +43,7 @@
 	return release
 }
 
-// agentOf opens a session as the agent of a VM, and registers it.
+// registerAgent opens a session as the agent of a VM, and registers the VM.
 func (h *gatedCluster) registerAgent(vm queue.VM) *wire.Conn[wire.FromNode, wire.ToQueueNode] {
 	h.t.Helper()
 	c := h.openSession(string(vm.ID))
@@ -58,7 +58,7 @@
 	assert.NilError(h.t, c.Send(h.ctx, wire.FromNode{Heartbeat: &wire.VMHeartbeat{Sent: sent, VM: vm}}))
 }
 
-// nextGrant returns the next grant, or nil if the session ends first.
+// nextGrant returns the next grant, or nil if the session ends before it.
 func (h *gatedCluster) nextGrant(c *wire.Conn[wire.FromNode, wire.ToQueueNode]) *wire.VMGrant {
 	for {
 		m, err := c.ReceiveWithin(h.ctx, waitTimeout)
@@ -73,8 +73,8 @@
 
 var onlyVM = queue.VM{ID: "vm1", Incarnation: "vm1-life-1", Domain: "hall", Service: "desk"}
 
-// TestHeartbeatBlockedByReport guards against a VM that is given up while its agent's
-// reports wait for their commits.
+// TestHeartbeatBlockedByReport guards against a VM that loses its lease because its heartbeats are
+// not answered while its agent's reports wait for their commits.
 func TestHeartbeatBlockedByReport(t *testing.T) {
 	h := newGatedCluster(t, Settings{Lease: testLease})
 	c := h.registerAgent(onlyVM)
@@ -89,8 +89,8 @@
 	assert.Equal(t, g.Sent, int64(2))
 }
 
-// TestStartsBlockedByLosses guards against starts that are not proposed while the loss of
-// another VM waits for its commit.
+// TestStartsBlockedByLosses guards against starts that are proposed only after the loss of another
+// VM is committed.
 func TestStartsBlockedByLosses(t *testing.T) {
 	h := newGatedCluster(t, Settings{Lease: waitTimeout})
 	vm := onlyVM
@@ -111,7 +111,7 @@
 	go func() { defer close(ended); h.sched.round(ctx) }()
 	t.Cleanup(func() { cancel(); <-ended })
 	h.waitUntil("the loss is proposed", func() bool { return h.rep.Status().Last > last })
-	h.waitUntil("the start is proposed too, or the round has ended", func() bool {
+	h.waitUntil("the start is also proposed, or the round has ended", func() bool {
 		select {
 		case <-ended:
 			return true
@@ -128,8 +128,8 @@
 	assert.NilError(h.t, err)
 }
 
-// TestVMUsableInSessionWithoutEpoch guards against starts on a VM whose present session has no epoch
-// and therefore tells its agent of none.
+// TestVMUsableInSessionWithoutEpoch guards against starts that are placed on a VM whose current
+// session has no epoch yet, and so sends its agent no orders.
 func TestVMUsableInSessionWithoutEpoch(t *testing.T) {
 	h := newGatedCluster(t, Settings{Lease: testLease})
 	c := h.registerAgent(onlyVM)
@@ -148,8 +148,8 @@
 	assert.Assert(t, !h.sched.fleet.vm(onlyVM.ID).usable(steady.Now()))
 }
 
-// TestUnacknowledgedRegistrationBlocksLease guards against a VM that is granted nothing though its
-// registration after a loss is committed, since its session ended before.
+// TestUnacknowledgedRegistrationBlocksLease guards against a VM that gets no lease after it was lost
+// and registered again, because its session ended before that registration was committed.
 func TestUnacknowledgedRegistrationBlocksLease(t *testing.T) {
 	h := newGatedCluster(t, Settings{Lease: testLease})
 	h.registerAgent(onlyVM).Close()
--- a/scheduler/late_model_test.go
+++ b/scheduler/late_model_test.go
@@ -16,11 +16,10 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// lateEvents is the most events of a drawn schedule.
+// maxModelEvents bounds the number of events in a drawn schedule.
 const maxModelEvents = 40
 
-// TestMain fixes the seed and number of the drawn schedules, unless the command
-// line sets them.
+// TestMain fixes the seed and the number of rapid's checks; flags on the command line override both.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "27", "rapid.checks": "60"} {
 		if err := flag.Set(name, value); err != nil {
@@ -30,19 +29,19 @@
 	os.Exit(m.Run())
 }
 
-// lateSessions is an agent's sessions with a real leader. What the agent sends is
-// held up, in each session in its order, until it is delivered.
+// sessionModel is the sessions of one agent with a real leader. Messages are delayed until
+// delivered; those of one session stay in order.
 type sessionModel struct {
 	cluster     *testCluster
 	vm          rudderfork.VMID
-	incarnation int // the present one
-	delayed     [][]wire.FromNode
-	clients     []*agentClient
+	incarnation int               // the current one
+	delayed     [][]wire.FromNode // by session
+	clients     []*agentClient    // by session
 
-	committedIncarnation int // life that was seen committed
+	committedIncarnation int // the newest one seen committed; -1 if none
 }
 
-// lateLife names a life. The names do not tell the order.
+// modelIncarnation returns the name of incarnation i. The names don't sort in their order.
 func modelIncarnation(i int) string { return fmt.Sprintf("i-%03d", (i+1)*619%1000) }
 
 func (m *sessionModel) openSession() {
@@ -55,19 +54,19 @@
 	m.delayed[last] = append(m.delayed[last], msg)
 }
 
-func (m *sessionModel) heartbeat(life int) {
-	b := heartbeatOf(modelIncarnation(life))
+func (m *sessionModel) heartbeat(inc int) {
+	b := heartbeatOf(modelIncarnation(inc))
 	b.VM.ID = m.vm
 	m.send(wire.FromNode{Heartbeat: &b})
 }
 
-// farewell is the agent's report that the present life has left.
+// leave sends the agent's report that the current incarnation has left, and begins the next.
 func (m *sessionModel) leave() {
 	m.send(wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: queue.Ends{VM: m.vm, Incarnation: modelIncarnation(m.incarnation)}, Left: true}})
 	m.incarnation++
 }
 
-// deliver brings the leader the next message of a session.
+// deliver delivers the next message of session i, if there is one.
 func (m *sessionModel) deliver(t *rapid.T, i int) {
 	if len(m.delayed[i]) == 0 {
 		return
@@ -78,7 +77,7 @@
 	m.assertNoReversal(t)
 }
 
-// check holds that the leader never goes back to an earlier life.
+// assertNoReversal checks that the leader never goes back to an earlier incarnation.
 func (m *sessionModel) assertNoReversal(t *rapid.T) {
 	vm := m.committedVM()
 	if vm == nil {
@@ -90,7 +89,7 @@
 			registered = i
 		}
 	}
-	assert.Assert(t, registered >= m.committedIncarnation, "the leader went from life %d back to %d", m.committedIncarnation, registered)
+	assert.Assert(t, registered >= m.committedIncarnation, "the leader went from incarnation %d back to %d", m.committedIncarnation, registered)
 	m.committedIncarnation = registered
 }
 
@@ -99,10 +98,10 @@
 	return vm
 }
 
-// TestDelayedMessagesRevertIncarnation delays what an agent sends in each of its sessions, over
-// crashes and farewells of its executor, so that earlier sessions are heard after
-// later ones. In the end the present life is the one that is committed, and stays
-// so whatever is late.
+// TestDelayedMessagesRevertIncarnation guards against a leader that goes back to an earlier
+// incarnation when an agent's messages arrive late. The messages of each session are delayed over
+// crashes and departures of the executor, so that earlier sessions are delivered after later
+// ones. In the end the current incarnation is committed, whatever arrives after that.
 func TestDelayedMessagesRevertIncarnation(t *testing.T) {
 	s := newTestClusterWithLease(t, nil, time.Hour)
 	vms := 0
@@ -113,7 +112,7 @@
 		for range rapid.IntRange(1, maxModelEvents).Draw(t, "events") {
 			m.drawEvent(t)
 		}
-		m.openSession() // the session before may have been closed for what came late
+		m.openSession() // stale messages may have closed the previous session
 		m.heartbeat(m.incarnation)
 		for i := len(m.delayed) - 1; i >= 0; i-- {
 			for len(m.delayed[i]) > 0 {
--- a/scheduler/late_test.go
+++ b/scheduler/late_test.go
@@ -12,23 +12,23 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// Two lives of one VM's executor, and the VM. Their names do not tell their order.
+// Two incarnations of the executor of testVM. Their names don't sort in their order.
 const (
 	oldIncarnation = "life-b"
 	newIncarnation = "life-a"
 	testVM         = rudderfork.VMID("vm1")
 )
 
-// speaker is an agent's session, spoken message by message.
+// agentClient is the agent's end of a session. The test sends each message itself.
 type agentClient struct {
 	cluster     *testCluster
 	conn        *wire.Conn[wire.FromNode, wire.ToQueueNode]
-	startOrders map[rudderfork.RunRef]bool
-	stopOrders  map[rudderfork.RunRef]bool
+	startOrders map[rudderfork.RunRef]bool // runs that heartbeat received a start order for
+	stopOrders  map[rudderfork.RunRef]bool // runs that heartbeat received a stop order for
 }
 
-// speak opens a session of the VM's agent. Until it sends a heartbeat, the leader
-// does not know which VM it is of.
+// connectAgent opens a session as the agent of testVM. The leader learns which VM it belongs to
+// from the first heartbeat.
 func (s *testCluster) connectAgent() *agentClient {
 	s.t.Helper()
 	p := &agentClient{cluster: s, startOrders: map[rudderfork.RunRef]bool{}, stopOrders: map[rudderfork.RunRef]bool{}}
@@ -50,29 +50,30 @@
 	return p
 }
 
-// speakTwice opens two sessions of the VM's agent. In the first it speaks of a life,
-// unless that is ""; in the second of the new one, where a task is at work.
-func (s *testCluster) connectAgentTwice(life string) (before, now *agentClient, epoch uint64) {
+// connectAgentTwice opens two sessions as the agent of testVM. The first sends a heartbeat of
+// incarnation inc, unless that is "". The second sends one of newIncarnation, on which a lasting
+// task is then started.
+func (s *testCluster) connectAgentTwice(inc string) (before, now *agentClient, epoch uint64) {
 	s.t.Helper()
 	before, now = s.connectAgent(), s.connectAgent()
-	if life != "" {
-		before.heartbeat(life)
+	if inc != "" {
+		before.heartbeat(inc)
 	}
 	epoch = now.heartbeat(newIncarnation).Epoch
 	now.startLastingTask(newIncarnation)
 	return before, now, epoch
 }
 
-func heartbeatOf(life string) wire.VMHeartbeat {
+func heartbeatOf(inc string) wire.VMHeartbeat {
 	return wire.VMHeartbeat{Sent: steady.Now().UnixNano(), VM: queue.VM{
-		ID: testVM, Domain: "hall", Incarnation: life, Service: "desk", Capacity: rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000},
+		ID: testVM, Domain: "hall", Incarnation: inc, Service: "desk", Capacity: rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000},
 	}}
 }
 
-// beat sends a heartbeat and waits for its grant.
-func (p *agentClient) heartbeat(life string) *wire.VMGrant {
+// heartbeat sends a heartbeat and returns its grant, recording the orders that arrive before it.
+func (p *agentClient) heartbeat(inc string) *wire.VMGrant {
 	p.cluster.t.Helper()
-	b := heartbeatOf(life)
+	b := heartbeatOf(inc)
 	assert.NilError(p.cluster.t, p.conn.Send(p.cluster.ctx, wire.FromNode{Heartbeat: &b}))
 	for {
 		m, err := p.conn.ReceiveWithin(p.cluster.ctx, waitTimeout)
@@ -91,8 +92,8 @@
 	}
 }
 
-// late sends a message, and waits until the leader has dealt with it: it answers
-// what is sent after it, or ends the session.
+// sendAndWait sends a message and returns when the leader has handled it: when it answers a ping
+// sent after it, or ends the session.
 func (p *agentClient) sendAndWait(m wire.FromNode) {
 	p.cluster.t.Helper()
 	for _, m := range []wire.FromNode{m, {Ping: 1}} {
@@ -108,28 +109,29 @@
 	}
 }
 
-// lateBeat sends a heartbeat that would harm whatever took it for its own.
-func (p *agentClient) sendStaleHeartbeat(life string) {
+// sendStaleHeartbeat sends a heartbeat whose load and draining flag a leader that accepts it
+// would record for the wrong incarnation.
+func (p *agentClient) sendStaleHeartbeat(inc string) {
 	p.cluster.t.Helper()
-	b := heartbeatOf(life)
+	b := heartbeatOf(inc)
 	b.Draining = true
 	b.Rows = []rudderfork.RunStatus{{RunRef: rudderfork.RunRef{Task: "feed.0.0.0", Run: 1}, Load: 9999, Percent: 3, Held: 100}}
 	p.sendAndWait(wire.FromNode{Heartbeat: &b})
 }
 
-// atWork has a lasting task started on the VM's present life.
-func (p *agentClient) startLastingTask(life string) {
+// startLastingTask submits a lasting task and waits for the order to start it.
+func (p *agentClient) startLastingTask(inc string) {
 	p.cluster.t.Helper()
 	p.cluster.putDocument(nil)
 	p.cluster.submit("feed", "", queue.Step{Count: 1, Size: smallStep.Size, Lasting: true})
-	p.cluster.waitUntil("the feed is ordered", func() bool {
-		p.heartbeat(life)
+	p.cluster.waitUntil("the lasting task is ordered", func() bool {
+		p.heartbeat(inc)
 		return len(p.startOrders) == 1
 	})
 }
 
-// checkPresent holds that the VM is in its new life, whose epoch, run, load and
-// state are its own.
+// assertCurrent checks that the VM is registered with newIncarnation, and that its epoch, run,
+// load and draining flag are unaffected by earlier sessions.
 func (s *testCluster) assertCurrent(p *agentClient, epoch uint64) {
 	s.t.Helper()
 	grant := p.heartbeat(newIncarnation)
@@ -148,25 +150,25 @@
 	v := s.sched.fleet.vm(testVM)
 	assert.Equal(s.t, v.heartbeat.VM.Incarnation, newIncarnation)
 	assert.Assert(s.t, !v.heartbeat.Draining)
-	assert.Equal(s.t, len(v.runs), 0, "a load of the old life's")
+	assert.Equal(s.t, len(v.runs), 0, "a load of the old incarnation was recorded")
 }
 
-// TestStaleSessionChangesVM delivers messages in an agent's earlier session, after the agent
-// has spoken of a newer life in a later one.
+// TestStaleSessionChangesVM guards against messages that arrive in an earlier session of an agent,
+// after the agent's heartbeat in a later one, and still change the VM.
 func TestStaleSessionChangesVM(t *testing.T) {
-	t.Run("of a life that was registered", func(t *testing.T) {
+	t.Run("heartbeat of a registered incarnation", func(t *testing.T) {
 		s := newTestCluster(t, nil)
 		before, now, epoch := s.connectAgentTwice(oldIncarnation)
 		before.sendStaleHeartbeat(oldIncarnation)
 		s.assertCurrent(now, epoch)
 	})
-	t.Run("of a life that never was", func(t *testing.T) {
+	t.Run("heartbeat of an incarnation never registered", func(t *testing.T) {
 		s := newTestCluster(t, nil)
 		before, now, epoch := s.connectAgentTwice("")
 		before.sendStaleHeartbeat(oldIncarnation)
 		s.assertCurrent(now, epoch)
 	})
-	t.Run("of the same life", func(t *testing.T) {
+	t.Run("heartbeat of the current incarnation", func(t *testing.T) {
 		s := newTestCluster(t, nil)
 		before, now, epoch := s.connectAgentTwice(newIncarnation)
 		before.sendStaleHeartbeat(newIncarnation)
@@ -176,21 +178,21 @@
 		assert.Assert(t, !draining)
 		s.assertCurrent(now, epoch)
 	})
-	t.Run("ends, and that it has left", func(t *testing.T) {
+	t.Run("ends of runs and the shutdown notice", func(t *testing.T) {
 		s := newTestCluster(t, nil)
 		before, now, epoch := s.connectAgentTwice(oldIncarnation)
 		list := []queue.End{{Task: queue.TaskKey{Job: "feed"}, Run: 1, Outcome: queue.OutcomeFailed}}
 		before.sendAndWait(wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: queue.Ends{VM: testVM, Incarnation: oldIncarnation, List: list}, Left: true}})
 		s.assertCurrent(now, epoch)
 	})
-	t.Run("a refusal of a run that the next process has started", func(t *testing.T) {
+	t.Run("refusal of a run that the next agent process has started", func(t *testing.T) {
 		s := newTestCluster(t, nil)
 		before, now, epoch := s.connectAgentTwice(newIncarnation)
 		list := []queue.End{{Task: queue.TaskKey{Job: "feed"}, Run: 1, Outcome: queue.OutcomeRefused}}
 		before.sendAndWait(wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: queue.Ends{VM: testVM, Incarnation: newIncarnation, List: list}}})
 		s.assertCurrent(now, epoch)
 	})
-	t.Run("after the later session has ended", func(t *testing.T) {
+	t.Run("heartbeat after the later session has ended", func(t *testing.T) {
 		s := newTestCluster(t, nil)
 		before, now, epoch := s.connectAgentTwice(oldIncarnation)
 		now.conn.Close()
@@ -205,8 +207,8 @@
 	})
 }
 
-// TestConcurrentRegistrationsOfVM has a heartbeat arrive while the VM is registered from
-// another session: it waits for its turn.
+// TestConcurrentRegistrationsOfVM guards against a heartbeat that registers the VM while another
+// session is registering it. It gets no epoch and no lease until that has finished.
 func TestConcurrentRegistrationsOfVM(t *testing.T) {
 	s := newTestCluster(t, nil)
 	p := s.connectAgent()
--- a/scheduler/learning_test.go
+++ b/scheduler/learning_test.go
@@ -18,7 +18,8 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// teller is a leader and the session of a VM, "vm1", which is the cheapest of two.
+// manualLeader is a leader that plans only when the test calls plan. session is that of "vm1", the
+// VM that the planner prefers to "vm2".
 type manualLeader struct {
 	*testCluster
 	store   *gatedStore
@@ -27,7 +28,7 @@
 
 var reportedTask = queue.TaskKey{Job: "job"}
 
-// newTeller hands in a job of one task, which is started on vm1.
+// newManualLeader returns a leader with a submitted job of one task, whose run is started on vm1.
 func newManualLeader(t *testing.T, st queue.Step) *manualLeader {
 	store := &gatedStore{}
 	rep := newReplicaWithStore(t, func(s replica.Store) replica.Store { store.Store = s; return store }, selfMember)
@@ -54,7 +55,7 @@
 	assert.NilError(s.t, err)
 }
 
-// admit registers a VM, which is in session.
+// connect registers a VM and gives it a session and a lease.
 func (s *manualLeader) connect(id rudderfork.VMID) *session {
 	vm := queue.VM{ID: id, Incarnation: string(id) + "-life", Service: "desk", Capacity: rudderfork.Resources{CPUMilli: 4_000, MemoryMB: 1_000}}
 	s.commit(queue.Command{Register: &vm})
@@ -68,7 +69,7 @@
 	return ses
 }
 
-// plan has the leader make a plan and carry it out.
+// plan has the leader make one plan and commit its starts.
 func (s *manualLeader) plan() {
 	s.sched.mu.Lock()
 	s.sched.fleet.refreshHeartbeats(steady.Now())
@@ -76,14 +77,15 @@
 	s.sched.dispatch(s.ctx, &roundTimes{})
 }
 
-// answer has all VMs have answered just now, whatever the machine's load.
+// refreshHeartbeats sets the time of all VMs' newest heartbeats, so that they stay usable however
+// slow the test runs.
 func (f *fleet) refreshHeartbeats(now time.Time) {
 	for _, v := range f.vms {
 		v.heartbeatAt = now
 	}
 }
 
-// run returns the active run of the task; the zero run if there is none.
+// activeRun returns the active run of reportedTask, or the zero run if there is none.
 func (s *manualLeader) activeRun() (r queue.Run) {
 	s.sched.rep.View(func(st *state.State) {
 		if list := st.Queues().Job(reportedTask.Job).Task(reportedTask).Runs; len(list) > 0 {
@@ -93,16 +95,17 @@
 	return r
 }
 
-// tell has vm1 report the end of the run, up to where it is proposed.
-func (s *manualLeader) reportEnd(ctx context.Context, how queue.Outcome) (commit func(), told chan error) {
+// reportEnd has vm1 report the end of the run and returns once that is proposed. The commit is
+// blocked until commit is called; done receives the result of the report.
+func (s *manualLeader) reportEnd(ctx context.Context, outcome queue.Outcome) (commit func(), done chan error) {
 	s.t.Helper()
 	gate := make(chan struct{})
 	s.store.gate.Store(&gate)
 	last := s.sched.rep.Status().Last
-	told = make(chan error, 1)
+	done = make(chan error, 1)
 	go func() {
-		told <- s.session.ends(ctx, wire.EndsReport{Seq: 1, Ends: queue.Ends{
-			VM: "vm1", Incarnation: "vm1-life", List: []queue.End{{Task: reportedTask, Run: 1, Outcome: how}},
+		done <- s.session.ends(ctx, wire.EndsReport{Seq: 1, Ends: queue.Ends{
+			VM: "vm1", Incarnation: "vm1-life", List: []queue.End{{Task: reportedTask, Run: 1, Outcome: outcome}},
 		}})
 	}()
 	s.waitUntil("the end is proposed", func() bool { return s.sched.rep.Status().Last == last+1 })
@@ -110,24 +113,24 @@
 		s.store.gate.Store(nil)
 		close(gate)
 		s.waitUntil("the end is committed", func() bool { return s.activeRun().Number == 0 })
-	}, told
+	}, done
 }
 
-// lessons are ends of a first run that tell of its VM.
+// failureCases are ends of a first run that count against its VM.
 var failureCases = []struct {
 	name    string
 	lasting bool
-	how     queue.Outcome
-	stop    string // why the leader stopped the run, if it did
+	outcome queue.Outcome
+	stop    string // the reason for which the leader stopped the run; "" if it didn't
 }{
 	{"a short task that has one attempt left", false, queue.OutcomeFailed, ""},
 	{"a lasting task", true, queue.OutcomeFailed, ""},
 	{"a lasting task that was refused", true, queue.OutcomeRefused, ""},
-	{"a lasting task that stood still", true, queue.OutcomeStopped, dispatch.ReasonStalled},
+	{"a lasting task that made no progress", true, queue.OutcomeStopped, dispatch.ReasonStalled},
 }
 
-// forLessons calls a test for each of the lessons, before the end is told.
-func forEachFailure(t *testing.T, test func(s *manualLeader, how queue.Outcome)) {
+// forEachFailure calls test for each of failureCases, before the end is reported.
+func forEachFailure(t *testing.T, test func(s *manualLeader, outcome queue.Outcome)) {
 	for _, l := range failureCases {
 		t.Run(l.name, func(t *testing.T) {
 			step := smallStep
@@ -138,30 +141,30 @@
 				s.sched.fleet.setStops([]dispatch.Stop{{Task: reportedTask, Run: 1, VM: "vm1", Reason: l.stop}}, steady.Now())
 				s.sched.mu.Unlock()
 			}
-			test(s, l.how)
+			test(s, l.outcome)
 		})
 	}
 }
 
-// TestFailureForgottenWhenSessionEnds has a session end before it hears that a failure
-// is committed.
+// TestFailureForgottenWhenSessionEnds guards against a task that is started again on the VM where it
+// has just failed, because the session that reported the failure ended before the commit.
 func TestFailureForgottenWhenSessionEnds(t *testing.T) {
-	forEachFailure(t, func(s *manualLeader, how queue.Outcome) {
+	forEachFailure(t, func(s *manualLeader, outcome queue.Outcome) {
 		ctx, cancel := context.WithCancel(s.ctx)
-		commit, told := s.reportEnd(ctx, how)
+		commit, done := s.reportEnd(ctx, outcome)
 		cancel()
-		assert.Assert(s.t, <-told != nil)
+		assert.Assert(s.t, <-done != nil)
 		commit()
 		s.plan()
-		assert.Assert(s.t, s.activeRun().VM != "vm1", "it is started again where it has just failed")
+		assert.Assert(s.t, s.activeRun().VM != "vm1", "the task was started again on the VM where it has just failed")
 	})
 }
 
-// TestFirstPlanAfterFailureIgnoresIt makes a plan as soon as a failure is committed, before
-// its session has got any further.
+// TestFirstPlanAfterFailureIgnoresIt guards against the same when a plan is made right after the
+// commit of the failure, before the session that reported it continues.
 func TestFirstPlanAfterFailureIgnoresIt(t *testing.T) {
-	forEachFailure(t, func(s *manualLeader, how queue.Outcome) {
-		commit, told := s.reportEnd(s.ctx, how)
+	forEachFailure(t, func(s *manualLeader, outcome queue.Outcome) {
+		commit, done := s.reportEnd(s.ctx, outcome)
 		s.sched.mu.Lock()
 		commit()
 		var plan dispatch.Plan
@@ -171,9 +174,9 @@
 			plan = f.planner.Plan(st.Queues(), f.view(st.Queues(), now))
 		})
 		s.sched.mu.Unlock()
-		assert.NilError(s.t, <-told)
+		assert.NilError(s.t, <-done)
 		for _, st := range plan.Starts {
-			assert.Assert(s.t, st.VM != "vm1", "it is started again where it has just failed: %s", st.Reason)
+			assert.Assert(s.t, st.VM != "vm1", "the task is started again on the VM where it has just failed: %s", st.Reason)
 		}
 	})
 }
--- a/scheduler/losses_test.go
+++ b/scheduler/losses_test.go
@@ -17,7 +17,7 @@
 	"rudderfork.example/rudderfork/state"
 )
 
-// heldStore is a store whose saves wait while a gate is set.
+// gatedStore is a store whose saves wait while gate is set, until that channel is closed.
 type gatedStore struct {
 	replica.Store
 	gate atomic.Pointer[chan struct{}]
@@ -31,9 +31,8 @@
 	return h.Store.Save(rd)
 }
 
-// TestLossesWaitForEachOther loses many VMs at once while a sync is under way: all losses are proposed
-// behind it and share the next. (Each waited for the commit of the one before, and no round
-// was made meanwhile.)
+// TestLossesWaitForEachOther guards against losses of many VMs that are committed one after the
+// other, without a round in between. All are to be proposed during one sync and share the next.
 func TestLossesWaitForEachOther(t *testing.T) {
 	const vms = 40
 	store := &gatedStore{}
@@ -48,7 +47,7 @@
 	}
 	sched := New(Settings{Lease: time.Millisecond}, rep, nil, zerolog.Nop(), noPeers{})
 	sched.startTerm(rep.Status().Term)
-	steady.Pause(s.ctx, 2*roundPause) // until the leases are surely over
+	steady.Pause(s.ctx, 2*roundPause) // lets all leases run out
 
 	gate := make(chan struct{})
 	store.gate.Store(&gate)
--- a/scheduler/lost_twice_test.go
+++ b/scheduler/lost_twice_test.go
@@ -14,7 +14,8 @@
 	"rudderfork.example/rudderfork/state"
 )
 
-// TestLossProposedTwiceLeavesCrashSuspicion guards against tasks that count as crashed under for good, and are not started.
+// TestLossProposedTwiceLeavesCrashSuspicion guards against tasks that stay suspected of a crash, and
+// so are never started again, after the loss of their VM was committed twice.
 func TestLossProposedTwiceLeavesCrashSuspicion(t *testing.T) {
 	store := &gatedStore{}
 	rep := newReplicaWithStore(t, func(s replica.Store) replica.Store { store.Store = s; return store }, selfMember)
@@ -34,12 +35,12 @@
 	do(queue.Command{Starts: []queue.Start{{Task: k, VM: vm.ID, Incarnation: vm.Incarnation}}})
 	sched := New(Settings{Lease: time.Millisecond}, rep, nil, zerolog.Nop(), noPeers{})
 	sched.startTerm(rep.Status().Term)
-	steady.Pause(s.ctx, 2*roundPause) // until the lease is surely over
+	steady.Pause(s.ctx, 2*roundPause) // lets the lease run out
 
 	gate := make(chan struct{})
 	store.gate.Store(&gate)
 	last := rep.Status().Last
-	for range 2 { // rounds in which nothing is committed
+	for range 2 { // rounds in which no commit completes
 		ctx, cancel := context.WithTimeout(s.ctx, 2*roundPause)
 		sched.expire(ctx)
 		sched.losses.Wait()
