--- a/dispatch/drawn_test.go
+++ b/dispatch/drawn_test.go
@@ -163,7 +163,7 @@
 	if view := p.view.VMs[vm.ID]; !view.Usable || view.Draining || view.Cordoned {
 		return "unfit"
 	}
-	held, alike := vm.Used(), p.s.OnVM(vm, k)
+	held, alike := vm.Used(), p.s.CountRuns(vm, k)
 	for _, s := range p.starts {
 		if s.VM != vm.ID {
 			continue
@@ -179,7 +179,7 @@
 	case !held.Add(st.Need()).Fits(vm.Capacity):
 		return "no room"
 	}
-	return p.s.Obstacle(j, k, vm)
+	return p.s.RejectReason(j, k, vm)
 }
 
 // mix returns the images, sizes and figures of what is on a VM.
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -100,7 +100,7 @@
 
 // note reads a job.
 func (p *pass) newJobState(j *queue.Job) *jobState {
-	row := p.state.Row(j)
+	row := p.state.CurrentQueue(j)
 	n := &jobState{job: j, changes: j.Changes(), row: row, objectiveFrom: objectiveFromMS(j), lasting: hasLastingStep(j)}
 	for i := range j.Spec.Steps {
 		st := &j.Spec.Steps[i]
--- a/dispatch/obstacle.go
+++ b/dispatch/obstacle.go
@@ -49,7 +49,7 @@
 	case v.view.Cordoned:
 		return "its upkeep is next"
 	}
-	if why := p.state.Obstacle(cl.job, k, v.vm); why != "" {
+	if why := p.state.RejectReason(cl.job, k, v.vm); why != "" {
 		return why
 	}
 	if cl.step.MaxPerVM > 0 && p.onVM(cl, v) >= cl.step.MaxPerVM {
--- a/queue/apply.go
+++ b/queue/apply.go
@@ -221,7 +221,7 @@
 	if t.reachesMost(s.lasts(st.Task)) {
 		return false // it is given up once its runs have ended, unless they end well
 	}
-	return s.Obstacle(j, st.Task, vm) == ""
+	return s.RejectReason(j, st.Task, vm) == ""
 }
 
 func (s *State) takeEnds(c Ends, at int64) Result {
@@ -325,7 +325,7 @@
 	}
 	t := j.Task(k)
 	t.Failures++
-	if t.Failures >= max(1, s.Row(j).MaxAttempts) {
+	if t.Failures >= max(1, s.CurrentQueue(j).MaxAttempts) {
 		s.finish(j, Failed, at)
 	}
 }
@@ -388,13 +388,13 @@
 	return before == now || before == id
 }
 
-func (s *State) lose(c Lost, at int64) Result {
+func (s *State) lose(c VMLoss, at int64) Result {
 	vm := s.vms[c.VM]
 	if vm == nil || vm.Incarnation != c.Incarnation || c.Epoch != 0 && c.Epoch != vm.Epoch {
 		return Result{Code: Stale}
 	}
 	how := endingOf(vm, c.Crash)
-	how.planned = how.planned || c.Left
+	how.planned = how.planned || c.Departed
 	if !vm.Live {
 		s.lostAgain(vm, how, at)
 		return Result{Code: Stale}
@@ -413,11 +413,11 @@
 }
 
 // endAll ends every active run of a VM without a report of its own.
-func (s *State) endAll(vm *VM, checkpoints map[TaskKey]string, at int64) (gone []Gone) {
+func (s *State) endAll(vm *VM, checkpoints map[TaskKey]string, at int64) (gone []LostRun) {
 	for _, k := range sortedKeys(vm.runs) {
 		run := vm.runs[k]
 		s.endRun(vm.ID, End{Task: k, Run: run, Outcome: OutcomeLost, Checkpoint: checkpoints[k]}, at)
-		gone = append(gone, Gone{Task: k, Run: run})
+		gone = append(gone, LostRun{Task: k, Run: run})
 	}
 	return gone
 }
--- a/queue/blame_test.go
+++ b/queue/blame_test.go
@@ -24,7 +24,7 @@
 	return w.apply(Command{Register: &v, Crash: &Crash{Incarnation: old.Incarnation, Runs: runs}})
 }
 
-func (w *world) lose(vm rudderfork.VMID, c Lost) Result {
+func (w *world) lose(vm rudderfork.VMID, c VMLoss) Result {
 	w.n += 5_000
 	c.VM, c.Incarnation = vm, w.s.VM(vm).Incarnation
 	return w.apply(Command{Lost: &c})
@@ -130,7 +130,7 @@
 func TestNotCharged(t *testing.T) {
 	t.Run("a farewell", func(t *testing.T) {
 		w, bad, _ := two(t, one)
-		w.lose("vm1", Lost{Left: true})
+		w.lose("vm1", VMLoss{Departed: true})
 		checkCounts(t, w.task(bad), 0, 0)
 	})
 	t.Run("an executor that was about to leave", func(t *testing.T) {
@@ -150,7 +150,7 @@
 	})
 	t.Run("a VM that was cut off", func(t *testing.T) {
 		w, bad, _ := two(t, one)
-		w.lose("vm1", Lost{})
+		w.lose("vm1", VMLoss{})
 		checkCounts(t, w.task(bad), 0, 1)
 		w.register("vm1", oldLife)
 		checkCounts(t, w.task(bad), 0, 0)
@@ -160,7 +160,7 @@
 // TestCrashFoundLate has the VM's lease run out before its executor is back.
 func TestCrashFoundLate(t *testing.T) {
 	w, bad, good := two(t, one)
-	w.lose("vm1", Lost{Crash: &Crash{Incarnation: oldLife, Runs: []RunAge{aged(bad, 1, 0), aged(good, 1, 900)}}})
+	w.lose("vm1", VMLoss{Crash: &Crash{Incarnation: oldLife, Runs: []RunAge{aged(bad, 1, 0), aged(good, 1, 900)}}})
 	checkCounts(t, w.task(bad), 0, 1)
 	run := w.start(bad, "vm2")
 	t.Run("what is open outlives a snapshot", func(t *testing.T) {
@@ -183,7 +183,7 @@
 	starts := 0
 	for vm, ok := w.startAnywhere(k); ok; vm, ok = w.startAnywhere(k) {
 		starts++
-		w.lose(vm, Lost{})
+		w.lose(vm, VMLoss{})
 	}
 	assert.Equal(t, starts, MostCrashes)
 	assert.Equal(t, w.status("j1"), Running)
@@ -198,7 +198,7 @@
 	w.submit("j1", one)
 	k := key("j1", 0, 0)
 	for vm, ok := w.startAnywhere(k); ok; vm, ok = w.startAnywhere(k) {
-		w.lose(vm, Lost{})
+		w.lose(vm, VMLoss{})
 	}
 	checkCounts(t, w.task(k), 0, MostCrashes)
 	w.pass(doubtMS)
@@ -210,7 +210,7 @@
 		checkCounts(t, w.task(k), 1, 0)
 	})
 	t.Run("a restored state settles as the first one does", func(t *testing.T) {
-		w.lose(vm, Lost{})
+		w.lose(vm, VMLoss{})
 		checkCounts(t, w.task(k), 1, 1)
 		w.restore()
 		checkCounts(t, w.task(k), 1, 1)
@@ -226,7 +226,7 @@
 	k := key("j1", 0, 0)
 	w.start(k, "vm1")
 	w.n += provenMS + unheardMS
-	w.lose("vm1", Lost{})
+	w.lose("vm1", VMLoss{})
 	checkCounts(t, w.task(k), 0, 0)
 	w.register("vm1", oldLife)
 	checkCounts(t, w.task(k), 0, 0)
--- a/queue/command.go
+++ b/queue/command.go
@@ -11,7 +11,7 @@
 	Starts   []Start   `cbor:"4,keyasint,omitempty"`
 	Ends     *Ends     `cbor:"5,keyasint,omitempty"`
 	Register *VM       `cbor:"6,keyasint,omitempty"`
-	Lost     *Lost     `cbor:"7,keyasint,omitempty"`
+	Lost     *VMLoss   `cbor:"7,keyasint,omitempty"`
 
 	Wave   *Wave       `cbor:"8,keyasint,omitempty"`
 	Upkeep *UpkeepNote `cbor:"9,keyasint,omitempty"`
@@ -78,17 +78,17 @@
 	List        []End           `cbor:"3,keyasint"`
 }
 
-// Lost says that whatever ran on this life of a VM runs no more, since its
+// VMLoss says that whatever ran on this life of a VM runs no more, since its
 // lease has run out. Checkpoints are the newest known.
-type Lost struct {
+type VMLoss struct {
 	VM          rudderfork.VMID    `cbor:"1,keyasint"`
 	Incarnation string             `cbor:"2,keyasint"`
 	Checkpoints map[TaskKey]string `cbor:"3,keyasint,omitempty"`
 
-	// Left says that the life has said farewell, Crash what the VM's agent has seen of
+	// Departed says that the life has said farewell, Crash what the VM's agent has seen of
 	// one that does not answer.
-	Left  bool   `cbor:"4,keyasint,omitempty"`
-	Crash *Crash `cbor:"5,keyasint,omitempty"`
+	Departed bool   `cbor:"4,keyasint,omitempty"`
+	Crash    *Crash `cbor:"5,keyasint,omitempty"`
 
 	// Epoch is the VM's when its lease ran out; it may have registered again since. 0 means
 	// any.
@@ -114,21 +114,21 @@
 
 // Result is what Apply returns. It is the same on every replica.
 type Result struct {
-	Code    Code
-	Text    string
-	Job     rudderfork.JobID
-	Queue   string
-	Numbers []uint32 // per start asked for: its run number, or 0 if it was refused
-	Taken   []bool   // per end: whether its run was active
-	Gone    []Gone   // runs that ended with the life of their executor
+	Code     Code
+	Text     string
+	Job      rudderfork.JobID
+	Queue    string
+	Numbers  []uint32  // per start asked for: its run number, or 0 if it was refused
+	Taken    []bool    // per end: whether its run was active
+	LostRuns []LostRun // runs that ended with the life of their executor
 
 	// Assessments are on the tasks of these, the most suspected first; none if the life
 	// ended as planned.
 	Assessments []Assessment
 }
 
-// Gone is a run that ended with the life of its executor.
-type Gone struct {
+// LostRun is a run that ended with the life of its executor.
+type LostRun struct {
 	Task TaskKey
 	Run  uint32
 }
--- a/queue/crash_test.go
+++ b/queue/crash_test.go
@@ -61,10 +61,10 @@
 
 // TestLossToldTwice guards against doubt in a task that nothing settles: the loss of a VM is proposed again while its commit is slow.
 func TestLossToldTwice(t *testing.T) {
-	for name, second := range map[string]Lost{"lost again": {}, "told to have left": {Left: true}} {
+	for name, second := range map[string]VMLoss{"lost again": {}, "told to have left": {Departed: true}} {
 		t.Run(name, func(t *testing.T) {
 			w, bad, good := two(t, one)
-			w.lose("vm1", Lost{})
+			w.lose("vm1", VMLoss{})
 			w.lose("vm1", second)
 			w.register("vm1", oldLife)
 			checkCounts(t, w.task(bad), 0, 0)
@@ -94,7 +94,7 @@
 		}
 		crashes++
 		run := w.task(k).LastRun
-		w.lose(vm, Lost{Crash: &Crash{Incarnation: w.s.VM(vm).Incarnation, Runs: []RunAge{aged(k, run, 0)}}})
+		w.lose(vm, VMLoss{Crash: &Crash{Incarnation: w.s.VM(vm).Incarnation, Runs: []RunAge{aged(k, run, 0)}}})
 		if down = append(down, vm); len(down) > away {
 			back(down[0])
 			down = down[1:]
@@ -111,9 +111,9 @@
 func TestLateLossOfEarlierEpoch(t *testing.T) {
 	w, _, _ := two(t, one)
 	epoch := w.s.VM("vm1").Epoch
-	w.lose("vm1", Lost{Epoch: epoch})
+	w.lose("vm1", VMLoss{Epoch: epoch})
 	w.register("vm1", oldLife)
-	assert.Equal(t, w.lose("vm1", Lost{Epoch: epoch}).Code, Stale)
+	assert.Equal(t, w.lose("vm1", VMLoss{Epoch: epoch}).Code, Stale)
 	assert.Assert(t, w.s.VM("vm1").Live)
 }
 
@@ -149,7 +149,7 @@
 	for name, outage := range map[string]func(w *world){
 		"a crash": func(w *world) { w.crash("vm1", "life-2") },
 		"a crash that was a loss first": func(w *world) {
-			w.lose("vm1", Lost{Crash: &Crash{Incarnation: oldLife}})
+			w.lose("vm1", VMLoss{Crash: &Crash{Incarnation: oldLife}})
 			w.crash("vm1", "life-2")
 		},
 	} {
--- a/queue/lifeend.go
+++ b/queue/lifeend.go
@@ -14,7 +14,7 @@
 	if !how.planned {
 		list = s.atWorkOf(vm, how.seen, at)
 	}
-	res.Gone = s.endAll(vm, checkpoints, at)
+	res.LostRuns = s.endAll(vm, checkpoints, at)
 	if how.over {
 		res.Assessments = s.assess(vm, list, how, at)
 		return res
--- a/queue/model.go
+++ b/queue/model.go
@@ -358,14 +358,14 @@
 // Runs returns the active runs of the VM, by task. It must not be changed.
 func (v *VM) Runs() map[TaskKey]uint32 { return v.runs }
 
-// Same reports whether o describes the same life in the same way.
-func (v *VM) Same(o VM) bool {
+// SameRegistration reports whether o describes the same life in the same way.
+func (v *VM) SameRegistration(o VM) bool {
 	return v.Incarnation == o.Incarnation && v.Domain == o.Domain && v.Rack == o.Rack && v.Service == o.Service &&
 		v.Capacity == o.Capacity && slices.Equal(v.Labels, o.Labels)
 }
 
-// LiveAs reports whether the VM is known, and live, as o describes it.
-func (v *VM) LiveAs(o VM) bool { return v != nil && v.Live && v.Same(o) }
+// RegisteredAs reports whether the VM is known, and live, as o describes it.
+func (v *VM) RegisteredAs(o VM) bool { return v != nil && v.Live && v.SameRegistration(o) }
 
 // HasLabel reports whether the VM carries a label; every VM has the empty one.
 func (v *VM) HasLabel(label string) bool {
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -178,7 +178,7 @@
 		w.apply(Command{Document: d})
 		assert.Equal(t, w.submit("j1", one).Code, OK)
 		assert.Equal(t, w.submit("j4", one).Code, NoQueue)
-		assert.Equal(t, w.s.Row(w.s.Job("j1")).MaxAttempts, 2)
+		assert.Equal(t, w.s.CurrentQueue(w.s.Job("j1")).MaxAttempts, 2)
 	})
 }
 
@@ -373,7 +373,7 @@
 		assert.Equal(t, w.s.Job("j").ActiveRuns, 1)
 	})
 	t.Run("a lost VM runs nothing, and takes nothing until it registers", func(t *testing.T) {
-		w.apply(Command{Lost: &Lost{VM: "vm1", Incarnation: "life-1", Checkpoints: map[TaskKey]string{key("j", 0, 0): "c"}}})
+		w.apply(Command{Lost: &VMLoss{VM: "vm1", Incarnation: "life-1", Checkpoints: map[TaskKey]string{key("j", 0, 0): "c"}}})
 		assert.Equal(t, w.s.Job("j").Task(key("j", 0, 0)).Checkpoint, "c")
 		assert.Equal(t, w.start(key("j", 0, 0), "vm1"), uint32(0))
 		w.register("vm1", "life-1")
@@ -381,7 +381,7 @@
 		assert.Equal(t, w.start(key("j", 0, 0), "vm1"), uint32(2))
 	})
 	t.Run("a loss of an earlier life is not taken", func(t *testing.T) {
-		assert.Equal(t, w.apply(Command{Lost: &Lost{VM: "vm1", Incarnation: "life-0"}}).Code, Stale)
+		assert.Equal(t, w.apply(Command{Lost: &VMLoss{VM: "vm1", Incarnation: "life-0"}}).Code, Stale)
 		assert.Equal(t, w.s.Job("j").ActiveRuns, 1)
 	})
 	t.Run("a new life runs nothing", func(t *testing.T) {
--- a/queue/second_start_test.go
+++ b/queue/second_start_test.go
@@ -29,7 +29,7 @@
 	seen := &Crash{Incarnation: first, Runs: []RunAge{{Task: k, Run: 1, AgeMS: 5, Seen: true}}}
 	res := apply(Command{Register: &VM{ID: "vm1", Incarnation: second, Service: "desk"}, Crash: seen})
 	t.Run("what ran there is over, and the crash is counted", func(t *testing.T) {
-		assert.Equal(t, len(res.Gone), 1)
+		assert.Equal(t, len(res.LostRuns), 1)
 		assert.Equal(t, s.Job("j").Task(k).Witnessed, 1)
 	})
 	t.Run("its orders are of another epoch", func(t *testing.T) { assert.Assert(t, s.VM("vm1").Epoch > epoch) })
@@ -40,7 +40,7 @@
 	t.Run("late words of the start before change nothing", func(t *testing.T) {
 		late := apply(Command{Ends: &Ends{VM: "vm1", Incarnation: first, List: []End{{Task: k, Run: 2, Outcome: OutcomeDone}}}})
 		assert.Assert(t, !late.Taken[0])
-		assert.Equal(t, apply(Command{Lost: &Lost{VM: "vm1", Incarnation: first, Left: true}}).Code, Stale)
+		assert.Equal(t, apply(Command{Lost: &VMLoss{VM: "vm1", Incarnation: first, Departed: true}}).Code, Stale)
 		apply(Command{Upkeep: &UpkeepNote{Wave: 1, Machine: "m", Incarnation: first}})
 		assert.Assert(t, s.VM("vm1").Live && !s.VM("vm1").Leaving)
 		assert.Equal(t, len(s.VM("vm1").Runs()), 1)
@@ -67,7 +67,7 @@
 		epoch := s.VM("vm1").Epoch
 		res := apply(Command{Register: &VM{ID: "vm1", Incarnation: x.after, Service: "desk"}})
 		assert.Equal(t, s.VM("vm1").Incarnation, x.after)
-		assert.Equal(t, len(res.Gone) == 0, x.goesOn, "%v", x)
+		assert.Equal(t, len(res.LostRuns) == 0, x.goesOn, "%v", x)
 		assert.Equal(t, s.VM("vm1").Epoch == epoch, x.goesOn, "%v", x)
 	}
 }
@@ -87,7 +87,7 @@
 		apply(Command{Register: &VM{ID: "vm1", Incarnation: first, Service: "desk"}})
 		apply(Command{Starts: []Start{{Task: k, VM: "vm1", Incarnation: first}}})
 		seen := &Crash{Incarnation: first, Runs: []RunAge{{Task: k, Run: 1, AgeMS: 5, Seen: true}}}
-		apply(Command{Lost: &Lost{VM: "vm1", Incarnation: first, Crash: seen}})
+		apply(Command{Lost: &VMLoss{VM: "vm1", Incarnation: first, Crash: seen}})
 		assert.Equal(t, s.Job("j").Task(k).Doubts, 1)
 		apply(Command{Register: &VM{ID: "vm1", Incarnation: back, Service: "desk"}})
 		assert.Equal(t, s.Job("j").Task(k).Doubts, 0)
--- a/queue/state.go
+++ b/queue/state.go
@@ -64,9 +64,9 @@
 	s.vms[vm.ID] = vm
 }
 
-// Row returns the present row of a job's queue: the document's, or the one the
+// CurrentQueue returns the present row of a job's queue: the document's, or the one the
 // job was handed in under if the document has it no more.
-func (s *State) Row(j *Job) Queue {
+func (s *State) CurrentQueue(j *Job) Queue {
 	if q := s.queue[j.Queue.Name]; q != nil {
 		return *q
 	}
@@ -108,8 +108,8 @@
 	return need
 }
 
-// OnVM counts the active runs of one step, of one time, on a VM.
-func (s *State) OnVM(vm *VM, k TaskKey) (n int) {
+// CountRuns counts the active runs of one step, of one time, on a VM.
+func (s *State) CountRuns(vm *VM, k TaskKey) (n int) {
 	for o := range vm.runs {
 		if o.Job == k.Job && o.Time == k.Time && o.Step == k.Step {
 			n++
@@ -118,8 +118,8 @@
 	return n
 }
 
-// Obstacle says why a VM cannot take a run of the step, or "" if it can.
-func (s *State) Obstacle(j *Job, k TaskKey, vm *VM) string {
+// RejectReason says why a VM cannot take a run of the step, or "" if it can.
+func (s *State) RejectReason(j *Job, k TaskKey, vm *VM) string {
 	st := j.Spec.Steps[k.Step]
 	_, there := vm.runs[k]
 	switch {
@@ -127,13 +127,13 @@
 		return "the VM is lost"
 	case s.Evacuating(vm.Domain):
 		return "its failure domain is evacuated"
-	case vm.Service != s.Row(j).Service:
+	case vm.Service != s.CurrentQueue(j).Service:
 		return "the queue is not served there"
 	case !vm.HasLabel(st.Label):
 		return "it lacks the label " + st.Label
 	case there:
 		return "a run of the task is there already"
-	case st.MaxPerVM > 0 && s.OnVM(vm, k) >= st.MaxPerVM:
+	case st.MaxPerVM > 0 && s.CountRuns(vm, k) >= st.MaxPerVM:
 		return "it holds as many tasks of the step as it may"
 	}
 	if lack := vm.used.Add(st.Need()).Lacking(vm.Capacity); lack != "" {
--- a/queue/waiting_test.go
+++ b/queue/waiting_test.go
@@ -20,8 +20,8 @@
 	for name, undo := range map[string]func(w *world, run uint32){
 		"refused":            func(w *world, run uint32) { w.end(k, "vm1", run, OutcomeRefused) },
 		"unknown there":      func(w *world, run uint32) { w.end(k, "vm1", run, OutcomeLost) },
-		"its VM is lost":     func(w *world, _ uint32) { w.lose("vm1", Lost{}) },
-		"its VM has left":    func(w *world, _ uint32) { w.lose("vm1", Lost{Left: true}) },
+		"its VM is lost":     func(w *world, _ uint32) { w.lose("vm1", VMLoss{}) },
+		"its VM has left":    func(w *world, _ uint32) { w.lose("vm1", VMLoss{Departed: true}) },
 		"another life began": func(w *world, _ uint32) { w.crash("vm1", "life-2") },
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/runner/late_model_test.go
+++ b/runner/late_model_test.go
@@ -225,8 +225,8 @@
 	switch {
 	case msg.Ends != nil:
 		m.apply(queue.Command{Ends: &msg.Ends.Ends})
-		if msg.Ends.Left {
-			m.apply(queue.Command{Lost: &queue.Lost{VM: modelVM, Incarnation: msg.Ends.Ends.Incarnation}})
+		if msg.Ends.Departed {
+			m.apply(queue.Command{Lost: &queue.VMLoss{VM: modelVM, Incarnation: msg.Ends.Ends.Incarnation}})
 		}
 		if i == len(m.sessions)-1 {
 			ses.agent.Handle(wire.ToQueueNode{Noted: &wire.Noted{Seq: msg.Ends.Seq}})
@@ -241,7 +241,7 @@
 
 // register commits a life that is new and starts the feed there.
 func (m *lateModel) register(vm queue.VM) {
-	if known := m.state.VM(modelVM); known != nil && known.Live && known.Same(vm) {
+	if known := m.state.VM(modelVM); known != nil && known.Live && known.SameRegistration(vm) {
 		return
 	}
 	m.apply(queue.Command{Register: &vm})
--- a/runner/late_test.go
+++ b/runner/late_test.go
@@ -267,7 +267,7 @@
 		w.until("the new life is known", func() bool { return w.a.Incarnation() == newLife })
 		w.exec.Restart("")
 		left := w.ses.until(func(m wire.FromNode) bool { return m.Ends != nil }).Ends
-		assert.Assert(t, left.Left)
+		assert.Assert(t, left.Departed)
 		assert.Equal(t, left.Ends.Incarnation, newLife)
 	})
 }
--- a/runner/life.go
+++ b/runner/life.go
@@ -83,11 +83,11 @@
 func (a *Agent) consistent(vm queue.VM) bool {
 	known := a.vm
 	known.Capacity = vm.Capacity
-	if known.Same(vm) {
+	if known.SameRegistration(vm) {
 		a.altered, a.alteredSeen = queue.VM{}, 0
 		return true
 	}
-	if !a.altered.Same(vm) {
+	if !a.altered.SameRegistration(vm) {
 		a.altered, a.alteredSeen = vm, 0
 	}
 	a.alteredSeen++
@@ -191,7 +191,7 @@
 
 // take takes what the present life says of itself. The caller holds mu.
 func (a *Agent) take(d description) {
-	changed := !a.known || !a.vm.Same(d.vm) || a.draining != d.draining
+	changed := !a.known || !a.vm.SameRegistration(d.vm) || a.draining != d.draining
 	if before := a.keeper.Incarnation(); before != d.vm.Incarnation {
 		a.log.Info().Str("life", d.vm.Incarnation).Str("before", before).Stringer("capacity", d.vm.Capacity).
 			Strs("labels", d.vm.Labels).Msg("executor_life")
--- a/runner/report.go
+++ b/runner/report.go
@@ -15,7 +15,7 @@
 }
 
 func (r report) message(id uint64) wire.FromNode {
-	return wire.FromNode{Ends: &wire.EndsReport{Seq: id, Ends: r.ends, Left: r.left}}
+	return wire.FromNode{Ends: &wire.EndsReport{Seq: id, Ends: r.ends, Departed: r.left}}
 }
 
 // takeNoted forgets ends that are committed. The caller holds mu.
--- a/runs/model_test.go
+++ b/runs/model_test.go
@@ -294,7 +294,7 @@
 func (s *site) lead() {
 	for _, vm := range s.state.VMs() {
 		if vm.Live && s.grantor(vm.ID).TryExpire(s.now, s.lease) {
-			s.apply(queue.Command{Lost: &queue.Lost{VM: vm.ID, Incarnation: vm.Incarnation}})
+			s.apply(queue.Command{Lost: &queue.VMLoss{VM: vm.ID, Incarnation: vm.Incarnation}})
 		}
 	}
 	view := dispatch.View{Now: rudderfork.Millis(s.now), VMs: map[rudderfork.VMID]dispatch.VMView{}}
@@ -406,7 +406,7 @@
 	v.spoken = number
 	s, g := v.s, v.s.grantor(v.id)
 	known := s.state.VM(v.id)
-	if known == nil || !known.Live || !known.Same(desc) || g.Expired() {
+	if known == nil || !known.Live || !known.SameRegistration(desc) || g.Expired() {
 		if g.Expired() && known != nil && known.Live {
 			return
 		}
--- a/scheduler/advice.go
+++ b/scheduler/advice.go
@@ -166,7 +166,7 @@
 		if j == nil {
 			return
 		}
-		if adv := st.Queues().Row(j).Advice; adv != nil && adv.ValidMS > 0 {
+		if adv := st.Queues().CurrentQueue(j).Advice; adv != nil && adv.ValidMS > 0 {
 			validity = time.Duration(adv.ValidMS) * time.Millisecond
 		}
 	})
--- a/scheduler/gone.go
+++ b/scheduler/gone.go
@@ -26,7 +26,7 @@
 // is all that can be blamed for a crash.
 func (s *Scheduler) logGone(vm rudderfork.VMID, how incarnationEnd, res queue.Result) {
 	s.noteAssessments(vm, res.Assessments)
-	gone := res.Gone
+	gone := res.LostRuns
 	if len(gone) == 0 {
 		return
 	}
--- a/scheduler/late_model_test.go
+++ b/scheduler/late_model_test.go
@@ -62,7 +62,7 @@
 
 // leave sends the agent's report that the current incarnation has left, and begins the next.
 func (m *sessionModel) leave() {
-	m.send(wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: queue.Ends{VM: m.vm, Incarnation: modelIncarnation(m.incarnation)}, Left: true}})
+	m.send(wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: queue.Ends{VM: m.vm, Incarnation: modelIncarnation(m.incarnation)}, Departed: true}})
 	m.incarnation++
 }
 
--- a/scheduler/late_test.go
+++ b/scheduler/late_test.go
@@ -182,7 +182,7 @@
 		s := newTestCluster(t, nil)
 		before, now, epoch := s.connectAgentTwice(oldIncarnation)
 		list := []queue.End{{Task: queue.TaskKey{Job: "feed"}, Run: 1, Outcome: queue.OutcomeFailed}}
-		before.sendAndWait(wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: queue.Ends{VM: testVM, Incarnation: oldIncarnation, List: list}, Left: true}})
+		before.sendAndWait(wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: queue.Ends{VM: testVM, Incarnation: oldIncarnation, List: list}, Departed: true}})
 		s.assertCurrent(now, epoch)
 	})
 	t.Run("refusal of a run that the next agent process has started", func(t *testing.T) {
--- a/scheduler/reports.go
+++ b/scheduler/reports.go
@@ -45,7 +45,7 @@
 // Add queues a report. One that tells that the life has left is waited for: a heartbeat
 // after it is of another life, or of one that has to be registered again.
 func (q *reportQueue) Add(ctx context.Context, ends wire.EndsReport) error {
-	if err := q.add(ctx, report{ends: &ends}); err != nil || !ends.Left {
+	if err := q.add(ctx, report{ends: &ends}); err != nil || !ends.Departed {
 		return err
 	}
 	return q.Wait(ctx)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -201,14 +201,14 @@
 
 // loss is the loss of a VM on its way.
 type loss struct {
-	queue.Lost
+	queue.VMLoss
 	info *vmInfo
 }
 
 func (s *Scheduler) lose(ctx context.Context, l loss) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	res, err := s.do(ctx, queue.Command{Lost: &l.Lost})
+	res, err := s.do(ctx, queue.Command{Lost: &l.VMLoss})
 	s.mu.Lock()
 	l.info.lossPending = false
 	s.mu.Unlock()
@@ -240,7 +240,7 @@
 			}
 			v.lossPending = true
 			s.fleet.recordLoss(vm, now)
-			list = append(list, loss{queue.Lost{VM: vm.ID, Incarnation: vm.Incarnation, Epoch: vm.Epoch, Checkpoints: v.checkpoints(), Crash: v.heartbeat.Crash}, v})
+			list = append(list, loss{queue.VMLoss{VM: vm.ID, Incarnation: vm.Incarnation, Epoch: vm.Epoch, Checkpoints: v.checkpoints(), Crash: v.heartbeat.Crash}, v})
 		}
 	})
 	return list
--- a/scheduler/simfleet_test.go
+++ b/scheduler/simfleet_test.go
@@ -191,7 +191,7 @@
 	s.fleet.vm(v.id).session = nil
 	clear(v.startedAt)
 	s.fleet.recordLoss(s.qs.VM(v.id), s.leaderTime())
-	res := s.apply(queue.Command{Lost: &queue.Lost{VM: v.id, Incarnation: v.incarnationName()}})
+	res := s.apply(queue.Command{Lost: &queue.VMLoss{VM: v.id, Incarnation: v.incarnationName()}})
 	s.scheduler().logGone(v.id, incarnationLapsed, res)
 }
 
--- a/scheduler/swings.go
+++ b/scheduler/swings.go
@@ -35,7 +35,7 @@
 			pressure, _ := f.pressures.model.Of(fig.Image, image, now)
 			own += pressure * share
 		}
-		f.swings.Observe(s.Row(s.Job(k.Job)).Name, k.StepKey(), own, now.Add(-figureAge))
+		f.swings.Observe(s.CurrentQueue(s.Job(k.Job)).Name, k.StepKey(), own, now.Add(-figureAge))
 	}
 }
 
@@ -48,7 +48,7 @@
 			continue
 		}
 		ahead := 0.0
-		if w, ok := f.swings.Forecast(s.Row(j).Name, k.StepKey(), now); ok {
+		if w, ok := f.swings.Forecast(s.CurrentQueue(j).Name, k.StepKey(), now); ok {
 			ahead = w.Min(foreseen) - w.After(-figureAge)
 		}
 		if math.Abs(ahead-r.ahead) < leastAhead {
--- a/scheduler/views.go
+++ b/scheduler/views.go
@@ -114,7 +114,7 @@
 func jobView(s *queue.State, j *queue.Job, w dispatch.WorkTimeFunc) JobView {
 	return JobView{
 		ID: j.ID, Queue: j.Queue.Name, Status: j.Status, SubmittedAt: j.SubmittedAt,
-		ObjectiveMS: dispatch.ObjectiveMS(s.Row(j), j, w), EndedAt: j.EndedAt,
+		ObjectiveMS: dispatch.ObjectiveMS(s.CurrentQueue(j), j, w), EndedAt: j.EndedAt,
 	}
 }
 
--- a/scheduler/vm.go
+++ b/scheduler/vm.go
@@ -250,7 +250,7 @@
 // not be registered.
 func (ses *session) isKnown(vm queue.VM) (ok bool) {
 	ses.s.rep.View(func(st *state.State) {
-		ok = st.Queues().VM(vm.ID).LiveAs(vm)
+		ok = st.Queues().VM(vm.ID).RegisteredAs(vm)
 	})
 	return ok
 }
@@ -262,7 +262,7 @@
 		ses.s.mu.Lock()
 		defer ses.s.mu.Unlock()
 		known := st.Queues().VM(vm.ID)
-		ok = known.LiveAs(vm) && ses.epoch == known.Epoch && !ses.s.fleet.vm(vm.ID).lease.Expired()
+		ok = known.RegisteredAs(vm) && ses.epoch == known.Epoch && !ses.s.fleet.vm(vm.ID).lease.Expired()
 	})
 	return ok
 }
@@ -314,7 +314,7 @@
 		defer ses.s.mu.Unlock()
 		known, v := st.Queues().VM(vm.ID), ses.s.fleet.vm(vm.ID)
 		v.renew(known)
-		ok = known.LiveAs(vm) && !v.lease.Expired()
+		ok = known.RegisteredAs(vm) && !v.lease.Expired()
 		if !ok {
 			return
 		}
@@ -372,7 +372,7 @@
 	if err != nil {
 		return err
 	}
-	if r.Left {
+	if r.Departed {
 		if err := ses.left(ctx, r.Ends.VM, r.Ends.Incarnation); err != nil {
 			return err
 		}
@@ -424,7 +424,7 @@
 // left ends the runs of a life that has left, without waiting for its lease.
 func (ses *session) left(ctx context.Context, vm rudderfork.VMID, life string) error {
 	ses.s.mu.Lock()
-	lost := queue.Lost{VM: vm, Incarnation: life, Checkpoints: ses.s.fleet.vm(vm).checkpoints(), Left: true}
+	lost := queue.VMLoss{VM: vm, Incarnation: life, Checkpoints: ses.s.fleet.vm(vm).checkpoints(), Departed: true}
 	ses.s.mu.Unlock()
 	res, err := ses.s.do(ctx, queue.Command{Lost: &lost})
 	if err != nil {
--- a/wire/queue.go
+++ b/wire/queue.go
@@ -176,8 +176,8 @@
 	Seq  uint64     `cbor:"1,keyasint"`
 	Ends queue.Ends `cbor:"2,keyasint"`
 
-	// Left says that the life has left: whatever else ran there is over.
-	Left bool `cbor:"3,keyasint,omitempty"`
+	// Departed says that the life has left: whatever else ran there is over.
+	Departed bool `cbor:"3,keyasint,omitempty"`
 }
 
 // Noted answers an EndsReport.
