--- a/scheduler/advice.go
+++ b/scheduler/advice.go
@@ -17,32 +17,32 @@
 	adviceTimeout = 5 * time.Second
 	// adviceAgain is how long a step rests after an answer that did not help it.
 	adviceAgain = 300 * time.Millisecond
-	// usualValidity is how long a ticket holds where the document does not say.
-	usualValidity = time.Second
+	// defaultTicketValidity is how long a ticket holds where the document does not say.
+	defaultTicketValidity = time.Second
 )
 
 // advice is the tickets that advisers gave. It is guarded by the scheduler's mu.
 type advice struct {
-	steps map[queue.StepKey]*stepTickets
-	busy  bool // an adviser works on one call of a process at a time
+	steps       map[queue.StepKey]*stepTickets
+	callRunning bool // an adviser works on one call of a process at a time
 }
 
 // stepTickets is what an adviser said of a step.
 type stepTickets struct {
-	tickets map[rudderfork.VMID]ticket
-	asked   map[rudderfork.VMID]time.Time // when VMs were last asked about in vain
-	askAt   time.Time                     // not before; adviceAgain after the last answer
+	tickets    map[rudderfork.VMID]ticket
+	noTicketAt map[rudderfork.VMID]time.Time // when VMs were last asked about in vain
+	nextCallAt time.Time                     // not before; adviceAgain after the last answer
 }
 
 func newLeave() *stepTickets {
-	return &stepTickets{tickets: map[rudderfork.VMID]ticket{}, asked: map[rudderfork.VMID]time.Time{}}
+	return &stepTickets{tickets: map[rudderfork.VMID]ticket{}, noTicketAt: map[rudderfork.VMID]time.Time{}}
 }
 
 // ticket is valid for one life of a VM, until a time.
 type ticket struct {
-	text  string
-	life  string
-	until time.Time
+	text        string
+	incarnation string
+	until       time.Time
 }
 
 func newAdvice() *advice { return &advice{steps: map[queue.StepKey]*stepTickets{}} }
@@ -52,7 +52,7 @@
 func (l *stepTickets) noteAsked(asked map[string]rudderfork.VMID, good map[string]string, now time.Time) {
 	for life, vm := range asked {
 		if _, ok := good[life]; !ok {
-			l.asked[vm] = now
+			l.noTicketAt[vm] = now
 		}
 	}
 }
@@ -61,7 +61,7 @@
 func (a *advice) askedAt() map[queue.StepKey]map[rudderfork.VMID]time.Time {
 	all := map[queue.StepKey]map[rudderfork.VMID]time.Time{}
 	for k, l := range a.steps {
-		all[k] = l.asked
+		all[k] = l.noTicketAt
 	}
 	return all
 }
@@ -77,7 +77,7 @@
 		}
 		valid := map[rudderfork.VMID]string{}
 		for id, t := range l.tickets {
-			if vm := s.VM(id); vm != nil && vm.Incarnation == t.life && now.Before(t.until) {
+			if vm := s.VM(id); vm != nil && vm.Incarnation == t.incarnation && now.Before(t.until) {
 				valid[id] = t.text
 			}
 		}
@@ -104,13 +104,13 @@
 	a := s.fleet.advice
 	slices.SortStableFunc(asks, func(x, y dispatch.AdviceRequest) int { return a.askAt(x.Step).Compare(a.askAt(y.Step)) })
 	for _, ask := range asks {
-		if a.busy || now.Before(a.askAt(ask.Step)) {
+		if a.callRunning || now.Before(a.askAt(ask.Step)) {
 			continue
 		}
 		if a.steps[ask.Step] == nil {
 			a.steps[ask.Step] = newLeave()
 		}
-		a.busy = true
+		a.callRunning = true
 		go s.advise(a, ask)
 	}
 }
@@ -118,7 +118,7 @@
 // askAt is when a step may be asked for: the one that has waited for longest comes first.
 func (a *advice) askAt(k queue.StepKey) time.Time {
 	if l := a.steps[k]; l != nil {
-		return l.askAt
+		return l.nextCallAt
 	}
 	return time.Time{}
 }
@@ -135,12 +135,12 @@
 		Dur("took", now.Sub(began)).AnErr("error", err).Msg("adviser_asked")
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a.busy = false
+	a.callRunning = false
 	l := a.steps[ask.Step]
 	if l == nil {
 		return // the job is over
 	}
-	l.askAt = now.Add(adviceAgain)
+	l.nextCallAt = now.Add(adviceAgain)
 	if err == nil {
 		l.noteAsked(lives, tickets, now)
 	}
@@ -154,7 +154,7 @@
 // livesOf returns the lives of the VMs asked about, and how long tickets of the
 // step's queue hold.
 func (s *Scheduler) livesOf(ask dispatch.AdviceRequest) (vms map[string]rudderfork.VMID, names []string, validity time.Duration) {
-	vms, validity = map[string]rudderfork.VMID{}, usualValidity
+	vms, validity = map[string]rudderfork.VMID{}, defaultTicketValidity
 	s.rep.View(func(st *state.State) {
 		for _, id := range ask.VMs {
 			if vm := st.Queues().VM(id); vm != nil {
--- a/scheduler/advice_test.go
+++ b/scheduler/advice_test.go
@@ -60,7 +60,7 @@
 func (s *manualLeader) adviserBusy() bool {
 	s.sched.mu.Lock()
 	defer s.sched.mu.Unlock()
-	return s.sched.fleet.advice.busy
+	return s.sched.fleet.advice.callRunning
 }
 
 // expireAdvicePause lets the pause between two requests run out for all steps but the one requested
@@ -71,13 +71,13 @@
 	newest := time.Time{}
 	steps := s.sched.fleet.advice.steps
 	for _, l := range steps {
-		if l.askAt.After(newest) {
-			newest = l.askAt
+		if l.nextCallAt.After(newest) {
+			newest = l.nextCallAt
 		}
 	}
 	for _, l := range steps {
-		if l.askAt.Before(newest) || len(steps) == 1 {
-			l.askAt = l.askAt.Add(-adviceAgain)
+		if l.nextCallAt.Before(newest) || len(steps) == 1 {
+			l.nextCallAt = l.nextCallAt.Add(-adviceAgain)
 		}
 	}
 }
--- a/scheduler/gone.go
+++ b/scheduler/gone.go
@@ -25,7 +25,7 @@
 // logGone logs the runs that ended with a life of a VM's executor: what ran there
 // is all that can be blamed for a crash.
 func (s *Scheduler) logGone(vm rudderfork.VMID, how incarnationEnd, res queue.Result) {
-	s.noteAssessments(vm, res.Assessments)
+	s.logAssessments(vm, res.Assessments)
 	gone := res.LostRuns
 	if len(gone) == 0 {
 		return
@@ -41,9 +41,9 @@
 	}
 }
 
-// noteAssessments logs whom a crash is laid to: the suspects, and the tasks that are
+// logAssessments logs whom a crash is laid to: the suspects, and the tasks that are
 // given up for it.
-func (s *Scheduler) noteAssessments(vm rudderfork.VMID, list []queue.Assessment) {
+func (s *Scheduler) logAssessments(vm rudderfork.VMID, list []queue.Assessment) {
 	for _, v := range list {
 		if v.Suspicion < queue.SuspectMille && !v.GivenUp {
 			continue
--- a/scheduler/learning_test.go
+++ b/scheduler/learning_test.go
@@ -59,7 +59,7 @@
 func (s *manualLeader) connect(id rudderfork.VMID) *session {
 	vm := queue.VM{ID: id, Incarnation: string(id) + "-life", Service: "desk", Capacity: rudderfork.Resources{CPUMilli: 4_000, MemoryMB: 1_000}}
 	s.commit(queue.Command{Register: &vm})
-	ses := &session{s: s.sched, vm: id, life: vm.Incarnation, epoch: 1, out: make(chan wire.ToQueueNode, outQueue), woken: wakeup.New(), cancel: func() {}}
+	ses := &session{s: s.sched, vm: id, incarnation: vm.Incarnation, epoch: 1, out: make(chan wire.ToQueueNode, outQueue), ordersDue: wakeup.New(), cancel: func() {}}
 	s.sched.mu.Lock()
 	defer s.sched.mu.Unlock()
 	v := s.sched.fleet.vm(id)
--- a/scheduler/orders_test.go
+++ b/scheduler/orders_test.go
@@ -41,8 +41,8 @@
 // planned anything yet.
 func newSessionOfAgent(qs *queue.State) *session {
 	return &session{
-		s: &Scheduler{fleet: newFleet()}, vm: "vm1", life: "life-1", epoch: qs.VM("vm1").Epoch,
-		sent: map[rudderfork.RunRef]bool{}, stops: map[rudderfork.RunRef]bool{}, told: map[interference.Pair]float64{},
+		s: &Scheduler{fleet: newFleet()}, vm: "vm1", incarnation: "life-1", epoch: qs.VM("vm1").Epoch,
+		startsSent: map[rudderfork.RunRef]bool{}, stopsSent: map[rudderfork.RunRef]bool{}, pressuresSent: map[interference.Pair]float64{},
 	}
 }
 
--- a/scheduler/overdue.go
+++ b/scheduler/overdue.go
@@ -23,9 +23,9 @@
 	reported     int // of the VM's runs
 }
 
-// noteOverdue logs the runs that have become overdue, each once, and counts those that
+// logOverdue logs the runs that have become overdue, each once, and counts those that
 // are.
-func (s *Scheduler) noteOverdue() {
+func (s *Scheduler) logOverdue() {
 	now := steady.Now()
 	list := s.overdueRuns(now)
 	s.met.overdue.Set(float64(len(list)))
--- a/scheduler/refusal_test.go
+++ b/scheduler/refusal_test.go
@@ -85,7 +85,7 @@
 	case o := <-lists:
 		release()
 		return o
-	case <-time.After(fullSpan):
+	case <-time.After(fullListTimeout):
 		release()
 		return <-lists
 	}
@@ -120,7 +120,7 @@
 	t.Run("in the same session", func(t *testing.T) {
 		h, c, vm, release := newRefusedRun(t)
 		h.sched.mu.Lock()
-		h.sched.fleet.vm(vm.ID).session.fullBy = time.Time{} // its first list is long past
+		h.sched.fleet.vm(vm.ID).session.fullListDeadline = time.Time{} // its first list is long past
 		h.sched.mu.Unlock()
 		h.sendHeartbeatWithoutOrders(c, vm, 2)
 		h.assertNotOrdered(h.awaitFullOrders(c, release))
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -177,7 +177,7 @@
 		defer s.mu.Unlock()
 		for ses := range s.sessions {
 			if ses.behind(st.Queues()) {
-				ses.woken.Set()
+				ses.ordersDue.Set()
 			}
 		}
 	})
@@ -271,7 +271,7 @@
 	s.met.plan.Observe(t.plan.Seconds())
 	if plan.Summary != nil {
 		s.logAccount(plan.Summary, forecasts)
-		s.noteOverdue()
+		s.logOverdue()
 	}
 	s.logStops(plan.Stops)
 	s.askAdviser(plan.AdviceRequests)
--- a/scheduler/second_start_test.go
+++ b/scheduler/second_start_test.go
@@ -50,7 +50,7 @@
 		}}, 1)
 		s.Apply(queue.Command{Submit: &queue.Submit{Host: "h", Path: "/q/j", Spec: queue.Spec{Steps: []queue.Step{{Count: 1}}}}}, 1)
 		a := newAdvice()
-		a.steps[step] = &stepTickets{tickets: map[rudderfork.VMID]ticket{"vm1": {text: "t-1", life: firstIncarnation, until: now.Add(usualValidity)}}}
+		a.steps[step] = &stepTickets{tickets: map[rudderfork.VMID]ticket{"vm1": {text: "t-1", incarnation: firstIncarnation, until: now.Add(defaultTicketValidity)}}}
 		assert.DeepEqual(t, a.view(s, now)[step], want)
 	}
 }
--- a/scheduler/session.go
+++ b/scheduler/session.go
@@ -22,9 +22,9 @@
 	// silenceLimit ends a session that sent nothing for so long; nodes send a
 	// heartbeat twice a second.
 	silenceLimit = 3 * time.Second
-	// fullSpan is how long after a full list was sent an agent may not have told that it has
+	// fullListTimeout is how long after a full list was sent an agent may not have told that it has
 	// it: two of its heartbeats.
-	fullSpan = time.Second
+	fullListTimeout = time.Second
 	// leaderWait bounds how long a node waits for word of a leader: less than it waits
 	// for a process that does not answer.
 	leaderWait = 400 * time.Millisecond
@@ -34,31 +34,31 @@
 
 // session is the connection of one front or agent.
 type session struct {
-	s      *Scheduler
-	conn   *wire.Conn[wire.ToQueueNode, wire.FromNode]
-	hello  wire.QueueHello
-	number uint64 // rises with each session that is opened
-	term   uint64
-	cancel context.CancelFunc
-	out    chan wire.ToQueueNode
-	woken  wakeup.Signal // orders may have changed
+	s         *Scheduler
+	conn      *wire.Conn[wire.ToQueueNode, wire.FromNode]
+	hello     wire.QueueHello
+	number    uint64 // rises with each session that is opened
+	term      uint64
+	cancel    context.CancelFunc
+	out       chan wire.ToQueueNode
+	ordersDue wakeup.Signal // orders may have changed
 
 	reports *reportQueue // of an agent
 
 	// Guarded by the scheduler's mu.
-	vm    rudderfork.VMID // of an agent, once its first heartbeat came
-	life  string          // of its executor
-	epoch uint64          // of the VM; 0 until registered
-	full  bool            // the full list was sent in this epoch
-	first bool            // in the term, of the VM's agent
-	// fullBy is until when the agent may not have told that it has the full list.
-	fullBy time.Time
-	seen   vmVersion // for which orders were worked out last
-
-	closed bool // the last orders said that nothing more is started on the VM
-	sent   map[rudderfork.RunRef]bool
-	stops  map[rudderfork.RunRef]bool    // sent
-	told   map[interference.Pair]float64 // pressures that were sent
+	vm           rudderfork.VMID // of an agent, once its first heartbeat came
+	incarnation  string          // of its executor
+	epoch        uint64          // of the VM; 0 until registered
+	fullListSent bool            // the full list was sent in this epoch
+	firstInTerm  bool            // in the term, of the VM's agent
+	// fullListDeadline is until when the agent may not have told that it has the full list.
+	fullListDeadline time.Time
+	ordersVersion    vmVersion // for which orders were worked out last
+
+	closed        bool // the last orders said that nothing more is started on the VM
+	startsSent    map[rudderfork.RunRef]bool
+	stopsSent     map[rudderfork.RunRef]bool    // sent
+	pressuresSent map[interference.Pair]float64 // pressures that were sent
 }
 
 // Accept takes the sessions of fronts and agents.
@@ -78,8 +78,8 @@
 	}
 	ses := &session{
 		s: s, conn: c, hello: *hello, cancel: cancel, out: make(chan wire.ToQueueNode, outQueue),
-		woken: wakeup.New(), sent: map[rudderfork.RunRef]bool{}, stops: map[rudderfork.RunRef]bool{},
-		told: map[interference.Pair]float64{},
+		ordersDue: wakeup.New(), startsSent: map[rudderfork.RunRef]bool{}, stopsSent: map[rudderfork.RunRef]bool{},
+		pressuresSent: map[interference.Pair]float64{},
 	}
 	ses.reports = newReportQueue(ses.ends)
 	if !s.openOrRedirect(ctx, ses) {
@@ -234,7 +234,7 @@
 		case <-ctx.Done():
 			return
 		case m = <-ses.out:
-		case <-ses.woken:
+		case <-ses.ordersDue:
 			o, ok := ses.orders()
 			if !ok {
 				continue
--- a/scheduler/vm.go
+++ b/scheduler/vm.go
@@ -27,22 +27,22 @@
 // behind reports whether there may be news for the session's VM. The caller holds mu.
 func (ses *session) behind(qs *queue.State) bool {
 	vm := qs.VM(ses.vm)
-	return vm != nil && (ses.seen != versionOf(vm) || ses.s.fleet.stopsOn[ses.vm] || ses.closed != qs.Evacuating(vm.Domain))
+	return vm != nil && (ses.ordersVersion != versionOf(vm) || ses.s.fleet.stopsOn[ses.vm] || ses.closed != qs.Evacuating(vm.Domain))
 }
 
 // newOrders compares what was sent with what is to run. The caller holds mu.
 func (ses *session) newOrders(qs *queue.State) *wire.Orders {
-	o := &wire.Orders{Epoch: ses.epoch, Incarnation: ses.life}
+	o := &wire.Orders{Epoch: ses.epoch, Incarnation: ses.incarnation}
 	vm := qs.VM(ses.vm)
 	if ses.epoch == 0 || vm == nil || vm.Epoch != ses.epoch || !vm.Live {
 		return o
 	}
-	o.Full = !ses.full
+	o.Full = !ses.fullListSent
 	if o.Full {
-		ses.fullBy = steady.Now().Add(fullSpan)
+		ses.fullListDeadline = steady.Now().Add(fullListTimeout)
 	}
-	ses.full = true
-	ses.seen = versionOf(vm)
+	ses.fullListSent = true
+	ses.ordersVersion = versionOf(vm)
 	o.Closed = qs.Evacuating(vm.Domain)
 	ses.closed = o.Closed
 	active := map[rudderfork.RunRef]bool{}
@@ -50,29 +50,29 @@
 		ref := k.Ref(run)
 		j := qs.Job(k.Job)
 		active[ref] = true
-		if !ses.sent[ref] {
-			ses.sent[ref] = true
+		if !ses.startsSent[ref] {
+			ses.startsSent[ref] = true
 			o.Start = append(o.Start, orderOf(j, k, ref))
 		}
 		// A leader that is new has sessions before its first plan. What it knows
 		// from the state goes with the start, so that the agent never makes it.
 		_, stop := ses.s.fleet.stops[ref]
-		if (stop || j.Status.Final()) && !ses.stops[ref] {
-			ses.stops[ref] = true
+		if (stop || j.Status.Final()) && !ses.stopsSent[ref] {
+			ses.stopsSent[ref] = true
 			o.Stop = append(o.Stop, ref)
 		}
 	}
-	for ref := range ses.sent {
+	for ref := range ses.startsSent {
 		if active[ref] {
 			continue
 		}
 		// Its end is known, or was concluded from elsewhere; stopping what has
 		// ended does nothing.
-		delete(ses.sent, ref)
-		if !ses.stops[ref] {
+		delete(ses.startsSent, ref)
+		if !ses.stopsSent[ref] {
 			o.Stop = append(o.Stop, ref)
 		}
-		delete(ses.stops, ref)
+		delete(ses.stopsSent, ref)
 	}
 	if len(o.Start) > 0 {
 		// A filler's pace is right from its start only if its pressures are known.
@@ -80,7 +80,7 @@
 		for k := range vm.Runs() {
 			c.add(qs.Job(k.Job).Spec.Steps[k.Step])
 		}
-		o.Pressures = ses.s.fleet.pressures.changedFor(c, ses.told, steady.Now())
+		o.Pressures = ses.s.fleet.pressures.changedFor(c, ses.pressuresSent, steady.Now())
 	}
 	return o
 }
@@ -112,7 +112,7 @@
 	if ses.superseded(v) {
 		return errSuperseded
 	}
-	ses.first = ses.first || v.latestSession == 0
+	ses.firstInTerm = ses.firstInTerm || v.latestSession == 0
 	v.latestSession = ses.number
 	return nil
 }
@@ -160,7 +160,7 @@
 	fresh := v.session != ses
 	v.session = ses
 	s.fleet.recordHeartbeat(v, b, now)
-	if !b.Unresponsive && ses.epoch != 0 && ses.life == b.VM.Incarnation {
+	if !b.Unresponsive && ses.epoch != 0 && ses.incarnation == b.VM.Incarnation {
 		for _, k := range s.fleet.last[b.VM.ID] {
 			grant.Last = append(grant.Last, k.Ref(k.Number))
 		}
@@ -172,7 +172,7 @@
 	grant.Pressures = ses.learn(now)
 	ses.reply(wire.ToQueueNode{Grant: &grant})
 	if fresh {
-		ses.woken.Set()
+		ses.ordersDue.Set()
 		s.kicked.Set()
 	}
 	return nil
@@ -193,7 +193,7 @@
 		ses.s.fleet.pressures.observe(c, v.heartbeat, now)
 		ses.s.fleet.observeSwings(st.Queues(), c, v.heartbeat, now)
 		ses.s.fleet.updateForecasts(st.Queues(), v, now)
-		list = ses.s.fleet.pressures.changedFor(c, ses.told, now)
+		list = ses.s.fleet.pressures.changedFor(c, ses.pressuresSent, now)
 	})
 	return list
 }
@@ -238,7 +238,7 @@
 // refused, and is still ordered by the list, would be started by an agent that has
 // forgotten the report, and elsewhere too.
 func (ses *session) settleReports(ctx context.Context, vm queue.VM) error {
-	if err := ses.reports.Wait(ctx); err != nil || ses.first || !ses.isKnown(vm) {
+	if err := ses.reports.Wait(ctx); err != nil || ses.firstInTerm || !ses.isKnown(vm) {
 		return err
 	}
 	// What earlier sessions have proposed is committed before this, or never.
@@ -319,7 +319,7 @@
 			return
 		}
 		if ses.epoch != known.Epoch {
-			ses.vm, ses.life, ses.epoch = vm.ID, known.Incarnation, known.Epoch
+			ses.vm, ses.incarnation, ses.epoch = vm.ID, known.Incarnation, known.Epoch
 			ses.sendFull()
 		}
 	})
@@ -328,10 +328,10 @@
 
 // sendFull has the full list of orders sent. The caller holds mu.
 func (ses *session) sendFull() {
-	ses.full = false
-	clear(ses.sent)
-	clear(ses.stops)
-	ses.woken.Set()
+	ses.fullListSent = false
+	clear(ses.startsSent)
+	clear(ses.stopsSent)
+	ses.ordersDue.Set()
 }
 
 // checkEpoch sends an agent the full list again that does not have it, as one that took
@@ -345,7 +345,7 @@
 	}
 	ses.s.mu.Lock()
 	defer ses.s.mu.Unlock()
-	ses.s.log.Warn().Str("vm", string(ses.vm)).Str("life", ses.life).Uint64("epoch", ses.epoch).Uint64("agent_epoch", *b.Epoch).Msg("orders_missing")
+	ses.s.log.Warn().Str("vm", string(ses.vm)).Str("life", ses.incarnation).Uint64("epoch", ses.epoch).Uint64("agent_epoch", *b.Epoch).Msg("orders_missing")
 	ses.sendFull()
 	return nil
 }
@@ -354,7 +354,7 @@
 func (ses *session) lacksList(b wire.VMHeartbeat) bool {
 	ses.s.mu.Lock()
 	defer ses.s.mu.Unlock()
-	return b.Epoch != nil && *b.Epoch != ses.epoch && ses.life == b.VM.Incarnation && ses.full && !steady.Now().Before(ses.fullBy)
+	return b.Epoch != nil && *b.Epoch != ses.epoch && ses.incarnation == b.VM.Incarnation && ses.fullListSent && !steady.Now().Before(ses.fullListDeadline)
 }
 
 // ends commits the ends that a VM reports, then says so. A session that was left
