--- a/bench/fleetagent.go
+++ b/bench/fleetagent.go
@@ -178,7 +178,7 @@
 func (a *fleetAgent) beat() {
 	const fullPercent, usualTailMS = 100, 8
 	now := steady.Now()
-	b := wire.VMHeartbeat{Sent: now.UnixNano(), VM: a.vm, Measured: true, Worked: map[string]float64{}}
+	b := wire.VMHeartbeat{Sent: now.UnixNano(), VM: a.vm, Measured: true, FillerUsage: map[string]float64{}}
 	for ref, r := range a.runs {
 		row := rudderfork.RunStatus{RunRef: ref, Percent: fullPercent, Load: usualTailMS + a.rng.Int64N(3)}
 		if !r.lasting {
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -257,7 +257,7 @@
 
 // hasTurn reports whether the tasks of a step may start now.
 func (p *pass) isReady(n *jobState, w waitingStep) bool {
-	return w.dependenciesDone && n.job.Times[w.Time].DueMS <= p.view.Now
+	return w.dependenciesDone && n.job.Occurrences[w.Occurrence].DueMS <= p.view.Now
 }
 
 func (p *pass) startStep(cl *taskClass) {
--- a/dispatch/drawn_test.go
+++ b/dispatch/drawn_test.go
@@ -318,7 +318,7 @@
 			if !st.Filler {
 				continue
 			}
-			w := float64(j.Times[0].Left[i]) * float64(st.Size.CPUMilli) * float64(max(1, st.ExpectedMS))
+			w := float64(j.Occurrences[0].Left[i]) * float64(st.Size.CPUMilli) * float64(max(1, st.ExpectedMS))
 			work[st.Image] += w
 			sum += w
 		}
@@ -374,7 +374,7 @@
 func (p *plain) assertNoPlace(j *queue.Job) {
 	p.t.Helper()
 	for step, st := range j.Spec.Steps {
-		for index := range j.Times[0].Steps[step] {
+		for index := range j.Occurrences[0].Steps[step] {
 			k := queue.TaskKey{Job: j.ID, Step: step, Index: index}
 			planned := slices.ContainsFunc(p.starts, func(s Start) bool { return s.Task == k })
 			if planned || len(j.Task(k).Runs) > 0 || !p.s.Runnable(j, k, p.view.Now) {
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -108,9 +108,9 @@
 		n.allowsCopies = n.allowsCopies || st.Speculative && !st.Gang && !st.Lasting
 	}
 	n.estimate(p)
-	for time, o := range j.Times {
+	for time, o := range j.Occurrences {
 		for step := range o.Steps {
-			n.readStep(queue.StepKey{Job: j.ID, Time: time, Step: step}, o.Steps[step])
+			n.readStep(queue.StepKey{Job: j.ID, Occurrence: time, Step: step}, o.Steps[step])
 		}
 	}
 	n.readRuns()
@@ -129,7 +129,7 @@
 			continue
 		}
 		left := 0
-		for _, o := range j.Times {
+		for _, o := range j.Occurrences {
 			left += o.Left[i]
 		}
 		n.fillerWork = append(n.fillerWork, fillerWork{n.images[i], expectedWork(st, n.workMS[i], left)})
@@ -145,7 +145,7 @@
 			waiting++
 		}
 		for _, r := range t.Runs {
-			k := queue.TaskKey{Job: key.Job, Time: key.Time, Step: key.Step, Index: index}
+			k := queue.TaskKey{Job: key.Job, Occurrence: key.Occurrence, Step: key.Step, Index: index}
 			n.runs = append(n.runs, taskRun{k, t, r})
 		}
 	}
@@ -176,7 +176,7 @@
 // waitingStep notes when the turn of a step came: when it was handed in or falls due,
 // and the last task of the steps before it has ended.
 func (n *jobState) waitingStep(key queue.StepKey, tasks int) waitingStep {
-	o := n.job.Times[key.Time]
+	o := n.job.Occurrences[key.Occurrence]
 	st := n.job.Spec.Steps[key.Step]
 	w := waitingStep{StepKey: key, tasks: tasks, dependenciesDone: o.StepReady(st), readyAt: max(n.job.SubmittedAt, o.DueMS)}
 	for _, before := range st.DependsOn {
--- a/dispatch/last.go
+++ b/dispatch/last.go
@@ -26,6 +26,6 @@
 // done.
 func (n *jobState) isNearlyDone(key queue.StepKey) bool {
 	st := &n.job.Spec.Steps[key.Step]
-	left := n.job.Times[key.Time].Left[key.Step]
+	left := n.job.Occurrences[key.Occurrence].Left[key.Step]
 	return st.Filler && !st.Lasting && left < st.Count && float64(left) <= max(1, lastOfStepShare*float64(st.Count))
 }
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -29,14 +29,14 @@
 func (p *pass) classOf(n *jobState, key queue.StepKey) *taskClass {
 	st := &n.job.Spec.Steps[key.Step]
 	return &taskClass{
-		state: n, job: n.job, key: key, step: st, tasks: n.job.Times[key.Time].Steps[key.Step],
+		state: n, job: n.job, key: key, step: st, tasks: n.job.Occurrences[key.Occurrence].Steps[key.Step],
 		need: st.Need(), image: n.images[key.Step],
 		advised: n.row.Advice != nil, tickets: p.view.Tickets[key],
 	}
 }
 
 func (cl *taskClass) task(index int) queue.TaskKey {
-	return queue.TaskKey{Job: cl.key.Job, Time: cl.key.Time, Step: cl.key.Step, Index: index}
+	return queue.TaskKey{Job: cl.key.Job, Occurrence: cl.key.Occurrence, Step: cl.key.Step, Index: index}
 }
 
 // runsOn reports whether a run of a task is on a VM.
--- a/dispatch/rank.go
+++ b/dispatch/rank.go
@@ -71,7 +71,7 @@
 	if j.Spec.Repeat == nil {
 		return j.SubmittedAt
 	}
-	for _, o := range j.Times {
+	for _, o := range j.Occurrences {
 		if !o.Done() {
 			return max(j.SubmittedAt, o.DueMS)
 		}
@@ -90,7 +90,7 @@
 		st := &j.Spec.Steps[i]
 		list[i] = float64(st.ExpectedMS)
 		if w != nil {
-			list[i] = w(row.Name, queue.StepKey{Job: j.ID, Time: time, Step: i}, st)
+			list[i] = w(row.Name, queue.StepKey{Job: j.ID, Occurrence: time, Step: i}, st)
 		}
 	}
 	return list
@@ -109,21 +109,21 @@
 
 // openTime is the oldest time of a job that is not done, or the last one.
 func openOccurrence(j *queue.Job) int {
-	for i, o := range j.Times {
+	for i, o := range j.Occurrences {
 		if !o.Done() {
 			return i
 		}
 	}
-	return max(0, len(j.Times)-1)
+	return max(0, len(j.Occurrences)-1)
 }
 
 // leftMS is the expected length of the longest chain of steps that are not done,
 // of the oldest time of a job that is not done.
 func pathLeftMS(j *queue.Job, works []float64) int64 {
-	if len(j.Times) == 0 {
+	if len(j.Occurrences) == 0 {
 		return 0
 	}
-	o := j.Times[openOccurrence(j)]
+	o := j.Occurrences[openOccurrence(j)]
 	return int64(criticalPathMS(j.Spec, works, func(step int) bool { return o.Left[step] > 0 }))
 }
 
@@ -131,10 +131,10 @@
 // a job that is not done, in thousandths of a core times ms. A lasting job has none
 // that could be compared.
 func workLeft(j *queue.Job, works []float64) (work float64) {
-	if hasLastingStep(j) || len(j.Times) == 0 {
+	if hasLastingStep(j) || len(j.Occurrences) == 0 {
 		return 0
 	}
-	o := j.Times[openOccurrence(j)]
+	o := j.Occurrences[openOccurrence(j)]
 	for i := range j.Spec.Steps {
 		work += expectedWork(&j.Spec.Steps[i], works[i], o.Left[i])
 	}
--- a/dispatch/stops.go
+++ b/dispatch/stops.go
@@ -204,13 +204,13 @@
 		return list
 	}
 	list := []siblingRate{}
-	tasks := n.job.Times[key.Time].Steps[key.Step]
+	tasks := n.job.Occurrences[key.Occurrence].Steps[key.Step]
 	for i := range tasks {
 		if tasks[i].TookMS > 0 {
 			list = append(list, siblingRate{rate: 100 / float64(tasks[i].TookMS)})
 			continue
 		}
-		k := queue.TaskKey{Job: key.Job, Time: key.Time, Step: key.Step, Index: i}
+		k := queue.TaskKey{Job: key.Job, Occurrence: key.Occurrence, Step: key.Step, Index: i}
 		for _, r := range tasks[i].Runs {
 			run, seen := p.view.Runs[k.Run(r.Number)]
 			if rate, ok := p.rate(run); seen && ok {
--- a/executor.go
+++ b/executor.go
@@ -47,11 +47,11 @@
 
 // RunStatus is a run as its executor sees it.
 type RunStatus struct {
-	RunRef     `cbor:"1,keyasint"`
-	Checkpoint string `cbor:"2,keyasint,omitempty"`
-	Percent    int    `cbor:"3,keyasint,omitempty"` // of the work; of a lasting task 100 when it is at work
-	Load       int64  `cbor:"4,keyasint,omitempty"` // tail of a serving task's answers in ms, else thousandths of a core
-	Held       int    `cbor:"5,keyasint,omitempty"` // percent by which it is paced down, as last asked for
+	RunRef           `cbor:"1,keyasint"`
+	Checkpoint       string `cbor:"2,keyasint,omitempty"`
+	Percent          int    `cbor:"3,keyasint,omitempty"` // of the work; of a lasting task 100 when it is at work
+	Load             int64  `cbor:"4,keyasint,omitempty"` // tail of a serving task's answers in ms, else thousandths of a core
+	PacedDownPercent int    `cbor:"5,keyasint,omitempty"` // percent by which it is paced down, as last asked for
 }
 
 // EndedRun is the end of a run as its executor lists it, until it is told that
--- a/queue/apply.go
+++ b/queue/apply.go
@@ -106,7 +106,7 @@
 	if err := c.Spec.Check(); err != nil {
 		return Result{Code: Invalid, Text: err.Error()}
 	}
-	j := &Job{ID: id, Queue: q, Spec: c.Spec, Status: Queued, SubmittedAt: at, Times: occurrences(c.Spec)}
+	j := &Job{ID: id, Queue: q, Spec: c.Spec, Status: Queued, SubmittedAt: at, Occurrences: occurrences(c.Spec)}
 	s.jobs[id] = j
 	s.live[id] = j
 	return Result{Code: OK, Job: id, Queue: q.Name}
@@ -278,7 +278,7 @@
 	case st.Lasting:
 		// However it ended, it is started again.
 	case e.Outcome == OutcomeDone && st.Gang:
-		for i := range j.Times[e.Task.Time].Steps[e.Task.Step] {
+		for i := range j.Occurrences[e.Task.Occurrence].Steps[e.Task.Step] {
 			k := e.Task
 			k.Index = i
 			s.taskDone(j, k, at)
@@ -296,7 +296,7 @@
 		j.Task(k).Checkpoint = checkpoint
 		return
 	}
-	members := j.Times[k.Time].Steps[k.Step]
+	members := j.Occurrences[k.Occurrence].Steps[k.Step]
 	for i := range members {
 		members[i].Checkpoint = checkpoint
 	}
@@ -308,8 +308,8 @@
 		return
 	}
 	t.Done = true
-	j.Times[k.Time].Left[k.Step]--
-	for _, o := range j.Times {
+	j.Occurrences[k.Occurrence].Left[k.Step]--
+	for _, o := range j.Occurrences {
 		if !o.Done() {
 			return
 		}
--- a/queue/doubt.go
+++ b/queue/doubt.go
@@ -76,7 +76,7 @@
 }
 
 func (j *Job) clearDoubts() {
-	for _, o := range j.Times {
+	for _, o := range j.Occurrences {
 		for _, tasks := range o.Steps {
 			for i := range tasks {
 				tasks[i].Doubts, tasks[i].Silences = 0, 0
--- a/queue/image.go
+++ b/queue/image.go
@@ -55,7 +55,7 @@
 }
 
 func (s *State) restoreRuns(j *Job) {
-	for time, o := range j.Times {
+	for time, o := range j.Occurrences {
 		for step, tasks := range o.Steps {
 			for index := range tasks {
 				for _, r := range tasks[index].Runs {
--- a/queue/model.go
+++ b/queue/model.go
@@ -117,24 +117,24 @@
 
 // TaskKey names a task of a job. Time counts the repeats, from 0.
 type TaskKey struct {
-	Job   rudderfork.JobID `cbor:"1,keyasint"`
-	Time  int              `cbor:"2,keyasint,omitempty"`
-	Step  int              `cbor:"3,keyasint,omitempty"`
-	Index int              `cbor:"4,keyasint,omitempty"`
+	Job        rudderfork.JobID `cbor:"1,keyasint"`
+	Occurrence int              `cbor:"2,keyasint,omitempty"`
+	Step       int              `cbor:"3,keyasint,omitempty"`
+	Index      int              `cbor:"4,keyasint,omitempty"`
 }
 
 // String gives the key as job.time.step.index.
 func (k TaskKey) String() string {
-	return string(k.Job) + "." + strconv.Itoa(k.Time) + "." + strconv.Itoa(k.Step) + "." + strconv.Itoa(k.Index)
+	return string(k.Job) + "." + strconv.Itoa(k.Occurrence) + "." + strconv.Itoa(k.Step) + "." + strconv.Itoa(k.Index)
 }
 
 // Compare orders keys by job, time, step and index.
 func (k TaskKey) Compare(o TaskKey) int {
-	return cmp.Or(cmp.Compare(k.Job, o.Job), cmp.Compare(k.Time, o.Time), cmp.Compare(k.Step, o.Step), cmp.Compare(k.Index, o.Index))
+	return cmp.Or(cmp.Compare(k.Job, o.Job), cmp.Compare(k.Occurrence, o.Occurrence), cmp.Compare(k.Step, o.Step), cmp.Compare(k.Index, o.Index))
 }
 
 // StepKey returns the key of the task's step.
-func (k TaskKey) StepKey() StepKey { return StepKey{k.Job, k.Time, k.Step} }
+func (k TaskKey) StepKey() StepKey { return StepKey{k.Job, k.Occurrence, k.Step} }
 
 // Ref names a run of the task, as executors know it.
 func (k TaskKey) Ref(run uint32) rudderfork.RunRef {
@@ -162,7 +162,7 @@
 		return k, fmt.Errorf("task %q: want job.time.step.index", s)
 	}
 	k.Job = rudderfork.JobID(parts[0])
-	for i, p := range []*int{&k.Time, &k.Step, &k.Index} {
+	for i, p := range []*int{&k.Occurrence, &k.Step, &k.Index} {
 		if *p, err = strconv.Atoi(parts[i+1]); err != nil {
 			return k, fmt.Errorf("task %q: %w", s, err)
 		}
@@ -213,14 +213,14 @@
 
 // StepKey names a step of a job, of one time.
 type StepKey struct {
-	Job  rudderfork.JobID
-	Time int
-	Step int
+	Job        rudderfork.JobID
+	Occurrence int
+	Step       int
 }
 
 // String gives the key as job.time.step.
 func (k StepKey) String() string {
-	return string(k.Job) + "." + strconv.Itoa(k.Time) + "." + strconv.Itoa(k.Step)
+	return string(k.Job) + "." + strconv.Itoa(k.Occurrence) + "." + strconv.Itoa(k.Step)
 }
 
 // Task is one task with its active runs.
@@ -291,7 +291,7 @@
 	Status      Status           `cbor:"4,keyasint"`
 	SubmittedAt int64            `cbor:"5,keyasint"`           // leader's clock, Unix ms
 	EndedAt     int64            `cbor:"6,keyasint,omitempty"` // leader's clock, Unix ms
-	Times       []*Occurrence    `cbor:"7,keyasint"`
+	Occurrences []*Occurrence    `cbor:"7,keyasint"`
 	Begun       bool             `cbor:"8,keyasint,omitempty"` // an executor has begun some task
 	ActiveRuns  int              `cbor:"9,keyasint,omitempty"`
 	EndedClock  int64            `cbor:"10,keyasint,omitempty"` // Clock when it ended, ms
@@ -305,10 +305,10 @@
 
 // Task returns the task with the given key, or nil.
 func (j *Job) Task(k TaskKey) *Task {
-	if k.Time < 0 || k.Time >= len(j.Times) {
+	if k.Occurrence < 0 || k.Occurrence >= len(j.Occurrences) {
 		return nil
 	}
-	steps := j.Times[k.Time].Steps
+	steps := j.Occurrences[k.Occurrence].Steps
 	if k.Step < 0 || k.Step >= len(steps) || k.Index < 0 || k.Index >= len(steps[k.Step]) {
 		return nil
 	}
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -110,7 +110,7 @@
 	used := map[rudderfork.VMID]rudderfork.Resources{}
 	for _, j := range s.jobs {
 		active := 0
-		for time, o := range j.Times {
+		for time, o := range j.Occurrences {
 			for step, tasks := range o.Steps {
 				left := 0
 				for index, task := range tasks {
@@ -147,7 +147,7 @@
 		two := one
 		two.Count = 2
 		assert.Equal(t, w.submit("j1", two).Code, OK)
-		assert.Equal(t, len(w.s.Job("j1").Times[0].Steps[0]), 1)
+		assert.Equal(t, len(w.s.Job("j1").Occurrences[0].Steps[0]), 1)
 	})
 	t.Run("the longest prefix names the queue", func(t *testing.T) {
 		assert.Equal(t, w.submit("rosters/j2", one).Queue, "rosters")
@@ -398,12 +398,12 @@
 	assert.Equal(t, w.start(TaskKey{Job: "r"}, "vm1"), uint32(0))
 	w.n = 5000
 	assert.Equal(t, w.start(TaskKey{Job: "r"}, "vm1"), uint32(1))
-	assert.Equal(t, w.start(TaskKey{Job: "r", Time: 1}, "vm1"), uint32(0))
+	assert.Equal(t, w.start(TaskKey{Job: "r", Occurrence: 1}, "vm1"), uint32(0))
 	w.n = 6000
-	assert.Equal(t, w.start(TaskKey{Job: "r", Time: 1}, "vm1"), uint32(1))
+	assert.Equal(t, w.start(TaskKey{Job: "r", Occurrence: 1}, "vm1"), uint32(1))
 	w.end(TaskKey{Job: "r"}, "vm1", 1, OutcomeDone)
 	assert.Equal(t, w.status("r"), Running)
-	w.end(TaskKey{Job: "r", Time: 1}, "vm1", 1, OutcomeDone)
+	w.end(TaskKey{Job: "r", Occurrence: 1}, "vm1", 1, OutcomeDone)
 	assert.Equal(t, w.status("r"), Completed)
 }
 
@@ -464,7 +464,7 @@
 }
 
 func TestTaskKey(t *testing.T) {
-	k := TaskKey{Job: "5c0e7a21d94b36f8", Time: 3, Step: 1, Index: 17}
+	k := TaskKey{Job: "5c0e7a21d94b36f8", Occurrence: 3, Step: 1, Index: 17}
 	got, err := ParseTaskKey(k.String())
 	assert.NilError(t, err)
 	assert.Equal(t, got, k)
--- a/queue/state.go
+++ b/queue/state.go
@@ -95,7 +95,7 @@
 	if t == nil || t.Done || j.Status.Final() {
 		return false
 	}
-	o := j.Times[k.Time]
+	o := j.Occurrences[k.Occurrence]
 	return o.DueMS <= now && o.StepReady(j.Spec.Steps[k.Step])
 }
 
@@ -111,7 +111,7 @@
 // CountRuns counts the active runs of one step, of one time, on a VM.
 func (s *State) CountRuns(vm *VM, k TaskKey) (n int) {
 	for o := range vm.runs {
-		if o.Job == k.Job && o.Time == k.Time && o.Step == k.Step {
+		if o.Job == k.Job && o.Occurrence == k.Occurrence && o.Step == k.Step {
 			n++
 		}
 	}
--- a/queue/suspects.go
+++ b/queue/suspects.go
@@ -15,7 +15,7 @@
 // or may have, the most suspected first. It reads all live jobs.
 func (s *State) CrashedTasks() (list []CrashedTask) {
 	for _, j := range s.live {
-		for time, o := range j.Times {
+		for time, o := range j.Occurrences {
 			for step, tasks := range o.Steps {
 				for index := range tasks {
 					k := TaskKey{j.ID, time, step, index}
--- a/runner/beat.go
+++ b/runner/beat.go
@@ -39,12 +39,12 @@
 	if b.Crash = a.crashed; b.Unresponsive {
 		b.Crash = a.crash()
 	}
-	b.Measured, b.Worked, a.worked = a.worked != nil, a.worked, nil
+	b.Measured, b.FillerUsage, a.worked = a.worked != nil, a.worked, nil
 	if a.draining {
 		b.LeaveMS = max(0, a.leaveAt.Sub(now).Milliseconds())
 	}
 	for ref, row := range a.rows {
-		row.Held = fullPace - a.paceOf(ref)
+		row.PacedDownPercent = fullPace - a.paceOf(ref)
 		if a.told[ref] != row {
 			a.told[ref] = row
 			b.Rows = append(b.Rows, row)
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -184,7 +184,7 @@
 	switch {
 	case m.Grant != nil:
 		a.takePressures(m.Grant.Pressures)
-		a.takeLast(m.Grant.Last)
+		a.takeLast(m.Grant.LastOfStep)
 		if m.Grant.LeaseMS > 0 {
 			a.takeRegistered(m.Grant.Incarnation)
 			a.keeper.Grant(m.Grant.Incarnation, m.Grant.Epoch, leaseOf(m.Grant))
@@ -205,7 +205,7 @@
 // leaseOf is what a grant allows, by this process's clock.
 func leaseOf(g *wire.VMGrant) runs.Lease {
 	sent := time.Unix(0, g.Sent)
-	l := runs.Lease{Until: sent.Add(time.Duration(g.LeaseMS) * time.Millisecond), Closed: g.Closed}
+	l := runs.Lease{Until: sent.Add(time.Duration(g.LeaseMS) * time.Millisecond), Closed: g.Cordoned}
 	l.StartBy = l.Until
 	if g.StartMS != nil {
 		l.StartBy = sent.Add(time.Duration(*g.StartMS) * time.Millisecond)
--- a/runs/closed_test.go
+++ b/runs/closed_test.go
@@ -13,7 +13,7 @@
 
 // TestClosed holds what becomes of orders once control has nothing more started on the VM.
 func TestClosed(t *testing.T) {
-	closing := wire.Orders{Incarnation: "life-1", Epoch: 1, Closed: true}
+	closing := wire.Orders{Incarnation: "life-1", Epoch: 1, Cordoned: true}
 	t.Run("a start that was not called is refused", func(t *testing.T) {
 		k := ready(1)
 		k.ApplyOrders(closing)
@@ -63,7 +63,7 @@
 		k.Reset("life-1")
 		k.SetTerm(3)
 		k.SetClock(10_000, t0)
-		k.ApplyOrders(wire.Orders{Incarnation: "life-1", Epoch: 1, Full: true, Closed: true, Start: []wire.RunOrder{{RunRef: ref(1)}}})
+		k.ApplyOrders(wire.Orders{Incarnation: "life-1", Epoch: 1, Full: true, Cordoned: true, Start: []wire.RunOrder{{RunRef: ref(1)}}})
 		k.Grant("life-1", 1, Lease{Until: t0.Add(5 * time.Second), StartBy: t0.Add(5 * time.Second), Closed: true})
 		checkNothingDue(t, k, t0)
 		checkEnds(t, k.HandleStatus(listed(1), t0))
--- a/runs/model_test.go
+++ b/runs/model_test.go
@@ -442,7 +442,7 @@
 }
 
 func (v *vm) sendOrders(full bool) {
-	o := wire.Orders{Incarnation: v.s.state.VM(v.id).Incarnation, Epoch: v.epoch, Full: full, Closed: v.s.state.Evacuating(v.domain)}
+	o := wire.Orders{Incarnation: v.s.state.VM(v.id).Incarnation, Epoch: v.epoch, Full: full, Cordoned: v.s.state.Evacuating(v.domain)}
 	active := map[rudderfork.RunRef]bool{}
 	for k, run := range v.s.state.VM(v.id).Runs() {
 		ref := rudderfork.RunRef{Task: rudderfork.TaskID(k.String()), Run: run}
@@ -605,7 +605,7 @@
 	if j.Status != queue.Failed {
 		return false
 	}
-	for step, tasks := range j.Times[0].Steps {
+	for step, tasks := range j.Occurrences[0].Steps {
 		for i := range tasks {
 			k := queue.TaskKey{Job: j.ID, Step: step, Index: i}
 			if tasks[i].Crashes >= leastCrashes && s.crashed[rudderfork.TaskID(k.String())] >= leastCrashes {
--- a/runs/reconciler.go
+++ b/runs/reconciler.go
@@ -182,7 +182,7 @@
 	if o.Epoch != k.epoch {
 		return
 	}
-	k.closed = o.Closed
+	k.closed = o.Cordoned
 	for _, r := range o.Start {
 		if old := k.orders[r.Task]; old == nil || old.Run < r.Run {
 			// What a leader's first full list brings may have been sent by an agent
--- a/scheduler/calm_test.go
+++ b/scheduler/calm_test.go
@@ -202,7 +202,7 @@
 func (c *faultCluster) unfinishedProbe() (what string) {
 	c.sched.rep.View(func(st *state.State) {
 		if j := st.Queues().Job("probe"); j.Status != queue.Completed {
-			what = fmt.Sprintf("the probe is %s: %+v", j.Status, j.Times[0].Steps)
+			what = fmt.Sprintf("the probe is %s: %+v", j.Status, j.Occurrences[0].Steps)
 		}
 	})
 	return what
--- a/scheduler/evacuation_test.go
+++ b/scheduler/evacuation_test.go
@@ -103,11 +103,11 @@
 	s := newTestCluster(t, nil)
 	s.putDocument(nil)
 	p := s.connectAgent()
-	assert.Assert(t, !p.heartbeat("life-1").Closed)
+	assert.Assert(t, !p.heartbeat("life-1").Cordoned)
 	vm := heartbeatOf("life-1").VM
 	s.evacuate(vm.Domain, false, queue.OK)
-	assert.Assert(t, p.heartbeat("life-1").Closed)
-	assert.Assert(t, s.connectAgent().heartbeat("life-1").Closed)
+	assert.Assert(t, p.heartbeat("life-1").Cordoned)
+	assert.Assert(t, s.connectAgent().heartbeat("life-1").Cordoned)
 	s.evacuate(vm.Domain, true, queue.OK)
-	assert.Assert(t, !s.connectAgent().heartbeat("life-1").Closed)
+	assert.Assert(t, !s.connectAgent().heartbeat("life-1").Cordoned)
 }
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -185,7 +185,7 @@
 		r.progressedAt = now
 	}
 	switch {
-	case row.Held < pacedDownPercent:
+	case row.PacedDownPercent < pacedDownPercent:
 		r.pacedDownSince = time.Time{}
 	case r.pacedDownSince.IsZero():
 		r.pacedDownSince = now
@@ -196,7 +196,7 @@
 // view returns the run as dispatch reads it.
 func (r *runInfo) view() dispatch.RunView {
 	run := dispatch.RunView{
-		Percent: r.status.Percent, FirstPercent: r.firstPercent, FirstSeenAt: rudderfork.Millis(r.firstSeenAt), ProgressedAt: rudderfork.Millis(r.progressedAt), Load: r.status.Load, PacedDownPercent: r.status.Held, ForecastHeadroomChange: r.ahead,
+		Percent: r.status.Percent, FirstPercent: r.firstPercent, FirstSeenAt: rudderfork.Millis(r.firstSeenAt), ProgressedAt: rudderfork.Millis(r.progressedAt), Load: r.status.Load, PacedDownPercent: r.status.PacedDownPercent, ForecastHeadroomChange: r.ahead,
 	}
 	if !r.pacedDownSince.IsZero() {
 		run.PacedDownSince = rudderfork.Millis(r.pacedDownSince)
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -32,7 +32,7 @@
 	})
 	t.Run("upkeep counts a task that is being moved as away", func(t *testing.T) {
 		s := &Scheduler{fleet: newFleet()}
-		j := &queue.Job{ID: key.Job, Times: []*queue.Occurrence{{Steps: [][]queue.Task{{
+		j := &queue.Job{ID: key.Job, Occurrences: []*queue.Occurrence{{Steps: [][]queue.Task{{
 			{Runs: []queue.Run{{Number: 1, VM: "vm1"}}},
 		}}}}}
 		s.fleet.vm("vm1").runs[key] = &runInfo{status: rudderfork.RunStatus{RunRef: key.Ref(1), Percent: fullPercent}}
--- a/scheduler/last_test.go
+++ b/scheduler/last_test.go
@@ -22,12 +22,12 @@
 		p.heartbeat(newIncarnation)
 		return len(p.startOrders) == 2
 	})
-	assert.Equal(t, len(p.heartbeat(newIncarnation).Last), 0)
+	assert.Equal(t, len(p.heartbeat(newIncarnation).LastOfStep), 0)
 	p.reportDone("roster", 0)
-	s.waitUntil("the last one is told", func() bool { return len(p.heartbeat(newIncarnation).Last) == 1 })
-	assert.Equal(t, p.heartbeat(newIncarnation).Last[0], rudderfork.RunRef{Task: "roster.0.0.1", Run: 1})
+	s.waitUntil("the last one is told", func() bool { return len(p.heartbeat(newIncarnation).LastOfStep) == 1 })
+	assert.Equal(t, p.heartbeat(newIncarnation).LastOfStep[0], rudderfork.RunRef{Task: "roster.0.0.1", Run: 1})
 	p.reportDone("roster", 1)
-	s.waitUntil("there is none any more", func() bool { return len(p.heartbeat(newIncarnation).Last) == 0 })
+	s.waitUntil("there is none any more", func() bool { return len(p.heartbeat(newIncarnation).LastOfStep) == 0 })
 }
 
 // end reports a task's first run as done.
--- a/scheduler/late_test.go
+++ b/scheduler/late_test.go
@@ -115,7 +115,7 @@
 	p.cluster.t.Helper()
 	b := heartbeatOf(inc)
 	b.Draining = true
-	b.Rows = []rudderfork.RunStatus{{RunRef: rudderfork.RunRef{Task: "feed.0.0.0", Run: 1}, Load: 9999, Percent: 3, Held: 100}}
+	b.Rows = []rudderfork.RunStatus{{RunRef: rudderfork.RunRef{Task: "feed.0.0.0", Run: 1}, Load: 9999, Percent: 3, PacedDownPercent: 100}}
 	p.sendAndWait(wire.FromNode{Heartbeat: &b})
 }
 
--- a/scheduler/orders_test.go
+++ b/scheduler/orders_test.go
@@ -120,7 +120,7 @@
 		for _, end := range []bool{false, true} {
 			assert.Equal(t, qs.Apply(queue.Command{Evacuate: &queue.Evacuate{Domain: "north", End: end}}, 2).Code, queue.OK)
 			assert.Assert(t, ses.behind(qs))
-			assert.Equal(t, ses.newOrders(qs).Closed, !end)
+			assert.Equal(t, ses.newOrders(qs).Cordoned, !end)
 			assert.Assert(t, !ses.behind(qs))
 		}
 	})
--- a/scheduler/pressures.go
+++ b/scheduler/pressures.go
@@ -69,7 +69,7 @@
 		return
 	}
 	for _, f := range c.figures {
-		f.At, f.Shares = now, b.Worked
+		f.At, f.Shares = now, b.FillerUsage
 		p.model.Observe(f)
 	}
 }
--- a/scheduler/swings.go
+++ b/scheduler/swings.go
@@ -31,7 +31,7 @@
 			continue // not a run of ours
 		}
 		own := fig.Headroom
-		for image, share := range b.Worked {
+		for image, share := range b.FillerUsage {
 			pressure, _ := f.pressures.model.Of(fig.Image, image, now)
 			own += pressure * share
 		}
--- a/scheduler/upkeep.go
+++ b/scheduler/upkeep.go
@@ -243,9 +243,9 @@
 // given one. The caller holds mu.
 func (s *Scheduler) away(j *queue.Job, step queue.StepKey, but *queue.VM) (n int) {
 	now := rudderfork.Millis(steady.Now())
-	tasks := j.Times[step.Time].Steps[step.Step]
+	tasks := j.Occurrences[step.Occurrence].Steps[step.Step]
 	for i := range tasks {
-		k := queue.TaskKey{Job: step.Job, Time: step.Time, Step: step.Step, Index: i}
+		k := queue.TaskKey{Job: step.Job, Occurrence: step.Occurrence, Step: step.Step, Index: i}
 		if len(tasks[i].Runs) == 0 {
 			n++
 			continue
--- a/scheduler/views.go
+++ b/scheduler/views.go
@@ -120,10 +120,10 @@
 
 // taskViews returns the tasks of a job, with the reasons for what waits.
 func taskViews(j *queue.Job, now int64, e dispatch.Explanation) (views []TaskView) {
-	for time, o := range j.Times {
+	for time, o := range j.Occurrences {
 		for step, tasks := range o.Steps {
 			for index := range tasks {
-				k := queue.TaskKey{Job: j.ID, Time: time, Step: step, Index: index}
+				k := queue.TaskKey{Job: j.ID, Occurrence: time, Step: step, Index: index}
 				t := &tasks[index]
 				views = append(views, TaskView{k.String(), taskState(j, k, now, e), t.Failures, t.LastRun})
 			}
@@ -152,7 +152,7 @@
 // whyWaiting gives the reason, and of VMs that cannot take the task the reasons
 // with their number.
 func whyWaiting(j *queue.Job, k queue.TaskKey, now int64, e dispatch.Explanation) string {
-	o := j.Times[k.Time]
+	o := j.Occurrences[k.Occurrence]
 	switch {
 	case o.DueMS > now:
 		return fmt.Sprintf("it is due in %d ms", o.DueMS-now)
--- a/scheduler/vm.go
+++ b/scheduler/vm.go
@@ -19,7 +19,7 @@
 		defer ses.s.mu.Unlock()
 		before := ses.closed
 		o = ses.newOrders(st.Queues())
-		news = o.Full || o.Closed != before || len(o.Start)+len(o.Stop) > 0
+		news = o.Full || o.Cordoned != before || len(o.Start)+len(o.Stop) > 0
 	})
 	return o, news
 }
@@ -43,8 +43,8 @@
 	}
 	ses.fullListSent = true
 	ses.ordersVersion = versionOf(vm)
-	o.Closed = qs.Evacuating(vm.Domain)
-	ses.closed = o.Closed
+	o.Cordoned = qs.Evacuating(vm.Domain)
+	ses.closed = o.Cordoned
 	active := map[rudderfork.RunRef]bool{}
 	for k, run := range vm.Runs() {
 		ref := k.Ref(run)
@@ -150,7 +150,7 @@
 	if !s.leads(ses.term) {
 		return errNotLeading
 	}
-	grant := wire.VMGrant{Sent: b.Sent, Incarnation: b.VM.Incarnation, Epoch: ses.epoch, Closed: s.closed(b.VM.ID)}
+	grant := wire.VMGrant{Sent: b.Sent, Incarnation: b.VM.Incarnation, Epoch: ses.epoch, Cordoned: s.closed(b.VM.ID)}
 	s.mu.Lock()
 	v := s.fleet.vm(b.VM.ID)
 	if ses.superseded(v) {
@@ -162,7 +162,7 @@
 	s.fleet.recordHeartbeat(v, b, now)
 	if !b.Unresponsive && ses.epoch != 0 && ses.incarnation == b.VM.Incarnation {
 		for _, k := range s.fleet.last[b.VM.ID] {
-			grant.Last = append(grant.Last, k.Ref(k.Number))
+			grant.LastOfStep = append(grant.LastOfStep, k.Ref(k.Number))
 		}
 		left := v.lease.Grant(time.Unix(0, st.ContactNS), now, s.cfg.Lease)
 		starts := s.startsLeft(left).Milliseconds()
--- a/scheduler/worktimes.go
+++ b/scheduler/worktimes.go
@@ -17,7 +17,7 @@
 
 // worked is how long the run has worked at full speed since it was first heard of, ms.
 func (r *runInfo) worked(now time.Time) float64 {
-	speed := 1 - float64(r.status.Held)/fullPercent
+	speed := 1 - float64(r.status.PacedDownPercent)/fullPercent
 	return r.workedMS + speed*float64(max(0, now.Sub(r.reportedAt)))/float64(time.Millisecond)
 }
 
--- a/scheduler/worktimes_test.go
+++ b/scheduler/worktimes_test.go
@@ -17,7 +17,7 @@
 	done := queue.End{Task: key, Run: 1, Outcome: queue.OutcomeDone}
 	at := time.Unix(1000, 0)
 	tell := func(f *fleet, after time.Duration, percent, held int) {
-		f.recordHeartbeat(f.vm("vm1"), wire.VMHeartbeat{Rows: []rudderfork.RunStatus{{RunRef: key.Ref(1), Percent: percent, Held: held}}}, at.Add(after))
+		f.recordHeartbeat(f.vm("vm1"), wire.VMHeartbeat{Rows: []rudderfork.RunStatus{{RunRef: key.Ref(1), Percent: percent, PacedDownPercent: held}}}, at.Add(after))
 	}
 	t.Run("time at a part of its speed counts for that part, and what was done before it was seen is added", func(t *testing.T) {
 		f := newFleet()
--- a/wire/queue.go
+++ b/wire/queue.go
@@ -99,9 +99,9 @@
 
 	// Measured says that the rows' figures are newer than in the heartbeat before.
 	Measured bool `cbor:"8,keyasint,omitempty"`
-	// Worked is the shares of the VM's processors at which fillers worked while
+	// FillerUsage is the shares of the VM's processors at which fillers worked while
 	// those figures were taken, by image.
-	Worked map[string]float64 `cbor:"7,keyasint,omitempty"`
+	FillerUsage map[string]float64 `cbor:"7,keyasint,omitempty"`
 
 	// Crash is what is known of the executor's life while it does not answer, and of
 	// the life before until the present one is registered.
@@ -122,15 +122,15 @@
 
 	Pressures []PairPressure `cbor:"6,keyasint,omitempty"` // that are new or have changed
 
-	// Last is all the VM's runs that the other tasks of their steps wait for.
-	Last []rudderfork.RunRef `cbor:"7,keyasint,omitempty"`
+	// LastOfStep is all the VM's runs that the other tasks of their steps wait for.
+	LastOfStep []rudderfork.RunRef `cbor:"7,keyasint,omitempty"`
 
 	// StartMS is for how long from when the heartbeat was sent starts may be made: less than
 	// the lease, so that an order to start nothing more holds soon also for a VM that
 	// it does not reach; nil, by leaders of earlier releases, means as long as the lease.
 	// Closed is such an order.
-	StartMS *int64 `cbor:"8,keyasint,omitempty"`
-	Closed  bool   `cbor:"9,keyasint,omitempty"`
+	StartMS  *int64 `cbor:"8,keyasint,omitempty"`
+	Cordoned bool   `cbor:"9,keyasint,omitempty"`
 }
 
 // PairPressure is what fillers of one image take from the headroom of serving
@@ -167,7 +167,7 @@
 
 	Pressures []PairPressure `cbor:"7,keyasint,omitempty"` // that are new or have changed
 
-	Closed bool `cbor:"8,keyasint,omitempty"` // nothing more is to be started, as in VMGrant
+	Cordoned bool `cbor:"8,keyasint,omitempty"` // nothing more is to be started, as in VMGrant
 }
 
 // EndsReport tells of runs that have ended on a life of the VM. Seq is the
