--- a/scheduler/calm_test.go
+++ b/scheduler/calm_test.go
@@ -25,29 +25,29 @@
 const (
 	faultVMs        = 4
 	faultTasks      = 6   // of the lasting job
-	maxFaultCrashes = 1   // of executors in a schedule: with more, jobs are given up for them
-	faultEvents     = 80  // of a schedule
-	executorStartMS = 500 // when executors say that they began
-	// platformLease is the longest lease of the users' platform.
+	maxFaultCrashes = 1   // executor crashes in a schedule; more of them make jobs fail
+	faultEvents     = 80  // events of a schedule with an even seed; twice as many with an odd one
+	executorStartMS = 500 // start time of the first incarnations, Unix ms
+	// maxPlatformLease is the longest lease that the users' platform grants.
 	maxPlatformLease = 5 * time.Second
 )
 
 var (
 	faultSeeds            = flag.Uint64("calm.seeds", 4, "schedules of TestRunsNeverStartedAfterFaults")
-	faultFirstSeed        = flag.Uint64("calm.first", 0, "its first seed")
-	faultWrongIncarnation = flag.Bool("calm.misled", false, "have executors answer as another life once")
+	faultFirstSeed        = flag.Uint64("calm.first", 0, "first seed of TestRunsNeverStartedAfterFaults")
+	faultWrongIncarnation = flag.Bool("calm.misled", false, "have executors answer a poll as another incarnation once")
 )
 
-// calmSite is a site whose faults end.
+// faultCluster is a cluster with random faults that end.
 type faultCluster struct {
 	*testCluster
-	rng          *rand.Rand // of the schedule
+	rng          *rand.Rand // draws the schedule
 	store        *gatedStore
 	faultsActive atomic.Bool
 	vmList       []*faultVM
-	crashes      int
-	outageFactor int           // how long commits are held up, in about 0.7 s
-	gate         chan struct{} // what the store waits for; nil if it does not
+	crashes      int           // crash events so far
+	outageFactor int           // mean time for which commits are blocked, in units of about 0.7 s
+	gate         chan struct{} // what the store waits for; nil if it doesn't wait
 }
 
 const vmCPUMilli = 4000
@@ -71,9 +71,9 @@
 	for i := range faultVMs {
 		c.addFaultVM(fmt.Sprintf("vm%d", i+1), seed)
 	}
-	c.waitUntil("the document is taken", func() bool {
+	c.waitUntil("the document is accepted", func() bool {
 		code := c.ask(wire.QueueRequest{Put: faultDocument}).Code
-		return code == queue.OK || code == queue.Stale // an earlier try may have been carried out
+		return code == queue.OK || code == queue.Stale // an earlier attempt may have been carried out
 	})
 	size := rudderfork.Resources{CPUMilli: 500}
 	c.submit("feed", "", queue.Step{Count: faultTasks, Size: size, Lasting: true})
@@ -96,14 +96,14 @@
 	go v.describeExecutor()
 }
 
-// event makes one fault.
+// injectFault injects one random fault, or none.
 func (c *faultCluster) injectFault() {
 	v := c.vmList[c.rng.IntN(len(c.vmList))]
 	switch c.rng.IntN(28) {
 	case 0, 1:
 		v.startAgent()
 	case 2, 3:
-		v.link.Lead(c.addr) // closes what is open
+		v.link.Lead(c.addr) // closes open connections
 	case 4:
 		v.link.Silence(faultlink.Forth)
 	case 5:
@@ -125,7 +125,7 @@
 			c.releaseCommits()
 		}
 	case 13:
-		c.sched.endTerm() // the next round begins anew, as another leader does
+		c.sched.endTerm() // the next round starts a term, as a new leader does
 	case 14:
 		c.crashExecutor(v)
 	case 15, 16:
@@ -137,7 +137,7 @@
 	}
 }
 
-// letGo lets the store save again.
+// releaseCommits lets the store save again.
 func (c *faultCluster) releaseCommits() {
 	if c.gate != nil {
 		c.store.gate.Store(nil)
@@ -146,7 +146,7 @@
 	}
 }
 
-// crashes has an executor crash, and come back under its id or another.
+// crashExecutor restarts an executor in a new incarnation, under the same id or another.
 func (c *faultCluster) crashExecutor(v *faultVM) {
 	if c.crashes++; c.crashes > maxFaultCrashes {
 		return
@@ -158,7 +158,7 @@
 	v.exec.Restart(v.nextIncarnation())
 }
 
-// calm ends all faults.
+// endFaults ends all faults.
 func (c *faultCluster) endFaults() {
 	c.faultsActive.Store(false)
 	c.releaseCommits()
@@ -168,8 +168,8 @@
 	}
 }
 
-// idle returns an active run of the lasting job that is not at work, or a task of it
-// without one.
+// stalledTask describes a task of the lasting job without a run, or an active run that its
+// executor does not run. It returns "" if there is none.
 func (c *faultCluster) stalledTask() (what string) {
 	working := map[rudderfork.RunRef]string{}
 	for _, v := range c.vmList {
@@ -180,7 +180,7 @@
 	c.sched.rep.View(func(st *state.State) {
 		j := st.Queues().Job("feed")
 		if j.Status != queue.Running {
-			return // it was given up, or has not begun
+			return // the job has failed, or has not started
 		}
 		for i := range faultTasks {
 			k := queue.TaskKey{Job: "feed", Index: i}
@@ -190,7 +190,7 @@
 			}
 			for _, r := range list {
 				if on := working[k.Ref(r.Number)]; on != string(r.VM) {
-					what = fmt.Sprintf("%v run %d is active on %s and at work on %q", k, r.Number, r.VM, on)
+					what = fmt.Sprintf("%v run %d is active on %s but runs on %q", k, r.Number, r.VM, on)
 				}
 			}
 		}
@@ -198,7 +198,7 @@
 	return what
 }
 
-// unprobed returns what is left of the probe, by VM.
+// unfinishedProbe describes the probe job while it is not completed. It returns "" once it is.
 func (c *faultCluster) unfinishedProbe() (what string) {
 	c.sched.rep.View(func(st *state.State) {
 		if j := st.Queues().Job("probe"); j.Status != queue.Completed {
@@ -208,7 +208,7 @@
 	return what
 }
 
-// usable returns what the leader knows of the VMs.
+// vmStates describes what the leader knows about each VM.
 func (c *faultCluster) vmStates() (list []string) {
 	now := steady.Now()
 	c.sched.rep.View(func(st *state.State) {
@@ -216,33 +216,34 @@
 		defer c.sched.mu.Unlock()
 		for _, v := range c.vmList {
 			info, vm := c.sched.fleet.vm(rudderfork.VMID(v.name)), st.Queues().VM(rudderfork.VMID(v.name))
-			list = append(list, fmt.Sprintf("%s usable %v mute %v beat %v ago, lease %v, session %v, state %+v, agent %q, executor %q",
+			list = append(list, fmt.Sprintf("%s: usable %v, unresponsive %v, heartbeat %v ago, leased %v, session %v, state %+v, agent %q, executor %q",
 				v.name, info.usable(now), info.heartbeat.Unresponsive, now.Sub(info.heartbeatAt), info.lease.Leased(now), info.session != nil, vm, v.agent.Incarnation(), v.exec.Life()))
 		}
 	})
 	return list
 }
 
-// untilNot waits until a complaint is withdrawn.
-func (c *faultCluster) waitUntilEmpty(complaint func() string) {
+// waitUntilEmpty waits until problem returns "", and logs what it returns every second.
+func (c *faultCluster) waitUntilEmpty(problem func() string) {
 	c.t.Helper()
-	limit, told := time.Now().Add(waitTimeout), time.Now()
+	limit, loggedAt := time.Now().Add(waitTimeout), time.Now()
 	for {
-		why := complaint()
+		why := problem()
 		switch {
 		case why == "":
 			return
 		case time.Now().After(limit):
 			c.t.Fatal(why, c.vmStates())
-		case time.Since(told) > time.Second:
-			told = time.Now()
+		case time.Since(loggedAt) > time.Second:
+			loggedAt = time.Now()
 			c.t.Log(why, c.vmStates())
 		}
 		steady.Pause(c.ctx, 20*time.Millisecond)
 	}
 }
 
-// TestRunsNeverStartedAfterFaults guards against runs that the leader holds for active and no executor begins.
+// TestRunsNeverStartedAfterFaults guards against runs that stay active for the leader while no
+// executor runs them, after random faults of executors, agents, connections and commits.
 func TestRunsNeverStartedAfterFaults(t *testing.T) {
 	for i := range *faultSeeds {
 		seed := *faultFirstSeed + i
@@ -255,15 +256,15 @@
 				steady.Pause(c.ctx, time.Duration(c.rng.IntN(100))*time.Millisecond)
 			}
 			c.endFaults()
-			began := steady.Now()
+			start := steady.Now()
 			c.waitUntilEmpty(c.stalledTask)
 			c.sched.rep.View(func(st *state.State) {
-				t.Logf("settled after %v, the job is %s", steady.Now().Sub(began), st.Queues().Job("feed").Status)
+				t.Logf("settled after %v, the job is %s", steady.Now().Sub(start), st.Queues().Job("feed").Status)
 			})
 			c.submit("probe", "work=1ms", queue.Step{Count: faultVMs, MaxPerVM: 1, Size: rudderfork.Resources{CPUMilli: 100}})
-			began = steady.Now()
+			start = steady.Now()
 			c.waitUntilEmpty(c.unfinishedProbe)
-			t.Logf("probed after %v", steady.Now().Sub(began))
+			t.Logf("probe completed after %v", steady.Now().Sub(start))
 		})
 	}
 }
--- a/scheduler/calm_vm_test.go
+++ b/scheduler/calm_vm_test.go
@@ -18,18 +18,18 @@
 	"rudderfork.example/rudderfork/standin/executor"
 )
 
-// calmVM is a VM with its agent, and the links between them.
+// faultVM is a VM with its agent, and the faulty link from the agent to the leader.
 type faultVM struct {
 	cluster      *faultCluster
 	name         string
 	incarnations int
 	exec         *executor.Executor
 	link         *faultlink.Proxy
-	cpuMilli     atomic.Int64 // thousandths of a core
+	cpuMilli     atomic.Int64 // capacity, in thousandths of a core
 
 	mu           sync.Mutex
-	rng          *rand.Rand // of the executor's answers
-	wrongAnswers int        // looks to be answered as by another life
+	rng          *rand.Rand // draws the executor's answers
+	wrongAnswers int        // polls to be answered as by another incarnation
 	agent        *runner.Agent
 	stop         func()
 }
@@ -39,14 +39,15 @@
 	return rudderfork.IncarnationName(fmt.Sprintf("%s-life-%d", v.name, v.incarnations), executorStartMS)
 }
 
-// draw returns a time below a limit.
+// randomDuration returns a random duration below limit.
 func (v *faultVM) randomDuration(limit time.Duration) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return time.Duration(v.rng.Int64N(int64(limit)))
 }
 
-// fate leaves one call of eight unanswered, in each of the ways there are.
+// drawFate leaves one call in eight unanswered while faults are active: not carried out, carried
+// out, or carried out late.
 func (v *faultVM) drawFate(string) executor.Fate {
 	if !v.cluster.faultsActive.Load() {
 		return executor.Answered
@@ -62,7 +63,7 @@
 	return executor.Answered
 }
 
-// startAgent replaces the VM's agent.
+// startAgent starts the VM's agent, after stopping the previous one.
 func (v *faultVM) startAgent() {
 	if v.stop != nil {
 		v.stop()
@@ -78,19 +79,20 @@
 	v.agent, v.stop = a, func() { cancel(); wg.Wait() }
 }
 
-// describe tells the agent of the executor.
+// describeExecutor describes the executor to the agent every 50 ms.
 func (v *faultVM) describeExecutor() {
 	for v.cluster.ctx.Err() == nil {
 		v.mu.Lock()
 		a := v.agent
 		v.mu.Unlock()
-		room := rudderfork.Resources{CPUMilli: v.cpuMilli.Load(), MemoryMB: 1000}
-		a.HandleDescription(queue.VM{ID: rudderfork.VMID(v.name), Domain: domainOf(v.name), Incarnation: v.exec.Life(), Service: "desk", Capacity: room}, false, 0)
+		capacity := rudderfork.Resources{CPUMilli: v.cpuMilli.Load(), MemoryMB: 1000}
+		a.HandleDescription(queue.VM{ID: rudderfork.VMID(v.name), Domain: domainOf(v.name), Incarnation: v.exec.Life(), Service: "desk", Capacity: capacity}, false, 0)
 		steady.Pause(v.cluster.ctx, 50*time.Millisecond)
 	}
 }
 
-// isMisled reports whether a look is answered as by another life.
+// takeWrongAnswer reports whether a poll is to be answered as by another incarnation, and counts
+// that answer.
 func (v *faultVM) takeWrongAnswer() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -99,31 +101,31 @@
 }
 
 // Poll implements rudderfork.Executor.
-func (v *faultVM) Poll(ctx context.Context, life string, req rudderfork.PollRequest) (rudderfork.ExecutorStatus, error) {
+func (v *faultVM) Poll(ctx context.Context, inc string, req rudderfork.PollRequest) (rudderfork.ExecutorStatus, error) {
 	if v.takeWrongAnswer() {
 		return rudderfork.ExecutorStatus{}, rudderfork.ErrStaleIncarnation
 	}
-	look, err := v.exec.Poll(ctx, life, req)
+	status, err := v.exec.Poll(ctx, inc, req)
 	if v.cluster.faultsActive.Load() && v.randomDuration(10) == 0 {
-		look.Partial, look.Running = true, look.Running[:len(look.Running)/2]
+		status.Partial, status.Running = true, status.Running[:len(status.Running)/2]
 	}
-	return look, err
+	return status, err
 }
 
 // Start implements rudderfork.Executor.
-func (v *faultVM) Start(ctx context.Context, life string, s rudderfork.RunStart) (rudderfork.StartOutcome, error) {
+func (v *faultVM) Start(ctx context.Context, inc string, s rudderfork.RunStart) (rudderfork.StartOutcome, error) {
 	if v.cluster.faultsActive.Load() && v.randomDuration(16) == 0 {
 		return rudderfork.StartBusy, nil
 	}
-	return v.exec.Start(ctx, life, s)
+	return v.exec.Start(ctx, inc, s)
 }
 
 // Stop implements rudderfork.Executor.
-func (v *faultVM) Stop(ctx context.Context, life string, r rudderfork.RunRef, fence uint64) error {
-	return v.exec.Stop(ctx, life, r, fence)
+func (v *faultVM) Stop(ctx context.Context, inc string, r rudderfork.RunRef, fence uint64) error {
+	return v.exec.Stop(ctx, inc, r, fence)
 }
 
 // Pace implements rudderfork.Executor.
-func (v *faultVM) Pace(ctx context.Context, life string, r rudderfork.RunRef, percent int, fence uint64) error {
-	return v.exec.Pace(ctx, life, r, percent, fence)
+func (v *faultVM) Pace(ctx context.Context, inc string, r rudderfork.RunRef, percent int, fence uint64) error {
+	return v.exec.Pace(ctx, inc, r, percent, fence)
 }
--- a/scheduler/crash_test.go
+++ b/scheduler/crash_test.go
@@ -15,11 +15,11 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// crashers are VMs whose executors crash as soon as they have started a task of a job
-// whose name begins with "bad".
+// crashingVMs are VMs whose executors crash when they start a task of a job whose name begins with
+// "bad".
 type crashingVMs struct {
 	mu           sync.Mutex
-	starts       map[rudderfork.TaskID]int
+	starts       map[rudderfork.TaskID]int // of tasks that crash their executor
 	incarnations int
 }
 
@@ -67,7 +67,7 @@
 	return fmt.Sprintf("life-after-crash-%d", c.incarnations)
 }
 
-// checkStarts holds that no task was started more often than it may.
+// assertStartsAtMost checks that no crashing task was started more than most times.
 func (c *crashingVMs) assertStartsAtMost(t *testing.T, most int) {
 	t.Helper()
 	c.mu.Lock()
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestCrashingTasksFailOtherJobs hands in jobs that crash every executor that starts them, among
-// others, to a fleet of agents and a leader: the former are given up, the others done.
+// TestCrashingTasksFailOtherJobs guards against jobs that fail because other jobs crash every
+// executor that starts them. Those jobs fail after MostCrashes starts at most.
 func TestCrashingTasksFailOtherJobs(t *testing.T) {
 	s := newTestCluster(t, nil)
 	s.putDocument(nil)
@@ -104,7 +104,7 @@
 	return n
 }
 
-// TestOperatorsSeeAndClearSuspects reads the suspects as operators do, and clears one.
+// TestOperatorsSeeAndClearSuspects lists the suspects as operators see them, and clears one.
 func TestOperatorsSeeAndClearSuspects(t *testing.T) {
 	s := newTestCluster(t, nil)
 	s.putDocument(nil)
@@ -112,7 +112,7 @@
 	lasting := smallStep
 	lasting.Lasting = true
 	s.submit("feed", "", lasting)
-	s.waitUntil("it runs", func() bool { return len(e.Running()) == 1 })
+	s.waitUntil("the lasting task runs", func() bool { return len(e.Running()) == 1 })
 	e.Restart("life-2")
 	crashed := func() (n int) {
 		s.sched.rep.View(func(st *state.State) { n = len(suspectViews(st.Queues())) })
--- a/scheduler/refusal_test.go
+++ b/scheduler/refusal_test.go
@@ -18,10 +18,11 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// refusedRun is one that its agent has reported as refused.
+// refusedRun is the run that its agent has reported as refused.
 var refusedRun = rudderfork.RunRef{Task: "job.0.0.0", Run: 1}
 
-// newRefusal is a site whose only VM has a run that its agent refuses; commits are held.
+// newRefusedRun returns a cluster whose only VM has reported refusedRun as refused. The commit of
+// that report is proposed, but blocked until release is called.
 func newRefusedRun(t *testing.T) (h *gatedCluster, c *wire.Conn[wire.FromNode, wire.ToQueueNode], vm queue.VM, release func()) {
 	h = newGatedCluster(t, Settings{Lease: time.Hour})
 	vm = onlyVM
@@ -43,7 +44,7 @@
 	return h, c, vm, release
 }
 
-// nextFull returns the next full list of orders.
+// nextFullOrders returns the next full list of orders, or nil if the session ends before it.
 func (h *gatedCluster) nextFullOrders(c *wire.Conn[wire.FromNode, wire.ToQueueNode]) *wire.Orders {
 	for {
 		m, err := c.ReceiveWithin(h.ctx, waitTimeout)
@@ -69,14 +70,14 @@
 	return n
 }
 
-// beatWithout sends heartbeats of an agent that has no list of orders.
+// sendHeartbeatWithoutOrders sends a heartbeat of an agent that has no list of orders.
 func (h *gatedCluster) sendHeartbeatWithoutOrders(c *wire.Conn[wire.FromNode, wire.ToQueueNode], vm queue.VM, sent int64) {
 	h.t.Helper()
 	assert.NilError(h.t, c.Send(h.ctx, wire.FromNode{Heartbeat: &wire.VMHeartbeat{Sent: sent, VM: vm, Epoch: new(uint64)}}))
 }
 
-// fullList returns the next full list of orders. Commits go on once it is there, or has
-// not come for a while.
+// awaitFullOrders returns the next full list of orders. It unblocks commits when the list has
+// arrived, or has not for fullSpan.
 func (h *gatedCluster) awaitFullOrders(c *wire.Conn[wire.FromNode, wire.ToQueueNode], release func()) *wire.Orders {
 	h.t.Helper()
 	lists := make(chan *wire.Orders, 1)
@@ -93,16 +94,17 @@
 
 func (h *gatedCluster) assertNotOrdered(o *wire.Orders) {
 	h.t.Helper()
-	assert.Assert(h.t, o != nil, "no list came")
+	assert.Assert(h.t, o != nil, "no full list of orders arrived")
 	for _, r := range o.Start {
-		assert.Assert(h.t, r.RunRef != refusedRun, "it is ordered to start though it is reported as refused")
+		assert.Assert(h.t, r.RunRef != refusedRun, "the list orders a run to start that was reported as refused")
 	}
 }
 
-// TestFullListOrdersRefusedRun guards against a run that an agent without its orders starts
-// while the refusal that it has reported is on its way, and that starts elsewhere then.
+// TestFullListOrdersRefusedRun guards against a full list that is sent before a reported refusal is
+// committed. The agent, which has lost its orders, would start the run, and the leader would
+// start the task elsewhere as well.
 func TestFullListOrdersRefusedRun(t *testing.T) {
-	t.Run("in the next session, which reports it again", func(t *testing.T) {
+	t.Run("in the next session, which reports the refusal again", func(t *testing.T) {
 		h, c, vm, release := newRefusedRun(t)
 		c.Close()
 		c = h.openSession(string(vm.ID))
@@ -110,7 +112,7 @@
 		h.sendHeartbeatWithoutOrders(c, vm, 2)
 		h.assertNotOrdered(h.awaitFullOrders(c, release))
 	})
-	t.Run("in the next session, of an agent that has started again", func(t *testing.T) {
+	t.Run("in the next session, of an agent that was restarted", func(t *testing.T) {
 		h, c, vm, release := newRefusedRun(t)
 		c.Close()
 		c = h.openSession(string(vm.ID))
@@ -120,34 +122,35 @@
 	t.Run("in the same session", func(t *testing.T) {
 		h, c, vm, release := newRefusedRun(t)
 		h.sched.mu.Lock()
-		h.sched.fleet.vm(vm.ID).session.fullListDeadline = time.Time{} // its first list is long past
+		h.sched.fleet.vm(vm.ID).session.fullListDeadline = time.Time{} // as if the first list was sent long ago
 		h.sched.mu.Unlock()
 		h.sendHeartbeatWithoutOrders(c, vm, 2)
 		h.assertNotOrdered(h.awaitFullOrders(c, release))
 	})
 }
 
-// fullExecutor has no room for a start once, and does not hear of stops.
+// noRoomExecutor answers starts with StartNoRoom while refusesStart returns true, and receives no
+// stops.
 type noRoomExecutor struct {
 	*executor.Executor
 	refusesStart func() bool
 }
 
 // Start implements rudderfork.Executor.
-func (e *noRoomExecutor) Start(ctx context.Context, life string, s rudderfork.RunStart) (out rudderfork.StartOutcome, err error) {
+func (e *noRoomExecutor) Start(ctx context.Context, inc string, s rudderfork.RunStart) (out rudderfork.StartOutcome, err error) {
 	if e.refusesStart() {
 		return rudderfork.StartNoRoom, nil
 	}
-	return e.Executor.Start(ctx, life, s)
+	return e.Executor.Start(ctx, inc, s)
 }
 
-// Stop implements rudderfork.Executor. The call is lost on its way.
+// Stop implements rudderfork.Executor. The call is lost.
 func (e *noRoomExecutor) Stop(context.Context, string, rudderfork.RunRef, uint64) error {
 	return context.DeadlineExceeded
 }
 
-// serveAgent runs an agent of a VM until it is ended.
-func (h *gatedCluster) runAgent(name string, e *noRoomExecutor) (end func()) {
+// runAgent runs an agent of a VM until stop is called or the test ends.
+func (h *gatedCluster) runAgent(name string, e *noRoomExecutor) (stop func()) {
 	ctx, cancel := context.WithCancel(h.ctx)
 	var wg sync.WaitGroup
 	a := runner.New(name, h.seeds, e, zerolog.Nop())
@@ -160,22 +163,22 @@
 			steady.Pause(ctx, 50*time.Millisecond)
 		}
 	})
-	end = func() { cancel(); wg.Wait() }
-	h.t.Cleanup(end)
-	return end
+	stop = func() { cancel(); wg.Wait() }
+	h.t.Cleanup(stop)
+	return stop
 }
 
-// twoPlaces are two VMs, the first of which to be told to start something refuses it, while
-// commits are held from then on.
+// twoVMCluster is a cluster of two VMs. The first VM that is ordered to start a run refuses it;
+// commits are blocked from then on until release is called.
 type twoVMCluster struct {
 	*gatedCluster
 	executors     map[string]*noRoomExecutor
-	stopAgent     map[string]func() // ends an agent
+	stopAgent     map[string]func()
 	mu            sync.Mutex
-	refuser       string
-	lastAtRefusal uint64 // entry when it refused
+	refuser       string // VM that refused a run
+	lastAtRefusal uint64 // index of the last log entry when it did
 	release       func()
-	ranTwice      bool // a start found the task at work on the other VM
+	ranTwice      bool // the task was running on one VM when it started on the other
 }
 
 func newTwoVMCluster(t *testing.T) *twoVMCluster {
@@ -224,7 +227,7 @@
 	}
 }
 
-// atWork reports whether a run is at work somewhere.
+// isRunning reports whether an executor runs a run of the given number.
 func (s *twoVMCluster) isRunning(run uint32) bool {
 	for _, e := range s.executors {
 		if list := e.Running(); len(list) > 0 && list[0].Run == run {
@@ -234,8 +237,8 @@
 	return false
 }
 
-// TestRefusedRunRunsTwice guards against a task that is at work in two places after an
-// agent that had reported a refusal has started again.
+// TestRefusedRunRunsTwice guards against a task that runs on two VMs after an agent was restarted
+// whose report of a refusal was not committed yet.
 func TestRefusedRunRunsTwice(t *testing.T) {
 	s := newTwoVMCluster(t)
 	s.commit(queue.Command{Submit: &queue.Submit{Host: testHost, Path: "/q/job", Spec: queue.Spec{Steps: []queue.Step{{Count: 1, Size: smallStep.Size, Lasting: true}}}}})
@@ -251,13 +254,13 @@
 		steady.Pause(s.ctx, 10*time.Millisecond)
 	}
 	s.release()
-	s.waitUntil("it is at work by its second run", func() bool {
+	s.waitUntil("the second run is running", func() bool {
 		s.sched.round(s.ctx)
 		return s.isRunning(refusedRun.Run + 1)
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	assert.Assert(t, !s.ranTwice, "its first run was at work when the second began")
+	assert.Assert(t, !s.ranTwice, "the first run was still running when the second started")
 }
 
 func (h *gatedCluster) isLive(id rudderfork.VMID) (ok bool) {
