--- a/runner/runner.go
+++ b/runner/runner.go
@@ -205,7 +205,7 @@
 // leaseOf is what a grant allows, by this process's clock.
 func leaseOf(g *wire.VMGrant) runs.Lease {
 	sent := time.Unix(0, g.Sent)
-	l := runs.Lease{Until: sent.Add(time.Duration(g.LeaseMS) * time.Millisecond), Closed: g.Cordoned}
+	l := runs.Lease{Until: sent.Add(time.Duration(g.LeaseMS) * time.Millisecond), Cordoned: g.Cordoned}
 	l.StartBy = l.Until
 	if g.StartMS != nil {
 		l.StartBy = sent.Add(time.Duration(*g.StartMS) * time.Millisecond)
--- a/runs/grant.go
+++ b/runs/grant.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Lease is what control grants to a VM.
+// Lease is what the leader grants to a VM.
 type Lease struct {
-	Until time.Time // what runs there may run
-	// StartBy is until when starts may be called: earlier than Until, so that an order
-	// to start nothing more holds soon also for a VM that does not hear of it.
-	StartBy time.Time
-	Closed  bool // such an order holds
+	Until time.Time // runs may be at work until then
+	// StartBy is the deadline for sending starts. It is earlier than Until, so that a VM
+	// that cannot receive the order to start nothing more soon starts nothing either.
+	StartBy  time.Time
+	Cordoned bool // the leader allows no new starts on the VM
 }
 
-// Grant takes a lease. It counts only for the life of the executor that it was given
-// to, and for the epoch whose orders are here.
-func (k *Reconciler) Grant(life string, epoch uint64, l Lease) {
-	if k.outranked() || life != k.life || !k.synced || epoch != k.epoch {
+// Grant takes a lease. It is ignored unless it is for the present incarnation of the
+// executor and for the epoch whose full list of orders was received.
+func (r *Reconciler) Grant(incarnation string, epoch uint64, l Lease) {
+	if r.leaderStale() || incarnation != r.incarnation || !r.synced || epoch != r.epoch {
 		return
 	}
-	k.closed = l.Closed
-	if l.Until.After(k.grant) {
-		k.grant = l.Until
+	r.cordoned = l.Cordoned
+	if l.Until.After(r.leaseEnd) {
+		r.leaseEnd = l.Until
 	}
-	if l.StartBy.After(k.startBy) {
-		k.startBy = l.StartBy
+	if l.StartBy.After(r.startBy) {
+		r.startBy = l.StartBy
 	}
 }
--- a/runs/model_test.go
+++ b/runs/model_test.go
@@ -423,7 +423,7 @@
 	}
 	if left := g.Grant(s.contact, s.now, s.lease); left > 0 {
 		epoch := known.Epoch
-		lease := runs.Lease{Until: sent.Add(left), StartBy: sent.Add(left - s.lease + startSpan), Closed: s.state.Evacuating(v.domain)}
+		lease := runs.Lease{Until: sent.Add(left), StartBy: sent.Add(left - s.lease + startSpan), Cordoned: s.state.Evacuating(v.domain)}
 		v.post(&v.toAgent, func() { v.keeper.Grant(desc.Incarnation, epoch, lease) })
 	}
 }
--- a/runs/overdue.go
+++ b/runs/overdue.go
@@ -8,42 +8,42 @@
 	"rudderfork.example/rudderfork"
 )
 
-// overdueAfter is how long a start may be due before it counts as overdue: a call, its
-// repetition and their timeouts.
+// overdueAfter is how long a start may be due before it counts as overdue: the time of a
+// call, one retry and their timeouts.
 const overdueAfter = 1500 * time.Millisecond
 
-// unanswered stands for the answer to a call that brought none.
+// unanswered stands for the answer to a call that got none.
 const unanswered = "unanswered"
 
-// OverdueStart is a start that has been due for long and is not confirmed.
+// OverdueStart is a start that has been due for overdueAfter and is not confirmed.
 type OverdueStart struct {
 	rudderfork.RunRef
-	Since  time.Time
-	Reason string // what it waits for
+	Since  time.Time // when it became due
+	Reason string    // what it waits for
 }
 
-// OverdueStarts returns the starts that have become overdue, each once.
-func (k *Reconciler) OverdueStarts(now time.Time) (list []OverdueStart) {
-	for _, id := range slices.Sorted(maps.Keys(k.orders)) {
-		o := k.orders[id]
-		if o.overdue || o.stop || o.ended || !o.confirmed.IsZero() || o.dueAt.IsZero() || now.Sub(o.dueAt) < overdueAfter {
+// OverdueStarts returns the starts that have become overdue. It returns each once.
+func (r *Reconciler) OverdueStarts(now time.Time) (list []OverdueStart) {
+	for _, id := range slices.Sorted(maps.Keys(r.orders)) {
+		o := r.orders[id]
+		if o.overdueReported || o.stop || o.endReported || !o.confirmedAt.IsZero() || o.dueAt.IsZero() || now.Sub(o.dueAt) < overdueAfter {
 			continue
 		}
-		o.overdue = true
-		list = append(list, OverdueStart{o.RunRef, o.dueAt, k.obstacle(o, now)})
+		o.overdueReported = true
+		list = append(list, OverdueStart{o.RunRef, o.dueAt, r.waitReason(o, now)})
 	}
 	return list
 }
 
-// obstacle says what keeps a start from being confirmed.
-func (k *Reconciler) obstacle(o *order, now time.Time) string {
-	switch _, obstacle := k.startUntil(now); {
-	case obstacle != "":
-		return obstacle
-	case !o.roomBy.IsZero():
+// waitReason returns why a start is not confirmed yet.
+func (r *Reconciler) waitReason(o *order, now time.Time) string {
+	switch _, blocker := r.startLease(now); {
+	case blocker != "":
+		return blocker
+	case !o.capacityDeadline.IsZero():
 		return "no room"
-	case o.answer == "":
+	case o.lastAnswer == "":
 		return "not called"
 	}
-	return o.answer
+	return o.lastAnswer
 }
--- a/runs/reconciler.go
+++ b/runs/reconciler.go
@@ -1,15 +1,15 @@
-// Package runs keeps the runs of one VM as control wants them.
+// Package runs makes the runs on one VM match the leader's orders.
 //
-// A Keeper is the part of a VM's agent that decides. It takes what control
-// orders and grants, and what the VM's executor answers, each with the time,
-// and says what to ask of the executor and what to report to control. It does
-// no I/O.
+// A Reconciler is the part of a VM's agent that decides. It takes the leader's orders
+// and grants, and the results of calls to the VM's executor, each with the time at
+// which it came. It returns the calls to make to the executor and the ends of runs to
+// report to the leader. It does no I/O.
 //
-// Time is chained so that nothing runs on a VM that control has given up:
-// control grants a lease counted from when the agent sent its heartbeat; the
-// agent turns it into an end on the executor's clock that is surely not later;
-// the executor kills everything at that end. An order that the executor carries
-// out late brings its own end of the lease with it, and does nothing after it.
+// A chain of leases ensures that nothing runs on a VM that the leader has given up.
+// The leader grants a lease that starts when the agent sent its heartbeat. The agent
+// translates the end of the lease to the executor's clock, rounded so that it is never
+// later. The executor kills all runs at that time. Each start carries the end of the
+// lease, so that an executor that carries it out late starts nothing after that.
 package runs
 
 import (
@@ -24,233 +24,235 @@
 )
 
 const (
-	// clockSlow is by how much an executor's clock may run slow (the users'
-	// pages say 2%).
-	clockSlow = 0.02
-	// leaseMargin is kept between the grant's end and the executor's, for
-	// rounding on both clocks.
+	// maxClockSlowdown is the fraction by which an executor's clock may run slow (the
+	// users' pages say 2%).
+	maxClockSlowdown = 0.02
+	// leaseMargin is kept between the end of the grant and the end that is given to the
+	// executor, for rounding on both clocks.
 	leaseMargin = 20 * time.Millisecond
-	// retryPause is between two tries of a call that was not answered.
-	retryPause = 100 * time.Millisecond
-	// leastLease is the least time left for which a start is worth sending.
-	leastLease = 200 * time.Millisecond
-	// stopSpan is how long after a stop was confirmed an executor may list the run
-	// before it is stopped again: above the longest that one takes to
-	// stop a run (the users' pages say 200 and 400 ms).
-	stopSpan = 500 * time.Millisecond
+	// retryDelay is the time between two tries of a call that was not answered.
+	retryDelay = 100 * time.Millisecond
+	// minLeaseLeft is the least remaining lease with which a start is sent.
+	minLeaseLeft = 200 * time.Millisecond
+	// stopGrace is how long an executor may list a run after it has confirmed the stop.
+	// Then the stop is sent again. It is longer than any executor takes to stop a run (the
+	// users' pages say 200 and 400 ms).
+	stopGrace = 500 * time.Millisecond
 )
 
-// Call is one thing to ask of the executor.
+// Call is one call to make to the executor.
 type Call struct {
 	Ref   rudderfork.RunRef
-	Start *rudderfork.RunStart // nil means to stop it
+	Start *rudderfork.RunStart // nil for a stop
 }
 
-// Reconciler holds one VM's orders. It is not safe for concurrent use.
+// Reconciler holds the orders of one VM and the state of their runs. It is not safe for
+// concurrent use.
 type Reconciler struct {
-	life   string
-	epoch  uint64
-	term   uint64 // highest of a leader that was met; the fencing token
-	led    uint64 // term of the leader that the session is with
-	synced bool   // the full list of the epoch has come
-	listed uint64 // term of the leader that the latest full list is from
+	incarnation  string // of the executor
+	epoch        uint64
+	maxTerm      uint64 // highest term of any leader seen; the fencing token
+	sessionTerm  uint64 // term of the leader of the present session
+	synced       bool   // the full list of the epoch was received
+	fullListTerm uint64 // term of the leader that sent the latest full list
 
-	grant   time.Time
-	startBy time.Time // until when starts may be called, by the newest grant
-	closed  bool      // control has nothing more started here
+	leaseEnd time.Time
+	startBy  time.Time // deadline for sending starts, from the newest grant
+	cordoned bool      // the leader allows no new starts on the VM
 
-	leave bool                 // the executor is draining: nothing more is started
-	room  rudderfork.Resources // of the executor, as it says; zero while nobody has told
+	draining bool                 // the executor is draining: nothing more is started
+	capacity rudderfork.Resources // as the executor reports it; zero if it has not
 
-	clockMS int64 // of the executor, read not later than clockAt
-	clockAt time.Time
+	clockMS     int64 // the executor's clock, read not later than clockReadAt
+	clockReadAt time.Time
 
-	orders map[rudderfork.TaskID]*order
-	strays map[rudderfork.RunRef]*order // to stop until they are listed no more, and nothing to report
+	orders  map[rudderfork.TaskID]*order
+	orphans map[rudderfork.RunRef]*order // runs without an order: stopped until they are listed no more; their ends are not reported
 }
 
-// order is one run that control wants here, or wants gone.
+// order is a run that the leader has ordered to start, and may since have ordered to stop.
 type order struct {
 	wire.RunOrder
-	stop      bool
-	inFlight  bool
-	unsure    bool      // a start may have been sent and not answered
-	confirmed time.Time // when the executor confirmed the start, or the stop
-	retryAt   time.Time
-	ended     bool      // its end was reported
-	roomBy    time.Time // until when room for it may come free; zero while there is some
-	dueAt     time.Time // when its start was due first; zero before
-	answer    string    // to the newest call to start it, where that did not settle it
-	overdue   bool      // told by Overdue
-	calledAt  time.Time // when it was called first to start; zero before
-	gaveUp    bool      // its start was not confirmed in time: stopped, and to be reported as refused
+	stop             bool
+	inFlight         bool      // a call is under way
+	maybeStarted     bool      // a start may have been sent without an answer
+	confirmedAt      time.Time // when the executor confirmed the start, or the stop
+	retryAt          time.Time
+	endReported      bool
+	capacityDeadline time.Time // the start waits for free capacity until then; zero if there is enough
+	dueAt            time.Time // when the start first became due; zero before
+	lastAnswer       string    // to the latest call that tried to start it
+	overdueReported  bool      // by OverdueStarts
+	firstCalledAt    time.Time // when the first start was sent; zero before
+	startTimedOut    bool      // the start was not confirmed in time: the run is stopped and reported as refused
 }
 
-// New returns a keeper without a life of the executor.
+// New returns a reconciler without an incarnation of the executor.
 func New() *Reconciler {
-	k := &Reconciler{}
-	k.Reset("")
-	return k
+	r := &Reconciler{}
+	r.Reset("")
+	return r
 }
 
-// Reset forgets everything: the executor has another life, which runs nothing.
-func (k *Reconciler) Reset(life string) {
-	*k = Reconciler{
-		life: life, term: k.term, led: k.led,
-		orders: map[rudderfork.TaskID]*order{}, strays: map[rudderfork.RunRef]*order{},
+// Reset drops all state but the leaders' terms: the executor has a new incarnation, which
+// runs nothing yet.
+func (r *Reconciler) Reset(incarnation string) {
+	*r = Reconciler{
+		incarnation: incarnation, maxTerm: r.maxTerm, sessionTerm: r.sessionTerm,
+		orders: map[rudderfork.TaskID]*order{}, orphans: map[rudderfork.RunRef]*order{},
 	}
 }
 
-// Incarnation returns the executor's life.
-func (k *Reconciler) Incarnation() string { return k.life }
+// Incarnation returns the executor's incarnation, or "".
+func (r *Reconciler) Incarnation() string { return r.incarnation }
 
-// FencingToken returns the fencing token for the executor.
-func (k *Reconciler) FencingToken() uint64 { return k.term }
+// FencingToken returns the fencing token for calls to the executor.
+func (r *Reconciler) FencingToken() uint64 { return r.maxTerm }
 
-// Epoch returns the one whose full list of orders is here, or 0.
-func (k *Reconciler) Epoch() uint64 {
-	if !k.synced {
+// Epoch returns the epoch whose full list of orders was received, or 0.
+func (r *Reconciler) Epoch() uint64 {
+	if !r.synced {
 		return 0
 	}
-	return k.epoch
+	return r.epoch
 }
 
-// SetDraining tells whether the executor is draining.
-func (k *Reconciler) SetDraining(leave bool) { k.leave = leave }
+// SetDraining sets whether the executor is draining.
+func (r *Reconciler) SetDraining(draining bool) { r.draining = draining }
 
-// SetCapacity tells what the executor says of its room.
-func (k *Reconciler) SetCapacity(room rudderfork.Resources) { k.room = room }
+// SetCapacity sets the capacity that the executor reports.
+func (r *Reconciler) SetCapacity(capacity rudderfork.Resources) { r.capacity = capacity }
 
-// SetTerm notes the term of the leader that the session is with.
-func (k *Reconciler) SetTerm(term uint64) { k.led, k.term = term, max(k.term, term) }
+// SetTerm sets the term of the leader of the present session.
+func (r *Reconciler) SetTerm(term uint64) { r.sessionTerm, r.maxTerm = term, max(r.maxTerm, term) }
 
-// outranked reports whether the session is with a leader that a later one has
-// followed and that does not know it yet.
-func (k *Reconciler) outranked() bool { return k.led < k.term }
+// leaderStale reports whether the session is with a leader that was superseded by a later
+// one, and may not know it yet.
+func (r *Reconciler) leaderStale() bool { return r.sessionTerm < r.maxTerm }
 
-// LeaseEnd returns when the lease ends.
-func (k *Reconciler) LeaseEnd() time.Time { return k.grant }
+// LeaseEnd returns when the lease ends, by the agent's clock.
+func (r *Reconciler) LeaseEnd() time.Time { return r.leaseEnd }
 
-// SetClock notes the executor's clock, read not later than now. One that is behind what the
-// life has shown is not taken: it was read before.
-func (k *Reconciler) SetClock(ms int64, now time.Time) (taken bool) {
-	if ms < k.clockMS {
+// SetClock sets the executor's clock, in milliseconds, as read not later than now. It
+// rejects a time before the latest one of the incarnation: it was read earlier.
+func (r *Reconciler) SetClock(ms int64, now time.Time) (accepted bool) {
+	if ms < r.clockMS {
 		return false
 	}
-	k.clockMS, k.clockAt = ms, now
+	r.clockMS, r.clockReadAt = ms, now
 	return true
 }
 
-// ExecutorLeaseEnd returns the end of the lease on the executor's clock; ok is false
-// without a lease that is worth anything.
-func (k *Reconciler) ExecutorLeaseEnd(now time.Time) (ms int64, ok bool) {
-	if k.clockAt.IsZero() || k.grant.Sub(now) < leastLease {
+// ExecutorLeaseEnd returns the end of the lease on the executor's clock, in milliseconds.
+// ok is false if the clock is unknown or too little of the lease is left.
+func (r *Reconciler) ExecutorLeaseEnd(now time.Time) (ms int64, ok bool) {
+	if r.clockReadAt.IsZero() || r.leaseEnd.Sub(now) < minLeaseLeft {
 		return 0, false
 	}
-	left := k.grant.Sub(k.clockAt) - leaseMargin
-	return k.clockMS + int64(float64(left.Milliseconds())*(1-clockSlow)), true
+	left := r.leaseEnd.Sub(r.clockReadAt) - leaseMargin
+	return r.clockMS + int64(float64(left.Milliseconds())*(1-maxClockSlowdown)), true
 }
 
-// startUntil returns the end of the lease that a start goes with on the executor's clock, or
-// what keeps starts from being called.
-func (k *Reconciler) startUntil(now time.Time) (ms int64, obstacle string) {
-	ms, leased := k.ExecutorLeaseEnd(now)
+// startLease returns the end of the lease to send with a start, on the executor's clock in
+// milliseconds, or the reason why no starts may be sent now.
+func (r *Reconciler) startLease(now time.Time) (untilMS int64, blocker string) {
+	untilMS, leased := r.ExecutorLeaseEnd(now)
 	switch {
-	case k.clockAt.IsZero():
+	case r.clockReadAt.IsZero():
 		return 0, "the executor's clock is not known"
 	case !leased:
 		return 0, "no lease"
-	case k.closed:
+	case r.cordoned:
 		return 0, "closed"
-	case !now.Before(k.startBy):
+	case !now.Before(r.startBy):
 		return 0, "no recent word of the leader"
 	}
-	return ms, ""
+	return untilMS, ""
 }
 
-// ApplyOrders takes orders of control. Those that were under way while the executor
-// got a new life are for runs that are over, and so are those of an earlier epoch:
-// epochs of a VM only rise. A leader that was outranked may not know what runs.
-func (k *Reconciler) ApplyOrders(o wire.Orders) {
-	if k.outranked() || o.Incarnation != k.life || o.Epoch < k.epoch {
+// ApplyOrders takes orders of the leader. It ignores orders for another incarnation of the
+// executor, and those of an earlier epoch: their runs are over, since the epochs of a VM
+// only rise. It also ignores a superseded leader, which may not know what runs here.
+func (r *Reconciler) ApplyOrders(o wire.Orders) {
+	if r.leaderStale() || o.Incarnation != r.incarnation || o.Epoch < r.epoch {
 		return
 	}
-	unsure := o.Full && (!k.synced || k.listed != k.led)
+	maybeStarted := o.Full && (!r.synced || r.fullListTerm != r.sessionTerm)
 	if o.Full {
-		k.takeAll(o)
+		r.applyFullList(o)
 	}
-	if o.Epoch != k.epoch {
+	if o.Epoch != r.epoch {
 		return
 	}
-	k.closed = o.Cordoned
-	for _, r := range o.Start {
-		if old := k.orders[r.Task]; old == nil || old.Run < r.Run {
-			// What a leader's first full list brings may have been sent by an agent
-			// before this one, whose start the executor may yet carry out. One list
-			// is not enough: that of a leader which does not know yet that it was
-			// outranked lacks what a later one had that agent start.
-			k.orders[r.Task] = &order{RunOrder: r, unsure: unsure}
+	r.cordoned = o.Cordoned
+	for _, ro := range o.Start {
+		if old := r.orders[ro.Task]; old == nil || old.Run < ro.Run {
+			// An earlier agent of this VM may have sent starts of the runs in a leader's
+			// first full list, and the executor may still carry these out. This holds for
+			// the first list of each leader: a superseded leader that does not know it yet
+			// leaves out what its successor had the earlier agent start.
+			r.orders[ro.Task] = &order{RunOrder: ro, maybeStarted: maybeStarted}
 		}
 	}
-	for _, r := range o.Stop {
-		k.stop(r)
+	for _, ref := range o.Stop {
+		r.orderStop(ref)
 	}
 }
 
-// takeAll takes a full list: what it does not name is to be stopped.
-func (k *Reconciler) takeAll(o wire.Orders) {
-	if o.Epoch != k.epoch {
-		for id, old := range k.orders {
-			k.strays[old.RunRef] = &order{RunOrder: old.RunOrder, stop: true}
-			delete(k.orders, id)
+// applyFullList takes the epoch of a full list, and stops runs that the list leaves out.
+func (r *Reconciler) applyFullList(o wire.Orders) {
+	if o.Epoch != r.epoch {
+		for id, old := range r.orders {
+			r.orphans[old.RunRef] = &order{RunOrder: old.RunOrder, stop: true}
+			delete(r.orders, id)
 		}
-		k.epoch, k.grant, k.startBy = o.Epoch, time.Time{}, time.Time{}
+		r.epoch, r.leaseEnd, r.startBy = o.Epoch, time.Time{}, time.Time{}
 	}
-	k.synced, k.listed = true, k.led
+	r.synced, r.fullListTerm = true, r.sessionTerm
 	listed := map[rudderfork.RunRef]bool{}
-	for _, r := range o.Start {
-		listed[r.RunRef] = true
+	for _, ro := range o.Start {
+		listed[ro.RunRef] = true
 	}
-	for id, old := range k.orders {
+	for id, old := range r.orders {
 		if !listed[old.RunRef] {
-			k.strays[old.RunRef] = &order{RunOrder: old.RunOrder, stop: true}
-			delete(k.orders, id)
+			r.orphans[old.RunRef] = &order{RunOrder: old.RunOrder, stop: true}
+			delete(r.orders, id)
 		}
 	}
 }
 
-func (k *Reconciler) stop(r rudderfork.RunRef) {
-	o := k.orders[r.Task]
-	if o == nil || o.Run != r.Run || o.stop {
+func (r *Reconciler) orderStop(ref rudderfork.RunRef) {
+	o := r.orders[ref.Task]
+	if o == nil || o.Run != ref.Run || o.stop {
 		return
 	}
 	o.stop = true
-	o.confirmed, o.retryAt = time.Time{}, time.Time{}
+	o.confirmedAt, o.retryAt = time.Time{}, time.Time{}
 }
 
-// NextCalls returns the calls to make now, each to be followed by Started or Stopped,
-// and the ends of runs that will not begin because the executor is draining.
-func (k *Reconciler) NextCalls(now time.Time) (calls []Call, ends []queue.End) {
-	for _, ref := range slices.SortedFunc(maps.Keys(k.strays), compareRefs) {
-		if c := k.due(k.strays[ref], now); c != nil {
+// NextCalls returns the calls to make now, and the ends of runs that it refuses to start.
+// The result of each call must be passed to HandleStartResult or HandleStopResult.
+func (r *Reconciler) NextCalls(now time.Time) (calls []Call, ends []queue.End) {
+	for _, ref := range slices.SortedFunc(maps.Keys(r.orphans), compareRefs) {
+		if c := r.nextCall(r.orphans[ref], now); c != nil {
 			calls = append(calls, *c)
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(k.orders)) {
-		o := k.orders[id]
+	for _, id := range slices.Sorted(maps.Keys(r.orders)) {
+		o := r.orders[id]
 		if o.dueAt.IsZero() {
 			o.dueAt = now
 		}
-		if e := k.turnAway(o); e != nil {
+		if e := r.refuseIfDisallowed(o); e != nil {
 			ends = append(ends, *e)
 		}
-		if e := k.noRoom(o, now); e != nil {
+		if e := r.awaitCapacity(o, now); e != nil {
 			ends = append(ends, *e)
 		}
-		if e := k.giveUp(o, now); e != nil {
+		if e := r.timeOutStart(o, now); e != nil {
 			ends = append(ends, *e)
 		}
-		if c := k.due(o, now); c != nil {
+		if c := r.nextCall(o, now); c != nil {
 			calls = append(calls, *c)
 		}
 	}
@@ -261,161 +263,164 @@
 	return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.Run, b.Run))
 }
 
-// idle reports whether a call is to be made, and none is under way.
-func (o *order) idle() bool { return !o.ended && !o.inFlight && o.confirmed.IsZero() }
+// needsCall reports whether a start or stop has yet to be confirmed and no call is under way.
+func (o *order) needsCall() bool { return !o.endReported && !o.inFlight && o.confirmedAt.IsZero() }
 
-// pending reports whether a start of the run is to be called.
-func (o *order) pending() bool { return !o.stop && o.idle() }
+// needsStart reports whether a start has yet to be confirmed and no call is under way.
+func (o *order) needsStart() bool { return !o.stop && o.needsCall() }
 
-func (k *Reconciler) due(o *order, now time.Time) *Call {
-	if !o.idle() || now.Before(o.retryAt) {
+// nextCall returns the call to make now for one run, or nil.
+func (r *Reconciler) nextCall(o *order, now time.Time) *Call {
+	if !o.needsCall() || now.Before(o.retryAt) {
 		return nil
 	}
 	if o.stop {
 		o.inFlight = true
 		return &Call{Ref: o.RunRef}
 	}
-	until, obstacle := k.startUntil(now)
-	if obstacle != "" {
+	untilMS, blocker := r.startLease(now)
+	if blocker != "" {
 		return nil
 	}
 	o.inFlight = true
-	if o.calledAt.IsZero() {
-		o.calledAt = now
+	if o.firstCalledAt.IsZero() {
+		o.firstCalledAt = now
 	}
 	return &Call{Ref: o.RunRef, Start: &rudderfork.RunStart{
 		RunRef: o.RunRef, Payload: o.Payload, Checkpoint: o.Checkpoint, Ticket: o.Ticket,
-		UntilMS: until, Fence: k.term,
+		UntilMS: untilMS, Fence: r.maxTerm,
 	}}
 }
 
-// NextRetry returns when Due may have something again without another event.
-func (k *Reconciler) NextRetry() (at time.Time, ok bool) {
+// NextRetry returns when a call is to be retried. Until then NextCalls returns nothing new
+// unless something else has happened. ok is false if no retry is planned.
+func (r *Reconciler) NextRetry() (at time.Time, ok bool) {
 	consider := func(o *order) {
-		if o.waits() && (!ok || o.retryAt.Before(at)) {
+		if o.awaitsRetry() && (!ok || o.retryAt.Before(at)) {
 			at, ok = o.retryAt, true
 		}
 	}
-	for _, o := range k.orders {
+	for _, o := range r.orders {
 		consider(o)
 	}
-	for _, o := range k.strays {
+	for _, o := range r.orphans {
 		consider(o)
 	}
 	return at, ok
 }
 
-// waits reports whether a call is to be made again, at retryAt. While a call is under
-// way retryAt is past, and a caller that slept until then would not sleep at all.
-func (o *order) waits() bool {
-	return !o.retryAt.IsZero() && o.idle()
+// awaitsRetry reports whether a call is to be made again at retryAt. It is false while a
+// call is under way: retryAt has passed then, and a caller that sleeps until that time
+// would spin.
+func (o *order) awaitsRetry() bool {
+	return !o.retryAt.IsZero() && o.needsCall()
 }
 
-// HandleStartResult takes the answer to a start, and returns the end to report if the run
-// surely will never begin here.
-func (k *Reconciler) HandleStartResult(ref rudderfork.RunRef, out rudderfork.StartOutcome, err error, now time.Time) (refused *queue.End) {
-	o := k.orders[ref.Task]
+// HandleStartResult takes the result of a start. It returns the end to report if the run
+// certainly never starts here.
+func (r *Reconciler) HandleStartResult(ref rudderfork.RunRef, out rudderfork.StartOutcome, err error, now time.Time) (refused *queue.End) {
+	o := r.orders[ref.Task]
 	if o == nil || o.Run != ref.Run {
 		return nil
 	}
 	o.inFlight = false
-	o.answer = out.String()
+	o.lastAnswer = out.String()
 	switch {
 	case err != nil:
-		o.answer = unanswered
-		o.unsure = true
-		o.retryAt = now.Add(retryPause)
+		o.lastAnswer = unanswered
+		o.maybeStarted = true
+		o.retryAt = now.Add(retryDelay)
 	case o.stop:
 		// The stop is sent next.
 	case out == rudderfork.Started:
-		o.confirmed = now
+		o.confirmedAt = now
 	case out == rudderfork.StartLate || out == rudderfork.StartFenced:
-		o.retryAt = now.Add(retryPause)
-	case o.unsure && out != rudderfork.StartOld:
-		// An earlier try may yet be carried out: only a stop ends that.
+		o.retryAt = now.Add(retryDelay)
+	case o.maybeStarted && out != rudderfork.StartOld:
+		// An earlier try may still be carried out; only a stop rules that out.
 		o.stop = true
 	default:
-		return k.refuse(o, out.String())
+		return r.refuse(o, out.String())
 	}
 	return nil
 }
 
-// refuse reports a run that did not begin.
-func (k *Reconciler) refuse(o *order, reason string) *queue.End {
+// refuse returns the end to report of a run that was not started.
+func (r *Reconciler) refuse(o *order, reason string) *queue.End {
 	key, err := queue.ParseTaskKey(string(o.Task))
 	if err != nil {
 		return nil
 	}
 	if reason == rudderfork.StartOld.String() {
-		// It has begun and ended there: the end is listed by the next look, or
-		// the run is found gone.
-		o.confirmed, o.stop = k.clockAt, true
+		// The run has started and ended there. The next poll either lists its end or
+		// shows that the run is gone.
+		o.confirmedAt, o.stop = r.clockReadAt, true
 		return nil
 	}
-	o.ended = true
+	o.endReported = true
 	return &queue.End{Task: key, Run: o.Run, Outcome: queue.OutcomeRefused, Reason: reason}
 }
 
-// HandleStopResult takes the answer to a stop.
-func (k *Reconciler) HandleStopResult(ref rudderfork.RunRef, err error, now time.Time) {
-	if o := k.strays[ref]; o != nil {
-		o.stopped(err, now)
+// HandleStopResult takes the result of a stop.
+func (r *Reconciler) HandleStopResult(ref rudderfork.RunRef, err error, now time.Time) {
+	if o := r.orphans[ref]; o != nil {
+		o.recordStop(err, now)
 	}
-	if o := k.orders[ref.Task]; o != nil && o.Run == ref.Run && o.stop {
-		o.stopped(err, now)
+	if o := r.orders[ref.Task]; o != nil && o.Run == ref.Run && o.stop {
+		o.recordStop(err, now)
 	}
 }
 
-func (o *order) stopped(err error, now time.Time) {
+func (o *order) recordStop(err error, now time.Time) {
 	o.inFlight = false
 	if err != nil {
-		o.retryAt = now.Add(retryPause)
+		o.retryAt = now.Add(retryDelay)
 		return
 	}
-	o.confirmed = now
+	o.confirmedAt = now
 }
 
-// HandleStatus takes an executor's account that was asked for at the given time. It
-// returns the ends to report: those listed, and those of runs that the executor
-// knows nothing of though it should.
-func (k *Reconciler) HandleStatus(look rudderfork.ExecutorStatus, asked time.Time) (ends []queue.End) {
-	there := map[rudderfork.RunRef]bool{}
-	for _, r := range look.Running {
-		there[r.RunRef] = true
-		k.checkRunning(r.RunRef, asked)
-	}
-	missing := func(ref rudderfork.RunRef) bool { return !there[ref] && !look.Partial }
-	maps.DeleteFunc(k.strays, func(ref rudderfork.RunRef, o *order) bool { return missing(ref) && o.stoppedBefore(asked) })
-	ends = ParseEnds(look.Ended)
-	for _, e := range look.Ended {
-		there[e.RunRef] = true
-		if o := k.orders[e.Task]; o != nil && o.Run == e.Run {
-			o.ended = true
+// HandleStatus takes the answer to a poll that was sent at the given time. It returns the
+// ends to report: those that the executor lists, and those of runs that it should list and
+// does not.
+func (r *Reconciler) HandleStatus(status rudderfork.ExecutorStatus, polledAt time.Time) (ends []queue.End) {
+	listed := map[rudderfork.RunRef]bool{}
+	for _, row := range status.Running {
+		listed[row.RunRef] = true
+		r.stopUnwanted(row.RunRef, polledAt)
+	}
+	missing := func(ref rudderfork.RunRef) bool { return !listed[ref] && !status.Partial }
+	maps.DeleteFunc(r.orphans, func(ref rudderfork.RunRef, o *order) bool { return missing(ref) && o.stopConfirmedBefore(polledAt) })
+	ends = ParseEnds(status.Ended)
+	for _, e := range status.Ended {
+		listed[e.RunRef] = true
+		if o := r.orders[e.Task]; o != nil && o.Run == e.Run {
+			o.endReported = true
 		}
 	}
-	for _, o := range k.orders {
-		if there[o.RunRef] || !look.Partial {
-			k.settleClosed(o, there[o.RunRef], asked)
+	for _, o := range r.orders {
+		if listed[o.RunRef] || !status.Partial {
+			r.settleCordoned(o, listed[o.RunRef], polledAt)
 		}
-		if o.ended || !missing(o.RunRef) || o.confirmed.IsZero() || !o.confirmed.Before(asked) {
+		if o.endReported || !missing(o.RunRef) || o.confirmedAt.IsZero() || !o.confirmedAt.Before(polledAt) {
 			continue
 		}
 		key, err := queue.ParseTaskKey(string(o.Task))
 		if err != nil {
 			continue
 		}
-		o.ended = true
+		o.endReported = true
 		end := queue.End{Task: key, Run: o.Run, Outcome: queue.OutcomeLost, Reason: "the executor knows nothing of it"}
-		if o.gaveUp {
-			end.Outcome, end.Reason = queue.OutcomeRefused, notStarted
+		if o.startTimedOut {
+			end.Outcome, end.Reason = queue.OutcomeRefused, reasonNotStarted
 		}
 		ends = append(ends, end)
 	}
 	return ends
 }
 
-// ParseEnds returns the ends that an executor lists. What is not a run of ours is left
-// out; it is acknowledged with the others.
+// ParseEnds converts the ends that an executor lists. It leaves out runs whose task is not
+// one of a queue; they are acknowledged with the others.
 func ParseEnds(rows []rudderfork.EndedRun) (ends []queue.End) {
 	for _, e := range rows {
 		if key, err := queue.ParseTaskKey(string(e.Task)); err == nil {
@@ -425,57 +430,57 @@
 	return ends
 }
 
-// checkRunning stops a run that control does not want here, as listed by an account
-// that was asked for at the given time. A start that was held back may begin a run
-// after its stop was confirmed, and after its end was reported; only an account
-// shows it. The contract says that a stop bars such a start; nothing here rests on
-// that but the end that is concluded. A run is listed also while its stop takes its
-// time, and no stop is sent for that.
-func (k *Reconciler) checkRunning(ref rudderfork.RunRef, asked time.Time) {
-	if !k.synced {
+// stopUnwanted stops a run that is listed by a poll that was sent at the given time, if the
+// leader does not want it here. A delayed start may start a run after its stop was confirmed
+// or its end was reported, and only a poll shows this. By its contract an executor carries
+// out no start of a run after its stop; only the conclusion that the run has ended relies on
+// that. A run is also listed while it is being stopped, and its stop is not sent again for
+// that.
+func (r *Reconciler) stopUnwanted(ref rudderfork.RunRef, polledAt time.Time) {
+	if !r.synced {
 		return
 	}
-	o := k.orders[ref.Task]
-	if stray := k.strays[ref]; stray != nil {
-		stray.stopAgain(asked)
-	} else if o == nil || o.Run != ref.Run || o.ended {
-		k.strays[ref] = &order{RunOrder: wire.RunOrder{RunRef: ref}, stop: true}
+	o := r.orders[ref.Task]
+	if orphan := r.orphans[ref]; orphan != nil {
+		orphan.repeatStop(polledAt)
+	} else if o == nil || o.Run != ref.Run || o.endReported {
+		r.orphans[ref] = &order{RunOrder: wire.RunOrder{RunRef: ref}, stop: true}
 	} else {
-		o.stopAgain(asked)
+		o.repeatStop(polledAt)
 	}
 }
 
-// stopAgain has the stop of a run sent again that an account asked for at the given
-// time lists.
-func (o *order) stopAgain(asked time.Time) {
-	if o.stoppedBefore(asked.Add(-stopSpan)) {
-		o.confirmed, o.retryAt = time.Time{}, time.Time{}
+// repeatStop makes the stop be sent again if a poll that was sent at the given time still
+// lists the run after stopGrace.
+func (o *order) repeatStop(polledAt time.Time) {
+	if o.stopConfirmedBefore(polledAt.Add(-stopGrace)) {
+		o.confirmedAt, o.retryAt = time.Time{}, time.Time{}
 	}
 }
 
-// stoppedBefore reports whether the executor confirmed the stop before the given time.
-func (o *order) stoppedBefore(at time.Time) bool {
-	return o.stop && !o.confirmed.IsZero() && o.confirmed.Before(at)
+// stopConfirmedBefore reports whether the executor confirmed the stop before the given time.
+func (o *order) stopConfirmedBefore(at time.Time) bool {
+	return o.stop && !o.confirmedAt.IsZero() && o.confirmedAt.Before(at)
 }
 
-// ForgetEnded forgets runs whose ends are committed.
-func (k *Reconciler) ForgetEnded(ends []queue.End) {
+// ForgetEnded drops the orders of runs whose ends the leader has committed.
+func (r *Reconciler) ForgetEnded(ends []queue.End) {
 	for _, e := range ends {
 		ref := e.Task.Ref(e.Run)
-		if o := k.orders[ref.Task]; o != nil && o.Run == ref.Run {
-			delete(k.orders, ref.Task)
+		if o := r.orders[ref.Task]; o != nil && o.Run == ref.Run {
+			delete(r.orders, ref.Task)
 		}
 	}
 }
 
-// DesiredRuns returns the orders by task, for pacing. Runs that are to stop are not
-// among them.
-func (k *Reconciler) DesiredRuns() map[rudderfork.TaskID]wire.RunOrder {
-	w := make(map[rudderfork.TaskID]wire.RunOrder, len(k.orders))
-	for id, o := range k.orders {
-		if !o.stop && !o.ended {
-			w[id] = o.RunOrder
+// DesiredRuns returns the orders by task, without those of runs that have ended or are to
+// stop.
+func (r *Reconciler) DesiredRuns() map[rudderfork.TaskID]wire.RunOrder {
+	desired := make(map[rudderfork.TaskID]wire.RunOrder, len(r.orders))
+	for id, o := range r.orders {
+		if !o.stop && !o.endReported {
+			desired[id] = o.RunOrder
 		}
 	}
-	return w
+	return desired
 }
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -360,7 +360,7 @@
 	v := f.vm(vm)
 	ref := e.Task.Ref(e.Run)
 	switch {
-	case e.Outcome == queue.OutcomeRefused && e.Reason == runs.ReasonClosed:
+	case e.Outcome == queue.OutcomeRefused && e.Reason == runs.ReasonCordoned:
 		return // it says nothing of the VM, and the task may begin elsewhere at once
 	case e.Outcome == queue.OutcomeFailed && v.hadWorked(e, now):
 		return // it says nothing of the VM
