--- a/scheduler/evacuation_test.go
+++ b/scheduler/evacuation_test.go
@@ -22,31 +22,31 @@
 	assert.Equal(s.t, ans.Code, want, "%+v", ans)
 }
 
-// TestEvacuation has operators evacuate failure domains with VMs at work.
+// TestEvacuation evacuates failure domains whose VMs run tasks, as operators do.
 func TestEvacuation(t *testing.T) {
 	s := newTestCluster(t, nil)
 	first, second := s.addVM(executor.Config{}), s.addVM(executor.Config{})
 	s.putDocument(nil)
-	s.waitUntil("both VMs are there", func() bool { return s.vmCount() == 2 })
+	s.waitUntil("both VMs are registered", func() bool { return s.vmCount() == 2 })
 	lasting := smallStep
 	lasting.Count, lasting.Lasting, lasting.MaxPerVM = 2, true, 1
 	s.submit("feed", "", lasting)
-	s.waitUntil("it is at work on both", func() bool { return len(first.Running()) == 1 && len(second.Running()) == 1 })
+	s.waitUntil("the lasting job runs on both", func() bool { return len(first.Running()) == 1 && len(second.Running()) == 1 })
 
-	t.Run("one that nobody knows is refused", func(*testing.T) {
+	t.Run("an unknown failure domain is refused", func(*testing.T) {
 		s.evacuate("nowhere", false, queue.NoDomain)
 		s.evacuate("nowhere", true, queue.NoDomain)
 	})
-	t.Run("work begins elsewhere, and what runs there runs on", func(t *testing.T) {
+	t.Run("new tasks start elsewhere, and running ones stay", func(t *testing.T) {
 		s.evacuate(domainOf("vm1"), false, queue.OK)
 		s.evacuate(domainOf("vm1"), false, queue.OK)
 		more := smallStep
 		more.Count = 3
 		s.submit("more", "", more)
-		s.waitUntil("the new job is at work", func() bool { return len(second.Running()) == 4 })
+		s.waitUntil("the new job runs", func() bool { return len(second.Running()) == 4 })
 		assert.Equal(t, len(first.Running()), 1)
 	})
-	t.Run("operators see it", func(t *testing.T) {
+	t.Run("operators see the evacuation", func(t *testing.T) {
 		views := s.evacuations()
 		assert.Equal(t, len(views), 1)
 		assert.Equal(t, views[0].Domain, domainOf("vm1"))
@@ -54,17 +54,17 @@
 		assert.Equal(t, views[0].Runs, 1)
 		assert.Assert(t, views[0].SinceMS > 0)
 	})
-	t.Run("with all evacuated work waits, until one is taken back", func(*testing.T) {
+	t.Run("tasks wait while all domains are evacuated", func(*testing.T) {
 		s.evacuate(domainOf("vm2"), false, queue.OK)
 		s.submit("late", "work=1ms", smallStep)
 		place := wire.Place{Host: testHost, Path: "/q/"}
-		s.waitUntil("it waits", func() bool { return s.ask(wire.QueueRequest{Status: &place}).Waiting == 1 })
+		s.waitUntil("the job waits", func() bool { return s.ask(wire.QueueRequest{Status: &place}).Waiting == 1 })
 		s.evacuate(domainOf("vm1"), true, queue.OK)
 		s.waitForStatus("late", queue.Completed)
 	})
 }
 
-// evacuations returns what the operators' interface shows.
+// evacuations returns the evacuations from the operators' HTTP API.
 func (s *testCluster) evacuations() (views []EvacuationView) {
 	s.t.Helper()
 	mux := http.NewServeMux()
@@ -76,19 +76,19 @@
 	return views
 }
 
-// TestStartsLeft holds that starts may be made for less than the lease, counted from the
-// same time.
+// TestStartsLeft checks that starts are allowed for StartWindow or the lease, whichever is shorter,
+// counted from the same time.
 func TestStartsLeft(t *testing.T) {
 	for _, c := range []struct {
 		name             string
 		span, left, want time.Duration
 	}{
 		{"a fresh lease", 2 * time.Second, 5 * time.Second, 2 * time.Second},
-		{"an older one", 2 * time.Second, 4 * time.Second, time.Second},
-		{"one that is too old", 2 * time.Second, 2 * time.Second, 0},
-		{"none", 2 * time.Second, 0, 0},
-		{"no span of its own", 0, 3 * time.Second, 3 * time.Second},
-		{"a span above the lease", 9 * time.Second, 3 * time.Second, 3 * time.Second},
+		{"an older lease", 2 * time.Second, 4 * time.Second, time.Second},
+		{"a lease older than the window", 2 * time.Second, 2 * time.Second, 0},
+		{"no lease", 2 * time.Second, 0, 0},
+		{"no window of its own", 0, 3 * time.Second, 3 * time.Second},
+		{"a window above the lease", 9 * time.Second, 3 * time.Second, 3 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := &Scheduler{cfg: Settings{Lease: 5 * time.Second, StartWindow: c.span}}
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestGrantReportsEvacuation holds that a VM's heartbeat is answered with what holds for its failure
-// domain, also in a session that is new.
+// TestGrantReportsEvacuation checks that the answer to a VM's heartbeat says whether its failure
+// domain is evacuated, also in a new session.
 func TestGrantReportsEvacuation(t *testing.T) {
 	s := newTestCluster(t, nil)
 	s.putDocument(nil)
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -17,20 +17,20 @@
 	key := queue.TaskKey{Job: "feed"}
 	stop := dispatch.Stop{Task: key, Run: 1, VM: "vm1", Reason: dispatch.ReasonRelocated}
 	at := steady.Now()
-	t.Run("the time of a move is that of its first plan", func(t *testing.T) {
+	t.Run("a relocation has the time of its first plan", func(t *testing.T) {
 		f := newFleet()
 		f.setStops([]dispatch.Stop{stop}, at)
 		f.setStops([]dispatch.Stop{stop}, at.Add(time.Second))
 		assert.Equal(t, f.moved, dispatch.Relocation{Task: key, Run: 1, At: rudderfork.Millis(at)})
 	})
-	t.Run("other stops are no moves", func(t *testing.T) {
+	t.Run("a stop for another reason is no relocation", func(t *testing.T) {
 		f := newFleet()
 		other := stop
 		other.Reason = dispatch.ReasonSlow
 		f.setStops([]dispatch.Stop{other}, at)
 		assert.Equal(t, f.moved, dispatch.Relocation{})
 	})
-	t.Run("upkeep counts a task that is being moved as away", func(t *testing.T) {
+	t.Run("upkeep counts a task that is being relocated as away", func(t *testing.T) {
 		s := &Scheduler{fleet: newFleet()}
 		j := &queue.Job{ID: key.Job, Occurrences: []*queue.Occurrence{{Steps: [][]queue.Task{{
 			{Runs: []queue.Run{{Number: 1, VM: "vm1"}}},
@@ -43,15 +43,15 @@
 	})
 }
 
-// TestRunStatuses holds what the leader keeps of the runs that agents report.
+// TestRunStatuses checks what the leader keeps of the run statuses that agents report.
 func TestRunStatuses(t *testing.T) {
 	key, at := queue.TaskKey{Job: "j"}, steady.Now()
-	report := func(f *fleet, life string, run uint32, percent int, checkpoint string) {
-		f.recordHeartbeat(f.vm("vm1"), wire.VMHeartbeat{VM: queue.VM{ID: "vm1", Incarnation: life}, Rows: []rudderfork.RunStatus{
+	report := func(f *fleet, inc string, run uint32, percent int, checkpoint string) {
+		f.recordHeartbeat(f.vm("vm1"), wire.VMHeartbeat{VM: queue.VM{ID: "vm1", Incarnation: inc}, Rows: []rudderfork.RunStatus{
 			{RunRef: key.Ref(run), Percent: percent, Checkpoint: checkpoint},
 		}}, at)
 	}
-	t.Run("a run is planned with as it was reported last", func(t *testing.T) {
+	t.Run("the planner sees the last reported status of a run", func(t *testing.T) {
 		qs, f := stateWithRun(t), newFleet()
 		report(f, "life-1", 1, 10, "")
 		before := f.view(qs, at).VMs["vm1"].Changes
@@ -61,7 +61,7 @@
 		assert.Equal(t, view.Runs[key.Run(1)].FirstPercent, 10)
 		assert.Assert(t, view.VMs["vm1"].Changes != before)
 	})
-	t.Run("a run that is over is forgotten, with its checkpoint", func(t *testing.T) {
+	t.Run("a run that has ended is dropped with its checkpoint", func(t *testing.T) {
 		qs, f := stateWithRun(t), newFleet()
 		report(f, "life-1", 1, 10, "old")
 		qs.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Incarnation: "life-1", List: []queue.End{{Task: key, Run: 1, Outcome: queue.OutcomeStopped}}}}, 2)
@@ -69,7 +69,7 @@
 		assert.Equal(t, len(f.view(qs, at).Runs), 0)
 		assert.Equal(t, len(f.vm("vm1").checkpoints()), 0)
 	})
-	t.Run("a new life has none of the old one's", func(t *testing.T) {
+	t.Run("a new incarnation drops the runs of the old one", func(t *testing.T) {
 		f := newFleet()
 		report(f, "life-1", 1, 10, "old")
 		f.recordHeartbeat(f.vm("vm1"), wire.VMHeartbeat{VM: queue.VM{ID: "vm1", Incarnation: "life-2"}}, at)
--- a/scheduler/last_test.go
+++ b/scheduler/last_test.go
@@ -10,8 +10,8 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// TestGrantNamesLastFillers holds that an agent is told which of its fillers the rest of
-// their step waits for, and no longer than they do.
+// TestGrantNamesLastFillers checks that the agent's grants name the fillers that the rest of their
+// step waits for, and only for as long as it waits.
 func TestGrantNamesLastFillers(t *testing.T) {
 	s := newTestCluster(t, nil)
 	p := s.connectAgent()
@@ -24,13 +24,13 @@
 	})
 	assert.Equal(t, len(p.heartbeat(newIncarnation).LastOfStep), 0)
 	p.reportDone("roster", 0)
-	s.waitUntil("the last one is told", func() bool { return len(p.heartbeat(newIncarnation).LastOfStep) == 1 })
+	s.waitUntil("the last filler is named", func() bool { return len(p.heartbeat(newIncarnation).LastOfStep) == 1 })
 	assert.Equal(t, p.heartbeat(newIncarnation).LastOfStep[0], rudderfork.RunRef{Task: "roster.0.0.1", Run: 1})
 	p.reportDone("roster", 1)
-	s.waitUntil("there is none any more", func() bool { return len(p.heartbeat(newIncarnation).LastOfStep) == 0 })
+	s.waitUntil("no filler is named", func() bool { return len(p.heartbeat(newIncarnation).LastOfStep) == 0 })
 }
 
-// end reports a task's first run as done.
+// reportDone reports the first run of a task as done.
 func (p *agentClient) reportDone(job rudderfork.JobID, index int) {
 	p.cluster.t.Helper()
 	assert.NilError(p.cluster.t, p.conn.Send(p.cluster.ctx, wire.FromNode{Ends: &wire.EndsReport{Seq: uint64(index) + 1, Ends: queue.Ends{
--- a/scheduler/life_again_test.go
+++ b/scheduler/life_again_test.go
@@ -12,7 +12,8 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// TestUsableVMDropsOrdersAfterIncarnationReadopted guards against a usable VM whose agent drops all orders.
+// TestUsableVMDropsOrdersAfterIncarnationReadopted guards against a VM that stays usable while its
+// agent drops all orders, because it took the executor's incarnation for ended and resumed it.
 func TestUsableVMDropsOrdersAfterIncarnationReadopted(t *testing.T) {
 	s := newTestClusterWithLease(t, nil, 5*time.Second)
 	e, mislead := s.addMisledVM()
@@ -24,9 +25,9 @@
 	overdue := func() bool {
 		return slices.ContainsFunc(s.sched.overdueRuns(steady.Now()), func(r overdueRun) bool { return r.Job == "roster" })
 	}
-	s.waitUntil("the roster is done, or its run is overdue", func() bool {
+	s.waitUntil("the roster is completed, or its run is overdue", func() bool {
 		return overdue() || s.ask(wire.QueueRequest{Status: &wire.Place{Host: testHost, Path: "/q/roster"}}).Status == queue.Completed
 	})
-	assert.Assert(t, !overdue(), "its VM is usable, and does not begin it")
+	assert.Assert(t, !overdue(), "the VM is usable but does not start the run")
 	s.waitUntil("the lasting task runs", func() bool { return len(e.Running()) == 1 })
 }
--- a/scheduler/orders_test.go
+++ b/scheduler/orders_test.go
@@ -37,8 +37,7 @@
 	assert.Equal(t, qs.Apply(queue.Command{Cancel: &queue.Cancel{Host: testHost, Path: "/q/j"}}, 2).Code, queue.OK)
 }
 
-// newAgentSession returns a session of vm1's agent with a leader that has not
-// planned anything yet.
+// newSessionOfAgent returns a session of vm1's agent with a leader that hasn't made a plan yet.
 func newSessionOfAgent(qs *queue.State) *session {
 	return &session{
 		s: &Scheduler{fleet: newFleet()}, vm: "vm1", incarnation: "life-1", epoch: qs.VM("vm1").Epoch,
@@ -46,11 +45,11 @@
 	}
 }
 
-// TestCancelledRunOrderedWithoutStop holds that an agent never hears of a cancelled job's
-// run without its stop, whatever the leader has planned so far.
+// TestCancelledRunOrderedWithoutStop guards against an agent that receives the start order of a
+// cancelled job's run without the stop order, because the leader hasn't made a plan yet.
 func TestCancelledRunOrderedWithoutStop(t *testing.T) {
 	run := queue.TaskKey{Job: "j"}.Ref(1)
-	t.Run("to a leader that is new the run is known, and the stop goes with it", func(t *testing.T) {
+	t.Run("a new leader orders the start and the stop together", func(t *testing.T) {
 		qs := stateWithRun(t)
 		cancelJob(t, qs)
 		o := newSessionOfAgent(qs).newOrders(qs)
@@ -59,7 +58,7 @@
 		assert.Equal(t, o.Start[0].RunRef, run)
 		assert.DeepEqual(t, o.Stop, []rudderfork.RunRef{run})
 	})
-	t.Run("a run that was told is stopped as soon as the cancel is applied, and once", func(t *testing.T) {
+	t.Run("a run that was ordered gets one stop order when the cancellation is applied", func(t *testing.T) {
 		qs := stateWithRun(t)
 		ses := newSessionOfAgent(qs)
 		o := ses.newOrders(qs)
@@ -71,7 +70,7 @@
 		assert.DeepEqual(t, o.Stop, []rudderfork.RunRef{run})
 		assert.Equal(t, len(ses.newOrders(qs).Stop), 0)
 	})
-	t.Run("the next session hears of it again", func(t *testing.T) {
+	t.Run("the next session gets the stop order again", func(t *testing.T) {
 		qs := stateWithRun(t)
 		cancelJob(t, qs)
 		newSessionOfAgent(qs).newOrders(qs)
@@ -87,36 +86,36 @@
 	})
 }
 
-// TestSessionWakesOnlyForItsVM holds that a VM's agent is told of whatever concerns it, and woken for
-// nothing else.
+// TestSessionWakesOnlyForItsVM checks that a session is woken for changes that concern its VM, and for
+// no others.
 func TestSessionWakesOnlyForItsVM(t *testing.T) {
 	key := queue.TaskKey{Job: "j"}
-	told := func(t *testing.T) (qs *queue.State, ses *session) {
+	upToDate := func(t *testing.T) (qs *queue.State, ses *session) {
 		qs = stateWithRun(t)
 		ses = newSessionOfAgent(qs)
-		assert.Assert(t, ses.behind(qs), "it was told nothing yet")
+		assert.Assert(t, ses.behind(qs), "a session that has sent no orders is not behind")
 		ses.newOrders(qs)
 		assert.Assert(t, !ses.behind(qs))
 		return qs, ses
 	}
-	t.Run("what concerns other VMs", func(t *testing.T) {
-		qs, ses := told(t)
+	t.Run("changes of other VMs", func(t *testing.T) {
+		qs, ses := upToDate(t)
 		assert.Equal(t, qs.Apply(queue.Command{Register: &queue.VM{ID: "vm2", Incarnation: "life-2", Service: "desk"}}, 2).Code, queue.OK)
 		ses.s.fleet.setStops([]dispatch.Stop{{Task: key, Run: 1, VM: "vm2"}}, steady.Now())
 		assert.Assert(t, !ses.behind(qs))
 	})
 	t.Run("a run has ended", func(t *testing.T) {
-		qs, ses := told(t)
+		qs, ses := upToDate(t)
 		qs.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Incarnation: "life-1", List: []queue.End{{Task: key, Run: 1, Outcome: queue.OutcomeFailed}}}}, 2)
 		assert.Assert(t, ses.behind(qs))
 	})
 	t.Run("a run is to be stopped", func(t *testing.T) {
-		qs, ses := told(t)
+		qs, ses := upToDate(t)
 		ses.s.fleet.setStops([]dispatch.Stop{{Task: key, Run: 1, VM: "vm1"}}, steady.Now())
 		assert.Assert(t, ses.behind(qs))
 	})
-	t.Run("its failure domain is evacuated, and that is taken back", func(t *testing.T) {
-		qs, ses := told(t)
+	t.Run("its failure domain is evacuated, and then not", func(t *testing.T) {
+		qs, ses := upToDate(t)
 		for _, end := range []bool{false, true} {
 			assert.Equal(t, qs.Apply(queue.Command{Evacuate: &queue.Evacuate{Domain: "north", End: end}}, 2).Code, queue.OK)
 			assert.Assert(t, ses.behind(qs))
@@ -124,8 +123,8 @@
 			assert.Assert(t, !ses.behind(qs))
 		}
 	})
-	t.Run("the VM has a new life", func(t *testing.T) {
-		qs, ses := told(t)
+	t.Run("the VM has a new incarnation", func(t *testing.T) {
+		qs, ses := upToDate(t)
 		assert.Equal(t, qs.Apply(queue.Command{Register: &queue.VM{ID: "vm1", Incarnation: "life-2", Service: "desk"}}, 2).Code, queue.OK)
 		assert.Assert(t, ses.behind(qs))
 	})
--- a/scheduler/overdue_test.go
+++ b/scheduler/overdue_test.go
@@ -9,17 +9,18 @@
 	"rudderfork.example/rudderfork/standin/executor"
 )
 
-// TestOverdueRuns finds a run that its VM, which is in session, does not report.
+// TestOverdueRuns checks that a run is listed as overdue while its VM, which has a session, doesn't
+// report it.
 func TestOverdueRuns(t *testing.T) {
 	s := newTestCluster(t, nil)
 	s.putDocument(nil)
 	e := s.addVM(executor.Config{})
 	e.SetFate(loseStarts)
 	s.submit("j", "work=20ms", smallStep)
-	s.waitUntil("its run is overdue", func() bool { return len(s.sched.overdueRuns(steady.Now())) == 1 })
+	s.waitUntil("the run is overdue", func() bool { return len(s.sched.overdueRuns(steady.Now())) == 1 })
 	r := s.sched.overdueRuns(steady.Now())[0]
 	assert.Equal(t, r.String(), "j.0.0.0#1")
 	assert.Equal(t, string(r.vm), "vm1")
 	e.SetFate(answerAll)
-	s.waitUntil("none is", func() bool { return len(s.sched.overdueRuns(steady.Now())) == 0 })
+	s.waitUntil("no run is overdue", func() bool { return len(s.sched.overdueRuns(steady.Now())) == 0 })
 }
--- a/scheduler/refusal_test.go
+++ b/scheduler/refusal_test.go
@@ -77,7 +77,7 @@
 }
 
 // awaitFullOrders returns the next full list of orders. It unblocks commits when the list has
-// arrived, or has not for fullSpan.
+// arrived, or has not for fullListTimeout.
 func (h *gatedCluster) awaitFullOrders(c *wire.Conn[wire.FromNode, wire.ToQueueNode], release func()) *wire.Orders {
 	h.t.Helper()
 	lists := make(chan *wire.Orders, 1)
