--- a/bench/crashes.go
+++ b/bench/crashes.go
@@ -258,7 +258,7 @@
 		if s.isPoison(k.TaskKey) {
 			s.out.afterThird = max(s.out.afterThird, s.under[k.TaskKey]-3) // each of its starts ends so
 		}
-		v.crashed.Runs = append(v.crashed.Runs, queue.RunAge{Task: k.TaskKey, Run: k.Number, AgeMS: at - v.began[k], Seen: true})
+		v.crashed.Runs = append(v.crashed.Runs, queue.RunAge{Task: k.TaskKey, Run: k.Number, AgeMS: at - v.began[k], Confirmed: true})
 		if s.policy.atMost > 0 && s.under[k.TaskKey] >= s.policy.atMost {
 			s.apply(queue.Command{Cancel: &queue.Cancel{Host: "h", Path: "/q/" + string(k.Job)}})
 		}
--- a/dispatch/drawn_test.go
+++ b/dispatch/drawn_test.go
@@ -318,7 +318,7 @@
 			if !st.Filler {
 				continue
 			}
-			w := float64(j.Occurrences[0].Left[i]) * float64(st.Size.CPUMilli) * float64(max(1, st.ExpectedMS))
+			w := float64(j.Occurrences[0].Remaining[i]) * float64(st.Size.CPUMilli) * float64(max(1, st.ExpectedMS))
 			work[st.Image] += w
 			sum += w
 		}
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -130,7 +130,7 @@
 		}
 		left := 0
 		for _, o := range j.Occurrences {
-			left += o.Left[i]
+			left += o.Remaining[i]
 		}
 		n.fillerWork = append(n.fillerWork, fillerWork{n.images[i], expectedWork(st, n.workMS[i], left)})
 	}
--- a/dispatch/last.go
+++ b/dispatch/last.go
@@ -25,6 +25,6 @@
 // isNearlyDone reports whether only few tasks of a step of fillers remain.
 func (n *jobState) isNearlyDone(key queue.StepKey) bool {
 	st := &n.job.Spec.Steps[key.Step]
-	left := n.job.Occurrences[key.Occurrence].Left[key.Step]
+	left := n.job.Occurrences[key.Occurrence].Remaining[key.Step]
 	return st.Filler && !st.Lasting && left < st.Count && float64(left) <= max(1, lastOfStepShare*float64(st.Count))
 }
--- a/dispatch/quarantine_test.go
+++ b/dispatch/quarantine_test.go
@@ -17,7 +17,7 @@
 	vm := *w.s.VM(id)
 	c := queue.Crash{Incarnation: vm.Incarnation}
 	for k, run := range vm.Runs() {
-		c.Runs = append(c.Runs, queue.RunAge{Task: k, Run: run, Seen: true})
+		c.Runs = append(c.Runs, queue.RunAge{Task: k, Run: run, Confirmed: true})
 	}
 	vm.Incarnation = life
 	assert.Equal(w.t, w.s.Apply(queue.Command{Register: &vm, Crash: &c}, w.view.Now).Code, queue.OK)
--- a/dispatch/rank.go
+++ b/dispatch/rank.go
@@ -121,7 +121,7 @@
 		return 0
 	}
 	o := j.Occurrences[openOccurrence(j)]
-	return int64(criticalPathMS(j.Spec, works, func(step int) bool { return o.Left[step] > 0 }))
+	return int64(criticalPathMS(j.Spec, works, func(step int) bool { return o.Remaining[step] > 0 }))
 }
 
 // workLeft returns the estimated work of the unfinished tasks of the open occurrence, in
@@ -132,7 +132,7 @@
 	}
 	o := j.Occurrences[openOccurrence(j)]
 	for i := range j.Spec.Steps {
-		work += expectedWork(&j.Spec.Steps[i], works[i], o.Left[i])
+		work += expectedWork(&j.Spec.Steps[i], works[i], o.Remaining[i])
 	}
 	return work
 }
--- a/queue/apply.go
+++ b/queue/apply.go
@@ -122,7 +122,7 @@
 		o := &Occurrence{DueMS: first + int64(k)*every}
 		for _, st := range spec.Steps {
 			o.Steps = append(o.Steps, make([]Task, st.Count))
-			o.Left = append(o.Left, st.Count)
+			o.Remaining = append(o.Remaining, st.Count)
 		}
 		times = append(times, o)
 	}
@@ -308,7 +308,7 @@
 		return
 	}
 	t.Done = true
-	j.Occurrences[k.Occurrence].Left[k.Step]--
+	j.Occurrences[k.Occurrence].Remaining[k.Step]--
 	for _, o := range j.Occurrences {
 		if !o.Done() {
 			return
@@ -335,7 +335,7 @@
 func (s *State) register(v VM, seen *Crash, at int64) Result {
 	res := Result{Code: OK}
 	v.Epoch, v.Leaving = 1, false
-	v.Doubtful, v.DoubtfulAt, v.Settled, v.Silent, v.Crashes = nil, 0, false, false, CrashHistory{}
+	v.UnresolvedRuns, v.LeaseExpiredAt, v.Resolved, v.ExecutorSilent, v.Crashes = nil, 0, false, false, CrashHistory{}
 	if old := s.vms[v.ID]; old != nil {
 		same := continues(old.Incarnation, v.Incarnation)
 		how := endingOf(old, seen)
@@ -359,13 +359,13 @@
 
 // endingOf is how the life of a VM's executor has ended, by what its agent has seen.
 func endingOf(vm *VM, seen *Crash) ending {
-	seen = seen.Of(vm.Incarnation)
+	seen = seen.ForIncarnation(vm.Incarnation)
 	return ending{planned: vm.Leaving || seen.announced(), seen: seen}
 }
 
-// CrashedUnder returns the tasks whose runs ended with the life of an executor that v
+// TasksAtCrash returns the tasks whose runs ended with the life of an executor that v
 // follows; crashed is false if v follows none, or one that was to end.
-func (s *State) CrashedUnder(v VM, seen *Crash) (tasks []TaskKey, crashed bool) {
+func (s *State) TasksAtCrash(v VM, seen *Crash) (tasks []TaskKey, crashed bool) {
 	old := s.vms[v.ID]
 	if old == nil || continues(old.Incarnation, v.Incarnation) {
 		return nil, false
--- a/queue/blame.go
+++ b/queue/blame.go
@@ -69,16 +69,16 @@
 	switch {
 	case t.Crashes >= MostCrashes:
 		return true
-	case t.Witnessed >= 3:
+	case t.PromptCrashes >= 3:
 		return t.Suspicion >= thriceMille
-	case t.Witnessed >= 2:
+	case t.PromptCrashes >= 2:
 		return t.Suspicion >= twiceMille
 	}
 	return false
 }
 
 // clear takes back all that the task was suspected of, but for what is open yet.
-func (t *Task) clear() { t.Crashes, t.Witnessed, t.Suspicion = 0, 0, 0 }
+func (t *Task) clear() { t.Crashes, t.PromptCrashes, t.Suspicion = 0, 0, 0 }
 
 // clearProven clears the tasks of runs that had been at work for long: they show that their
 // tasks do not crash what starts them.
@@ -100,8 +100,8 @@
 			continue
 		}
 		t.Crashes++
-		if r.Seen && r.AgeMS <= promptMS {
-			t.Witnessed++
+		if r.Confirmed && r.AgeMS <= promptMS {
+			t.PromptCrashes++
 		}
 	}
 }
@@ -222,9 +222,9 @@
 // those that are active crash their executors too, and those in doubt have done so. A task
 // that lasts waits only for what agents have told: its users are without it meanwhile.
 func (t *Task) reachesMost(lasting bool) bool {
-	doubts := t.Doubts
+	doubts := t.UnresolvedLosses
 	if lasting {
-		doubts = t.Silences
+		doubts = t.UnresolvedSilent
 	}
 	return t.Crashes+doubts+len(t.Runs) >= MostCrashes
 }
--- a/queue/blame_test.go
+++ b/queue/blame_test.go
@@ -13,7 +13,7 @@
 
 // aged is what an agent knows of a run that it saw begin.
 func aged(k TaskKey, run uint32, ageMS int64) RunAge {
-	return RunAge{Task: k, Run: run, AgeMS: ageMS, Seen: true}
+	return RunAge{Task: k, Run: run, AgeMS: ageMS, Confirmed: true}
 }
 
 // crash has a VM's executor come back under another life; its agent knows of the runs.
@@ -35,7 +35,7 @@
 func checkCounts(t *testing.T, task *Task, crashes, doubts int) {
 	t.Helper()
 	assert.Equal(t, task.Crashes, crashes, "crashes")
-	assert.Equal(t, task.Doubts, doubts, "doubts")
+	assert.Equal(t, task.UnresolvedLosses, doubts, "doubts")
 }
 
 // two starts two tasks of two jobs on the first VM.
@@ -143,7 +143,7 @@
 	t.Run("upkeep", func(t *testing.T) {
 		w, bad, _ := two(t, one)
 		w.apply(Command{Wave: &Wave{ID: 1, Machines: []string{"m1"}, MaxDown: 1}})
-		w.apply(Command{Upkeep: &UpkeepNote{Wave: 1, Machine: "m1", Incarnation: oldLife}})
+		w.apply(Command{Upkeep: &UpkeepReport{Wave: 1, Machine: "m1", Incarnation: oldLife}})
 		w.crash("vm1", "life-2", aged(bad, 1, 0))
 		checkCounts(t, w.task(bad), 0, 0)
 		assert.Assert(t, !w.s.VM("vm1").Leaving)
--- a/queue/command.go
+++ b/queue/command.go
@@ -13,8 +13,8 @@
 	Register *VM       `cbor:"6,keyasint,omitempty"`
 	Lost     *VMLoss   `cbor:"7,keyasint,omitempty"`
 
-	Wave   *Wave       `cbor:"8,keyasint,omitempty"`
-	Upkeep *UpkeepNote `cbor:"9,keyasint,omitempty"`
+	Wave   *Wave         `cbor:"8,keyasint,omitempty"`
+	Upkeep *UpkeepReport `cbor:"9,keyasint,omitempty"`
 
 	// Crash goes with Register: what the VM's agent saw of the life before, if it did.
 	Crash *Crash `cbor:"10,keyasint,omitempty"`
--- a/queue/crash.go
+++ b/queue/crash.go
@@ -20,13 +20,13 @@
 	Task  TaskKey `cbor:"1,keyasint"`
 	Run   uint32  `cbor:"2,keyasint"`
 	AgeMS int64   `cbor:"3,keyasint,omitempty"`
-	// Seen says that the executor confirmed the run; the start of another may have been
+	// Confirmed says that the executor confirmed the run; the start of another may have been
 	// lost on its way.
-	Seen bool `cbor:"4,keyasint,omitempty"`
+	Confirmed bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Of returns the crash if it is of a life, else nil.
-func (c *Crash) Of(life string) *Crash {
+// ForIncarnation returns the crash if it is of a life, else nil.
+func (c *Crash) ForIncarnation(life string) *Crash {
 	if c == nil || c.Incarnation != life {
 		return nil
 	}
--- a/queue/doubt.go
+++ b/queue/doubt.go
@@ -19,17 +19,17 @@
 
 // noteCase notes the runs that ended with a VM's lease, and doubts their tasks.
 func (s *State) noteCase(vm *VM, list []RunAge, silent bool) {
-	vm.Doubtful, vm.DoubtfulAt, vm.Settled, vm.Silent = list, s.clock.NowMS, false, silent
-	s.cases = append(s.cases, openCase{vm.ID, vm.DoubtfulAt})
+	vm.UnresolvedRuns, vm.LeaseExpiredAt, vm.Resolved, vm.ExecutorSilent = list, s.clock.NowMS, false, silent
+	s.cases = append(s.cases, openCase{vm.ID, vm.LeaseExpiredAt})
 	s.doubt(vm, 1)
 }
 
 // settleCase takes back the doubt in the tasks of a VM's open case.
 func (s *State) settleCase(vm *VM) {
-	if !vm.Settled {
+	if !vm.Resolved {
 		s.doubt(vm, -1)
 	}
-	vm.Settled = true
+	vm.Resolved = true
 }
 
 // settleCases takes back the doubts of VMs that have not come back for long. What ran
@@ -38,7 +38,7 @@
 	for len(s.cases) > 0 && s.clock.NowMS >= s.cases[0].at+doubtMS {
 		c := s.cases[0]
 		s.cases = s.cases[1:]
-		if vm := s.vms[c.vm]; vm != nil && vm.DoubtfulAt == c.at {
+		if vm := s.vms[c.vm]; vm != nil && vm.LeaseExpiredAt == c.at {
 			s.settleCase(vm)
 		}
 	}
@@ -51,8 +51,8 @@
 		j.clearDoubts()
 	}
 	for _, vm := range s.order {
-		if len(vm.Doubtful) > 0 && !vm.Settled {
-			s.cases = append(s.cases, openCase{vm.ID, vm.DoubtfulAt})
+		if len(vm.UnresolvedRuns) > 0 && !vm.Resolved {
+			s.cases = append(s.cases, openCase{vm.ID, vm.LeaseExpiredAt})
 			s.doubt(vm, 1)
 		}
 	}
@@ -63,14 +63,14 @@
 // (step 1), or no longer (step -1). A run that had been at work for long would clear its
 // task.
 func (s *State) doubt(vm *VM, step int) {
-	for _, r := range vm.Doubtful {
+	for _, r := range vm.UnresolvedRuns {
 		t := s.openTask(r.Task)
 		if t == nil || r.AgeMS >= provenMS {
 			continue
 		}
-		t.Doubts = max(0, t.Doubts+step)
-		if vm.Silent {
-			t.Silences = max(0, t.Silences+step)
+		t.UnresolvedLosses = max(0, t.UnresolvedLosses+step)
+		if vm.ExecutorSilent {
+			t.UnresolvedSilent = max(0, t.UnresolvedSilent+step)
 		}
 	}
 }
@@ -79,7 +79,7 @@
 	for _, o := range j.Occurrences {
 		for _, tasks := range o.Steps {
 			for i := range tasks {
-				tasks[i].Doubts, tasks[i].Silences = 0, 0
+				tasks[i].UnresolvedLosses, tasks[i].UnresolvedSilent = 0, 0
 			}
 		}
 	}
--- a/queue/lifeend.go
+++ b/queue/lifeend.go
@@ -26,9 +26,9 @@
 // returned settles what was left open when a VM's lease ran out: with another life it
 // was a crash after all, with the same one it was none.
 func (s *State) returned(vm *VM, how ending, same bool, at int64) []Assessment {
-	list := vm.Doubtful
+	list := vm.UnresolvedRuns
 	s.settleCase(vm)
-	vm.Doubtful = nil
+	vm.UnresolvedRuns = nil
 	if same || how.planned {
 		return nil
 	}
--- a/queue/model.go
+++ b/queue/model.go
@@ -234,12 +234,12 @@
 	TookMS     int64  `cbor:"7,keyasint,omitempty"` // from the start of the run that was done
 
 	// What follows says whether the task crashes its executors; blame.go.
-	Crashes   int `cbor:"8,keyasint,omitempty"`  // of executors, under it
-	Witnessed int `cbor:"11,keyasint,omitempty"` // of these, on which its run was seen to begin
-	Doubts    int `cbor:"10,keyasint,omitempty"` // runs that ended lately with leases of VMs that are not back
-	Suspicion int `cbor:"9,keyasint,omitempty"`  // thousandths
-	// Silences are the doubts of VMs whose agents have told that their executors are silent.
-	Silences int `cbor:"12,keyasint,omitempty"`
+	Crashes          int `cbor:"8,keyasint,omitempty"`  // of executors, under it
+	PromptCrashes    int `cbor:"11,keyasint,omitempty"` // of these, on which its run was seen to begin
+	UnresolvedLosses int `cbor:"10,keyasint,omitempty"` // runs that ended lately with leases of VMs that are not back
+	Suspicion        int `cbor:"9,keyasint,omitempty"`  // thousandths
+	// UnresolvedSilent are the doubts of VMs whose agents have told that their executors are silent.
+	UnresolvedSilent int `cbor:"12,keyasint,omitempty"`
 }
 
 // Run returns the active run of a number; ok is false if there is none.
@@ -258,15 +258,15 @@
 
 // Occurrence is the tasks of one time of a job, by step and index.
 type Occurrence struct {
-	DueMS int64    `cbor:"1,keyasint,omitempty"` // Unix ms; 0 means at once
-	Steps [][]Task `cbor:"2,keyasint"`
-	Left  []int    `cbor:"3,keyasint"` // tasks of each step that are not done
+	DueMS     int64    `cbor:"1,keyasint,omitempty"` // Unix ms; 0 means at once
+	Steps     [][]Task `cbor:"2,keyasint"`
+	Remaining []int    `cbor:"3,keyasint"` // tasks of each step that are not done
 }
 
 // StepReady reports whether all steps that step i waits for are done.
 func (o *Occurrence) StepReady(st Step) bool {
 	for _, d := range st.DependsOn {
-		if o.Left[d] > 0 {
+		if o.Remaining[d] > 0 {
 			return false
 		}
 	}
@@ -275,7 +275,7 @@
 
 // Done reports whether all tasks are done.
 func (o *Occurrence) Done() bool {
-	for _, left := range o.Left {
+	for _, left := range o.Remaining {
 		if left > 0 {
 			return false
 		}
@@ -329,15 +329,15 @@
 	// Epoch rises with each registration that starts with no runs.
 	Epoch uint64 `cbor:"9,keyasint,omitempty"`
 
-	// Doubtful are the runs that ended with the VM's lease: whether its executor had
+	// UnresolvedRuns are the runs that ended with the VM's lease: whether its executor had
 	// crashed shows when it is back.
-	Doubtful []RunAge `cbor:"10,keyasint,omitempty"`
-	// DoubtfulAt is when the lease ran out, by the state's clock, ms; Settled says that the
+	UnresolvedRuns []RunAge `cbor:"10,keyasint,omitempty"`
+	// LeaseExpiredAt is when the lease ran out, by the state's clock, ms; Settled says that the
 	// runs are no longer held against their tasks.
-	DoubtfulAt int64 `cbor:"12,keyasint,omitempty"`
-	Settled    bool  `cbor:"13,keyasint,omitempty"`
-	// Silent says that the VM's agent has told that its executor is silent.
-	Silent bool `cbor:"14,keyasint,omitempty"`
+	LeaseExpiredAt int64 `cbor:"12,keyasint,omitempty"`
+	Resolved       bool  `cbor:"13,keyasint,omitempty"`
+	// ExecutorSilent says that the VM's agent has told that its executor is silent.
+	ExecutorSilent bool `cbor:"14,keyasint,omitempty"`
 	// Leaving says that the life ends as planned, and that nobody is to blame for it.
 	Leaving bool `cbor:"11,keyasint,omitempty"`
 	// Crashes are those of the VM's executors, whatever their lives.
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -126,7 +126,7 @@
 						assert.Assert(t, s.vms[r.VM].Live, "%v runs on a VM that is lost", k)
 					}
 				}
-				assert.Equal(t, o.Left[step], left)
+				assert.Equal(t, o.Remaining[step], left)
 			}
 		}
 		assert.Equal(t, j.ActiveRuns, active, "active runs of %s", j.ID)
--- a/queue/second_start_test.go
+++ b/queue/second_start_test.go
@@ -26,11 +26,11 @@
 	assert.Equal(t, start(first), uint32(1))
 	epoch := s.VM("vm1").Epoch
 
-	seen := &Crash{Incarnation: first, Runs: []RunAge{{Task: k, Run: 1, AgeMS: 5, Seen: true}}}
+	seen := &Crash{Incarnation: first, Runs: []RunAge{{Task: k, Run: 1, AgeMS: 5, Confirmed: true}}}
 	res := apply(Command{Register: &VM{ID: "vm1", Incarnation: second, Service: "desk"}, Crash: seen})
 	t.Run("what ran there is over, and the crash is counted", func(t *testing.T) {
 		assert.Equal(t, len(res.LostRuns), 1)
-		assert.Equal(t, s.Job("j").Task(k).Witnessed, 1)
+		assert.Equal(t, s.Job("j").Task(k).PromptCrashes, 1)
 	})
 	t.Run("its orders are of another epoch", func(t *testing.T) { assert.Assert(t, s.VM("vm1").Epoch > epoch) })
 	t.Run("a start that was planned for the start before is refused", func(t *testing.T) {
@@ -41,7 +41,7 @@
 		late := apply(Command{Ends: &Ends{VM: "vm1", Incarnation: first, List: []End{{Task: k, Run: 2, Outcome: OutcomeDone}}}})
 		assert.Assert(t, !late.Taken[0])
 		assert.Equal(t, apply(Command{Lost: &VMLoss{VM: "vm1", Incarnation: first, Departed: true}}).Code, Stale)
-		apply(Command{Upkeep: &UpkeepNote{Wave: 1, Machine: "m", Incarnation: first}})
+		apply(Command{Upkeep: &UpkeepReport{Wave: 1, Machine: "m", Incarnation: first}})
 		assert.Assert(t, s.VM("vm1").Live && !s.VM("vm1").Leaving)
 		assert.Equal(t, len(s.VM("vm1").Runs()), 1)
 	})
@@ -86,11 +86,11 @@
 		apply(Command{Submit: &Submit{Host: "h", Path: "/q/j", Spec: Spec{Steps: []Step{{Count: 1}}}}})
 		apply(Command{Register: &VM{ID: "vm1", Incarnation: first, Service: "desk"}})
 		apply(Command{Starts: []Start{{Task: k, VM: "vm1", Incarnation: first}}})
-		seen := &Crash{Incarnation: first, Runs: []RunAge{{Task: k, Run: 1, AgeMS: 5, Seen: true}}}
+		seen := &Crash{Incarnation: first, Runs: []RunAge{{Task: k, Run: 1, AgeMS: 5, Confirmed: true}}}
 		apply(Command{Lost: &VMLoss{VM: "vm1", Incarnation: first, Crash: seen}})
-		assert.Equal(t, s.Job("j").Task(k).Doubts, 1)
+		assert.Equal(t, s.Job("j").Task(k).UnresolvedLosses, 1)
 		apply(Command{Register: &VM{ID: "vm1", Incarnation: back, Service: "desk"}})
-		assert.Equal(t, s.Job("j").Task(k).Doubts, 0)
+		assert.Equal(t, s.Job("j").Task(k).UnresolvedLosses, 0)
 		assert.Equal(t, s.Job("j").Task(k).Crashes, crashes, back)
 	}
 }
--- a/queue/suspects.go
+++ b/queue/suspects.go
@@ -19,7 +19,7 @@
 			for step, tasks := range o.Steps {
 				for index := range tasks {
 					k := TaskKey{j.ID, time, step, index}
-					if t := s.openTask(k); t != nil && t.Crashes+t.Doubts+t.Suspicion > 0 {
+					if t := s.openTask(k); t != nil && t.Crashes+t.UnresolvedLosses+t.Suspicion > 0 {
 						list = append(list, CrashedTask{k, t})
 					}
 				}
--- a/queue/wave.go
+++ b/queue/wave.go
@@ -19,17 +19,17 @@
 // maxWaves bounds the waves that are remembered.
 const maxWaves = 1000
 
-// UpkeepNote notes that a machine's upkeep in a wave has begun, or that the
+// UpkeepReport notes that a machine's upkeep in a wave has begun, or that the
 // machine is gone.
-type UpkeepNote struct {
+type UpkeepReport struct {
 	Wave        uint64 `cbor:"1,keyasint"`
 	Machine     string `cbor:"2,keyasint"`
 	Gone        bool   `cbor:"3,keyasint,omitempty"`
 	Incarnation string `cbor:"4,keyasint,omitempty"` // of the executor that ends with it; "" if none is known
 }
 
-// Left returns the machines whose upkeep is still to begin.
-func (w *Wave) Left() (left []string) {
+// Remaining returns the machines whose upkeep is still to begin.
+func (w *Wave) Remaining() (left []string) {
 	for _, m := range w.Machines {
 		if !slices.Contains(w.Begun, m) && !slices.Contains(w.Gone, m) {
 			left = append(left, m)
@@ -51,7 +51,7 @@
 // Waves returns the waves that have machines left, in the order they came.
 func (s *State) Waves() (open []*Wave) {
 	for _, w := range s.waves {
-		if len(w.Left()) > 0 {
+		if len(w.Remaining()) > 0 {
 			open = append(open, w)
 		}
 	}
@@ -73,12 +73,12 @@
 	return Result{Code: OK}
 }
 
-func (s *State) noteUpkeep(n UpkeepNote) Result {
+func (s *State) noteUpkeep(n UpkeepReport) Result {
 	if !n.Gone {
 		s.endPlanned(n.Incarnation)
 	}
 	w := s.Wave(n.Wave)
-	if w == nil || !slices.Contains(w.Left(), n.Machine) {
+	if w == nil || !slices.Contains(w.Remaining(), n.Machine) {
 		return Result{Code: Stale}
 	}
 	if n.Gone {
--- a/runner/crash.go
+++ b/runner/crash.go
@@ -51,7 +51,7 @@
 	add := func(ref rudderfork.RunRef, ageMS int64, seen bool) {
 		if k, err := queue.ParseTaskKey(string(ref.Task)); err == nil && !known[ref] {
 			known[ref] = true
-			c.Runs = append(c.Runs, queue.RunAge{Task: k, Run: ref.Run, AgeMS: max(0, ageMS), Seen: seen})
+			c.Runs = append(c.Runs, queue.RunAge{Task: k, Run: ref.Run, AgeMS: max(0, ageMS), Confirmed: seen})
 		}
 	}
 	for ref, begun := range a.begun {
--- a/runner/crash_test.go
+++ b/runner/crash_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	got := map[string]queue.RunAge{}
 	for _, r := range c.Runs {
-		got[r.Task.String()] = queue.RunAge{AgeMS: r.AgeMS, Seen: r.Seen}
+		got[r.Task.String()] = queue.RunAge{AgeMS: r.AgeMS, Confirmed: r.Confirmed}
 	}
 	assert.DeepEqual(t, got, want)
 }
@@ -37,7 +37,7 @@
 		return a
 	}
 	want := map[string]queue.RunAge{
-		"old.0.0.0": {AgeMS: 900, Seen: true}, "fresh.0.0.0": {AgeMS: 200, Seen: true}, "lost.0.0.0": {},
+		"old.0.0.0": {AgeMS: 900, Confirmed: true}, "fresh.0.0.0": {AgeMS: 200, Confirmed: true}, "lost.0.0.0": {},
 	}
 	t.Run("while it is silent, heartbeats tell what ran there", func(t *testing.T) {
 		a := silent()
@@ -63,7 +63,7 @@
 		a.noteStart(lost, rudderfork.Started, nil, at(1000))
 		a.noteSilent(at(1010))
 		checkKnown(t, a.crash(), map[string]queue.RunAge{
-			"old.0.0.0": {AgeMS: 1010, Seen: true}, "fresh.0.0.0": {AgeMS: 310, Seen: true}, "lost.0.0.0": {AgeMS: 10, Seen: true},
+			"old.0.0.0": {AgeMS: 1010, Confirmed: true}, "fresh.0.0.0": {AgeMS: 310, Confirmed: true}, "lost.0.0.0": {AgeMS: 10, Confirmed: true},
 		})
 	})
 	t.Run("an account tells that it was not silent", func(t *testing.T) {
--- a/runs/model_test.go
+++ b/runs/model_test.go
@@ -376,7 +376,7 @@
 		k, err := queue.ParseTaskKey(string(ref.Task))
 		assert.NilError(v.s.t, err)
 		age := v.now().Sub(v.begun[ref].at).Milliseconds()
-		v.crash.Runs = append(v.crash.Runs, queue.RunAge{Task: k, Run: ref.Run, AgeMS: age, Seen: v.begun[ref].sure})
+		v.crash.Runs = append(v.crash.Runs, queue.RunAge{Task: k, Run: ref.Run, AgeMS: age, Confirmed: v.begun[ref].sure})
 	}
 	v.begun = nil
 }
--- a/scheduler/ask.go
+++ b/scheduler/ask.go
@@ -155,7 +155,7 @@
 	if w == nil {
 		return wire.QueueResponse{Code: queue.NoJob, Text: "there is no such wave"}
 	}
-	return wire.QueueResponse{Code: queue.OK, Left: len(w.Left())}
+	return wire.QueueResponse{Code: queue.OK, Left: len(w.Remaining())}
 }
 
 func documentOf(st *queue.State) wire.QueueResponse {
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -390,7 +390,7 @@
 
 // recordCrash draws conclusions from a life of a VM's executor that a new one follows.
 func (f *fleet) recordCrash(s *queue.State, vm queue.VM, crash *queue.Crash, now time.Time) {
-	tasks, crashed := s.CrashedUnder(vm, crash)
+	tasks, crashed := s.TasksAtCrash(vm, crash)
 	if !crashed {
 		return
 	}
--- a/scheduler/lost_twice_test.go
+++ b/scheduler/lost_twice_test.go
@@ -50,5 +50,5 @@
 	close(gate)
 	s.waitUntil("both proposals are committed", func() bool { return rep.Status().Commit == last+2 })
 	do(queue.Command{Register: &vm})
-	rep.View(func(st *state.State) { assert.Equal(t, st.Queues().Job("feed").Task(k).Doubts, 0) })
+	rep.View(func(st *state.State) { assert.Equal(t, st.Queues().Job("feed").Task(k).UnresolvedLosses, 0) })
 }
--- a/scheduler/simfleet_test.go
+++ b/scheduler/simfleet_test.go
@@ -163,7 +163,7 @@
 func (s *simFleet) crash(v *simVM, seen bool) {
 	c := &queue.Crash{Incarnation: v.incarnationName()}
 	for k, at := range v.startedAt {
-		c.Runs = append(c.Runs, queue.RunAge{Task: k.TaskKey, Run: k.Number, AgeMS: s.now.Sub(at).Milliseconds(), Seen: true})
+		c.Runs = append(c.Runs, queue.RunAge{Task: k.TaskKey, Run: k.Number, AgeMS: s.now.Sub(at).Milliseconds(), Confirmed: true})
 	}
 	slices.SortFunc(c.Runs, func(a, b queue.RunAge) int { return a.Task.Compare(b.Task) })
 	if !seen {
--- a/scheduler/upkeep.go
+++ b/scheduler/upkeep.go
@@ -135,7 +135,7 @@
 	}
 	// An order without an answer may have been carried out: it goes first, since
 	// asking again is harmless, and the machine counts as down already.
-	for _, name := range w.Left() {
+	for _, name := range w.Remaining() {
 		if at, asked := u.begunAt[name]; asked && now.Sub(at) < settleTime {
 			u.order(ctx, w, name, byName[name].Executor, now)
 			return
@@ -183,7 +183,7 @@
 	u.s.rep.View(func(st *state.State) {
 		u.s.mu.Lock()
 		defer u.s.mu.Unlock()
-		for _, name := range w.Left() {
+		for _, name := range w.Remaining() {
 			m, known := byName[name]
 			if known && !m.Up || now.Sub(u.refused[name]) < refusalRest {
 				continue
@@ -271,10 +271,10 @@
 	u.begunAt[name] = now
 	life := u.s.lifeOf(executor) // before the order: the next one may come under the same id
 	err := u.provider.Upkeep(ctx, rudderfork.Duty{Holder: u.holder, Fence: u.term}, name, w.ID)
-	u.s.log.Info().Uint64("wave", w.ID).Str("machine", name).Int("left", len(w.Left())).AnErr("error", err).Msg("upkeep_ordered")
+	u.s.log.Info().Uint64("wave", w.ID).Str("machine", name).Int("left", len(w.Remaining())).AnErr("error", err).Msg("upkeep_ordered")
 	switch {
 	case err == nil, errors.Is(err, rudderfork.ErrNoMachine):
-		note := queue.UpkeepNote{Wave: w.ID, Machine: name, Gone: err != nil, Incarnation: life}
+		note := queue.UpkeepReport{Wave: w.ID, Machine: name, Gone: err != nil, Incarnation: life}
 		if _, err := u.s.do(ctx, queue.Command{Upkeep: &note}); err != nil {
 			u.s.log.Warn().Err(err).Msg("upkeep_not_committed") // it is ordered again, which changes nothing
 		}
--- a/scheduler/views.go
+++ b/scheduler/views.go
@@ -69,7 +69,7 @@
 	views := []SuspectView{}
 	for _, a := range s.CrashedTasks() {
 		v := SuspectView{
-			Task: a.Key.String(), Queue: s.Job(a.Key.Job).Queue.Name, Crashes: a.Task.Crashes, Doubts: a.Task.Doubts,
+			Task: a.Key.String(), Queue: s.Job(a.Key.Job).Queue.Name, Crashes: a.Task.Crashes, Doubts: a.Task.UnresolvedLosses,
 			Suspicion: a.Task.Suspicion, Suspect: a.Task.Suspect(), VMs: []string{},
 		}
 		for _, r := range a.Task.Runs {
