--- a/scheduler/advice.go
+++ b/scheduler/advice.go
@@ -86,8 +86,8 @@
 	return all
 }
 
-// refuse forgets a ticket that an executor did not accept.
-func (a *advice) refuse(k queue.StepKey, vm rudderfork.VMID) {
+// dropTicket forgets a ticket that an executor did not accept.
+func (a *advice) dropTicket(k queue.StepKey, vm rudderfork.VMID) {
 	if l := a.steps[k]; l != nil {
 		delete(l.tickets, vm)
 	}
--- a/scheduler/ask.go
+++ b/scheduler/ask.go
@@ -13,8 +13,8 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// ask answers a front's call on its own session.
-func (ses *session) ask(ctx context.Context, a wire.QueueRequest) {
+// handleRequest answers a front's call on its own session.
+func (ses *session) handleRequest(ctx context.Context, a wire.QueueRequest) {
 	ans := ses.s.Handle(ctx, a)
 	ans.ID = a.ID
 	ses.reply(wire.ToQueueNode{Response: &ans})
--- a/scheduler/evacuation.go
+++ b/scheduler/evacuation.go
@@ -20,7 +20,7 @@
 // evacuate orders an evacuation or takes it back. It is answered once a quorum holds it,
 // and from then on no start is committed there.
 func (s *Scheduler) evacuate(ctx context.Context, e queue.Evacuate) wire.QueueResponse {
-	if !s.knowsDomain(e.Domain) {
+	if !s.domainExists(e.Domain) {
 		return wire.QueueResponse{Code: queue.NoDomain, Text: "no failure domain is called " + string(e.Domain)}
 	}
 	ans := s.commit(ctx, queue.Command{Evacuate: &e})
@@ -37,8 +37,8 @@
 	return "ordered: "
 }
 
-// knowsDomain reports whether the settings name a failure domain, or a VM is in it.
-func (s *Scheduler) knowsDomain(d rudderfork.Domain) (known bool) {
+// domainExists reports whether the settings name a failure domain, or a VM is in it.
+func (s *Scheduler) domainExists(d rudderfork.Domain) (known bool) {
 	if s.cfg.HasDomain != nil && s.cfg.HasDomain(d) {
 		return true
 	}
@@ -50,8 +50,8 @@
 	return known
 }
 
-// closed reports whether nothing more is to be started on a VM.
-func (s *Scheduler) closed(id rudderfork.VMID) (closed bool) {
+// startsClosed reports whether nothing more is to be started on a VM.
+func (s *Scheduler) startsClosed(id rudderfork.VMID) (closed bool) {
 	s.rep.View(func(st *state.State) {
 		vm := st.Queues().VM(id)
 		closed = vm != nil && st.Queues().Evacuating(vm.Domain)
@@ -59,9 +59,9 @@
 	return closed
 }
 
-// startsLeft is what of a lease's rest is left for starts: they may be made for the
+// startTimeLeft is what of a lease's rest is left for starts: they may be made for the
 // shorter StartSpan, counted from the same time.
-func (s *Scheduler) startsLeft(left time.Duration) time.Duration {
+func (s *Scheduler) startTimeLeft(left time.Duration) time.Duration {
 	if s.cfg.StartWindow == 0 {
 		return left
 	}
--- a/scheduler/evacuation_test.go
+++ b/scheduler/evacuation_test.go
@@ -92,7 +92,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := &Scheduler{cfg: Settings{Lease: 5 * time.Second, StartWindow: c.span}}
-			assert.Equal(t, s.startsLeft(c.left), c.want)
+			assert.Equal(t, s.startTimeLeft(c.left), c.want)
 		})
 	}
 }
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -371,7 +371,7 @@
 		f.failedOn(e.Task, vm)
 	}
 	if e.Outcome == queue.OutcomeRefused && e.Reason == rudderfork.StartTicket.String() {
-		f.advice.refuse(e.Task.StepKey(), vm)
+		f.advice.dropTicket(e.Task.StepKey(), vm)
 	}
 	if e.Outcome == queue.OutcomeRefused {
 		f.putOff[e.Task] = now.Add(refusalPause)
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -37,9 +37,9 @@
 		}}}}}
 		s.fleet.vm("vm1").runs[key] = &runInfo{status: rudderfork.RunStatus{RunRef: key.Ref(1), Percent: fullPercent}}
 		elsewhere := &queue.VM{ID: "vm2"}
-		assert.Equal(t, s.away(j, key.StepKey(), elsewhere), 0)
+		assert.Equal(t, s.countAway(j, key.StepKey(), elsewhere), 0)
 		s.fleet.setStops([]dispatch.Stop{stop}, steady.Now())
-		assert.Equal(t, s.away(j, key.StepKey(), elsewhere), 1)
+		assert.Equal(t, s.countAway(j, key.StepKey(), elsewhere), 1)
 	})
 }
 
--- a/scheduler/losses_test.go
+++ b/scheduler/losses_test.go
@@ -56,6 +56,6 @@
 		close(gate)
 	}()
 	last := rep.Status().Last
-	go sched.expire(s.ctx)
+	go sched.expireLeases(s.ctx)
 	s.waitUntil("all losses are proposed", func() bool { return rep.Status().Last == last+vms })
 }
--- a/scheduler/lost_twice_test.go
+++ b/scheduler/lost_twice_test.go
@@ -42,7 +42,7 @@
 	last := rep.Status().Last
 	for range 2 { // rounds in which no commit completes
 		ctx, cancel := context.WithTimeout(s.ctx, 2*roundPause)
-		sched.expire(ctx)
+		sched.expireLeases(ctx)
 		sched.losses.Wait()
 		cancel()
 	}
--- a/scheduler/orders_test.go
+++ b/scheduler/orders_test.go
@@ -93,39 +93,39 @@
 	upToDate := func(t *testing.T) (qs *queue.State, ses *session) {
 		qs = stateWithRun(t)
 		ses = newSessionOfAgent(qs)
-		assert.Assert(t, ses.behind(qs), "a session that has sent no orders is not behind")
+		assert.Assert(t, ses.mayHaveOrders(qs), "a session that has sent no orders is not behind")
 		ses.newOrders(qs)
-		assert.Assert(t, !ses.behind(qs))
+		assert.Assert(t, !ses.mayHaveOrders(qs))
 		return qs, ses
 	}
 	t.Run("changes of other VMs", func(t *testing.T) {
 		qs, ses := upToDate(t)
 		assert.Equal(t, qs.Apply(queue.Command{Register: &queue.VM{ID: "vm2", Incarnation: "life-2", Service: "desk"}}, 2).Code, queue.OK)
 		ses.s.fleet.setStops([]dispatch.Stop{{Task: key, Run: 1, VM: "vm2"}}, steady.Now())
-		assert.Assert(t, !ses.behind(qs))
+		assert.Assert(t, !ses.mayHaveOrders(qs))
 	})
 	t.Run("a run has ended", func(t *testing.T) {
 		qs, ses := upToDate(t)
 		qs.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Incarnation: "life-1", List: []queue.End{{Task: key, Run: 1, Outcome: queue.OutcomeFailed}}}}, 2)
-		assert.Assert(t, ses.behind(qs))
+		assert.Assert(t, ses.mayHaveOrders(qs))
 	})
 	t.Run("a run is to be stopped", func(t *testing.T) {
 		qs, ses := upToDate(t)
 		ses.s.fleet.setStops([]dispatch.Stop{{Task: key, Run: 1, VM: "vm1"}}, steady.Now())
-		assert.Assert(t, ses.behind(qs))
+		assert.Assert(t, ses.mayHaveOrders(qs))
 	})
 	t.Run("its failure domain is evacuated, and then not", func(t *testing.T) {
 		qs, ses := upToDate(t)
 		for _, end := range []bool{false, true} {
 			assert.Equal(t, qs.Apply(queue.Command{Evacuate: &queue.Evacuate{Domain: "north", End: end}}, 2).Code, queue.OK)
-			assert.Assert(t, ses.behind(qs))
+			assert.Assert(t, ses.mayHaveOrders(qs))
 			assert.Equal(t, ses.newOrders(qs).Cordoned, !end)
-			assert.Assert(t, !ses.behind(qs))
+			assert.Assert(t, !ses.mayHaveOrders(qs))
 		}
 	})
 	t.Run("the VM has a new incarnation", func(t *testing.T) {
 		qs, ses := upToDate(t)
 		assert.Equal(t, qs.Apply(queue.Command{Register: &queue.VM{ID: "vm1", Incarnation: "life-2", Service: "desk"}}, 2).Code, queue.OK)
-		assert.Assert(t, ses.behind(qs))
+		assert.Assert(t, ses.mayHaveOrders(qs))
 	})
 }
--- a/scheduler/round.go
+++ b/scheduler/round.go
@@ -28,10 +28,10 @@
 // work is the round without the wait for the commit of its starts.
 func (t roundTimes) work() time.Duration { return t.expire + t.plan + t.wake }
 
-// rest is how long the next round waits, whatever changes: rounds take half of the
+// pause is how long the next round waits, whatever changes: rounds take half of the
 // processor at most. A large fleet in a burst has hundreds of changes a second, and each
-// round costs something for every VM; what comes during a rest shares one round.
-func (t roundTimes) rest() time.Duration { return min(t.work(), roundPause) }
+// round costs something for every VM; what comes during a pause shares one round.
+func (t roundTimes) pause() time.Duration { return min(t.work(), roundPause) }
 
 // noteRound logs a round that has held others up.
 func (s *Scheduler) noteRound(t roundTimes) {
--- a/scheduler/round_test.go
+++ b/scheduler/round_test.go
@@ -20,6 +20,6 @@
 		{"all parts but the wait for the commit", roundTimes{expire: 1, plan: 2, commit: time.Second, wake: 4}, 7},
 		{"long", roundTimes{plan: time.Minute}, roundPause},
 	} {
-		t.Run(c.name, func(t *testing.T) { assert.Equal(t, c.times.rest(), c.rest) })
+		t.Run(c.name, func(t *testing.T) { assert.Equal(t, c.times.pause(), c.rest) })
 	}
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -88,7 +88,7 @@
 	for ctx.Err() == nil {
 		changed := s.rep.Changed()
 		if s.rep.Leads() {
-			steady.Pause(ctx, s.round(ctx).rest())
+			steady.Pause(ctx, s.round(ctx).pause())
 		} else {
 			s.endTerm()
 		}
@@ -115,7 +115,7 @@
 		}
 		s.startTerm(term)
 	}
-	t.expire = timed(func() { s.expire(ctx) })
+	t.expire = timed(func() { s.expireLeases(ctx) })
 	s.dispatch(bounded, &t)
 	t.wake = timed(s.wakeSessions)
 	s.noteRound(t)
@@ -176,7 +176,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for ses := range s.sessions {
-			if ses.behind(st.Queues()) {
+			if ses.mayHaveOrders(st.Queues()) {
 				ses.ordersDue.Set()
 			}
 		}
@@ -191,11 +191,11 @@
 	return res.Queue, err
 }
 
-// expire proposes the losses of VMs whose lease has run out for sure. Their commits share
+// expireLeases proposes the losses of VMs whose lease has run out for sure. Their commits share
 // syncs, and the round does not wait for them: what is to start elsewhere can.
-func (s *Scheduler) expire(ctx context.Context) {
-	for _, l := range s.expired() {
-		s.losses.Go(func() { s.lose(ctx, l) })
+func (s *Scheduler) expireLeases(ctx context.Context) {
+	for _, l := range s.expiredLeases() {
+		s.losses.Go(func() { s.commitLoss(ctx, l) })
 	}
 }
 
@@ -205,7 +205,7 @@
 	info *vmInfo
 }
 
-func (s *Scheduler) lose(ctx context.Context, l loss) {
+func (s *Scheduler) commitLoss(ctx context.Context, l loss) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	res, err := s.do(ctx, queue.Command{Lost: &l.VMLoss})
@@ -224,8 +224,8 @@
 	s.record("vm_lost", string(l.VM), "its lease ran out and it did not come back")
 }
 
-// expired returns the losses that are not on their way yet.
-func (s *Scheduler) expired() (list []loss) {
+// expiredLeases returns the losses that are not on their way yet.
+func (s *Scheduler) expiredLeases() (list []loss) {
 	now := steady.Now()
 	s.rep.View(func(st *state.State) {
 		s.mu.Lock()
--- a/scheduler/session.go
+++ b/scheduler/session.go
@@ -192,20 +192,20 @@
 		if err != nil {
 			return cmp.Or(context.Cause(ctx), err)
 		}
-		if err := ses.take(ctx, m); err != nil {
+		if err := ses.handle(ctx, m); err != nil {
 			return err
 		}
 	}
 }
 
-// take takes a message of the node.
-func (ses *session) take(ctx context.Context, m wire.FromNode) error {
+// handle takes a message of the node.
+func (ses *session) handle(ctx context.Context, m wire.FromNode) error {
 	if !ses.s.leads(ses.term) {
 		return errNotLeading // the node finds the one that does
 	}
 	switch {
 	case m.Request != nil:
-		go ses.ask(ctx, *m.Request)
+		go ses.handleRequest(ctx, *m.Request)
 	case m.Heartbeat != nil:
 		return ses.heartbeat(ctx, *m.Heartbeat)
 	case m.Ends != nil:
--- a/scheduler/upkeep.go
+++ b/scheduler/upkeep.go
@@ -107,7 +107,7 @@
 	}
 	for _, w := range waves {
 		if !u.outranked {
-			u.move(ctx, w, byName, now)
+			u.advance(ctx, w, byName, now)
 		}
 	}
 	return true
@@ -125,8 +125,8 @@
 	return waves
 }
 
-// move begins the next upkeep of a wave if its bounds allow it.
-func (u *upkeep) move(ctx context.Context, w queue.Wave, byName map[string]rudderfork.Machine, now time.Time) {
+// advance begins the next upkeep of a wave if its bounds allow it.
+func (u *upkeep) advance(ctx context.Context, w queue.Wave, byName map[string]rudderfork.Machine, now time.Time) {
 	down := 0
 	for _, name := range w.Machines {
 		if m, known := byName[name]; known && (!m.Up || now.Sub(u.begunAt[name]) < settleTime) {
@@ -232,16 +232,16 @@
 	}
 	for step, n := range ending {
 		j := qs.Job(step.Job)
-		if st := j.Spec.Steps[step.Step]; st.Lasting && st.MaxAway > 0 && !j.Status.Final() && s.away(j, step, vm)+n > st.MaxAway {
+		if st := j.Spec.Steps[step.Step]; st.Lasting && st.MaxAway > 0 && !j.Status.Final() && s.countAway(j, step, vm)+n > st.MaxAway {
 			return true
 		}
 	}
 	return false
 }
 
-// away counts the tasks of a step that are not at work on other VMs than the
+// countAway counts the tasks of a step that are not at work on other VMs than the
 // given one. The caller holds mu.
-func (s *Scheduler) away(j *queue.Job, step queue.StepKey, but *queue.VM) (n int) {
+func (s *Scheduler) countAway(j *queue.Job, step queue.StepKey, but *queue.VM) (n int) {
 	now := rudderfork.Millis(steady.Now())
 	tasks := j.Occurrences[step.Occurrence].Steps[step.Step]
 	for i := range tasks {
--- a/scheduler/vm.go
+++ b/scheduler/vm.go
@@ -24,8 +24,8 @@
 	return o, news
 }
 
-// behind reports whether there may be news for the session's VM. The caller holds mu.
-func (ses *session) behind(qs *queue.State) bool {
+// mayHaveOrders reports whether there may be news for the session's VM. The caller holds mu.
+func (ses *session) mayHaveOrders(qs *queue.State) bool {
 	vm := qs.VM(ses.vm)
 	return vm != nil && (ses.ordersVersion != versionOf(vm) || ses.s.fleet.stopsOn[ses.vm] || ses.closed != qs.Evacuating(vm.Domain))
 }
@@ -150,7 +150,7 @@
 	if !s.leads(ses.term) {
 		return errNotLeading
 	}
-	grant := wire.VMGrant{Sent: b.Sent, Incarnation: b.VM.Incarnation, Epoch: ses.epoch, Cordoned: s.closed(b.VM.ID)}
+	grant := wire.VMGrant{Sent: b.Sent, Incarnation: b.VM.Incarnation, Epoch: ses.epoch, Cordoned: s.startsClosed(b.VM.ID)}
 	s.mu.Lock()
 	v := s.fleet.vm(b.VM.ID)
 	if ses.superseded(v) {
@@ -165,11 +165,11 @@
 			grant.LastOfStep = append(grant.LastOfStep, k.Ref(k.Number))
 		}
 		left := v.lease.Grant(time.Unix(0, st.ContactNS), now, s.cfg.Lease)
-		starts := s.startsLeft(left).Milliseconds()
+		starts := s.startTimeLeft(left).Milliseconds()
 		grant.LeaseMS, grant.StartMS = left.Milliseconds(), &starts
 	}
 	s.mu.Unlock()
-	grant.Pressures = ses.learn(now)
+	grant.Pressures = ses.observe(now)
 	ses.reply(wire.ToQueueNode{Grant: &grant})
 	if fresh {
 		ses.ordersDue.Set()
@@ -178,9 +178,9 @@
 	return nil
 }
 
-// learn draws on the VM's account for the pressures of fillers, and returns those
+// observe draws on the VM's account for the pressures of fillers, and returns those
 // that its agent lacks.
-func (ses *session) learn(now time.Time) (list []wire.PairPressure) {
+func (ses *session) observe(now time.Time) (list []wire.PairPressure) {
 	ses.s.rep.View(func(st *state.State) {
 		ses.s.mu.Lock()
 		defer ses.s.mu.Unlock()
@@ -203,20 +203,20 @@
 	if ses.inSync(vm) {
 		return nil
 	}
-	v, ok := ses.mayRegister(vm.ID)
+	v, ok := ses.beginRegistration(vm.ID)
 	if !ok {
 		return nil
 	}
 	defer ses.endRegistration(v)
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	if err := ses.settleReports(ctx, vm); err != nil {
+	if err := ses.awaitReports(ctx, vm); err != nil {
 		return err
 	}
 	if ses.registered(vm) {
 		return nil
 	}
-	ses.s.learnCrash(vm, crash)
+	ses.s.recordCrash(vm, crash)
 	res, err := ses.s.do(ctx, queue.Command{Register: &vm, Crash: crash})
 	if err != nil {
 		return err
@@ -233,12 +233,12 @@
 	return nil
 }
 
-// settleReports waits for the commits of what the VM's agent has reported, before the VM is
+// awaitReports waits for the commits of what the VM's agent has reported, before the VM is
 // registered or a full list is worked out of what is committed. A run that was reported as
 // refused, and is still ordered by the list, would be started by an agent that has
 // forgotten the report, and elsewhere too.
-func (ses *session) settleReports(ctx context.Context, vm queue.VM) error {
-	if err := ses.reports.Wait(ctx); err != nil || ses.firstInTerm || !ses.isKnown(vm) {
+func (ses *session) awaitReports(ctx context.Context, vm queue.VM) error {
+	if err := ses.reports.Wait(ctx); err != nil || ses.firstInTerm || !ses.describedAsKnown(vm) {
 		return err
 	}
 	// What earlier sessions have proposed is committed before this, or never.
@@ -246,9 +246,9 @@
 	return err
 }
 
-// isKnown reports whether the VM is live and known as it describes itself, so that it need
+// describedAsKnown reports whether the VM is live and known as it describes itself, so that it need
 // not be registered.
-func (ses *session) isKnown(vm queue.VM) (ok bool) {
+func (ses *session) describedAsKnown(vm queue.VM) (ok bool) {
 	ses.s.rep.View(func(st *state.State) {
 		ok = st.Queues().VM(vm.ID).RegisteredAs(vm)
 	})
@@ -267,9 +267,9 @@
 	return ok
 }
 
-// learnCrash draws conclusions on a VM from the end of the life that a new one follows,
+// recordCrash draws conclusions on a VM from the end of the life that a new one follows,
 // before that is committed.
-func (s *Scheduler) learnCrash(vm queue.VM, crash *queue.Crash) {
+func (s *Scheduler) recordCrash(vm queue.VM, crash *queue.Crash) {
 	s.rep.View(func(st *state.State) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -277,12 +277,12 @@
 	})
 }
 
-// mayRegister reports whether a VM may be registered, and gives it time to fetch
+// beginRegistration reports whether a VM may be registered, and gives it time to fetch
 // its first lease. While its loss is being committed it may not: a lease granted
 // after that would outlive the runs it was granted for. Nor while it is registered
 // from another session, so that registrations are committed in the order of the
 // sessions. The registration is to be followed by endRegistration.
-func (ses *session) mayRegister(id rudderfork.VMID) (v *vmInfo, ok bool) {
+func (ses *session) beginRegistration(id rudderfork.VMID) (v *vmInfo, ok bool) {
 	ses.s.rep.View(func(st *state.State) {
 		ses.s.mu.Lock()
 		defer ses.s.mu.Unlock()
@@ -367,13 +367,13 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	worked := ses.s.learnEnds(r.Ends)
+	worked := ses.s.recordEnds(r.Ends)
 	res, err := ses.s.do(ctx, queue.Command{Ends: &r.Ends})
 	if err != nil {
 		return err
 	}
 	if r.Departed {
-		if err := ses.left(ctx, r.Ends.VM, r.Ends.Incarnation); err != nil {
+		if err := ses.endDeparted(ctx, r.Ends.VM, r.Ends.Incarnation); err != nil {
 			return err
 		}
 	}
@@ -384,7 +384,7 @@
 			continue
 		}
 		ses.s.met.ends.WithLabelValues(string(e.Outcome)).Inc()
-		ses.learnWorktime(e, worked[i], now)
+		ses.observeWorkTime(e, worked[i], now)
 		ses.s.log.Info().Str("task", e.Task.String()).Uint32("run", e.Run).Str("on", string(r.Ends.VM)).
 			Str("how", string(e.Outcome)).Str("reason", e.Reason).Msg("task_ended")
 		ses.s.record("task_ended", e.Task.String(), "on "+string(r.Ends.VM)+": "+string(e.Outcome)+" "+e.Reason)
@@ -392,11 +392,11 @@
 	return nil
 }
 
-// learnEnds draws conclusions on a VM from the ends that it reports, before they are
+// recordEnds draws conclusions on a VM from the ends that it reports, before they are
 // committed: the plan that finds a task without a run is to know why it is. It returns what
 // each run worked, which is dropped with the run. A run that is not active was learned of
 // before.
-func (s *Scheduler) learnEnds(ends queue.Ends) (worked []float64) {
+func (s *Scheduler) recordEnds(ends queue.Ends) (worked []float64) {
 	worked = make([]float64, len(ends.List))
 	s.rep.View(func(st *state.State) {
 		s.mu.Lock()
@@ -412,8 +412,8 @@
 	return worked
 }
 
-// learnWorktime draws on how long a run worked that has ended.
-func (ses *session) learnWorktime(e queue.End, worked float64, now time.Time) {
+// observeWorkTime draws on how long a run worked that has ended.
+func (ses *session) observeWorkTime(e queue.End, worked float64, now time.Time) {
 	ses.s.rep.View(func(st *state.State) {
 		ses.s.mu.Lock()
 		defer ses.s.mu.Unlock()
@@ -421,8 +421,8 @@
 	})
 }
 
-// left ends the runs of a life that has left, without waiting for its lease.
-func (ses *session) left(ctx context.Context, vm rudderfork.VMID, life string) error {
+// endDeparted ends the runs of a life that has endDeparted, without waiting for its lease.
+func (ses *session) endDeparted(ctx context.Context, vm rudderfork.VMID, life string) error {
 	ses.s.mu.Lock()
 	lost := queue.VMLoss{VM: vm, Incarnation: life, Checkpoints: ses.s.fleet.vm(vm).checkpoints(), Departed: true}
 	ses.s.mu.Unlock()
