--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -8,17 +8,17 @@
 	"rudderfork.example/rudderfork/queue"
 )
 
-// fleetWorld is a fleet that is full of serving tasks and fillers, with 26 tasks
-// that wait for each VM: 16 images of serving tasks, 30 of fillers.
-func fleetWorld(vms int) *world {
+// newLoadedFleet returns a fleet full of serving tasks and fillers, with 26 waiting tasks
+// for each VM, 16 images of serving tasks and 30 of fillers.
+func newLoadedFleet(vms int) *fixture {
 	const (
-		width         = 10 // of jobs of fillers
+		width         = 10 // tasks of a job of fillers
 		each          = 6  // tasks of a job of serving tasks
 		servingImages = 16
 		fillerImages  = 30
 	)
 	jobs, lasting := vms*26/width, vms*4/5
-	w := newWorld(&testing.T{}, 0)
+	w := newFixture(&testing.T{}, 0)
 	for i := range vms {
 		id := rudderfork.VMID(fmt.Sprintf("vm%04d", i))
 		w.s.Apply(queue.Command{Register: &queue.VM{
@@ -29,7 +29,7 @@
 	}
 	for s := range servingImages {
 		for f := range fillerImages {
-			w.pair[[2]string{fmt.Sprintf("s%d", s), fmt.Sprintf("f%d", f)}] = float64((s*7+f*3)%10) / 2
+			w.pressures[[2]string{fmt.Sprintf("s%d", s), fmt.Sprintf("f%d", f)}] = float64((s*7+f*3)%10) / 2
 		}
 	}
 	for i := range lasting {
@@ -37,45 +37,42 @@
 		st.Count, st.Size.MemoryMB = each, 6000
 		w.submit("urgent", fmt.Sprintf("srv%05d", i), 1, st)
 	}
-	fill := func(name string, at int64) {
+	submitFillers := func(name string, at int64) {
 		for i := range jobs {
 			st := fillerStep(fmt.Sprintf("f%d", i%fillerImages), 1800)
 			st.Count, st.Size.MemoryMB, st.ExpectedMS = width, 3000, 2200
 			w.submit("later", fmt.Sprintf("%s%05d", name, i), at, st)
 		}
 	}
-	fill("fil", 2)
-	w.run()
+	submitFillers("fil", 2)
+	w.startPlanned()
 	for _, vm := range w.s.VMs() {
 		for k, n := range vm.Runs() {
 			w.view.Runs[k.Run(n)] = RunView{Percent: 100, Load: 9}
 		}
 		w.view.VMs[vm.ID] = VMView{Usable: true, Changes: 2}
 	}
-	fill("new", 3)
+	submitFillers("new", 3)
 	w.view.Now = 10_000
 
 	return w
 }
 
-// BenchmarkPlan makes plans for a fleet under load. Before tasks were weighed by
-// step, and what has not changed was kept, every plan took as long as a first one: 24,
-// 168 and 4,900 ms for 76, 240 and 1,000 VMs, with a move to find 35, 259 and 4,531 ms.
-// Now, in ms for 76, 240, 1,000 and 3,900 VMs: a first plan 2.9, 17, 194, 2,261; one
-// after a heartbeat 0.6, 2.1, 10.9, 62; with a move to find 2.4, 11, 103, 1,100.
+// BenchmarkPlan measures a planner's first plan, a plan after one VM changed, and a plan
+// that searches for a relocation.
 func BenchmarkPlan(b *testing.B) {
 	for _, vms := range []int{76, 240, 1_000, 3_900} {
-		w := fleetWorld(vms)
+		w := newLoadedFleet(vms)
 		b.Run(fmt.Sprintf("first/%d", vms), func(b *testing.B) {
 			for b.Loop() {
 				PlanOnce(w.s, w.view)
 			}
 		})
-		for len(w.run()) > 0 {
+		for len(w.startPlanned()) > 0 {
 		}
 		pl := NewPlanner()
 		pl.Plan(w.s, w.view)
-		b.Run(fmt.Sprintf("one VM heard/%d", vms), func(b *testing.B) {
+		b.Run(fmt.Sprintf("after a change of one VM/%d", vms), func(b *testing.B) {
 			id := w.s.VMs()[vms/2].ID
 			for b.Loop() {
 				view := w.view.VMs[id]
@@ -84,7 +81,7 @@
 				pl.Plan(w.s, w.view)
 			}
 		})
-		b.Run(fmt.Sprintf("with a move to find/%d", vms), func(b *testing.B) {
+		b.Run(fmt.Sprintf("with a search for a relocation/%d", vms), func(b *testing.B) {
 			w.view.Relocate = true
 			for b.Loop() {
 				pl.Plan(w.s, w.view)
--- a/dispatch/room_test.go
+++ b/dispatch/capacity_test.go
@@ -9,9 +9,10 @@
 	"rudderfork.example/rudderfork/queue"
 )
 
-// TestRoomChanges has a VM say another room while a planner keeps what it has read.
-func TestRoomChanges(t *testing.T) {
-	w := newWorld(t, 1)
+// TestCapacityChangeIsRead guards against a reused planner that keeps the old capacity of
+// a VM.
+func TestCapacityChangeIsRead(t *testing.T) {
+	w := newFixture(t, 1)
 	pl := NewPlanner()
 	resize := func(milli int64) {
 		vm := *w.s.VM("vm1")
@@ -29,7 +30,7 @@
 		}
 		return n
 	}
-	step := cpu(1000)
+	step := cpuStep(1000)
 	step.Count = 8
 	w.submit("urgent", "j1", 1, step)
 	assert.Equal(t, starts(), 4)
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -12,19 +12,19 @@
 
 const host = "desk.example"
 
-// world is a state with usable VMs of 4 cores, in racks of two.
-type world struct {
-	t    *testing.T
-	s    *queue.State
-	view View
-	pair map[[2]string]float64 // pressures by serving image and filler image
+// fixture is a state with usable VMs of 4 cores, two to a rack.
+type fixture struct {
+	t         *testing.T
+	s         *queue.State
+	view      View
+	pressures map[[2]string]float64 // by image of the serving task and image of the filler
 }
 
-func newWorld(t *testing.T, vms int) *world {
-	w := &world{t: t, s: queue.New(), pair: map[[2]string]float64{}, view: View{
+func newFixture(t *testing.T, vms int) *fixture {
+	w := &fixture{t: t, s: queue.New(), pressures: map[[2]string]float64{}, view: View{
 		Now: 1000, VMs: map[rudderfork.VMID]VMView{}, Runs: map[queue.RunKey]RunView{}, FailedOn: map[queue.TaskKey][]rudderfork.VMID{},
 	}}
-	w.view.Pressure = func(serving, filler string) float64 { return w.pair[[2]string{serving, filler}] }
+	w.view.Pressure = func(serving, filler string) float64 { return w.pressures[[2]string{serving, filler}] }
 	w.s.Apply(queue.Command{Document: &queue.Document{
 		Version: 1,
 		Queues: []queue.Queue{
@@ -41,7 +41,7 @@
 }
 
 // addVM adds a VM; two share a rack.
-func (w *world) addVM(n int) {
+func (w *fixture) addVM(n int) {
 	id := rudderfork.VMID(fmt.Sprintf("vm%d", n))
 	w.s.Apply(queue.Command{Register: &queue.VM{
 		ID: id, Incarnation: "life", Service: "desk", Rack: fmt.Sprintf("rack%d", (n-1)/2+1),
@@ -50,21 +50,21 @@
 	w.view.VMs[id] = VMView{Usable: true}
 }
 
-// submit hands in a job and returns the key of its first task.
-func (w *world) submit(queueName, id string, at int64, steps ...queue.Step) queue.TaskKey {
+// submit submits a job and returns the key of its first task.
+func (w *fixture) submit(queueName, id string, at int64, steps ...queue.Step) queue.TaskKey {
 	w.t.Helper()
 	return w.submitSpec(queueName, id, at, queue.Spec{Steps: steps})
 }
 
-func (w *world) submitSpec(queueName, id string, at int64, spec queue.Spec) queue.TaskKey {
+func (w *fixture) submitSpec(queueName, id string, at int64, spec queue.Spec) queue.TaskKey {
 	w.t.Helper()
 	res := w.s.Apply(queue.Command{Submit: &queue.Submit{Host: host, Path: "/" + queueName + "/" + id, Spec: spec, KeepMS: 1 << 40}}, at)
 	assert.Equal(w.t, res.Code, queue.OK)
 	return queue.TaskKey{Job: rudderfork.JobID(id)}
 }
 
-// run makes a plan and applies its starts. It returns the places by task.
-func (w *world) run() map[string]rudderfork.VMID {
+// startPlanned makes a plan, applies its starts and returns their VMs by task.
+func (w *fixture) startPlanned() map[string]rudderfork.VMID {
 	w.t.Helper()
 	plan := PlanOnce(w.s, w.view)
 	places := map[string]rudderfork.VMID{}
@@ -83,175 +83,175 @@
 	return places
 }
 
-func cpu(milli int64) queue.Step {
+func cpuStep(milli int64) queue.Step {
 	return queue.Step{Count: 1, Size: rudderfork.Resources{CPUMilli: milli}, ExpectedMS: 1000}
 }
 
 func servingStep(image string, milli int64) queue.Step {
-	st := cpu(milli)
+	st := cpuStep(milli)
 	st.Image, st.TailMS, st.Lasting = image, 18, true
 	return st
 }
 
 func fillerStep(image string, milli int64) queue.Step {
-	st := cpu(milli)
+	st := cpuStep(milli)
 	st.Image, st.Filler = image, true
 	return st
 }
 
-// objectiveOf is the objective of a job of one step in the urgent queue.
-func objectiveOf(w *world, st queue.Step) int64 {
+// objectiveOf returns the objective of a job of one step in the urgent queue, in ms.
+func objectiveOf(w *fixture, st queue.Step) int64 {
 	row, _ := w.s.Document().Queue("urgent")
 	return ObjectiveMS(row, &queue.Job{Spec: queue.Spec{Steps: []queue.Step{st}}}, nil)
 }
 
-func TestOrder(t *testing.T) {
-	t.Run("by priority, then by the end of the objective", func(t *testing.T) {
-		w := newWorld(t, 1)
-		w.submit("later", "a", 1, cpu(3000))
-		w.submit("urgent", "c", 500, cpu(3000))
-		w.submit("urgent", "b", 400, cpu(3000))
-		assert.DeepEqual(t, w.run(), map[string]rudderfork.VMID{"b.0.0.0": "vm1"})
+func TestJobOrder(t *testing.T) {
+	t.Run("by priority, then by deadline", func(t *testing.T) {
+		w := newFixture(t, 1)
+		w.submit("later", "a", 1, cpuStep(3000))
+		w.submit("urgent", "c", 500, cpuStep(3000))
+		w.submit("urgent", "b", 400, cpuStep(3000))
+		assert.DeepEqual(t, w.startPlanned(), map[string]rudderfork.VMID{"b.0.0.0": "vm1"})
 	})
-	t.Run("the least work left first, of those that can be in time", func(t *testing.T) {
-		w := newWorld(t, 1)
-		wide := cpu(3000)
+	t.Run("least remaining work first among jobs that can be in time", func(t *testing.T) {
+		w := newFixture(t, 1)
+		wide := cpuStep(3000)
 		wide.Count = 2
 		w.submit("urgent", "wide", 1, wide)
-		w.submit("urgent", "narrow", 500, cpu(3000))
-		assert.DeepEqual(t, w.run(), map[string]rudderfork.VMID{"narrow.0.0.0": "vm1"})
+		w.submit("urgent", "narrow", 500, cpuStep(3000))
+		assert.DeepEqual(t, w.startPlanned(), map[string]rudderfork.VMID{"narrow.0.0.0": "vm1"})
 	})
-	t.Run("and of those that are late; past all hope each in its turn", func(t *testing.T) {
+	t.Run("least remaining work first among late jobs; worthless jobs by age", func(t *testing.T) {
 		for _, c := range []struct {
 			name   string
-			age    int64 // in objectives
+			age    int64 // as a multiple of the objective
 			expect string
-		}{{"late", 2, "narrow.0.0.0"}, {"past hope", 5, "wide.0.0.0"}} {
+		}{{"late", 2, "narrow.0.0.0"}, {"worthless", 5, "wide.0.0.0"}} {
 			t.Run(c.name, func(t *testing.T) {
-				w := newWorld(t, 1)
+				w := newFixture(t, 1)
 				w.view.Now = 600_000
-				wide := cpu(3000)
+				wide := cpuStep(3000)
 				wide.Count = 2
 				w.submit("urgent", "wide", w.view.Now-c.age*objectiveOf(w, wide)-1, wide)
-				w.submit("urgent", "narrow", w.view.Now-c.age*objectiveOf(w, cpu(3000)), cpu(3000))
-				assert.DeepEqual(t, w.run(), map[string]rudderfork.VMID{c.expect: "vm1"})
+				w.submit("urgent", "narrow", w.view.Now-c.age*objectiveOf(w, cpuStep(3000)), cpuStep(3000))
+				assert.DeepEqual(t, w.startPlanned(), map[string]rudderfork.VMID{c.expect: "vm1"})
 			})
 		}
 	})
-	t.Run("past all hope goes last", func(t *testing.T) {
-		w := newWorld(t, 1)
-		w.submit("urgent", "old", 1, cpu(3000))
+	t.Run("worthless jobs last", func(t *testing.T) {
+		w := newFixture(t, 1)
+		w.submit("urgent", "old", 1, cpuStep(3000))
 		w.view.Now = 100_000
-		w.submit("later", "new", 99_000, cpu(3000))
-		assert.DeepEqual(t, w.run(), map[string]rudderfork.VMID{"new.0.0.0": "vm1"})
+		w.submit("later", "new", 99_000, cpuStep(3000))
+		assert.DeepEqual(t, w.startPlanned(), map[string]rudderfork.VMID{"new.0.0.0": "vm1"})
 	})
-	t.Run("what can be in time before what is late", func(t *testing.T) {
-		w := newWorld(t, 1)
+	t.Run("jobs that can be in time before late ones", func(t *testing.T) {
+		w := newFixture(t, 1)
 		w.view.Now = 60_000
-		w.submit("urgent", "late", w.view.Now-2*objectiveOf(w, cpu(3000)), cpu(3000))
-		w.submit("urgent", "fresh", w.view.Now, cpu(3000))
-		assert.DeepEqual(t, w.run(), map[string]rudderfork.VMID{"fresh.0.0.0": "vm1"})
+		w.submit("urgent", "late", w.view.Now-2*objectiveOf(w, cpuStep(3000)), cpuStep(3000))
+		w.submit("urgent", "fresh", w.view.Now, cpuStep(3000))
+		assert.DeepEqual(t, w.startPlanned(), map[string]rudderfork.VMID{"fresh.0.0.0": "vm1"})
 	})
-	t.Run("a repeated job by the time that is due, not by its first", func(t *testing.T) {
-		w := newWorld(t, 1)
+	t.Run("a repeated job by its due occurrence, not by its first", func(t *testing.T) {
+		w := newFixture(t, 1)
 		now := int64(600_000)
 		w.view.Now = now
 		w.submitSpec("urgent", "hourly", 1, queue.Spec{
-			Steps: []queue.Step{cpu(3000)}, Repeat: &queue.Repeat{Count: 3, FirstMS: now - 5, EveryMS: now},
+			Steps: []queue.Step{cpuStep(3000)}, Repeat: &queue.Repeat{Count: 3, FirstMS: now - 5, EveryMS: now},
 		})
-		w.submit("urgent", "fresh", now, cpu(3000))
-		assert.DeepEqual(t, w.run(), map[string]rudderfork.VMID{"hourly.0.0.0": "vm1"})
+		w.submit("urgent", "fresh", now, cpuStep(3000))
+		assert.DeepEqual(t, w.startPlanned(), map[string]rudderfork.VMID{"hourly.0.0.0": "vm1"})
 	})
-	t.Run("steps in their order", func(t *testing.T) {
-		w := newWorld(t, 1)
-		second := cpu(100)
+	t.Run("steps in order of their dependencies", func(t *testing.T) {
+		w := newFixture(t, 1)
+		second := cpuStep(100)
 		second.DependsOn = []int{0}
-		w.submit("urgent", "j", 1, cpu(100), second)
-		assert.DeepEqual(t, w.run(), map[string]rudderfork.VMID{"j.0.0.0": "vm1"})
+		w.submit("urgent", "j", 1, cpuStep(100), second)
+		assert.DeepEqual(t, w.startPlanned(), map[string]rudderfork.VMID{"j.0.0.0": "vm1"})
 	})
 }
 
-func TestObjective(t *testing.T) {
-	a, b, c := cpu(1), cpu(1), cpu(1)
+func TestObjectiveMS(t *testing.T) {
+	a, b, c := cpuStep(1), cpuStep(1), cpuStep(1)
 	b.DependsOn, c.DependsOn, c.ExpectedMS = []int{0}, []int{0}, 3000
 	j := &queue.Job{Spec: queue.Spec{Steps: []queue.Step{a, b, c}}}
 	assert.Equal(t, ObjectiveMS(queue.Queue{Stretch: 1.5, LatencyMS: 250}, j, nil), int64(6250))
 }
 
-func TestPlaces(t *testing.T) {
-	t.Run("spread over VMs that are alike", func(t *testing.T) {
-		w := newWorld(t, 2)
-		two := cpu(1000)
+func TestVMChoice(t *testing.T) {
+	t.Run("tasks are spread over equal VMs", func(t *testing.T) {
+		w := newFixture(t, 2)
+		two := cpuStep(1000)
 		two.Count = 2
 		w.submit("urgent", "j", 1, two)
-		assert.DeepEqual(t, w.run(), map[string]rudderfork.VMID{"j.0.0.0": "vm1", "j.0.0.1": "vm2"})
+		assert.DeepEqual(t, w.startPlanned(), map[string]rudderfork.VMID{"j.0.0.0": "vm1", "j.0.0.1": "vm2"})
 	})
-	t.Run("near the data", func(t *testing.T) {
-		w := newWorld(t, 4)
-		st := cpu(1000)
+	t.Run("in the rack of the data", func(t *testing.T) {
+		w := newFixture(t, 4)
+		st := cpuStep(1000)
 		st.DataRack = "rack2"
 		w.submit("urgent", "j", 1, st)
-		assert.Equal(t, w.run()["j.0.0.0"], rudderfork.VMID("vm3"))
+		assert.Equal(t, w.startPlanned()["j.0.0.0"], rudderfork.VMID("vm3"))
 	})
-	t.Run("never where a VM is unfit for work", func(t *testing.T) {
-		w := newWorld(t, 4)
+	t.Run("never on a VM that may not be given work", func(t *testing.T) {
+		w := newFixture(t, 4)
 		w.view.VMs["vm1"] = VMView{}
 		w.view.VMs["vm2"] = VMView{Usable: true, Draining: true}
 		w.view.VMs["vm3"] = VMView{Usable: true, Cordoned: true}
-		two := cpu(1000)
+		two := cpuStep(1000)
 		two.Count, two.MaxPerVM = 2, 1
 		w.submit("urgent", "j", 1, two)
-		assert.DeepEqual(t, w.run(), map[string]rudderfork.VMID{"j.0.0.0": "vm4"})
+		assert.DeepEqual(t, w.startPlanned(), map[string]rudderfork.VMID{"j.0.0.0": "vm4"})
 	})
-	t.Run("rather not where the task has failed, or others have", func(t *testing.T) {
-		w := newWorld(t, 3)
+	t.Run("preferably not where this task or others have failed", func(t *testing.T) {
+		w := newFixture(t, 3)
 		w.view.VMs["vm2"] = VMView{Usable: true, FailureScore: 1}
-		k := w.submit("urgent", "j", 1, cpu(1000))
+		k := w.submit("urgent", "j", 1, cpuStep(1000))
 		w.view.FailedOn[k] = []rudderfork.VMID{"vm1"}
-		assert.Equal(t, w.run()["j.0.0.0"], rudderfork.VMID("vm3"))
+		assert.Equal(t, w.startPlanned()["j.0.0.0"], rudderfork.VMID("vm3"))
 	})
-	t.Run("not before a refused task has rested", func(t *testing.T) {
-		w := newWorld(t, 1)
-		k := w.submit("urgent", "j", 1, cpu(1000))
+	t.Run("a refused task not before the end of its back-off", func(t *testing.T) {
+		w := newFixture(t, 1)
+		k := w.submit("urgent", "j", 1, cpuStep(1000))
 		w.view.BackOffUntil = map[queue.TaskKey]int64{k: 2000}
-		assert.Equal(t, len(w.run()), 0)
+		assert.Equal(t, len(w.startPlanned()), 0)
 		w.view.Now = 2000
-		assert.Equal(t, len(w.run()), 1)
+		assert.Equal(t, len(w.startPlanned()), 1)
 	})
-	t.Run("no more than fits, in one plan", func(t *testing.T) {
-		w := newWorld(t, 2)
-		many := cpu(1500)
+	t.Run("no more in one plan than fits", func(t *testing.T) {
+		w := newFixture(t, 2)
+		many := cpuStep(1500)
 		many.Count = 9
 		w.submit("urgent", "j", 1, many)
-		assert.Equal(t, len(w.run()), 4)
+		assert.Equal(t, len(w.startPlanned()), 4)
 	})
 }
 
 func TestGangs(t *testing.T) {
-	gang := cpu(2000)
+	gang := cpuStep(2000)
 	gang.Count, gang.Gang = 4, true
 	t.Run("all or none", func(t *testing.T) {
-		w := newWorld(t, 1)
+		w := newFixture(t, 1)
 		w.submit("urgent", "g", 1, gang)
-		w.submit("later", "j", 1, cpu(4000))
-		assert.DeepEqual(t, w.run(), map[string]rudderfork.VMID{"j.0.0.0": "vm1"})
+		w.submit("later", "j", 1, cpuStep(4000))
+		assert.DeepEqual(t, w.startPlanned(), map[string]rudderfork.VMID{"j.0.0.0": "vm1"})
 	})
-	t.Run("in one rack where that is asked for and possible", func(t *testing.T) {
-		w := newWorld(t, 4)
+	t.Run("in one rack if requested and possible", func(t *testing.T) {
+		w := newFixture(t, 4)
 		tight := gang
 		tight.SameRack = true
-		w.submit("urgent", "first", 1, cpu(1000))
-		w.run()
+		w.submit("urgent", "first", 1, cpuStep(1000))
+		w.startPlanned()
 		w.submit("urgent", "g", 1, tight)
-		for task, vm := range w.run() {
+		for task, vm := range w.startPlanned() {
 			assert.Assert(t, vm == "vm3" || vm == "vm4", "%s is on %s", task, vm)
 		}
 	})
 }
 
-func TestAdvised(t *testing.T) {
-	w := newWorld(t, 3)
-	k := w.submit("advised", "j", 1, cpu(1000))
+func TestAdvisedStepNeedsTicket(t *testing.T) {
+	w := newFixture(t, 3)
+	k := w.submit("advised", "j", 1, cpuStep(1000))
 	plan := PlanOnce(w.s, w.view)
 	assert.Equal(t, len(plan.Starts), 0)
 	assert.Equal(t, len(plan.AdviceRequests), 1)
@@ -263,126 +263,126 @@
 }
 
 func TestColocation(t *testing.T) {
-	t.Run("serving tasks of one image are kept together", func(t *testing.T) {
-		w := newWorld(t, 3)
+	t.Run("serving tasks of one image share a VM", func(t *testing.T) {
+		w := newFixture(t, 3)
 		for i, image := range []string{"audio", "video", "audio", "video"} {
 			w.submit("urgent", fmt.Sprintf("s%d", i), int64(i+1), servingStep(image, 1000))
 		}
-		p := w.run()
+		p := w.startPlanned()
 		assert.Equal(t, p["s0.0.0.0"], p["s2.0.0.0"])
 		assert.Equal(t, p["s1.0.0.0"], p["s3.0.0.0"])
 		assert.Assert(t, p["s0.0.0.0"] != p["s1.0.0.0"])
 	})
-	t.Run("a filler goes where it disturbs nobody", func(t *testing.T) {
-		w := newWorld(t, 2)
+	t.Run("a filler starts where it reduces no headroom", func(t *testing.T) {
+		w := newFixture(t, 2)
 		w.submit("urgent", "s0", 1, servingStep("audio", 3000))
 		w.submit("urgent", "s1", 2, servingStep("video", 3000))
-		places := w.run()
-		w.pair[[2]string{"audio", "loud"}] = 30
+		places := w.startPlanned()
+		w.pressures[[2]string{"audio", "loud"}] = 30
 		w.submit("later", "f", 3, fillerStep("loud", 500))
-		assert.Equal(t, w.run()["f.0.0.0"], places["s1.0.0.0"])
+		assert.Equal(t, w.startPlanned()["f.0.0.0"], places["s1.0.0.0"])
 	})
-	t.Run("a filler leaves the tasks beside it some headroom", func(t *testing.T) {
-		w := newWorld(t, 1)
+	t.Run("a filler leaves serving tasks beside it placementHeadroom", func(t *testing.T) {
+		w := newFixture(t, 1)
 		s := w.submit("urgent", "s", 1, servingStep("audio", 1000))
-		w.run()
-		w.pair[[2]string{"audio", "loud"}] = 4 // takes 0.5 of a headroom
+		w.startPlanned()
+		w.pressures[[2]string{"audio", "loud"}] = 4 // reduces a headroom by 0.5
 		two := fillerStep("loud", 500)
 		two.Count = 2
 		w.submit("later", "f", w.view.Now, two)
 		beside := func(headroom float64) int {
 			w.view.Runs[s.Run(1)] = RunView{Percent: 100, Load: int64(1000 * 18 / headroom)}
-			w.s.Job("s").Spec.Steps[0].TailMS = 18_000 // so that loads are fine-grained
+			w.s.Job("s").Spec.Steps[0].TailMS = 18_000 // makes headrooms fine-grained
 			return len(PlanOnce(w.s, w.view).Starts)
 		}
 		assert.Equal(t, beside(placementHeadroom+0.3), 0)
 		assert.Equal(t, beside(placementHeadroom+0.6), 1)
 		assert.Equal(t, beside(placementHeadroom+1.1), 2)
 	})
-	t.Run("fillers that would crawl wait, as long as their job has other runs", func(t *testing.T) {
-		w := newWorld(t, 1)
+	t.Run("fillers that would be slow wait while their job has other runs", func(t *testing.T) {
+		w := newFixture(t, 1)
 		w.submit("urgent", "s", 1, servingStep("audio", 3000))
-		w.run()
-		w.pair[[2]string{"audio", "loud"}] = 30
+		w.startPlanned()
+		w.pressures[[2]string{"audio", "loud"}] = 30
 		many := fillerStep("loud", 500)
 		many.Count = 3
 		w.submit("later", "f", 900, many)
-		assert.Equal(t, len(w.run()), 0)
+		assert.Equal(t, len(w.startPlanned()), 0)
 		w.view.Now += maxSlowWaitMS
-		assert.Equal(t, len(w.run()), 1, "one begins at last")
-		assert.Equal(t, len(w.run()), 0)
+		assert.Equal(t, len(w.startPlanned()), 1, "one starts after maxSlowWaitMS")
+		assert.Equal(t, len(w.startPlanned()), 0)
 	})
 }
 
-// progress shows the first runs of a step's tasks, one on each VM, after a while
-// at work.
-func (w *world) progress(k queue.TaskKey, percents ...int) {
-	begun := w.view.Now
+// progress reports progress of the first runs of a step's tasks, one on each VM, after
+// minWatchMS.
+func (w *fixture) progress(k queue.TaskKey, percents ...int) {
+	first := w.view.Now
 	w.view.Now += minWatchMS
 	for i, percent := range percents {
 		k.Index = i
-		w.view.Runs[k.Run(1)] = RunView{Percent: percent, FirstSeenAt: begun, ProgressedAt: w.view.Now}
+		w.view.Runs[k.Run(1)] = RunView{Percent: percent, FirstSeenAt: first, ProgressedAt: w.view.Now}
 	}
 }
 
-func TestCopies(t *testing.T) {
-	twice := cpu(4000)
+func TestSpeculativeCopies(t *testing.T) {
+	twice := cpuStep(4000)
 	twice.Speculative, twice.Count = true, 3
-	// begun has a step at work on three VMs, and a fourth.
-	begun := func(t *testing.T, st queue.Step) (w *world, k queue.TaskKey) {
-		w = newWorld(t, 3)
+	// begun returns a step running on three VMs, and a free fourth VM.
+	begun := func(t *testing.T, st queue.Step) (w *fixture, k queue.TaskKey) {
+		w = newFixture(t, 3)
 		k = w.submit("urgent", "j", 1, st)
-		assert.Equal(t, len(w.run()), 3)
+		assert.Equal(t, len(w.startPlanned()), 3)
 		w.addVM(4)
 		w.progress(k, 50, 50, 50)
 		return w, k
 	}
 	for _, c := range []struct {
 		name   string
-		change func(w *world, k queue.TaskKey)
+		change func(w *fixture, k queue.TaskKey)
 		copied bool
 	}{
-		{"none while the runs go on", func(*world, queue.TaskKey) {}, false},
-		{"the VM does not answer", func(w *world, _ queue.TaskKey) { w.view.VMs["vm1"] = VMView{} }, true},
-		{"it was not seen to begin", func(w *world, k queue.TaskKey) {
+		{"none while all runs make progress", func(*fixture, queue.TaskKey) {}, false},
+		{"the VM does not answer", func(w *fixture, _ queue.TaskKey) { w.view.VMs["vm1"] = VMView{} }, true},
+		{"its start was not reported", func(w *fixture, k queue.TaskKey) {
 			w.progress(k, 60, 70, 70)
 			delete(w.view.Runs, k.Run(1))
 		}, true},
-		{"it stands still", func(w *world, k queue.TaskKey) {
-			still := w.view.Runs[k.Run(1)]
+		{"it makes no progress", func(w *fixture, k queue.TaskKey) {
+			stalled := w.view.Runs[k.Run(1)]
 			w.progress(k, 60, 70, 70)
 			w.view.Now++
-			w.view.Runs[k.Run(1)] = still
+			w.view.Runs[k.Run(1)] = stalled
 		}, true},
-		{"it lags behind its siblings", func(w *world, k queue.TaskKey) { w.progress(k, 20, 80, 80) }, true},
+		{"it lags behind its siblings", func(w *fixture, k queue.TaskKey) { w.progress(k, 20, 80, 80) }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w, k := begun(t, twice)
 			c.change(w, k)
-			places := w.run()
+			places := w.startPlanned()
 			assert.Equal(t, places["j.0.0.0"] == "vm4", c.copied)
 			assert.Equal(t, len(w.s.Job("j").Task(k).Runs) == 2, c.copied)
-			assert.Equal(t, len(w.run()), 0, "two are enough")
+			assert.Equal(t, len(w.startPlanned()), 0, "two are enough")
 		})
 	}
-	t.Run("never where the step does not allow it", func(t *testing.T) {
+	t.Run("never if the step does not allow it", func(t *testing.T) {
 		once := twice
 		once.Speculative = false
 		w, _ := begun(t, once)
 		w.view.VMs["vm1"] = VMView{}
-		assert.Equal(t, len(w.run()), 0)
+		assert.Equal(t, len(w.startPlanned()), 0)
 	})
-	t.Run("the other run is stopped once one is done", func(t *testing.T) {
+	t.Run("the other run is stopped when one is done", func(t *testing.T) {
 		w, k := begun(t, twice)
 		w.progress(k, 20, 80, 80)
-		w.run()
+		w.startPlanned()
 		w.s.Apply(queue.Command{Ends: &queue.Ends{VM: "vm4", Incarnation: "life", List: []queue.End{{Task: k, Run: 2, Outcome: queue.OutcomeDone}}}}, w.view.Now)
 		assert.DeepEqual(t, stops(w), map[string]string{"j.0.0.0": "another run has done the task"})
 	})
 }
 
 // stops returns the reasons of a plan's stops by task.
-func stops(w *world) map[string]string {
+func stops(w *fixture) map[string]string {
 	m := map[string]string{}
 	for _, st := range PlanOnce(w.s, w.view).Stops {
 		m[st.Task.String()] = st.Reason
@@ -391,47 +391,47 @@
 }
 
 func TestStops(t *testing.T) {
-	t.Run("what a cancelled job runs", func(t *testing.T) {
-		w := newWorld(t, 1)
-		w.submit("urgent", "j", 1, cpu(1000))
-		w.run()
+	t.Run("runs of a cancelled job", func(t *testing.T) {
+		w := newFixture(t, 1)
+		w.submit("urgent", "j", 1, cpuStep(1000))
+		w.startPlanned()
 		assert.Equal(t, len(stops(w)), 0)
 		w.s.Apply(queue.Command{Cancel: &queue.Cancel{Host: host, Path: "/urgent/j"}}, 2)
 		assert.DeepEqual(t, stops(w), map[string]string{"j.0.0.0": "the job is cancelled"})
 	})
-	t.Run("a lasting task on a VM that leaves, and no other", func(t *testing.T) {
-		w := newWorld(t, 1)
+	t.Run("a lasting task on a draining VM, and no other", func(t *testing.T) {
+		w := newFixture(t, 1)
 		w.submit("urgent", "s", 1, servingStep("audio", 1000))
-		w.submit("urgent", "j", 1, cpu(1000))
-		w.run()
+		w.submit("urgent", "j", 1, cpuStep(1000))
+		w.startPlanned()
 		w.view.VMs["vm1"] = VMView{Usable: true, Draining: true}
 		assert.DeepEqual(t, stops(w), map[string]string{"s.0.0.0": "the VM is about to leave"})
 	})
-	t.Run("a task whose progress stands still", func(t *testing.T) {
-		w := newWorld(t, 1)
-		k := w.submit("urgent", "j", 1, cpu(1000))
-		w.run()
+	t.Run("a task without progress", func(t *testing.T) {
+		w := newFixture(t, 1)
+		k := w.submit("urgent", "j", 1, cpuStep(1000))
+		w.startPlanned()
 		w.view.Runs[k.Run(1)] = RunView{Percent: 40, ProgressedAt: w.view.Now}
 		assert.Equal(t, len(stops(w)), 0)
 		w.view.Now += stallMS + 1
 		assert.DeepEqual(t, stops(w), map[string]string{"j.0.0.0": ReasonStalled})
 	})
-	t.Run("a lasting task only if it never came to work", func(t *testing.T) {
-		w := newWorld(t, 1)
+	t.Run("a lasting task only if it never finished its startup", func(t *testing.T) {
+		w := newFixture(t, 1)
 		k := w.submit("urgent", "s", 1, servingStep("audio", 1000))
-		w.run()
+		w.startPlanned()
 		w.view.Runs[k.Run(1)] = RunView{Percent: 100, ProgressedAt: 0}
 		w.view.Now += 10 * startupMS
 		assert.Equal(t, len(stops(w)), 0)
 		w.view.Runs[k.Run(1)] = RunView{Percent: 20, ProgressedAt: 0}
 		assert.DeepEqual(t, stops(w), map[string]string{"s.0.0.0": ReasonStalled})
 	})
-	t.Run("a task that lags behind its siblings, once", func(t *testing.T) {
-		w := newWorld(t, 3)
-		st := cpu(4000)
+	t.Run("a task that lags behind its siblings, only once", func(t *testing.T) {
+		w := newFixture(t, 3)
+		st := cpuStep(4000)
 		st.Count = 3
 		k := w.submit("urgent", "j", 1, st)
-		w.run()
+		w.startPlanned()
 		w.progress(k, 10, 80, 90)
 		assert.Equal(t, len(stops(w)), 0, "there is no other VM")
 		w.addVM(4)
@@ -440,16 +440,16 @@
 		assert.Equal(t, len(stops(w)), 0, "it was slow elsewhere too")
 		delete(w.view.FailedOn, k)
 		w.progress(k, 60, 80, 90)
-		assert.Equal(t, len(stops(w)), 0, "it is about as fast")
+		assert.Equal(t, len(stops(w)), 0, "it is about as fast as its siblings")
 		w.progress(k, 10, 12, 14)
-		assert.Equal(t, len(stops(w)), 0, "all are, whatever was expected")
+		assert.Equal(t, len(stops(w)), 0, "all of them are slow")
 	})
-	t.Run("a task whose siblings are long done", func(t *testing.T) {
-		w := newWorld(t, 3)
-		st := cpu(4000)
+	t.Run("a task whose siblings were done long ago", func(t *testing.T) {
+		w := newFixture(t, 3)
+		st := cpuStep(4000)
 		st.Count = 3
 		k := w.submit("urgent", "j", 1, st)
-		w.run()
+		w.startPlanned()
 		for i := 1; i < 3; i++ {
 			other := k
 			other.Index = i
@@ -460,44 +460,44 @@
 		w.progress(k, 20)
 		assert.DeepEqual(t, stops(w), map[string]string{"j.0.0.0": ReasonSlow})
 	})
-	t.Run("a filler that is held back, if it would work elsewhere", func(t *testing.T) {
-		w := newWorld(t, 2)
+	t.Run("a filler that is paced down, if it would be faster elsewhere", func(t *testing.T) {
+		w := newFixture(t, 2)
 		w.submit("urgent", "s", 1, servingStep("audio", 3000))
-		w.run()
+		w.startPlanned()
 		w.view.VMs["vm2"] = VMView{}
 		k := w.submit("later", "f", 1, fillerStep("loud", 500))
-		w.run()
-		w.pair[[2]string{"audio", "loud"}] = 30
+		w.startPlanned()
+		w.pressures[[2]string{"audio", "loud"}] = 30
 		w.view.Now += 10_000
 		w.view.Runs[k.Run(1)] = RunView{Percent: 5, ProgressedAt: w.view.Now, PacedDownPercent: 100, PacedDownSince: 1}
-		assert.Equal(t, len(stops(w)), 0, "it has nowhere to go")
+		assert.Equal(t, len(stops(w)), 0, "no other VM can take it")
 		w.view.VMs["vm2"] = VMView{Usable: true}
 		assert.DeepEqual(t, stops(w), map[string]string{"f.0.0.0": ReasonPacedDown})
 		w.view.Runs[k.Run(1)] = RunView{Percent: 60, ProgressedAt: w.view.Now, PacedDownPercent: 100, PacedDownSince: 1}
-		assert.Equal(t, len(stops(w)), 0, "it would lose what it has done")
+		assert.Equal(t, len(stops(w)), 0, "it would lose too much progress")
 	})
 }
 
-// TestEvacuated holds that nothing is planned in a failure domain that is evacuated, and
-// that an operator is told why.
-func TestEvacuated(t *testing.T) {
-	w := newWorld(t, 2)
+// TestNoStartInEvacuatedDomain checks that nothing is planned in an evacuated failure
+// domain and that the explanation names the reason.
+func TestNoStartInEvacuatedDomain(t *testing.T) {
+	w := newFixture(t, 2)
 	vm := *w.s.VM("vm1")
 	vm.Domain = "north"
 	w.s.Apply(queue.Command{Register: &vm}, w.view.Now)
 	w.s.Apply(queue.Command{Evacuate: &queue.Evacuate{Domain: "north"}}, w.view.Now)
 	k := w.submit("urgent", "j", 1000, queue.Step{Count: 4, Size: rudderfork.Resources{CPUMilli: 100}})
-	for _, on := range w.run() {
+	for _, on := range w.startPlanned() {
 		assert.Equal(t, on, rudderfork.VMID("vm2"))
 	}
 	why := NewPlanner().Explain(w.s, w.view, w.s.Job(k.Job)).RejectReasons(k)
 	assert.Equal(t, why["vm1"], "its failure domain is evacuated")
 }
 
-// TestWorktimes holds that jobs go by what their tasks may be expected to work, whatever
-// their submitters guessed, and that a planner that is kept reads it anew.
-func TestWorktimes(t *testing.T) {
-	w := newWorld(t, 1)
+// TestWorkTimeEstimatesOrderJobs checks that jobs are ordered by estimated work times
+// rather than by the submitters' estimates, and that a reused planner reads them again.
+func TestWorkTimeEstimatesOrderJobs(t *testing.T) {
+	w := newFixture(t, 1)
 	whole := queue.Step{Count: 1, Size: rudderfork.Resources{CPUMilli: 4000}}
 	long, short := whole, whole
 	long.ExpectedMS, short.ExpectedMS = 100, 2000
@@ -509,19 +509,19 @@
 		assert.Equal(t, len(plan.Starts), 1)
 		return plan.Starts[0].Task.Job
 	}
-	assert.Equal(t, first(), rudderfork.JobID("long"), "by the guesses")
+	assert.Equal(t, first(), rudderfork.JobID("long"), "by submitters' estimates")
 	w.view.WorkTime = func(_ string, k queue.StepKey, _ *queue.Step) float64 {
 		return map[rudderfork.JobID]float64{"long": 3000, "short": 500}[k.Job]
 	}
 	w.view.WorkTimeVersion++
-	assert.Equal(t, first(), rudderfork.JobID("short"), "by what they work")
+	assert.Equal(t, first(), rudderfork.JobID("short"), "by estimated work times")
 }
 
-// TestAhead holds that a filler begins where a serving task's load falls, not where there
-// is more headroom now and soon too little.
-func TestAhead(t *testing.T) {
-	w := newWorld(t, 2)
-	w.pair[[2]string{"audio", "roster"}] = 8
+// TestForecastGuidesFillers guards against starting a filler beside a serving task whose
+// headroom is larger now but about to shrink.
+func TestForecastGuidesFillers(t *testing.T) {
+	w := newFixture(t, 2)
+	w.pressures[[2]string{"audio", "roster"}] = 8
 	for i, ahead := range []float64{-1.2, 0.1} {
 		k := w.submit("urgent", fmt.Sprintf("feed%d", i), 1000, servingStep("audio", 1000))
 		vm := rudderfork.VMID(fmt.Sprintf("vm%d", i+1))
@@ -529,5 +529,5 @@
 		w.view.Runs[k.Run(1)] = RunView{Percent: 100, Load: int64(6 + i), ForecastHeadroomChange: ahead}
 	}
 	k := w.submit("later", "roster", 1000, fillerStep("roster", 400))
-	assert.Equal(t, w.run()[k.String()], rudderfork.VMID("vm2"))
+	assert.Equal(t, w.startPlanned()[k.String()], rudderfork.VMID("vm2"))
 }
--- a/dispatch/drawn_test.go
+++ b/dispatch/drawn_test.go
@@ -15,37 +15,37 @@
 )
 
 const (
-	drawnStates  = 300
-	drawnChanges = 8
-	// sameCost is how far apart costs may lie that are summed up in another order.
-	sameCost = 1e-9
+	randomStates    = 300
+	changesPerState = 8
+	// costTolerance is the most by which two costs may differ if summed in another order.
+	costTolerance = 1e-9
 )
 
-// drawnWorld is a world that changes at random.
-type drawnWorld struct {
-	*world
+// randomFixture is a fixture that changes at random.
+type randomFixture struct {
+	*fixture
 	rnd  *rand.Rand
 	jobs int
 }
 
-func drawWorld(t *testing.T, seed uint64) *drawnWorld {
-	w := &drawnWorld{world: newWorld(t, 0), rnd: rand.New(rand.NewPCG(seed, 1))}
+func newRandomFixture(t *testing.T, seed uint64) *randomFixture {
+	w := &randomFixture{fixture: newFixture(t, 0), rnd: rand.New(rand.NewPCG(seed, 1))}
 	for i := range 2 + w.rnd.IntN(9) {
-		w.drawVM(i)
+		w.registerRandomVM(i)
 	}
 	for s := range 3 {
 		for f := range 4 {
-			w.pair[[2]string{fmt.Sprintf("s%d", s), fmt.Sprintf("f%d", f)}] = float64(w.rnd.IntN(3)) * 3 * w.rnd.Float64()
+			w.pressures[[2]string{fmt.Sprintf("s%d", s), fmt.Sprintf("f%d", f)}] = float64(w.rnd.IntN(3)) * 3 * w.rnd.Float64()
 		}
 	}
 	for range 3 + w.rnd.IntN(12) {
-		w.drawJob()
+		w.submitRandomJob()
 	}
 	return w
 }
 
-// drawVM registers a VM, or a new life of it.
-func (w *drawnWorld) drawVM(n int) {
+// registerRandomVM registers a VM or a new incarnation of its executor.
+func (w *randomFixture) registerRandomVM(n int) {
 	id := rudderfork.VMID(fmt.Sprintf("vm%02d", n))
 	labels := [][]string{{"a"}, {"a"}, {"b"}}
 	w.s.Apply(queue.Command{Register: &queue.VM{
@@ -55,7 +55,7 @@
 	w.view.VMs[id] = VMView{Usable: true, Changes: w.rnd.Uint64()}
 }
 
-func (w *drawnWorld) drawJob() {
+func (w *randomFixture) submitRandomJob() {
 	w.jobs++
 	id := fmt.Sprintf("j%03d", w.jobs)
 	size := rudderfork.Resources{CPUMilli: int64(100 + w.rnd.IntN(4_000)), MemoryMB: int64(100 + w.rnd.IntN(4_000))}
@@ -85,16 +85,16 @@
 	}
 }
 
-// change makes one of the changes that a leader sees.
-func (w *drawnWorld) change() {
+// changeRandomly makes one of the changes that a leader can see.
+func (w *randomFixture) changeRandomly() {
 	w.view.Now += int64(w.rnd.IntN(800))
 	switch w.rnd.IntN(9) {
 	case 8:
 		w.view.ShortDemand = ShortDemand{at: 1, tasks: float64(w.rnd.IntN(20)), cpu: 100 + 2_000*w.rnd.Float64()}
 	case 0:
-		w.drawJob()
+		w.submitRandomJob()
 	case 1:
-		w.drawVM(w.rnd.IntN(11))
+		w.registerRandomVM(w.rnd.IntN(11))
 	case 2:
 		id := rudderfork.VMID(fmt.Sprintf("vm%02d", w.rnd.IntN(11)))
 		w.view.VMs[id] = VMView{Usable: w.rnd.IntN(2) == 0, FailureScore: w.rnd.Float64(), Changes: w.rnd.Uint64()}
@@ -102,18 +102,18 @@
 		w.s.Apply(queue.Command{Cancel: &queue.Cancel{Host: host, Path: fmt.Sprintf("/urgent/j%03d", 1+w.rnd.IntN(w.jobs))}}, w.view.Now)
 	case 4:
 		s, f := fmt.Sprintf("s%d", w.rnd.IntN(3)), fmt.Sprintf("f%d", w.rnd.IntN(4))
-		w.pair[[2]string{s, f}] = 6 * w.rnd.Float64()
+		w.pressures[[2]string{s, f}] = 6 * w.rnd.Float64()
 	default:
-		w.drawFigures()
+		w.reportRandomRuns()
 	}
 }
 
-// drawFigures ends some runs and reports on the others, VM by VM.
-func (w *drawnWorld) drawFigures() {
+// reportRandomRuns ends some runs and reports on others, VM by VM.
+func (w *randomFixture) reportRandomRuns() {
 	for _, vm := range w.s.VMs() {
 		view := w.view.VMs[vm.ID]
-		figures := w.rnd.IntN(3) > 0
-		if figures {
+		reported := w.rnd.IntN(3) > 0
+		if reported {
 			view.Changes++
 			w.view.VMs[vm.ID] = view
 		}
@@ -124,7 +124,7 @@
 				ends = append(ends, queue.End{Task: k, Run: number, Outcome: queue.OutcomeDone})
 			case n == 1:
 				w.view.FailedOn[k] = append(w.view.FailedOn[k], vm.ID)
-			case figures:
+			case reported:
 				w.view.Runs[k.Run(number)] = RunView{
 					Percent: 10 * w.rnd.IntN(11), FirstSeenAt: w.view.Now - int64(w.rnd.IntN(2_000)), ProgressedAt: w.view.Now - int64(w.rnd.IntN(2_000)),
 					Load: int64(w.rnd.IntN(20)), PacedDownPercent: 10 * w.rnd.IntN(11), PacedDownSince: w.view.Now - int64(w.rnd.IntN(2_000)),
@@ -136,8 +136,8 @@
 	}
 }
 
-// apply commits a plan's starts.
-func (w *drawnWorld) apply(plan Plan) {
+// commitStarts commits a plan's starts.
+func (w *randomFixture) commitStarts(plan Plan) {
 	if len(plan.Starts) == 0 {
 		return
 	}
@@ -150,15 +150,15 @@
 	}
 }
 
-// plain weighs VMs one by one and from nothing, as the definition of a place says:
-// the measure that plans are held against.
-type plain struct {
-	*drawnWorld
-	starts []Start // of the plan, so far
+// reference computes costs from the definition, for one VM at a time and without a
+// cache. Plans are compared with it.
+type reference struct {
+	*randomFixture
+	starts []Start // compared so far
 }
 
-// obstacle says why a VM cannot take a task beside the starts so far.
-func (p *plain) obstacle(j *queue.Job, k queue.TaskKey, vm *queue.VM) string {
+// rejectReason returns why a VM cannot take a task in addition to the starts so far.
+func (p *reference) rejectReason(j *queue.Job, k queue.TaskKey, vm *queue.VM) string {
 	st := j.Spec.Steps[k.Step]
 	if view := p.view.VMs[vm.ID]; !view.Usable || view.Draining || view.Cordoned {
 		return "unfit"
@@ -182,14 +182,15 @@
 	return p.s.RejectReason(j, k, vm)
 }
 
-// mix returns the images, sizes and figures of what is on a VM.
-func (p *plain) mix(vm *queue.VM) (headrooms map[string]float64, tasks map[string]int, fillers []filling, idle float64) {
+// colocated returns the headrooms and numbers of serving tasks by image, the fillers and
+// the idle processors, in thousandths of a core, of a VM.
+func (p *reference) colocated(vm *queue.VM) (headrooms map[string]float64, tasks map[string]int, fillers []refFiller, idle float64) {
 	headrooms, tasks, idle = map[string]float64{}, map[string]int{}, pace.MaxUtilization*float64(vm.Capacity.CPUMilli)
-	add := func(st queue.Step, run RunView, fresh bool) {
+	addRun := func(st queue.Step, run RunView, unmeasured bool) {
 		cpu := float64(st.Size.CPUMilli)
 		switch {
 		case st.Filler:
-			f := filling{st.Image, cpu * (1 - float64(run.PacedDownPercent)/100), fresh}
+			f := refFiller{st.Image, cpu * (1 - float64(run.PacedDownPercent)/100), unmeasured}
 			fillers = append(fillers, f)
 			idle -= f.cpu
 		case st.TailMS > 0:
@@ -208,31 +209,31 @@
 	}
 	for k, n := range vm.Runs() {
 		run, seen := p.view.Runs[k.Run(n)]
-		add(p.s.Job(k.Job).Spec.Steps[k.Step], run, !seen || p.view.Now-run.FirstSeenAt < headroomDelayMS)
+		addRun(p.s.Job(k.Job).Spec.Steps[k.Step], run, !seen || p.view.Now-run.FirstSeenAt < headroomDelayMS)
 	}
 	for _, s := range p.starts {
 		if s.VM == vm.ID {
-			add(p.s.Job(s.Task.Job).Spec.Steps[s.Task.Step], RunView{}, true)
+			addRun(p.s.Job(s.Task.Job).Spec.Steps[s.Task.Step], RunView{}, true)
 		}
 	}
 	return headrooms, tasks, fillers, idle
 }
 
-// filling is what works beside serving tasks.
-type filling struct {
-	image string
-	cpu   float64 // thousandths of a core at its present speed
-	fresh bool
+// refFiller is a filler beside serving tasks.
+type refFiller struct {
+	image      string
+	cpu        float64 // at its present speed, thousandths of a core
+	unmeasured bool
 }
 
-func (p *plain) speed(st queue.Step, vm *queue.VM) float64 {
-	headrooms, _, fillers, idle := p.mix(vm)
+func (p *reference) fillerSpeed(st queue.Step, vm *queue.VM) float64 {
+	headrooms, _, fillers, idle := p.colocated(vm)
 	cpu, whole := float64(max(1, st.Size.CPUMilli)), float64(vm.Capacity.CPUMilli)
 	speed := min(1, max(0, idle)/cpu)
 	for image, headroom := range headrooms {
 		room := headroom - placementHeadroom
 		for _, f := range fillers {
-			if f.fresh {
+			if f.unmeasured {
 				room -= p.view.Pressure(image, f.image) * f.cpu / whole
 			}
 		}
@@ -243,7 +244,7 @@
 	return speed
 }
 
-func (p *plain) cost(j *queue.Job, k queue.TaskKey, vm *queue.VM) float64 {
+func (p *reference) cost(j *queue.Job, k queue.TaskKey, vm *queue.VM) float64 {
 	st := j.Spec.Steps[k.Step]
 	held := vm.Used()
 	for _, s := range p.starts {
@@ -261,27 +262,27 @@
 	}
 	switch {
 	case st.Filler:
-		c += 1/max(minSpeed, p.speed(st, vm)) - 1
+		c += 1/max(minSpeed, p.fillerSpeed(st, vm)) - 1
 	case st.TailMS > 0:
 		c += p.servingCost(st, vm) - packingBonus*full
 	}
 	return c
 }
 
-func (p *plain) servingCost(st queue.Step, vm *queue.VM) (c float64) {
-	_, tasks, fillers, _ := p.mix(vm)
+func (p *reference) servingCost(st queue.Step, vm *queue.VM) (c float64) {
+	_, tasks, fillers, _ := p.colocated(vm)
 	whole := float64(vm.Capacity.CPUMilli)
 	room := func(extra int64, images ...string) float64 {
 		spare := pace.MaxUtilization*whole - float64(extra)*pace.ServingUtilization
 		for k := range vm.Runs() {
-			spare -= p.lasting(k)
+			spare -= p.nonFillerUse(k)
 		}
 		for _, s := range p.starts {
 			if s.VM == vm.ID {
-				spare -= p.lasting(s.Task)
+				spare -= p.nonFillerUse(s.Task)
 			}
 		}
-		return max(0, spare) / whole * p.openness(tasks, images)
+		return max(0, spare) / whole * p.fillerTolerance(tasks, images)
 	}
 	c = costFillerLoss * (room(0) - room(st.Size.CPUMilli, st.Image))
 	all := 0
@@ -299,8 +300,9 @@
 	return c
 }
 
-// lasting is what a task uses of what fillers could have, in thousandths of a core.
-func (p *plain) lasting(k queue.TaskKey) float64 {
+// nonFillerUse returns the processors that a task takes from fillers, in thousandths of a
+// core.
+func (p *reference) nonFillerUse(k queue.TaskKey) float64 {
 	st := p.s.Job(k.Job).Spec.Steps[k.Step]
 	switch {
 	case st.Filler:
@@ -311,7 +313,7 @@
 	return float64(st.Size.CPUMilli)
 }
 
-func (p *plain) openness(tasks map[string]int, more []string) (open float64) {
+func (p *reference) fillerTolerance(tasks map[string]int, more []string) (open float64) {
 	work, sum := map[string]float64{}, 0.0
 	for _, j := range p.s.Live() {
 		for i, st := range j.Spec.Steps {
@@ -336,11 +338,11 @@
 	return open
 }
 
-// least returns the VM with the least cost of those that can take a task.
-func (p *plain) least(j *queue.Job, k queue.TaskKey) (best *queue.VM, least float64) {
+// cheapest returns the feasible VM with the lowest cost for a task.
+func (p *reference) cheapest(j *queue.Job, k queue.TaskKey) (best *queue.VM, least float64) {
 	least = math.Inf(1)
 	for _, vm := range p.s.VMs() {
-		if p.obstacle(j, k, vm) != "" {
+		if p.rejectReason(j, k, vm) != "" {
 			continue
 		}
 		if c := p.cost(j, k, vm); c < least {
@@ -350,28 +352,29 @@
 	return best, least
 }
 
-// assertPlaces checks each start of a plan against all other places, and that what
-// was not started has none.
-func assertPlaces(w *drawnWorld, plan Plan) {
+// assertMatchesReference checks each start of a plan against all other VMs, and that no
+// VM can take a task that was not started.
+func assertMatchesReference(w *randomFixture, plan Plan) {
 	w.t.Helper()
-	p := &plain{drawnWorld: w}
+	p := &reference{randomFixture: w}
 	for i, st := range plan.Starts {
 		j := w.s.Job(st.Task.Job)
-		assert.Equal(w.t, p.obstacle(j, st.Task, w.s.VM(st.VM)), "", "start %d: %s", i, st.Task)
-		_, least := p.least(j, st.Task)
+		assert.Equal(w.t, p.rejectReason(j, st.Task, w.s.VM(st.VM)), "", "start %d: %s", i, st.Task)
+		_, least := p.cheapest(j, st.Task)
 		cost := p.cost(j, st.Task, w.s.VM(st.VM))
-		assert.Assert(w.t, cost <= least+sameCost, "start %d: %s costs %g, and %g elsewhere", i, st.Task, cost, least)
+		assert.Assert(w.t, cost <= least+costTolerance, "start %d: %s costs %g, and %g elsewhere", i, st.Task, cost, least)
 		p.starts = append(p.starts, st)
 	}
 	for _, j := range w.s.Live() {
-		p.assertNoPlace(j)
+		p.assertWaitsForReason(j)
 	}
 }
 
-// assertNoPlace checks that what a job lacks has no place; a lasting task may also
-// leave room for short ones, and a filler wait because it would crawl. The place that it would have had at its turn may have been
-// taken since, so for that any VM on which it crawls will do.
-func (p *plain) assertNoPlace(j *queue.Job) {
+// assertWaitsForReason checks that no VM can take the waiting tasks of a job. A lasting
+// task may also wait for the reserve of short tasks, and a filler because it would be too
+// slow. The VM on which the filler was too slow may have been filled since, so any VM on
+// which it is too slow counts.
+func (p *reference) assertWaitsForReason(j *queue.Job) {
 	p.t.Helper()
 	for step, st := range j.Spec.Steps {
 		for index := range j.Occurrences[0].Steps[step] {
@@ -380,10 +383,10 @@
 			if planned || len(j.Task(k).Runs) > 0 || !p.s.Runnable(j, k, p.view.Now) {
 				continue
 			}
-			best, _ := p.least(j, k)
-			crawls := st.Filler && slices.ContainsFunc(p.s.VMs(), func(vm *queue.VM) bool { return p.speed(st, vm) < minStartSpeed })
-			yields := st.Lasting && j.Task(k).LastRun == 0 && p.view.ShortDemand.tasks > 0
-			assert.Assert(p.t, best == nil || crawls || yields, "%s waits, and %s could take it", k, nameOf(best))
+			best, _ := p.cheapest(j, k)
+			slow := st.Filler && slices.ContainsFunc(p.s.VMs(), func(vm *queue.VM) bool { return p.fillerSpeed(st, vm) < minStartSpeed })
+			reserved := st.Lasting && j.Task(k).LastRun == 0 && p.view.ShortDemand.tasks > 0
+			assert.Assert(p.t, best == nil || slow || reserved, "%s waits, and %s could take it", k, nameOf(best))
 		}
 	}
 }
@@ -395,24 +398,24 @@
 	return vm.ID
 }
 
-// TestDrawnStates holds plans against the plain definition of a place, and those of a
-// planner that has made others before against those of one that has not.
-func TestDrawnStates(t *testing.T) {
-	for seed := range uint64(drawnStates) {
+// TestPlansMatchReference compares plans with the reference, and plans of a reused planner
+// with those of a new one.
+func TestPlansMatchReference(t *testing.T) {
+	for seed := range uint64(randomStates) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			w, kept := drawWorld(t, seed), NewPlanner()
-			for range drawnChanges {
+			w, reused := newRandomFixture(t, seed), NewPlanner()
+			for range changesPerState {
 				w.view.Relocate = w.rnd.IntN(3) == 0
 				for _, j := range w.s.Live() {
-					kept.Explain(w.s, w.view, j).RejectReasons(queue.TaskKey{Job: j.ID}) // changes nothing
+					reused.Explain(w.s, w.view, j).RejectReasons(queue.TaskKey{Job: j.ID}) // changes nothing
 				}
-				plan := kept.Plan(w.s, w.view)
+				plan := reused.Plan(w.s, w.view)
 				assert.DeepEqual(t, plan, PlanOnce(w.s, w.view))
-				assertPlaces(w, plan)
-				if w.rnd.IntN(4) > 0 { // else its commit is lost
-					w.apply(plan)
+				assertMatchesReference(w, plan)
+				if w.rnd.IntN(4) > 0 { // else the commit is lost
+					w.commitStarts(plan)
 				}
-				w.change()
+				w.changeRandomly()
 			}
 		})
 	}
--- a/dispatch/last_test.go
+++ b/dispatch/last_of_step_test.go
@@ -10,15 +10,15 @@
 	"rudderfork.example/rudderfork/queue"
 )
 
-// TestLast holds which runs are told to be the last of their step.
-func TestLast(t *testing.T) {
+// TestLastOfStep checks which runs count as the last of their step.
+func TestLastOfStep(t *testing.T) {
 	const count = 20
-	// after has a step of which so many tasks are done.
+	// after returns the last runs of a step of which done tasks are done.
 	after := func(t *testing.T, st queue.Step, done int) (last []queue.RunKey) {
-		w := newWorld(t, 2)
+		w := newFixture(t, 2)
 		st.Count = count
 		k := w.submit("later", "f", 1, st)
-		assert.Equal(t, len(w.run()), count)
+		assert.Equal(t, len(w.startPlanned()), count)
 		for i := range done {
 			k.Index = i
 			r := w.s.Job("f").Task(k).Runs[0]
@@ -34,13 +34,13 @@
 			assert.Equal(t, len(after(t, fillerStep("loud", 100), c.done)), c.last)
 		})
 	}
-	t.Run("no tasks that are not paced", func(t *testing.T) {
-		assert.Equal(t, len(after(t, cpu(100), 19)), 0)
+	t.Run("none of a step that is not paced", func(t *testing.T) {
+		assert.Equal(t, len(after(t, cpuStep(100), 19)), 0)
 	})
-	t.Run("not the one task of a step that nobody waits with", func(t *testing.T) {
-		w := newWorld(t, 1)
+	t.Run("not the only task of a step", func(t *testing.T) {
+		w := newFixture(t, 1)
 		w.submit("later", "f", 1, fillerStep("loud", 100))
-		w.run()
+		w.startPlanned()
 		assert.Equal(t, len(PlanOnce(w.s, w.view).LastOfStep), 0)
 	})
 }
--- a/dispatch/load_test.go
+++ b/dispatch/load_test.go
@@ -14,42 +14,42 @@
 	"rudderfork.example/rudderfork/queue"
 )
 
-// loadPlay plays a day of jobs on a fleet in virtual time, with the plans of a leader,
-// and notes when each job is done.
-type loadPlay struct {
-	*world
+// simulation runs a day of jobs on a fleet in virtual time, with plans at a fixed
+// interval, and records when each job is done.
+type simulation struct {
+	*fixture
 	rnd  *rand.Rand
 	pl   *Planner
-	jobs []loadJob
-	ends []runEnd // the next one first
+	jobs []simJob
+	ends []pendingEnd // in order of time
 }
 
-// loadJob is a job of the day.
-type loadJob struct {
-	queue string
-	at    int64 // ms
-	spec  []queue.Step
-	took  []int64 // true run time of a task, by step, ms
-	done  int64   // ms; 0 until then
+// simJob is a job of the day.
+type simJob struct {
+	queue  string
+	at     int64 // ms
+	spec   []queue.Step
+	trueMS []int64 // true run time of a task by step, ms
+	done   int64   // ms; 0 before
 }
 
-// runEnd is an end of a run to come.
-type runEnd struct {
+// pendingEnd is a future end of a run.
+type pendingEnd struct {
 	at    int64
 	start queue.Start
 	run   uint32
 }
 
-// planEvery is between two plans, ms.
-const planEvery = 20
+// planIntervalMS is the time between two plans.
+const planIntervalMS = 20
 
-func (l *loadPlay) id(i int) string { return fmt.Sprintf("job%04d", i) }
+func (l *simulation) id(i int) string { return fmt.Sprintf("job%04d", i) }
 
-// play plays the jobs until all are done.
-func (l *loadPlay) play() {
+// simulate runs until all jobs are done.
+func (l *simulation) simulate() {
 	next, left := 0, len(l.jobs)
 	for left > 0 {
-		l.view.Now += planEvery
+		l.view.Now += planIntervalMS
 		for ; next < len(l.jobs) && l.jobs[next].at <= l.view.Now; next++ {
 			l.submit(l.jobs[next].queue, l.id(next), l.jobs[next].at, l.jobs[next].spec...)
 		}
@@ -60,13 +60,13 @@
 				VM: e.start.VM, Incarnation: e.start.Incarnation, List: []queue.End{{Task: e.start.Task, Run: e.run, Outcome: queue.OutcomeDone}},
 			}}, e.at)
 		}
-		left = l.noteDone(next)
+		left = l.recordDone(next)
 		l.start()
 	}
 }
 
-// noteDone notes when jobs were done, and returns how many are not.
-func (l *loadPlay) noteDone(submitted int) (left int) {
+// recordDone records when jobs were done and returns how many are not done.
+func (l *simulation) recordDone(submitted int) (left int) {
 	for i := range l.jobs {
 		j := &l.jobs[i]
 		if i < submitted && j.done == 0 && l.s.Job(rudderfork.JobID(l.id(i))).Status == queue.Completed {
@@ -79,7 +79,7 @@
 	return left
 }
 
-func (l *loadPlay) start() {
+func (l *simulation) start() {
 	plan := l.pl.Plan(l.s, l.view)
 	l.view.ShortDemand.Observe(plan.ShortTasks, l.view.Now)
 	var c queue.Command
@@ -98,19 +98,19 @@
 		var index int
 		_, err := fmt.Sscanf(string(st.Task.Job), "job%d", &index)
 		assert.NilError(l.t, err)
-		took := float64(l.jobs[index].took[st.Task.Step]) * (1 + 0.15*l.rnd.NormFloat64())
-		l.expect(runEnd{l.view.Now + max(1, int64(took)), st, n})
+		took := float64(l.jobs[index].trueMS[st.Task.Step]) * (1 + 0.15*l.rnd.NormFloat64())
+		l.scheduleEnd(pendingEnd{l.view.Now + max(1, int64(took)), st, n})
 	}
 }
 
-// expect notes an end to come.
-func (l *loadPlay) expect(e runEnd) {
-	i, _ := slices.BinarySearchFunc(l.ends, e, func(a, b runEnd) int { return cmp.Compare(a.at, b.at) })
+// scheduleEnd adds a future end of a run.
+func (l *simulation) scheduleEnd(e pendingEnd) {
+	i, _ := slices.BinarySearchFunc(l.ends, e, func(a, b pendingEnd) int { return cmp.Compare(a.at, b.at) })
 	l.ends = slices.Insert(l.ends, i, e)
 }
 
-// inTime is the part of the jobs of a queue that were done within their objective.
-func (l *loadPlay) inTime(queueName string) float64 {
+// inTimeShare returns the share of a queue's jobs that were done within their objective.
+func (l *simulation) inTimeShare(queueName string) float64 {
 	row, _ := l.s.Document().Queue(queueName)
 	all, good := 0, 0
 	for i, j := range l.jobs {
@@ -118,9 +118,9 @@
 			continue
 		}
 		all++
-		// The objective counts the true run times, which the leader does not know.
+		// The objective counts true run times, which the leader does not know.
 		chain := int64(0)
-		for _, took := range j.took {
+		for _, took := range j.trueMS {
 			chain += took
 		}
 		if l.jobs[i].done-j.at <= int64(max(1, row.Stretch)*float64(chain))+row.LatencyMS {
@@ -130,15 +130,15 @@
 	return float64(good) / float64(max(1, all))
 }
 
-// around draws from a log-normal distribution.
-func (l *loadPlay) around(mean, spread, most float64) float64 {
+// logNormal draws from a log-normal distribution, up to most.
+func (l *simulation) logNormal(mean, spread, most float64) float64 {
 	return min(most, mean*math.Exp(l.rnd.NormFloat64()*spread-spread*spread/2))
 }
 
-// rosters is a load of wide batch jobs that are handed in faster than the fleet can
-// work them off for a while: 12 VMs, guesses of run times that are off by half.
-func rosters(t *testing.T, seed uint64) *loadPlay {
-	l := &loadPlay{world: newWorld(t, 0), rnd: rand.New(rand.NewPCG(seed, 2)), pl: NewPlanner()}
+// newRosterLoad returns a load of wide batch jobs that for a while exceeds what the 12 VMs
+// can work off. Submitters' estimates are off by half.
+func newRosterLoad(t *testing.T, seed uint64) *simulation {
+	l := &simulation{fixture: newFixture(t, 0), rnd: rand.New(rand.NewPCG(seed, 2)), pl: NewPlanner()}
 	doc := *l.s.Document()
 	doc.Version++
 	doc.Queues = []queue.Queue{{Name: "later", Host: host, Prefix: "/later/", Service: "desk", Priority: 2, MaxAttempts: 2, Stretch: 2, LatencyMS: 1_000}}
@@ -154,52 +154,52 @@
 			every = 270
 		}
 		at += l.rnd.ExpFloat64() * every
-		j := loadJob{queue: "later", at: int64(at)}
+		j := simJob{queue: "later", at: int64(at)}
 		for range 1 + l.rnd.IntN(3) {
-			st := fillerStep("roster", int64(l.around(3_500, 0.3, 7_000)))
-			st.Count, st.Size.MemoryMB = int(max(1, l.around(20, 0.6, 80))), 6_400
-			took := l.around(1_700, 0.5, 4_300)
-			st.ExpectedMS = int64(max(1, took*l.around(1, 0.5, 3)))
+			st := fillerStep("roster", int64(l.logNormal(3_500, 0.3, 7_000)))
+			st.Count, st.Size.MemoryMB = int(max(1, l.logNormal(20, 0.6, 80))), 6_400
+			took := l.logNormal(1_700, 0.5, 4_300)
+			st.ExpectedMS = int64(max(1, took*l.logNormal(1, 0.5, 3)))
 			if n := len(j.spec); n > 0 {
 				st.DependsOn = []int{n - 1}
 			}
-			j.spec, j.took = append(j.spec, st), append(j.took, int64(took))
+			j.spec, j.trueMS = append(j.spec, st), append(j.trueMS, int64(took))
 		}
 		l.jobs = append(l.jobs, j)
 	}
 	return l
 }
 
-// TestBurstOfRosters checks how many callers have their rosters in time on days on
-// which not all can: 0.48 in the mean of 8 days with the oldest jobs first, 0.55 with
-// those first that have the least work left.
-func TestBurstOfRosters(t *testing.T) {
+// TestInTimeShareUnderOverload checks that jobs with the least remaining work go first
+// when not all can be in time: 0.55 of the jobs are then in time, with the oldest first
+// 0.48.
+func TestInTimeShareUnderOverload(t *testing.T) {
 	const days, atLeast = 8, 0.52
 	sum := 0.0
 	for seed := range uint64(days) {
-		l := rosters(t, seed)
-		l.play()
-		sum += l.inTime("later")
+		l := newRosterLoad(t, seed)
+		l.simulate()
+		sum += l.inTimeShare("later")
 	}
 	t.Logf("in time: %.3f", sum/days)
-	assert.Assert(t, sum/days >= atLeast, "in time: %.3f in the mean", sum/days)
+	assert.Assert(t, sum/days >= atLeast, "in time: %.3f on average", sum/days)
 }
 
-// TestWaited holds what a start says of the wait before it.
-func TestWaited(t *testing.T) {
-	w := newWorld(t, 1)
-	second := cpu(100)
+// TestWaitedMS checks how long a start says that its task was ready.
+func TestWaitedMS(t *testing.T) {
+	w := newFixture(t, 1)
+	second := cpuStep(100)
 	second.DependsOn = []int{0}
-	k := w.submit("urgent", "j", 400, cpu(100), second)
+	k := w.submit("urgent", "j", 400, cpuStep(100), second)
 	plan := PlanOnce(w.s, w.view)
 	assert.Equal(t, plan.Starts[0].WaitedMS, int64(600))
 	assert.Equal(t, plan.Starts[0].Kind, Short)
-	w.run()
+	w.startPlanned()
 	w.s.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Incarnation: "life", List: []queue.End{{Task: k, Run: 1, Outcome: queue.OutcomeStopped}}}}, 1_100)
 	w.view.Now = 1_200
 	assert.Equal(t, PlanOnce(w.s, w.view).Starts[0].WaitedMS, int64(-1), "it was started before")
-	w.run()
+	w.startPlanned()
 	w.s.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Incarnation: "life", List: []queue.End{{Task: k, Run: 2, Outcome: queue.OutcomeDone}}}}, 1_500)
 	w.view.Now = 1_700
-	assert.Equal(t, PlanOnce(w.s, w.view).Starts[0].WaitedMS, int64(200), "since the step before it was done")
+	assert.Equal(t, PlanOnce(w.s, w.view).Starts[0].WaitedMS, int64(200), "since its dependency was done")
 }
--- a/dispatch/moves_test.go
+++ b/dispatch/moves_test.go
@@ -10,11 +10,11 @@
 	"rudderfork.example/rudderfork/queue"
 )
 
-// heldFillers has a filler of 3 s on each of some VMs, held down by a serving task
-// there, and as many VMs beside that stand empty.
-func heldFillers(t *testing.T, vms int, run RunView) *world {
-	w := newWorld(t, 2*vms)
-	w.pair[[2]string{"audio", "loud"}] = 30
+// newPacedDownFillers returns a fixture with a filler of 3 s on each of some VMs, paced
+// down because of a serving task there, and as many empty VMs.
+func newPacedDownFillers(t *testing.T, vms int, run RunView) *fixture {
+	w := newFixture(t, 2*vms)
+	w.pressures[[2]string{"audio", "loud"}] = 30
 	for i := range vms {
 		vm := rudderfork.VMID(fmt.Sprintf("vm%d", i+1))
 		w.serve(fmt.Sprint("s", i), "audio", vm)
@@ -29,8 +29,8 @@
 	return w
 }
 
-// moved counts the fillers that a plan moves.
-func moved(w *world) (n int) {
+// countMoves counts the fillers that a plan moves.
+func countMoves(w *fixture) (n int) {
 	for _, why := range stops(w) {
 		if why == ReasonPacedDown {
 			n++
@@ -39,42 +39,42 @@
 	return n
 }
 
-// TestMoves holds which fillers are moved to where they would work better.
-func TestMoves(t *testing.T) {
+// TestFillerMoves checks which fillers are moved to VMs on which they would be faster.
+func TestFillerMoves(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		run   RunView
 		after int64 // ms since its start
 		moved int
 	}{
-		{"half held down, with most of its work left", RunView{Percent: 10, PacedDownPercent: 50}, minRunMS, 1},
-		{"not before it has run for a while", RunView{Percent: 10, PacedDownPercent: 50}, minRunMS - 1, 0},
-		{"held down by too little to gain", RunView{Percent: 10, PacedDownPercent: 20}, minRunMS, 0},
-		{"half held down, with little left", RunView{Percent: 85, PacedDownPercent: 50}, minRunMS, 0},
-		{"at a standstill, with little left", RunView{Percent: 85, PacedDownPercent: 100}, minRunMS, 1},
+		{"paced down by half with most of its work left", RunView{Percent: 10, PacedDownPercent: 50}, minRunMS, 1},
+		{"not before minRunMS", RunView{Percent: 10, PacedDownPercent: 50}, minRunMS - 1, 0},
+		{"paced down by too little to gain", RunView{Percent: 10, PacedDownPercent: 20}, minRunMS, 0},
+		{"paced down by half with little work left", RunView{Percent: 85, PacedDownPercent: 50}, minRunMS, 0},
+		{"at a standstill with little work left", RunView{Percent: 85, PacedDownPercent: 100}, minRunMS, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := heldFillers(t, 1, c.run)
+			w := newPacedDownFillers(t, 1, c.run)
 			w.view.Now += c.after
-			assert.Equal(t, moved(w), c.moved)
+			assert.Equal(t, countMoves(w), c.moved)
 		})
 	}
-	t.Run("no member of a gang, whose end would end the others", func(t *testing.T) {
-		w := heldFillers(t, 1, RunView{Percent: 10, PacedDownPercent: 100})
+	t.Run("no member of a gang, since its end ends the others", func(t *testing.T) {
+		w := newPacedDownFillers(t, 1, RunView{Percent: 10, PacedDownPercent: 100})
 		w.s.Job("f0").Spec.Steps[0].Gang = true
 		w.view.Now += minRunMS
-		assert.Equal(t, moved(w), 0)
+		assert.Equal(t, countMoves(w), 0)
 	})
-	t.Run("not without a better place", func(t *testing.T) {
-		w := heldFillers(t, 1, RunView{Percent: 10, PacedDownPercent: 100})
+	t.Run("not without a better VM", func(t *testing.T) {
+		w := newPacedDownFillers(t, 1, RunView{Percent: 10, PacedDownPercent: 100})
 		w.view.VMs["vm2"] = VMView{}
 		w.view.Now += minRunMS
-		assert.Equal(t, moved(w), 0)
+		assert.Equal(t, countMoves(w), 0)
 	})
-	t.Run("as many at once as the fleet is large", func(t *testing.T) {
+	t.Run("as many at once as the size of the fleet allows", func(t *testing.T) {
 		const vms = 80
-		w := heldFillers(t, vms, RunView{Percent: 10, PacedDownPercent: 100})
+		w := newPacedDownFillers(t, vms, RunView{Percent: 10, PacedDownPercent: 100})
 		w.view.Now += minRunMS
-		assert.Equal(t, moved(w), 2*vms/vmsPerMove)
+		assert.Equal(t, countMoves(w), 2*vms/vmsPerMove)
 	})
 }
--- a/dispatch/quarantine_test.go
+++ b/dispatch/quarantine_test.go
@@ -10,9 +10,9 @@
 	"rudderfork.example/rudderfork/queue"
 )
 
-// crash has the executor of a VM come back under another life, right after the starts
-// of all that runs there.
-func (w *world) crash(id rudderfork.VMID, life string) {
+// crash registers a new incarnation of a VM's executor, right after the starts of all runs
+// there.
+func (w *fixture) crash(id rudderfork.VMID, life string) {
 	w.t.Helper()
 	vm := *w.s.VM(id)
 	c := queue.Crash{Incarnation: vm.Incarnation}
@@ -23,20 +23,20 @@
 	assert.Equal(w.t, w.s.Apply(queue.Command{Register: &vm, Crash: &c}, w.view.Now).Code, queue.OK)
 }
 
-// see has all runs on a VM reported at a time.
-func (w *world) see(id rudderfork.VMID, at int64) {
+// reportRuns reports all runs on a VM for the first time at a time, Unix ms.
+func (w *fixture) reportRuns(id rudderfork.VMID, at int64) {
 	for k, run := range w.s.VM(id).Runs() {
 		w.view.Runs[k.Run(run)] = RunView{FirstSeenAt: at, ProgressedAt: at}
 	}
 }
 
-// suspects is a world in which the only VM of n tasks' runs has crashed under them.
-func suspects(t *testing.T, vms, n int) *world {
-	w := newWorld(t, 1)
+// newSuspects returns a fixture in which the VM that ran all n tasks has crashed.
+func newSuspects(t *testing.T, vms, n int) *fixture {
+	w := newFixture(t, 1)
 	for i := range n {
-		w.submit("urgent", fmt.Sprintf("s%d", i), 1, cpu(200))
+		w.submit("urgent", fmt.Sprintf("s%d", i), 1, cpuStep(200))
 	}
-	assert.Equal(t, len(w.run()), n)
+	assert.Equal(t, len(w.startPlanned()), n)
 	for i := range vms - 1 {
 		w.addVM(i + 2)
 	}
@@ -44,50 +44,50 @@
 	return w
 }
 
-// TestQuarantine has tasks wait that are suspected of a crash.
+// TestQuarantine checks where and how long suspects of a crash wait.
 func TestQuarantine(t *testing.T) {
-	t.Run("each runs on a VM of its own, on a part of the VMs", func(t *testing.T) {
-		w := suspects(t, 8, 5)
-		places := w.run()
+	t.Run("each runs on its own VM, on a part of the VMs", func(t *testing.T) {
+		w := newSuspects(t, 8, 5)
+		places := w.startPlanned()
 		assert.Equal(t, len(places), 8/quarantineDivisor)
 		assert.Assert(t, places["s0.0.0.0"] != places["s1.0.0.0"])
-		assert.Equal(t, len(w.run()), 0)
+		assert.Equal(t, len(w.startPlanned()), 0)
 	})
-	t.Run("the next one follows when one has been at work for a while", func(t *testing.T) {
-		w := suspects(t, 4, 2)
-		on := w.run()["s0.0.0.0"]
-		w.see(on, w.view.Now)
+	t.Run("the next one starts once the first has run for quarantineMS", func(t *testing.T) {
+		w := newSuspects(t, 4, 2)
+		on := w.startPlanned()["s0.0.0.0"]
+		w.reportRuns(on, w.view.Now)
 		w.view.Now += quarantineMS - 1
-		assert.Equal(t, len(w.run()), 0)
+		assert.Equal(t, len(w.startPlanned()), 0)
 		w.view.Now++
-		assert.Equal(t, len(w.run()), 1)
+		assert.Equal(t, len(w.startPlanned()), 1)
 	})
-	t.Run("where least runs", func(t *testing.T) {
-		w := suspects(t, 4, 1)
+	t.Run("on the VM with the fewest runs", func(t *testing.T) {
+		w := newSuspects(t, 4, 1)
 		for i := range 3 {
 			vm := w.s.VM(rudderfork.VMID(fmt.Sprintf("vm%d", i+1)))
-			k := w.submit("later", fmt.Sprintf("beside%d", i), 1, cpu(100))
+			k := w.submit("later", fmt.Sprintf("beside%d", i), 1, cpuStep(100))
 			assert.Assert(t, w.s.Apply(queue.Command{Starts: []queue.Start{{Task: k, VM: vm.ID, Incarnation: vm.Incarnation}}}, 1).Numbers[0] > 0)
 		}
-		assert.Equal(t, w.run()["s0.0.0.0"], rudderfork.VMID("vm4"))
+		assert.Equal(t, w.startPlanned()["s0.0.0.0"], rudderfork.VMID("vm4"))
 	})
-	t.Run("others rather run elsewhere", func(t *testing.T) {
-		w := suspects(t, 2, 1)
-		on := w.run()["s0.0.0.0"]
-		w.submit("urgent", "other", 1, cpu(3000))
-		assert.Assert(t, w.run()["other.0.0.0"] != on)
+	t.Run("other tasks prefer other VMs", func(t *testing.T) {
+		w := newSuspects(t, 2, 1)
+		on := w.startPlanned()["s0.0.0.0"]
+		w.submit("urgent", "other", 1, cpuStep(3000))
+		assert.Assert(t, w.startPlanned()["other.0.0.0"] != on)
 	})
-	t.Run("none waits for long", func(t *testing.T) {
-		w := suspects(t, 4, 3)
-		assert.Equal(t, len(w.run()), 1)
+	t.Run("none waits longer than maxQuarantineWaitMS", func(t *testing.T) {
+		w := newSuspects(t, 4, 3)
+		assert.Equal(t, len(w.startPlanned()), 1)
 		w.view.Now += maxQuarantineWaitMS - 1
-		assert.Equal(t, len(w.run()), 0)
+		assert.Equal(t, len(w.startPlanned()), 0)
 		w.view.Now++
-		assert.Equal(t, len(w.run()), 2)
+		assert.Equal(t, len(w.startPlanned()), 2)
 	})
-	t.Run("the explanation names it", func(t *testing.T) {
-		w := suspects(t, 1, 2)
-		w.run()
+	t.Run("the explanation names the quarantine", func(t *testing.T) {
+		w := newSuspects(t, 1, 2)
+		w.startPlanned()
 		k := queue.TaskKey{Job: "s1"}
 		why := NewPlanner().Explain(w.s, w.view, w.s.Job("s1")).RejectReasons(k)
 		assert.Equal(t, why["vm1"], "another suspect of a crash is in quarantine there")
--- a/dispatch/reserve_test.go
+++ b/dispatch/reserve_test.go
@@ -9,71 +9,71 @@
 	"rudderfork.example/rudderfork/queue"
 )
 
-// TestReserve plays the load of kiosks beside feeds: short tasks all the time, and
-// lasting ones that would fill the fleet.
+// TestReserve guards against lasting tasks that fill the fleet and leave short tasks, which
+// arrive all the time, without capacity.
 func TestReserve(t *testing.T) {
-	short := cpu(300)
-	// seen has four VMs with 0.9 of their 4 cores left by lasting tasks, and demand for
-	// as many short tasks at once as given.
-	seen := func(t *testing.T, tasks int) *world {
-		w := newWorld(t, 4)
+	short := cpuStep(300)
+	// nearlyFull returns four VMs on which lasting tasks leave 0.9 of 4 cores, with a demand
+	// of so many short tasks at a time.
+	nearlyFull := func(t *testing.T, tasks int) *fixture {
+		w := newFixture(t, 4)
 		w.serve("old", "audio", "vm1", "vm2", "vm3", "vm4")
 		lasting := servingStep("audio", 2600)
 		lasting.Count = 4
 		w.submit("urgent", "feed", 1, lasting)
-		w.run()
+		w.startPlanned()
 		w.view.ShortDemand = ShortDemand{at: 1, tasks: float64(tasks), cpu: 300}
 		return w
 	}
-	lasting := func(w *world, id string) int {
+	startLasting := func(w *fixture, id string) int {
 		st := servingStep("audio", 600)
 		st.Count = 4
 		w.submit("urgent", id, 1, st)
-		return len(w.run())
+		return len(w.startPlanned())
 	}
-	t.Run("lasting tasks take all room while no short ones are seen", func(t *testing.T) {
-		assert.Equal(t, lasting(seen(t, 0), "more"), 4)
+	t.Run("lasting tasks take all capacity while there are no short tasks", func(t *testing.T) {
+		assert.Equal(t, startLasting(nearlyFull(t, 0), "more"), 4)
 	})
-	t.Run("they leave room for as many short ones as are usual", func(t *testing.T) {
-		w := seen(t, 9)
-		assert.Equal(t, lasting(w, "more"), 1)
+	t.Run("lasting tasks leave the reserve free", func(t *testing.T) {
+		w := nearlyFull(t, 9)
+		assert.Equal(t, startLasting(w, "more"), 1)
 		st := short
 		st.Count = 9
 		w.submit("urgent", "hold", w.view.Now, st)
-		assert.Equal(t, len(w.run()), 9, "the short tasks find it")
+		assert.Equal(t, len(w.startPlanned()), 9, "the short tasks start in the reserve")
 	})
-	t.Run("room that short ones have taken is not kept twice", func(t *testing.T) {
-		w, st := seen(t, 3), short
+	t.Run("running short tasks count towards the reserve", func(t *testing.T) {
+		w, st := nearlyFull(t, 3), short
 		st.Count = 3
 		w.submit("urgent", "hold", w.view.Now, st)
-		assert.Equal(t, len(w.run()), 3)
-		assert.Equal(t, lasting(w, "more"), 4)
+		assert.Equal(t, len(w.startPlanned()), 3)
+		assert.Equal(t, startLasting(w, "more"), 4)
 	})
-	t.Run("one that has run before begins again at once", func(t *testing.T) {
-		w := seen(t, 9)
+	t.Run("a lasting task that ran before restarts at once", func(t *testing.T) {
+		w := nearlyFull(t, 9)
 		k := queue.TaskKey{Job: "feed"}
 		on := w.s.Job("feed").Task(k).Runs[0].VM
 		w.s.Apply(queue.Command{Ends: &queue.Ends{VM: on, Incarnation: "life", List: []queue.End{{Task: k, Run: 1, Outcome: queue.OutcomeFailed}}}}, w.view.Now)
-		assert.Equal(t, len(w.run()), 1)
+		assert.Equal(t, len(w.startPlanned()), 1)
 	})
-	t.Run("nothing is kept while the fleet is not nearly full", func(t *testing.T) {
-		w := newWorld(t, 4)
+	t.Run("there is no reserve while the fleet is not nearly full", func(t *testing.T) {
+		w := newFixture(t, 4)
 		w.view.ShortDemand = ShortDemand{at: 1, tasks: 99, cpu: 1000}
-		assert.Equal(t, lasting(w, "first"), 4)
+		assert.Equal(t, startLasting(w, "first"), 4)
 	})
-	t.Run("tasks that wait for a job that is over are not seen", func(t *testing.T) {
-		w := newWorld(t, 2)
-		st := cpu(4000)
+	t.Run("waiting tasks of a cancelled job are not counted", func(t *testing.T) {
+		w := newFixture(t, 2)
+		st := cpuStep(4000)
 		st.Count = 3
 		w.submit("urgent", "hold", w.view.Now, st)
-		assert.Equal(t, len(w.run()), 2)
+		assert.Equal(t, len(w.startPlanned()), 2)
 		assert.DeepEqual(t, PlanOnce(w.s, w.view).ShortTasks, ShortTasks{Running: 2, Waiting: 1, CPUMilli: 12_000})
 		w.s.Apply(queue.Command{Cancel: &queue.Cancel{Host: host, Path: "/urgent/hold"}}, w.view.Now)
 		assert.DeepEqual(t, PlanOnce(w.s, w.view).ShortTasks, ShortTasks{Running: 2, CPUMilli: 8_000})
 	})
-	t.Run("why a task waits is told", func(t *testing.T) {
-		w := seen(t, 99)
-		assert.Equal(t, lasting(w, "more"), 0)
+	t.Run("the explanation names the reserve", func(t *testing.T) {
+		w := nearlyFull(t, 99)
+		assert.Equal(t, startLasting(w, "more"), 0)
 		for vm, why := range NewPlanner().Explain(w.s, w.view, w.s.Job("more")).RejectReasons(queue.TaskKey{Job: "more"}) {
 			assert.Equal(t, why, "room is kept there for short tasks", string(vm))
 		}
