--- a/scheduler/advice_test.go
+++ b/scheduler/advice_test.go
@@ -95,7 +95,7 @@
 // TestAdviserNotAskedAboutAllVMs guards against a step that never starts because the only VM that
 // may run it is beyond the number of VMs in one request to the adviser.
 func TestAdviserNotAskedAboutAllVMs(t *testing.T) {
-	adv := &fakeAdviser{allow: func(life string) bool { return life == "vm39-life" }}
+	adv := &fakeAdviser{allow: func(inc string) bool { return inc == "vm39-life" }}
 	s := newAdvisedLeader(t, adv, 40)
 	s.submitJob("job")
 	s.planWithAdvice(adviserCalls)
--- a/scheduler/calm_test.go
+++ b/scheduler/calm_test.go
@@ -72,7 +72,7 @@
 		c.addFaultVM(fmt.Sprintf("vm%d", i+1), seed)
 	}
 	c.waitUntil("the document is accepted", func() bool {
-		code := c.ask(wire.QueueRequest{Put: faultDocument}).Code
+		code := c.send(wire.QueueRequest{Put: faultDocument}).Code
 		return code == queue.OK || code == queue.Stale // an earlier attempt may have been carried out
 	})
 	size := rudderfork.Resources{CPUMilli: 500}
@@ -116,9 +116,9 @@
 		v.cpuMilli.Store(int64(c.rng.IntN(5)) * vmCPUMilli / 4)
 	case 10:
 		if c.gate == nil {
-			held := make(chan struct{})
-			c.gate = held
-			c.store.gate.Store(&held)
+			gate := make(chan struct{})
+			c.gate = gate
+			c.store.gate.Store(&gate)
 		}
 	case 11, 12:
 		if c.rng.IntN(c.outageFactor) == 0 {
--- a/scheduler/crash_test.go
+++ b/scheduler/crash_test.go
@@ -119,7 +119,7 @@
 		return n
 	}
 	s.waitUntil("the crash is counted", func() bool { return crashed() == 1 })
-	assert.Equal(t, s.ask(wire.QueueRequest{Clear: &queue.TaskKey{Job: "feed"}}).Code, queue.OK)
+	assert.Equal(t, s.send(wire.QueueRequest{Clear: &queue.TaskKey{Job: "feed"}}).Code, queue.OK)
 	assert.Equal(t, crashed(), 0)
-	assert.Equal(t, s.ask(wire.QueueRequest{Clear: &queue.TaskKey{Job: "none"}}).Code, queue.NoJob)
+	assert.Equal(t, s.send(wire.QueueRequest{Clear: &queue.TaskKey{Job: "none"}}).Code, queue.NoJob)
 }
--- a/scheduler/evacuation_test.go
+++ b/scheduler/evacuation_test.go
@@ -18,7 +18,7 @@
 
 func (s *testCluster) evacuate(d rudderfork.Domain, end bool, want queue.Code) {
 	s.t.Helper()
-	ans := s.ask(wire.QueueRequest{Evacuate: &queue.Evacuate{Domain: d, End: end}})
+	ans := s.send(wire.QueueRequest{Evacuate: &queue.Evacuate{Domain: d, End: end}})
 	assert.Equal(s.t, ans.Code, want, "%+v", ans)
 }
 
@@ -58,7 +58,7 @@
 		s.evacuate(domainOf("vm2"), false, queue.OK)
 		s.submit("late", "work=1ms", smallStep)
 		place := wire.Place{Host: testHost, Path: "/q/"}
-		s.waitUntil("the job waits", func() bool { return s.ask(wire.QueueRequest{Status: &place}).Waiting == 1 })
+		s.waitUntil("the job waits", func() bool { return s.send(wire.QueueRequest{Status: &place}).Waiting == 1 })
 		s.evacuate(domainOf("vm1"), true, queue.OK)
 		s.waitForStatus("late", queue.Completed)
 	})
@@ -80,8 +80,8 @@
 // counted from the same time.
 func TestStartsLeft(t *testing.T) {
 	for _, c := range []struct {
-		name             string
-		span, left, want time.Duration
+		name               string
+		window, left, want time.Duration
 	}{
 		{"a fresh lease", 2 * time.Second, 5 * time.Second, 2 * time.Second},
 		{"an older lease", 2 * time.Second, 4 * time.Second, time.Second},
@@ -91,7 +91,7 @@
 		{"a window above the lease", 9 * time.Second, 3 * time.Second, 3 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := &Scheduler{cfg: Settings{Lease: 5 * time.Second, StartWindow: c.span}}
+			s := &Scheduler{cfg: Settings{Lease: 5 * time.Second, StartWindow: c.window}}
 			assert.Equal(t, s.startTimeLeft(c.left), c.want)
 		})
 	}
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -46,16 +46,16 @@
 // TestRunStatuses checks what the leader keeps of the run statuses that agents report.
 func TestRunStatuses(t *testing.T) {
 	key, at := queue.TaskKey{Job: "j"}, steady.Now()
-	report := func(f *fleet, inc string, run uint32, percent int, checkpoint string) {
+	sendStatus := func(f *fleet, inc string, run uint32, percent int, checkpoint string) {
 		f.recordHeartbeat(f.vm("vm1"), wire.VMHeartbeat{VM: queue.VM{ID: "vm1", Incarnation: inc}, Rows: []rudderfork.RunStatus{
 			{RunRef: key.Ref(run), Percent: percent, Checkpoint: checkpoint},
 		}}, at)
 	}
 	t.Run("the planner sees the last reported status of a run", func(t *testing.T) {
 		qs, f := stateWithRun(t), newFleet()
-		report(f, "life-1", 1, 10, "")
+		sendStatus(f, "life-1", 1, 10, "")
 		before := f.view(qs, at).VMs["vm1"].Changes
-		report(f, "life-1", 1, 60, "")
+		sendStatus(f, "life-1", 1, 60, "")
 		view := f.view(qs, at)
 		assert.Equal(t, view.Runs[key.Run(1)].Percent, 60)
 		assert.Equal(t, view.Runs[key.Run(1)].FirstPercent, 10)
@@ -63,7 +63,7 @@
 	})
 	t.Run("a run that has ended is dropped with its checkpoint", func(t *testing.T) {
 		qs, f := stateWithRun(t), newFleet()
-		report(f, "life-1", 1, 10, "old")
+		sendStatus(f, "life-1", 1, 10, "old")
 		qs.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Incarnation: "life-1", List: []queue.End{{Task: key, Run: 1, Outcome: queue.OutcomeStopped}}}}, 2)
 		qs.Apply(queue.Command{Starts: []queue.Start{{Task: key, VM: "vm1", Incarnation: "life-1"}}}, 2)
 		assert.Equal(t, len(f.view(qs, at).Runs), 0)
@@ -71,7 +71,7 @@
 	})
 	t.Run("a new incarnation drops the runs of the old one", func(t *testing.T) {
 		f := newFleet()
-		report(f, "life-1", 1, 10, "old")
+		sendStatus(f, "life-1", 1, 10, "old")
 		f.recordHeartbeat(f.vm("vm1"), wire.VMHeartbeat{VM: queue.VM{ID: "vm1", Incarnation: "life-2"}}, at)
 		assert.Equal(t, len(f.runs), 0)
 		assert.Equal(t, len(f.vm("vm1").checkpoints()), 0)
--- a/scheduler/life_again_test.go
+++ b/scheduler/life_again_test.go
@@ -16,17 +16,17 @@
 // agent drops all orders, because it took the executor's incarnation for ended and resumed it.
 func TestUsableVMDropsOrdersAfterIncarnationReadopted(t *testing.T) {
 	s := newTestClusterWithLease(t, nil, 5*time.Second)
-	e, mislead := s.addMisledVM()
+	e, interrupt := s.addInterruptibleVM()
 	s.putDocument(nil)
 	s.submit("feed", "", queue.Step{Count: 1, Size: smallStep.Size, Lasting: true})
 	s.waitUntil("the lasting task runs", func() bool { return len(e.Running()) == 1 })
-	mislead()
+	interrupt()
 	s.submit("roster", "work=20ms", smallStep)
 	overdue := func() bool {
 		return slices.ContainsFunc(s.sched.overdueRuns(steady.Now()), func(r overdueRun) bool { return r.Job == "roster" })
 	}
 	s.waitUntil("the roster is completed, or its run is overdue", func() bool {
-		return overdue() || s.ask(wire.QueueRequest{Status: &wire.Place{Host: testHost, Path: "/q/roster"}}).Status == queue.Completed
+		return overdue() || s.send(wire.QueueRequest{Status: &wire.Place{Host: testHost, Path: "/q/roster"}}).Status == queue.Completed
 	})
 	assert.Assert(t, !overdue(), "the VM is usable but does not start the run")
 	s.waitUntil("the lasting task runs", func() bool { return len(e.Running()) == 1 })
--- a/scheduler/liveness_test.go
+++ b/scheduler/liveness_test.go
@@ -35,7 +35,7 @@
 		s.tick()
 		for k, since := range s.pendingSince {
 			st := s.qs.Job(k.Job).Spec.Steps[k.Step]
-			assert.Assert(s.t, s.now.Sub(since) <= maxPendingTime || s.vmsWithRoom(st) < 2,
+			assert.Assert(s.t, s.now.Sub(since) <= maxPendingTime || s.vmsWithCapacity(st) < 2,
 				"%s lacks a run for %v, and %d planned starts were not accepted; %+v", k, s.now.Sub(since), s.rejectedStarts-refused, *s.task(k))
 		}
 	}
@@ -46,14 +46,14 @@
 func TestTaskOfPermanentlyLostVMsIsNotStarted(t *testing.T) {
 	k := queue.TaskKey{Job: "feed"}
 	for _, c := range []struct {
-		name string
-		span time.Duration // how long the task runs on each VM
+		name     string
+		duration time.Duration // how long the task runs on each VM
 	}{{"after long runs", longRunTime}, {"after short runs", 2 * time.Second}} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newSimFleet(t, 2+queue.MostCrashes)
 			s.submit("feed", lastingStep(1))
 			for range queue.MostCrashes {
-				s.advance(c.span)
+				s.advance(c.duration)
 				assert.Assert(t, s.isRunning(k))
 				s.expireLease(s.vmOf(k))
 			}
@@ -213,14 +213,14 @@
 // randomFleet is a simulated fleet with random events.
 type randomFleet struct {
 	*simFleet
-	rnd  *rand.Rand
+	rng  *rand.Rand
 	jobs int
 }
 
 func newRandomFleet(t *testing.T, seed uint64) *randomFleet {
-	rnd := rand.New(rand.NewPCG(seed, 7))
-	s := &randomFleet{simFleet: newSimFleet(t, 4+rnd.IntN(9)), rnd: rnd}
-	for range 2 + rnd.IntN(4) {
+	rng := rand.New(rand.NewPCG(seed, 7))
+	s := &randomFleet{simFleet: newSimFleet(t, 4+rng.IntN(9)), rng: rng}
+	for range 2 + rng.IntN(4) {
 		s.submitJob()
 	}
 	return s
@@ -228,7 +228,7 @@
 
 func (s *randomFleet) submitJob() {
 	s.jobs++
-	s.submit(fmt.Sprintf("j%03d", s.jobs), lastingStep(1+s.rnd.IntN(4)))
+	s.submit(fmt.Sprintf("j%03d", s.jobs), lastingStep(1+s.rng.IntN(4)))
 }
 
 // pickVM returns a random VM that is up, or down. It returns nil if there is none, or if fewer
@@ -243,7 +243,7 @@
 	if len(list) == 0 || !down && len(list) < 3 {
 		return nil
 	}
-	return list[s.rnd.IntN(len(list))]
+	return list[s.rng.IntN(len(list))]
 }
 
 func (s *randomFleet) applyEvent(e fleetEvent) {
@@ -264,9 +264,9 @@
 	case leaderChange:
 		s.changeLeader(s.clockSkew)
 	case leaderChangeSkewed:
-		s.changeLeader(time.Duration(s.rnd.IntN(11)-5) * time.Second)
+		s.changeLeader(time.Duration(s.rng.IntN(11)-5) * time.Second)
 	case healthChange:
-		v.health = executorHealth(s.rnd.IntN(4))
+		v.health = executorHealth(s.rng.IntN(4))
 	case runFailure:
 		s.failOne(v)
 	case jobSubmission:
@@ -294,8 +294,8 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			s := newRandomFleet(t, seed)
 			for range eventsPerHistory {
-				s.applyEvent(fleetEvents[s.rnd.IntN(len(fleetEvents))])
-				s.advance(time.Duration(s.rnd.IntN(10)) * simPlanInterval)
+				s.applyEvent(fleetEvents[s.rng.IntN(len(fleetEvents))])
+				s.advance(time.Duration(s.rng.IntN(10)) * simPlanInterval)
 			}
 			for _, v := range s.vms {
 				v.health = healthy
@@ -316,8 +316,8 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			s := newRandomFleet(t, seed)
 			for range eventsPerHistory {
-				s.applyEvent(fleetEvents[s.rnd.IntN(len(fleetEvents))])
-				for range s.rnd.IntN(6) {
+				s.applyEvent(fleetEvents[s.rng.IntN(len(fleetEvents))])
+				for range s.rng.IntN(6) {
 					view := s.fleet.view(s.qs, s.leaderTime())
 					assert.DeepEqual(t, s.fleet.planner.Plan(s.qs, view), dispatch.PlanOnce(s.qs, view))
 					s.tick()
--- a/scheduler/lost_twice_test.go
+++ b/scheduler/lost_twice_test.go
@@ -22,17 +22,17 @@
 	s := &testCluster{t: t, ctx: t.Context()}
 	s.serve(rep)
 	s.waitUntil("it leads", rep.Leads)
-	do := func(c queue.Command) {
+	commit := func(c queue.Command) {
 		_, err := rep.Do(s.ctx, state.Command{Queue: &c})
 		assert.NilError(t, err)
 	}
 	vm, k := queue.VM{ID: "vm1", Incarnation: "life-1", Service: "desk"}, queue.TaskKey{Job: "feed"}
-	do(queue.Command{Document: &queue.Document{
+	commit(queue.Command{Document: &queue.Document{
 		Version: 1, Queues: []queue.Queue{{Name: "q", Host: testHost, Prefix: "/q/", Service: "desk", MaxAttempts: 1}}, Pools: []queue.Pool{{Service: "desk"}},
 	}})
-	do(queue.Command{Submit: &queue.Submit{Host: testHost, Path: "/q/feed", Spec: queue.Spec{Steps: []queue.Step{{Count: 1, Lasting: true}}}}})
-	do(queue.Command{Register: &vm})
-	do(queue.Command{Starts: []queue.Start{{Task: k, VM: vm.ID, Incarnation: vm.Incarnation}}})
+	commit(queue.Command{Submit: &queue.Submit{Host: testHost, Path: "/q/feed", Spec: queue.Spec{Steps: []queue.Step{{Count: 1, Lasting: true}}}}})
+	commit(queue.Command{Register: &vm})
+	commit(queue.Command{Starts: []queue.Start{{Task: k, VM: vm.ID, Incarnation: vm.Incarnation}}})
 	sched := New(Settings{Lease: time.Millisecond}, rep, nil, zerolog.Nop(), noPeers{})
 	sched.startTerm(rep.Status().Term)
 	steady.Pause(s.ctx, 2*roundPause) // lets the lease run out
@@ -49,6 +49,6 @@
 	store.gate.Store(nil)
 	close(gate)
 	s.waitUntil("both proposals are committed", func() bool { return rep.Status().Commit == last+2 })
-	do(queue.Command{Register: &vm})
+	commit(queue.Command{Register: &vm})
 	rep.View(func(st *state.State) { assert.Equal(t, st.Queues().Job("feed").Task(k).UnresolvedLosses, 0) })
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -136,7 +136,7 @@
 
 // addAgent adds a VM's agent. It describes the executor to the agent every 50 ms while the
 // executor has an incarnation.
-func (s *testCluster) addAgent(name string, exec rudderfork.Executor, life func() string, room rudderfork.Resources) *runner.Agent {
+func (s *testCluster) addAgent(name string, exec rudderfork.Executor, incarnation func() string, capacity rudderfork.Resources) *runner.Agent {
 	s.vmsAdded++
 	a := runner.New(name, s.seeds, exec, zerolog.Nop())
 	list := []service{}
@@ -146,8 +146,8 @@
 	s.serve(list...)
 	go func() {
 		for s.ctx.Err() == nil {
-			if l := life(); l != "" {
-				a.HandleDescription(queue.VM{ID: rudderfork.VMID(name), Domain: domainOf(name), Incarnation: l, Service: "desk", Capacity: room}, false, 0)
+			if inc := incarnation(); inc != "" {
+				a.HandleDescription(queue.VM{ID: rudderfork.VMID(name), Domain: domainOf(name), Incarnation: inc, Service: "desk", Capacity: capacity}, false, 0)
 			}
 			steady.Pause(s.ctx, 50*time.Millisecond)
 		}
@@ -158,7 +158,7 @@
 // domainOf returns the failure domain of a VM that addAgent added; each VM has its own.
 func domainOf(name string) rudderfork.Domain { return rudderfork.Domain("hall-" + name) }
 
-func (s *testCluster) ask(a wire.QueueRequest) wire.QueueResponse {
+func (s *testCluster) send(a wire.QueueRequest) wire.QueueResponse {
 	ctx, cancel := context.WithTimeout(s.ctx, waitTimeout)
 	defer cancel()
 	return s.front.Ask(ctx, a, waitTimeout)
@@ -166,7 +166,7 @@
 
 func (s *testCluster) putDocument(advice *queue.Advice) {
 	s.t.Helper()
-	ans := s.ask(wire.QueueRequest{Put: &queue.Document{
+	ans := s.send(wire.QueueRequest{Put: &queue.Document{
 		Version: 1, Queues: []queue.Queue{{Name: "q", Host: testHost, Prefix: "/q/", Service: "desk", MaxAttempts: 2, Advice: advice}},
 		Pools: []queue.Pool{{Service: "desk"}},
 	}})
@@ -175,7 +175,7 @@
 
 func (s *testCluster) submit(id string, payload string, list ...queue.Step) {
 	s.t.Helper()
-	ans := s.ask(wire.QueueRequest{Submit: &queue.Submit{Host: testHost, Path: "/q/" + id, Spec: queue.Spec{Payload: payload, Steps: list}}})
+	ans := s.send(wire.QueueRequest{Submit: &queue.Submit{Host: testHost, Path: "/q/" + id, Spec: queue.Spec{Payload: payload, Steps: list}}})
 	assert.Equal(s.t, ans.Code, queue.OK, "%+v", ans)
 }
 
@@ -192,7 +192,7 @@
 func (s *testCluster) waitForStatus(id string, want queue.Status) {
 	s.t.Helper()
 	s.waitUntil(id+" is "+string(want), func() bool {
-		return s.ask(wire.QueueRequest{Status: &wire.Place{Host: testHost, Path: "/q/" + id}}).Status == want
+		return s.send(wire.QueueRequest{Status: &wire.Place{Host: testHost, Path: "/q/" + id}}).Status == want
 	})
 }
 
@@ -201,7 +201,7 @@
 // fakeAdviser issues tickets for some incarnations. Its first call fails.
 type fakeAdviser struct {
 	mu    sync.Mutex
-	allow func(life string) bool
+	allow func(inc string) bool
 	// allowStep reports whether a step gets any tickets; nil allows all steps.
 	allowStep func(step string) bool
 
@@ -209,18 +209,18 @@
 	maxAsked int
 }
 
-func (a *fakeAdviser) Advise(_ context.Context, step string, lives []string) (map[string]string, error) {
+func (a *fakeAdviser) Advise(_ context.Context, step string, incarnations []string) (map[string]string, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.calls++
-	a.maxAsked = max(a.maxAsked, len(lives))
+	a.maxAsked = max(a.maxAsked, len(incarnations))
 	if a.calls == 1 {
 		return nil, errors.New("busy")
 	}
 	tickets := map[string]string{}
-	for _, l := range lives {
-		if a.allow(l) && (a.allowStep == nil || a.allowStep(step)) {
-			tickets[l] = "ticket for " + step + " on " + l
+	for _, inc := range incarnations {
+		if a.allow(inc) && (a.allowStep == nil || a.allowStep(step)) {
+			tickets[inc] = "ticket for " + step + " on " + inc
 		}
 	}
 	return tickets, nil
@@ -229,15 +229,15 @@
 // TestStepRunsOnlyWhereAdviserAllows checks that tasks start only on the VM for which the adviser
 // issued tickets.
 func TestStepRunsOnlyWhereAdviserAllows(t *testing.T) {
-	adv := &fakeAdviser{allow: func(life string) bool { return life == "vm2-life-1" }}
+	adv := &fakeAdviser{allow: func(inc string) bool { return inc == "vm2-life-1" }}
 	s := newTestCluster(t, adv)
 	var mu sync.Mutex
-	var began []string
+	var started []string
 	for i := range 3 {
 		s.addVM(executor.Config{OnStart: func(r rudderfork.RunRef) {
 			mu.Lock()
 			defer mu.Unlock()
-			began = append(began, fmt.Sprintf("vm%d %s", i+1, r.Task))
+			started = append(started, fmt.Sprintf("vm%d %s", i+1, r.Task))
 		}})
 	}
 	s.putDocument(&queue.Advice{ValidMS: 5000})
@@ -245,8 +245,8 @@
 	s.waitForStatus("j", queue.Completed)
 	mu.Lock()
 	defer mu.Unlock()
-	slices.Sort(began)
-	assert.DeepEqual(t, began, []string{"vm2 j.0.0.0", "vm2 j.0.0.1", "vm2 j.0.1.0"})
+	slices.Sort(started)
+	assert.DeepEqual(t, started, []string{"vm2 j.0.0.0", "vm2 j.0.0.1", "vm2 j.0.1.0"})
 	assert.Assert(t, adv.maxAsked <= 3)
 }
 
@@ -322,26 +322,26 @@
 	}
 	s.putDocument(nil)
 	s.submit("feed", "", queue.Step{Count: 3, Size: smallStep.Size, Lasting: true, MaxAway: 1, MaxPerVM: 1})
-	atWork := func() (n int) {
+	running := func() (n int) {
 		for _, e := range s.executors {
 			n += len(e.Running())
 		}
 		return n
 	}
-	s.waitUntil("the lasting task runs", func() bool { return atWork() == 3 })
+	s.waitUntil("the lasting task runs", func() bool { return running() == 3 })
 	p := &fakeProvider{cluster: s, done: map[string]bool{}, downAt: map[string]time.Time{}, refusals: 1}
 	p.beforeUpkeep = func(machine string) {
-		if n := atWork(); n < 3 {
+		if n := running(); n < 3 {
 			t.Errorf("upkeep of %s begins with %d of 3 tasks running", machine, n)
 		}
 	}
 	s.serve(s.sched.Upkeep(p, "c", 0))
 	wave := queue.Wave{ID: 7, Machines: []string{"m1", "m2", "m3", "m9"}, DueMS: rudderfork.Millis(steady.Now().Add(waveDueIn)), MaxDown: 1}
 	for range 2 { // the operator repeats the request
-		assert.Equal(t, s.ask(wire.QueueRequest{Wave: &wave}).Code, queue.OK)
+		assert.Equal(t, s.send(wire.QueueRequest{Wave: &wave}).Code, queue.OK)
 	}
 	s.waitUntil("the wave is completed", func() bool {
-		ans := s.ask(wire.QueueRequest{Upkeep: 7})
+		ans := s.send(wire.QueueRequest{Upkeep: 7})
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		assert.Assert(t, ans.Left > 0 || len(p.done) == 3, "wave completed after the upkeep of only %v", p.done)
@@ -352,7 +352,7 @@
 		assert.Equal(t, d.Holder, "c")
 		assert.Assert(t, d.Fence > 0)
 	}
-	assert.Equal(t, s.ask(wire.QueueRequest{Upkeep: 8}).Code, queue.NoJob)
+	assert.Equal(t, s.send(wire.QueueRequest{Upkeep: 8}).Code, queue.NoJob)
 }
 
 // TestOutrankedLeaderStopsOrders rejects a leader's upkeep order because another holder has a newer
@@ -367,7 +367,7 @@
 	assert.Assert(t, ok)
 	for id := range uint64(2) {
 		wave := queue.Wave{ID: id + 1, Machines: []string{"m1", "m2"}, DueMS: 1, MaxDown: 2}
-		assert.Equal(t, s.ask(wire.QueueRequest{Wave: &wave}).Code, queue.OK)
+		assert.Equal(t, s.send(wire.QueueRequest{Wave: &wave}).Code, queue.OK)
 	}
 	for range 10 {
 		assert.Assert(t, u.round(t.Context()), "no open waves found")
@@ -425,48 +425,48 @@
 }
 
 // Poll implements rudderfork.Executor.
-func (e *heldPollExecutor) Poll(ctx context.Context, life string, req rudderfork.PollRequest) (rudderfork.ExecutorStatus, error) {
-	look, err := e.Executor.Poll(ctx, life, req)
-	if len(look.Ended) > 0 {
+func (e *heldPollExecutor) Poll(ctx context.Context, inc string, req rudderfork.PollRequest) (rudderfork.ExecutorStatus, error) {
+	status, err := e.Executor.Poll(ctx, inc, req)
+	if len(status.Ended) > 0 {
 		e.once.Do(func() { close(e.listed) })
 		<-e.release
 	}
-	return look, err
+	return status, err
 }
 
 // TestExecutorLeaves has executors announce that they leave, while no lease runs out.
 func TestExecutorLeaves(t *testing.T) {
-	room := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
-	begun := func(n *atomic.Int32) executor.Config {
-		return executor.Config{Now: steady.Now, Room: room, OnStart: func(rudderfork.RunRef) { n.Add(1) }}
+	capacity := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
+	countStarts := func(n *atomic.Int32) executor.Config {
+		return executor.Config{Now: steady.Now, Room: capacity, OnStart: func(rudderfork.RunRef) { n.Add(1) }}
 	}
 	// A completed task ran again when its end was listed before the executor announced that it
 	// leaves, and read after that.
 	t.Run("an end that is read after the announcement counts", func(t *testing.T) {
 		s := newTestCluster(t, nil)
 		var starts atomic.Int32
-		cfg := begun(&starts)
+		cfg := countStarts(&starts)
 		e := &heldPollExecutor{Executor: executor.New("vm1-life-1", cfg), listed: make(chan struct{}), release: make(chan struct{})}
-		a := s.addAgent("vm1", e, e.Life, room)
+		a := s.addAgent("vm1", e, e.Life, capacity)
 		s.putDocument(nil)
 		s.submit("roster", "work=50ms", smallStep)
 		<-e.listed
 		a.HandleShutdownNotice("vm1-life-1")
 		e.Restart("")
 		close(e.release)
-		s.addVM(begun(&starts))
+		s.addVM(countStarts(&starts))
 		s.waitForStatus("roster", queue.Completed)
 		assert.Equal(t, starts.Load(), int32(1))
 	})
 	t.Run("its task starts elsewhere without waiting for the lease", func(t *testing.T) {
 		s := newTestClusterWithLease(t, nil, time.Hour)
 		var starts atomic.Int32
-		e := executor.New("vm1-life-1", begun(&starts))
-		a := s.addAgent("vm1", e, e.Life, room)
+		e := executor.New("vm1-life-1", countStarts(&starts))
+		a := s.addAgent("vm1", e, e.Life, capacity)
 		s.putDocument(nil)
 		s.submit("feed", "", queue.Step{Count: 1, Size: smallStep.Size, Lasting: true})
 		s.waitUntil("the lasting task runs", func() bool { return len(e.Running()) == 1 })
-		second := s.addVM(begun(&starts))
+		second := s.addVM(countStarts(&starts))
 		e.Restart("")
 		a.HandleShutdownNotice("vm1-life-1")
 		s.waitUntil("the task runs elsewhere", func() bool { return len(second.Running()) == 1 })
@@ -480,9 +480,9 @@
 	for i := range 20 {
 		id := fmt.Sprintf("j%d", i)
 		s.submit(id, "", smallStep)
-		assert.Equal(t, s.ask(wire.QueueRequest{Status: &wire.Place{Host: testHost, Path: "/q/" + id}}).Status, queue.Queued)
+		assert.Equal(t, s.send(wire.QueueRequest{Status: &wire.Place{Host: testHost, Path: "/q/" + id}}).Status, queue.Queued)
 	}
-	assert.Equal(t, s.ask(wire.QueueRequest{Status: &wire.Place{Host: testHost, Path: "/q/"}}).Waiting, 20)
+	assert.Equal(t, s.send(wire.QueueRequest{Status: &wire.Place{Host: testHost, Path: "/q/"}}).Waiting, 20)
 	var views []QueueView
 	s.sched.rep.View(func(st *state.State) {
 		s.sched.mu.Lock()
--- a/scheduler/simfleet_test.go
+++ b/scheduler/simfleet_test.go
@@ -104,8 +104,8 @@
 	return v != nil && !v.startedAt[k.Run(s.task(k).Runs[0].Number)].IsZero()
 }
 
-// vmsWithRoom counts the reachable live VMs with room for a task of the step.
-func (s *simFleet) vmsWithRoom(st queue.Step) (n int) {
+// vmsWithCapacity counts the reachable live VMs with free capacity for a task of the step.
+func (s *simFleet) vmsWithCapacity(st queue.Step) (n int) {
 	for _, v := range s.vms {
 		vm := s.qs.VM(v.id)
 		if !v.down && vm.Live && vm.Used().Add(st.Size).Fits(vm.Capacity) {
@@ -133,7 +133,7 @@
 	assert.Equal(s.t, res.Code, queue.OK)
 }
 
-// lastingStep returns a step of serving tasks; a VM has room for 16 of them.
+// lastingStep returns a step of serving tasks; a VM has capacity for 16 of them.
 func lastingStep(count int) queue.Step {
 	return queue.Step{Count: count, Size: rudderfork.Resources{CPUMilli: 500, MemoryMB: 100}, Lasting: true, Image: "s", TailMS: 20}
 }
@@ -216,14 +216,14 @@
 	var ends []queue.End
 	for k, number := range vm.Runs() {
 		run := k.Run(number)
-		at, begun := v.startedAt[run]
+		at, started := v.startedAt[run]
 		_, stop := s.fleet.stops[k.Ref(number)]
 		switch {
 		case stop:
 			ends = append(ends, queue.End{Task: k, Run: number, Outcome: queue.OutcomeStopped})
-		case begun && v.health == failing && s.now.Sub(at) > simStartupTime/2:
+		case started && v.health == failing && s.now.Sub(at) > simStartupTime/2:
 			ends = append(ends, queue.End{Task: k, Run: number, Outcome: queue.OutcomeFailed})
-		case begun:
+		case started:
 		case v.health == refusing:
 			ends = append(ends, queue.End{Task: k, Run: number, Outcome: queue.OutcomeRefused, Reason: "503"})
 		default:
--- a/scheduler/swings_test.go
+++ b/scheduler/swings_test.go
@@ -13,8 +13,8 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// servingFleet is a state in which serving tasks of one job run on vm1, and what the
-// leader has heard of them.
+// newServingFleet returns a state in which serving tasks of one job run on vm1, and the leader's
+// fleet before their first report.
 func newServingFleet(t *testing.T, tasks int) (qs *queue.State, f *fleet) {
 	t.Helper()
 	qs, f = stateWithRun(t), newFleet()
@@ -28,7 +28,7 @@
 	return qs, f
 }
 
-// hear has the leader hear of a tail of all of them.
+// takeTails delivers a heartbeat that reports the same tail latency, in ms, for all of the tasks.
 func takeTails(qs *queue.State, f *fleet, tasks int, tail int64, at time.Time) {
 	b := wire.VMHeartbeat{VM: *qs.VM("vm1"), Measured: true}
 	for i := range tasks {
@@ -41,26 +41,26 @@
 	f.updateForecasts(qs, v, at)
 }
 
-// TestHeadroomForecast holds that the planner is told that a headroom is about to fall, and that it
-// rises, once the load of a step has gone round a few times.
+// TestHeadroomForecast checks that the planner sees that a task's headroom is about to fall or to
+// rise, once the load of its step has gone through a few periods.
 func TestHeadroomForecast(t *testing.T) {
-	const tasks, period, beat = 5, 10 * time.Second, 500 * time.Millisecond
+	const tasks, period, interval = 5, 10 * time.Second, 500 * time.Millisecond
 	qs, f := newServingFleet(t, tasks)
 	t0 := steady.Now()
-	ahead := map[time.Duration]float64{}
-	for at := time.Duration(0); at < 4*period; at += beat {
+	forecast := map[time.Duration]float64{}
+	for at := time.Duration(0); at < 4*period; at += interval {
 		headroom := 2.6 + 1.1*math.Cos(2*math.Pi*at.Seconds()/period.Seconds())
 		takeTails(qs, f, tasks, int64(math.Round(18/headroom)), t0.Add(figureAge+at))
-		ahead[at%period] = f.runs[queue.RunKey{TaskKey: queue.TaskKey{Job: "feed"}, Number: 1}].ForecastHeadroomChange
+		forecast[at%period] = f.runs[queue.RunKey{TaskKey: queue.TaskKey{Job: "feed"}, Number: 1}].ForecastHeadroomChange
 	}
-	assert.Assert(t, ahead[period/10] < -0.5, "it falls: %.2f", ahead[period/10])
-	assert.Assert(t, ahead[period*7/10] > 0, "it rises: %.2f", ahead[period*7/10])
+	assert.Assert(t, forecast[period/10] < -0.5, "the headroom falls, forecast: %.2f", forecast[period/10])
+	assert.Assert(t, forecast[period*7/10] > 0, "the headroom rises, forecast: %.2f", forecast[period*7/10])
 	assert.Equal(t, f.forecasts(), tasks)
-	assertNoForecastForFillers(t, qs)
+	assertNoForecastForOthers(t, qs)
 }
 
-// checkFiller holds that tasks that serve nobody have no forecast.
-func assertNoForecastForFillers(t *testing.T, qs *queue.State) {
+// assertNoForecastForOthers checks that tasks other than serving tasks have no forecast.
+func assertNoForecastForOthers(t *testing.T, qs *queue.State) {
 	t.Helper()
 	f := newFleet()
 	v := f.vm("vm1")
--- a/scheduler/taken_up_test.go
+++ b/scheduler/taken_up_test.go
@@ -13,34 +13,35 @@
 	"rudderfork.example/rudderfork/standin/executor"
 )
 
-// addMisled adds a VM, and returns what has its agent take its executor's life for over and
-// up again: a look that is answered as another life answers.
-func (s *testCluster) addMisledVM() (e *executor.Executor, mislead func()) {
-	room := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
-	e = executor.New("vm1-life-1", executor.Config{Now: steady.Now, Room: room})
-	a := s.addAgent("vm1", e, e.Life, room)
+// addInterruptibleVM adds a VM. interrupt answers one poll as another incarnation does, and returns
+// when the VM's agent has taken the executor's incarnation for ended and resumed it.
+func (s *testCluster) addInterruptibleVM() (e *executor.Executor, interrupt func()) {
+	capacity := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
+	e = executor.New("vm1-life-1", executor.Config{Now: steady.Now, Room: capacity})
+	a := s.addAgent("vm1", e, e.Life, capacity)
 	return e, func() {
 		s.t.Helper()
-		var misled atomic.Bool
+		var answered atomic.Bool
 		e.SetFate(func(call string) executor.Fate {
-			if call == "look" && misled.CompareAndSwap(false, true) {
+			if call == "look" && answered.CompareAndSwap(false, true) {
 				return executor.Disowned
 			}
 			return executor.Answered
 		})
-		s.waitUntil("the agent takes the life for over", func() bool { return a.Incarnation() == "" })
-		s.waitUntil("it takes it up again", func() bool { return a.Incarnation() == e.Life() })
+		s.waitUntil("the agent takes the incarnation for ended", func() bool { return a.Incarnation() == "" })
+		s.waitUntil("the agent resumes the incarnation", func() bool { return a.Incarnation() == e.Life() })
 	}
 }
 
-// TestReadoptedIncarnationGetsNoOrders guards against a VM that is granted leases and placed upon, and starts nothing.
+// TestReadoptedIncarnationGetsNoOrders guards against a VM that gets leases and runs but starts none
+// of them, because its agent took the executor's incarnation for ended and resumed it.
 func TestReadoptedIncarnationGetsNoOrders(t *testing.T) {
 	s := newTestClusterWithLease(t, nil, time.Hour)
-	e, mislead := s.addMisledVM()
+	e, interrupt := s.addInterruptibleVM()
 	s.putDocument(nil)
 	s.submit("before", "work=1ms", smallStep)
 	s.waitForStatus("before", queue.Completed)
-	mislead()
+	interrupt()
 	s.submit("after", "work=1ms", smallStep)
 	s.waitForStatus("after", queue.Completed)
 	assert.Equal(t, len(e.Running()), 0)
--- a/scheduler/term_test.go
+++ b/scheduler/term_test.go
@@ -12,10 +12,10 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// TestRoundOfEarlierTermBlocksLaterTerm guards against a leader that takes no session
-// because a round of an earlier term of its own waits for a commit.
+// TestRoundOfEarlierTermBlocksLaterTerm guards against a leader that opens no sessions because its
+// round of an earlier term still waits for commits.
 func TestRoundOfEarlierTermBlocksLaterTerm(t *testing.T) {
-	const lost = 4 // the later leaders have fewer entries in their place
+	const lost = 4 // more than the entries that replace them, so that some commits never complete
 	h := newGatedCluster(t, Settings{Lease: testLease})
 	for i := range lost {
 		h.commit(queue.Command{Register: &queue.VM{ID: rudderfork.VMID(fmt.Sprint("gone", i)), Incarnation: "life"}})
@@ -33,11 +33,11 @@
 	c := h.openSession("vm1")
 	m, err := c.ReceiveWithin(h.ctx, waitTimeout)
 	assert.NilError(t, err)
-	assert.Assert(t, m.Welcome != nil, "it leads in term %d, and sends its callers on: %+v", h.rep.Status().Term, m.Redirect)
+	assert.Assert(t, m.Welcome != nil, "the process leads in term %d but redirects sessions: %+v", h.rep.Status().Term, m.Redirect)
 	assert.Equal(t, m.Welcome.Term, h.rep.Status().Term)
 }
 
-// dial opens a connection and says hello.
+// openSession opens a connection and sends the hello.
 func (h *gatedCluster) openSession(process string) *wire.Conn[wire.FromNode, wire.ToQueueNode] {
 	h.t.Helper()
 	c, err := wire.Dial[wire.FromNode, wire.ToQueueNode](h.ctx, "ws://"+h.addr+"/queues", wire.QueueSession)
--- a/scheduler/unbegun_test.go
+++ b/scheduler/unbegun_test.go
@@ -8,7 +8,8 @@
 	"rudderfork.example/rudderfork/state"
 )
 
-// TestTaskBoundToVMWithUnansweredStarts guards against a task that waits for good for a VM whose executor answers all but its start.
+// TestTaskBoundToVMWithUnansweredStarts guards against a task that stays forever on a VM whose
+// executor answers all calls but its start.
 func TestTaskBoundToVMWithUnansweredStarts(t *testing.T) {
 	s := newTestCluster(t, nil)
 	s.addVM(executor.Config{Fate: func(call string) executor.Fate {
@@ -19,7 +20,7 @@
 	}})
 	s.putDocument(nil)
 	s.submit("feed", "", queue.Step{Count: 1, Size: smallStep.Size, Lasting: true})
-	s.waitUntil("the feed is placed", func() bool { return s.activeRuns() == 1 })
+	s.waitUntil("the lasting task is placed", func() bool { return s.activeRuns() == 1 })
 	second := s.addVM(executor.Config{})
 	s.waitUntil("the task runs elsewhere", func() bool { return len(second.Running()) == 1 })
 }
--- a/scheduler/waiting_test.go
+++ b/scheduler/waiting_test.go
@@ -12,7 +12,7 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// unheardStarts loses the calls that start runs.
+// loseStarts loses the calls that start runs, and answers all others.
 func loseStarts(call string) executor.Fate {
 	if call == "start" {
 		return executor.Unheard
@@ -22,36 +22,38 @@
 
 func answerAll(string) executor.Fate { return executor.Answered }
 
-// TestPlacedJobCountedAsBegun guards against telling a job as begun by the order to start it.
+// TestPlacedJobCountedAsBegun guards against a job that stops counting as waiting when its start is
+// ordered, though no executor has started it yet.
 func TestPlacedJobCountedAsBegun(t *testing.T) {
 	s := newTestCluster(t, nil)
 	s.putDocument(nil)
 	e := s.addVM(executor.Config{})
 	e.SetFate(loseStarts)
-	waiting := func() int { return s.ask(wire.QueueRequest{Status: &wire.Place{Host: testHost, Path: "/q/"}}).Waiting }
+	waiting := func() int { return s.send(wire.QueueRequest{Status: &wire.Place{Host: testHost, Path: "/q/"}}).Waiting }
 	s.submit("j", "work=1m", smallStep)
 	s.waitForStatus("j", queue.Running)
 	assert.Equal(t, waiting(), 1)
 	e.SetFate(answerAll)
-	s.waitUntil("it has begun", func() bool { return len(e.Running()) == 1 })
-	s.waitUntil("it waits no more", func() bool { return waiting() == 0 })
+	s.waitUntil("the task runs", func() bool { return len(e.Running()) == 1 })
+	s.waitUntil("the job no longer waits", func() bool { return waiting() == 0 })
 }
 
-// TestNextLeaderCountsRunningJobAsWaiting guards against a next leader that counts jobs at work as waiting.
+// TestNextLeaderCountsRunningJobAsWaiting guards against a new leader that counts running jobs as
+// waiting, because only the old leader knew that they have started.
 func TestNextLeaderCountsRunningJobAsWaiting(t *testing.T) {
 	s := newTestCluster(t, nil)
 	s.putDocument(nil)
 	e := s.addVM(executor.Config{})
 	s.submit("first", "work=1m", smallStep)
-	s.waitUntil("it has begun", func() bool { return len(e.Running()) == 1 })
-	begun := func() (ok bool) {
+	s.waitUntil("the task runs", func() bool { return len(e.Running()) == 1 })
+	started := func() (ok bool) {
 		s.sched.rep.View(func(st *state.State) { ok = st.Queues().Job("first").Begun })
 		return ok
 	}
 	n := 0
-	s.waitUntil("the state has it as begun", func() bool {
+	s.waitUntil("the state records that the job has started", func() bool {
 		n++
 		s.submit(fmt.Sprintf("next-%d", n), "work=1ms", queue.Step{Count: 1})
-		return begun()
+		return started()
 	})
 }
--- a/scheduler/worktimes_test.go
+++ b/scheduler/worktimes_test.go
@@ -11,27 +11,28 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// TestLearnedWorktimeIsAtFullSpeed holds that what is learned of run times is the work at full speed.
+// TestLearnedWorktimeIsAtFullSpeed checks that the work time observed for a run is what it would take
+// at full speed.
 func TestLearnedWorktimeIsAtFullSpeed(t *testing.T) {
 	key := queue.TaskKey{Job: "j"}
 	done := queue.End{Task: key, Run: 1, Outcome: queue.OutcomeDone}
 	at := time.Unix(1000, 0)
-	tell := func(f *fleet, after time.Duration, percent, held int) {
-		f.recordHeartbeat(f.vm("vm1"), wire.VMHeartbeat{Rows: []rudderfork.RunStatus{{RunRef: key.Ref(1), Percent: percent, PacedDownPercent: held}}}, at.Add(after))
+	sendStatus := func(f *fleet, after time.Duration, percent, pacedDown int) {
+		f.recordHeartbeat(f.vm("vm1"), wire.VMHeartbeat{Rows: []rudderfork.RunStatus{{RunRef: key.Ref(1), Percent: percent, PacedDownPercent: pacedDown}}}, at.Add(after))
 	}
-	t.Run("time at a part of its speed counts for that part, and what was done before it was seen is added", func(t *testing.T) {
+	t.Run("time paced down counts in part, and the work before the first report is added", func(t *testing.T) {
 		f := newFleet()
-		tell(f, 0, 20, 0)
-		tell(f, time.Second, 60, 50)
+		sendStatus(f, 0, 20, 0)
+		sendStatus(f, time.Second, 60, 50)
 		assert.Equal(t, f.vm("vm1").totalWork(done, at.Add(3*time.Second)), 2000*100/80.0)
 	})
-	t.Run("a run that was not seen, or was nearly done by then, tells nothing", func(t *testing.T) {
+	t.Run("a run never reported, or first reported when nearly done, has no work time", func(t *testing.T) {
 		f := newFleet()
 		assert.Equal(t, f.vm("vm1").totalWork(done, at), 0.0)
-		tell(f, 0, 90, 0)
+		sendStatus(f, 0, 90, 0)
 		assert.Equal(t, f.vm("vm1").totalWork(done, at.Add(time.Second)), 0.0)
 	})
-	t.Run("the end of a first run tells of its queue", func(t *testing.T) {
+	t.Run("the end of a first run changes the estimate of its queue", func(t *testing.T) {
 		qs, f := stateWithRun(t), newFleet()
 		st := &qs.Job("j").Spec.Steps[0]
 		other := queue.StepKey{Job: "other"}
