--- a/agent/tasks.go
+++ b/agent/tasks.go
@@ -77,7 +77,7 @@
 
 // handle takes what control says about leases.
 func (t *tasks) handle(m wire.ToNode) {
-	if m.Taken != nil {
+	if m.ReportsAck != nil {
 		crash.Point(crash.AgentReported)
 	}
 	t.mu.Lock()
--- a/bench/fleetagent.go
+++ b/bench/fleetagent.go
@@ -85,8 +85,8 @@
 		if m.Grant.LeaseMS > 0 {
 			a.leasedIn.Store(a.term)
 		}
-	case m.Noted != nil:
-		delete(a.unsent, m.Noted.Seq)
+	case m.EndsAck != nil:
+		delete(a.unsent, m.EndsAck.Seq)
 	case m.Orders != nil:
 		for _, o := range m.Orders.Start {
 			a.start(o)
--- a/control/session.go
+++ b/control/session.go
@@ -298,7 +298,7 @@
 		s.hub.learned.forget(r.Task)
 		s.hub.rec.Record(rudderfork.Event{Kind: "task_" + string(r.Outcome), Subject: string(r.Task), Text: fmt.Sprintf("token %d on %s, %d units saved %s", r.Token, s.hello.Place.VM, r.Checkpoint, r.Reason)})
 	}
-	s.answer(wire.ToNode{Taken: &wire.Taken{ID: b.ID}})
+	s.answer(wire.ToNode{ReportsAck: &wire.ReportsAck{ID: b.ID}})
 }
 
 func (s *session) command(ctx context.Context, id uint64, c state.Command) {
--- a/dispatch/capacity_test.go
+++ b/dispatch/capacity_test.go
@@ -38,7 +38,7 @@
 	assert.Equal(t, starts(), 0)
 	assert.Assert(t, w.s.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Incarnation: "life", List: []queue.End{
 		{Task: queue.TaskKey{Job: "j1"}, Run: 1, Outcome: queue.OutcomeDone},
-	}}}, w.view.Now).Taken[0])
+	}}}, w.view.Now).Accepted[0])
 	assert.Equal(t, starts(), 0)
 	resize(5000)
 	assert.Equal(t, starts(), 2)
--- a/executor.go
+++ b/executor.go
@@ -28,8 +28,8 @@
 const (
 	Started      StartOutcome = iota // also if the run was there already
 	StartFenced                      // a higher token was seen
-	StartOld                         // that run, or a later one, has ended there
-	StartLate                        // the lease had run out
+	StartEnded                       // that run, or a later one, has ended there
+	StartExpired                     // the lease had run out
 	StartNoRoom                      // it does not fit
 	StartTicket                      // the ticket is not valid
 	StartInvalid                     // the executor cannot read the order
--- a/provider.go
+++ b/provider.go
@@ -12,9 +12,9 @@
 	Executor string // id of the executor on it, which may be in any life, or ""
 }
 
-// Duty says in whose name an order to the provider is given: of two orders for a
+// Issuer says in whose name an order to the provider is given: of two orders for a
 // machine the one with the higher fencing token is newer.
-type Duty struct {
+type Issuer struct {
 	Holder string
 	Fence  uint64
 }
@@ -26,9 +26,9 @@
 	ErrNoMachine = errors.New("the provider does not know the machine")
 	// ErrRefused means that the order was not carried out, and may be later.
 	ErrRefused = errors.New("the provider refused the order")
-	// ErrOutranked means that it was not carried out, since an order with a higher
+	// ErrFenced means that it was not carried out, since an order with a higher
 	// fencing token was given for the machine.
-	ErrOutranked = errors.New("another holder's order is newer")
+	ErrFenced = errors.New("another holder's order is newer")
 )
 
 // Provider keeps the machines on which VMs run.
@@ -37,5 +37,5 @@
 	Machines(ctx context.Context) ([]Machine, error)
 	// Upkeep begins a machine's upkeep in a wave; all that runs there dies. An
 	// upkeep that has been done is not done again.
-	Upkeep(ctx context.Context, d Duty, machine string, wave uint64) error
+	Upkeep(ctx context.Context, d Issuer, machine string, wave uint64) error
 }
--- a/queue/apply.go
+++ b/queue/apply.go
@@ -225,13 +225,13 @@
 }
 
 func (s *State) takeEnds(c Ends, at int64) Result {
-	res := Result{Code: OK, Taken: make([]bool, len(c.List))}
+	res := Result{Code: OK, Accepted: make([]bool, len(c.List))}
 	vm := s.vms[c.VM]
 	if vm == nil || vm.Incarnation != c.Incarnation {
 		return res // its runs were counted as lost with that life
 	}
 	for i, e := range c.List {
-		res.Taken[i] = s.endRun(c.VM, e, at)
+		res.Accepted[i] = s.endRun(c.VM, e, at)
 	}
 	return res
 }
--- a/queue/command.go
+++ b/queue/command.go
@@ -119,7 +119,7 @@
 	Job      rudderfork.JobID
 	Queue    string
 	Numbers  []uint32  // per start asked for: its run number, or 0 if it was refused
-	Taken    []bool    // per end: whether its run was active
+	Accepted []bool    // per end: whether its run was active
 	LostRuns []LostRun // runs that ended with the life of their executor
 
 	// Assessments are on the tasks of these, the most suspected first; none if the life
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -95,7 +95,7 @@
 }
 
 func (w *world) end(k TaskKey, vm rudderfork.VMID, run uint32, how Outcome) bool {
-	return w.apply(Command{Ends: &Ends{VM: vm, Incarnation: w.s.VM(vm).Incarnation, List: []End{{Task: k, Run: run, Outcome: how}}}}).Taken[0]
+	return w.apply(Command{Ends: &Ends{VM: vm, Incarnation: w.s.VM(vm).Incarnation, List: []End{{Task: k, Run: run, Outcome: how}}}}).Accepted[0]
 }
 
 func (w *world) status(id rudderfork.JobID) Status { return w.s.Job(id).Status }
@@ -325,7 +325,7 @@
 		assert.Assert(t, !w.end(key("j", 0, 0), "vm1", 2, OutcomeDone))
 		assert.Assert(t, !w.end(key("j", 0, 0), "vm2", 1, OutcomeDone))
 		res := w.apply(Command{Ends: &Ends{VM: "vm1", Incarnation: "life-0", List: []End{{Task: key("j", 0, 0), Run: 1, Outcome: OutcomeDone}}}})
-		assert.Assert(t, !res.Taken[0])
+		assert.Assert(t, !res.Accepted[0])
 	})
 	t.Run("checkpoints are kept where the step has them", func(t *testing.T) {
 		w := newWorld(t, 1)
--- a/queue/second_start_test.go
+++ b/queue/second_start_test.go
@@ -39,7 +39,7 @@
 	})
 	t.Run("late words of the start before change nothing", func(t *testing.T) {
 		late := apply(Command{Ends: &Ends{VM: "vm1", Incarnation: first, List: []End{{Task: k, Run: 2, Outcome: OutcomeDone}}}})
-		assert.Assert(t, !late.Taken[0])
+		assert.Assert(t, !late.Accepted[0])
 		assert.Equal(t, apply(Command{Lost: &VMLoss{VM: "vm1", Incarnation: first, Departed: true}}).Code, Stale)
 		apply(Command{Upkeep: &UpkeepReport{Wave: 1, Machine: "m", Incarnation: first}})
 		assert.Assert(t, s.VM("vm1").Live && !s.VM("vm1").Leaving)
--- a/replica/peers.go
+++ b/replica/peers.go
@@ -68,7 +68,7 @@
 // that is not heard for so long is not followed either.
 func NewPeers(self quorum.Member, addrs []string, dial map[string]string, silence time.Duration, log zerolog.Logger) *Peers {
 	return &Peers{
-		self: self, told: addrs, dial: dial, alive: wire.Alive(linkKind, silence), log: log,
+		self: self, told: addrs, dial: dial, alive: wire.NewLiveness(linkKind, silence), log: log,
 		callers: map[quorum.MemberID]string{}, links: map[string]*link{}, changed: wakeup.New(),
 	}
 }
--- a/runner/late_model_test.go
+++ b/runner/late_model_test.go
@@ -229,7 +229,7 @@
 			m.apply(queue.Command{Lost: &queue.VMLoss{VM: modelVM, Incarnation: msg.Ends.Ends.Incarnation}})
 		}
 		if i == len(m.sessions)-1 {
-			ses.agent.Handle(wire.ToQueueNode{Noted: &wire.Noted{Seq: msg.Ends.Seq}})
+			ses.agent.Handle(wire.ToQueueNode{EndsAck: &wire.EndsAck{Seq: msg.Ends.Seq}})
 		}
 	case i < m.spoken:
 		ses.box = nil // the leader ends the session
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -168,7 +168,7 @@
 		a.session.Send(a.reports[id].message(id)) // if it fails, the next session sends it again
 	}
 	if learned := a.learned(); len(learned) > 0 {
-		a.session.Send(wire.FromNode{Learned: learned}) // if it fails, the leader learns anew
+		a.session.Send(wire.FromNode{KnownPressures: learned}) // if it fails, the leader learns anew
 	}
 	a.mu.Unlock()
 	a.beatUp.Set()
@@ -194,8 +194,8 @@
 		a.keeper.ApplyOrders(*m.Orders)
 		a.log.Debug().Uint64("epoch", m.Orders.Epoch).Bool("full", m.Orders.Full).
 			Int("start", len(m.Orders.Start)).Int("stop", len(m.Orders.Stop)).Msg("orders")
-	case m.Noted != nil:
-		a.takeNoted(m.Noted.Seq)
+	case m.EndsAck != nil:
+		a.takeNoted(m.EndsAck.Seq)
 	default:
 		return
 	}
--- a/runner/runner_test.go
+++ b/runner/runner_test.go
@@ -133,8 +133,8 @@
 	first.close()
 	second := l.next()
 	defer second.close()
-	m := second.until(func(m wire.FromNode) bool { return len(m.Learned) > 0 })
-	assert.DeepEqual(t, m.Learned, learned)
+	m := second.until(func(m wire.FromNode) bool { return len(m.KnownPressures) > 0 })
+	assert.DeepEqual(t, m.KnownPressures, learned)
 }
 
 // newAgentAlone returns an agent without loops, leader and executor, whose executor
--- a/runs/model_test.go
+++ b/runs/model_test.go
@@ -524,7 +524,7 @@
 		}
 		res := v.s.apply(queue.Command{Ends: &queue.Ends{VM: v.id, Incarnation: life, List: ends}})
 		for i, e := range ends {
-			if res.Taken[i] && e.Outcome == queue.OutcomeDone {
+			if res.Accepted[i] && e.Outcome == queue.OutcomeDone {
 				v.s.done[rudderfork.TaskID(e.Task.String())] = true
 			}
 		}
--- a/runs/reconciler.go
+++ b/runs/reconciler.go
@@ -334,9 +334,9 @@
 		// The stop is sent next.
 	case out == rudderfork.Started:
 		o.confirmedAt = now
-	case out == rudderfork.StartLate || out == rudderfork.StartFenced:
+	case out == rudderfork.StartExpired || out == rudderfork.StartFenced:
 		o.retryAt = now.Add(retryDelay)
-	case o.maybeStarted && out != rudderfork.StartOld:
+	case o.maybeStarted && out != rudderfork.StartEnded:
 		// An earlier try may still be carried out; only a stop rules that out.
 		o.stop = true
 	default:
@@ -351,7 +351,7 @@
 	if err != nil {
 		return nil
 	}
-	if reason == rudderfork.StartOld.String() {
+	if reason == rudderfork.StartEnded.String() {
 		// The run has started and ended there. The next poll either lists its end or
 		// shows that the run is gone.
 		o.confirmedAt, o.stop = r.clockReadAt, true
--- a/runs/reconciler_test.go
+++ b/runs/reconciler_test.go
@@ -142,7 +142,7 @@
 	t.Run("a start that came too late is retried with a newer lease", func(t *testing.T) {
 		r := newSynced(1)
 		onlyCall(t, r, t0)
-		assert.Assert(t, r.HandleStartResult(ref(1), rudderfork.StartLate, nil, t0) == nil)
+		assert.Assert(t, r.HandleStartResult(ref(1), rudderfork.StartExpired, nil, t0) == nil)
 		assert.Assert(t, onlyCall(t, r, t0.Add(time.Second)).Start != nil)
 	})
 }
--- a/runs/start_timeout_test.go
+++ b/runs/start_timeout_test.go
@@ -37,7 +37,7 @@
 	t.Run("a run whose starts are refused for now is refused for good", func(t *testing.T) {
 		r := newSynced(1)
 		onlyCall(t, r, t0)
-		r.HandleStartResult(ref(1), rudderfork.StartLate, nil, t0)
+		r.HandleStartResult(ref(1), rudderfork.StartExpired, nil, t0)
 		calls, ends := r.NextCalls(late)
 		assert.Equal(t, len(calls), 0)
 		checkEnds(t, ends, queue.OutcomeRefused)
--- a/scheduler/ask.go
+++ b/scheduler/ask.go
@@ -122,7 +122,7 @@
 	return ans
 }
 
-func (s *Scheduler) statusOf(st *queue.State, p wire.Place) wire.QueueResponse {
+func (s *Scheduler) statusOf(st *queue.State, p wire.HostPath) wire.QueueResponse {
 	doc := st.Document()
 	if doc == nil {
 		return wire.QueueResponse{Code: queue.NoDocument}
--- a/scheduler/evacuation_test.go
+++ b/scheduler/evacuation_test.go
@@ -57,7 +57,7 @@
 	t.Run("tasks wait while all domains are evacuated", func(*testing.T) {
 		s.evacuate(domainOf("vm2"), false, queue.OK)
 		s.submit("late", "work=1ms", smallStep)
-		place := wire.Place{Host: testHost, Path: "/q/"}
+		place := wire.HostPath{Host: testHost, Path: "/q/"}
 		s.waitUntil("the job waits", func() bool { return s.send(wire.QueueRequest{Status: &place}).Waiting == 1 })
 		s.evacuate(domainOf("vm1"), true, queue.OK)
 		s.waitForStatus("late", queue.Completed)
--- a/scheduler/life_again_test.go
+++ b/scheduler/life_again_test.go
@@ -26,7 +26,7 @@
 		return slices.ContainsFunc(s.sched.overdueRuns(steady.Now()), func(r overdueRun) bool { return r.Job == "roster" })
 	}
 	s.waitUntil("the roster is completed, or its run is overdue", func() bool {
-		return overdue() || s.send(wire.QueueRequest{Status: &wire.Place{Host: testHost, Path: "/q/roster"}}).Status == queue.Completed
+		return overdue() || s.send(wire.QueueRequest{Status: &wire.HostPath{Host: testHost, Path: "/q/roster"}}).Status == queue.Completed
 	})
 	assert.Assert(t, !overdue(), "the VM is usable but does not start the run")
 	s.waitUntil("the lasting task runs", func() bool { return len(e.Running()) == 1 })
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -192,7 +192,7 @@
 func (s *testCluster) waitForStatus(id string, want queue.Status) {
 	s.t.Helper()
 	s.waitUntil(id+" is "+string(want), func() bool {
-		return s.send(wire.QueueRequest{Status: &wire.Place{Host: testHost, Path: "/q/" + id}}).Status == want
+		return s.send(wire.QueueRequest{Status: &wire.HostPath{Host: testHost, Path: "/q/" + id}}).Status == want
 	})
 }
 
@@ -258,7 +258,7 @@
 	done         map[string]bool
 	downAt       map[string]time.Time
 	maxDown      int
-	duties       []rudderfork.Duty
+	duties       []rudderfork.Issuer
 	refusals     int
 	outranked    bool // another holder has used a higher fencing token
 	beforeUpkeep func(machine string)
@@ -276,7 +276,7 @@
 	return list, nil
 }
 
-func (p *fakeProvider) Upkeep(_ context.Context, d rudderfork.Duty, machine string, _ uint64) error {
+func (p *fakeProvider) Upkeep(_ context.Context, d rudderfork.Issuer, machine string, _ uint64) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.duties = append(p.duties, d)
@@ -284,7 +284,7 @@
 		return rudderfork.ErrNoMachine
 	}
 	if p.outranked {
-		return rudderfork.ErrOutranked
+		return rudderfork.ErrFenced
 	}
 	if p.refusals > 0 {
 		p.refusals--
@@ -480,9 +480,9 @@
 	for i := range 20 {
 		id := fmt.Sprintf("j%d", i)
 		s.submit(id, "", smallStep)
-		assert.Equal(t, s.send(wire.QueueRequest{Status: &wire.Place{Host: testHost, Path: "/q/" + id}}).Status, queue.Queued)
+		assert.Equal(t, s.send(wire.QueueRequest{Status: &wire.HostPath{Host: testHost, Path: "/q/" + id}}).Status, queue.Queued)
 	}
-	assert.Equal(t, s.send(wire.QueueRequest{Status: &wire.Place{Host: testHost, Path: "/q/"}}).Waiting, 20)
+	assert.Equal(t, s.send(wire.QueueRequest{Status: &wire.HostPath{Host: testHost, Path: "/q/"}}).Waiting, 20)
 	var views []QueueView
 	s.sched.rep.View(func(st *state.State) {
 		s.sched.mu.Lock()
--- a/scheduler/session.go
+++ b/scheduler/session.go
@@ -210,8 +210,8 @@
 		return ses.heartbeat(ctx, *m.Heartbeat)
 	case m.Ends != nil:
 		return ses.reports.Add(ctx, *m.Ends)
-	case len(m.Learned) > 0:
-		ses.s.assume(m.Learned)
+	case len(m.KnownPressures) > 0:
+		ses.s.assume(m.KnownPressures)
 	case m.Ping != 0:
 		ses.reply(wire.ToQueueNode{Pong: m.Ping})
 	}
--- a/scheduler/simfleet_test.go
+++ b/scheduler/simfleet_test.go
@@ -247,7 +247,7 @@
 	}
 	res := s.apply(queue.Command{Ends: &queue.Ends{VM: v.id, Incarnation: v.incarnationName(), List: ends}})
 	for i, e := range ends {
-		if res.Taken[i] {
+		if res.Accepted[i] {
 			s.fleet.recordEnd(v.id, e, s.leaderTime())
 		}
 	}
--- a/scheduler/upkeep.go
+++ b/scheduler/upkeep.go
@@ -270,7 +270,7 @@
 func (u *upkeep) order(ctx context.Context, w queue.Wave, name, executor string, now time.Time) {
 	u.begunAt[name] = now
 	life := u.s.lifeOf(executor) // before the order: the next one may come under the same id
-	err := u.provider.Upkeep(ctx, rudderfork.Duty{Holder: u.holder, Fence: u.term}, name, w.ID)
+	err := u.provider.Upkeep(ctx, rudderfork.Issuer{Holder: u.holder, Fence: u.term}, name, w.ID)
 	u.s.log.Info().Uint64("wave", w.ID).Str("machine", name).Int("left", len(w.Remaining())).AnErr("error", err).Msg("upkeep_ordered")
 	switch {
 	case err == nil, errors.Is(err, rudderfork.ErrNoMachine):
@@ -279,7 +279,7 @@
 			u.s.log.Warn().Err(err).Msg("upkeep_not_committed") // it is ordered again, which changes nothing
 		}
 		u.keepFree("", "")
-	case errors.Is(err, rudderfork.ErrOutranked):
+	case errors.Is(err, rudderfork.ErrFenced):
 		u.outranked = true
 		u.keepFree("", "")
 	case errors.Is(err, rudderfork.ErrRefused):
--- a/scheduler/vm.go
+++ b/scheduler/vm.go
@@ -377,10 +377,10 @@
 			return err
 		}
 	}
-	ses.reply(wire.ToQueueNode{Noted: &wire.Noted{Seq: r.Seq}})
+	ses.reply(wire.ToQueueNode{EndsAck: &wire.EndsAck{Seq: r.Seq}})
 	now := steady.Now()
 	for i, e := range r.Ends.List {
-		if !res.Taken[i] {
+		if !res.Accepted[i] {
 			continue
 		}
 		ses.s.met.ends.WithLabelValues(string(e.Outcome)).Inc()
--- a/scheduler/waiting_test.go
+++ b/scheduler/waiting_test.go
@@ -29,7 +29,7 @@
 	s.putDocument(nil)
 	e := s.addVM(executor.Config{})
 	e.SetFate(loseStarts)
-	waiting := func() int { return s.send(wire.QueueRequest{Status: &wire.Place{Host: testHost, Path: "/q/"}}).Waiting }
+	waiting := func() int { return s.send(wire.QueueRequest{Status: &wire.HostPath{Host: testHost, Path: "/q/"}}).Waiting }
 	s.submit("j", "work=1m", smallStep)
 	s.waitForStatus("j", queue.Running)
 	assert.Equal(t, waiting(), 1)
--- a/standin/executor/executor.go
+++ b/standin/executor/executor.go
@@ -332,9 +332,9 @@
 	switch {
 	case e.running[s.Task] != nil || s.Run <= e.barred[s.Task]:
 		e.until = max(e.until, s.UntilMS)
-		return rudderfork.StartOld
+		return rudderfork.StartEnded
 	case s.UntilMS <= now:
-		return rudderfork.StartLate
+		return rudderfork.StartExpired
 	}
 	e.until = max(e.until, s.UntilMS)
 	size := e.sizes(s.Payload)
--- a/wire/liveness.go
+++ b/wire/liveness.go
@@ -36,9 +36,9 @@
 	limit time.Duration
 }
 
-// Alive returns the liveness of a kind of connection, which names it in metrics.
+// NewLiveness returns the liveness of a kind of connection, which names it in metrics.
 // A silent one is given up after limit at least and 4/3 of it at most.
-func Alive(kind string, limit time.Duration) Liveness {
+func NewLiveness(kind string, limit time.Duration) Liveness {
 	return Liveness{kind: kind, limit: limit}
 }
 
@@ -54,13 +54,13 @@
 var (
 	// QueueSession is of fronts and agents with the leader of the queues: six of an
 	// agent's heartbeats.
-	QueueSession = Alive("queues", 3*time.Second)
+	QueueSession = NewLiveness("queues", 3*time.Second)
 	// NodeSession is of entries and agents with the leader of the table: three
 	// heartbeats at the default interval of a second.
-	NodeSession = Alive("nodes", 3*time.Second)
+	NodeSession = NewLiveness("nodes", 3*time.Second)
 	// ProbeSession is of an entry with an agent: a probe of an idle agent, every
 	// 3 s, and 2 s for its answer.
-	ProbeSession = Alive("probes", 5*time.Second)
+	ProbeSession = NewLiveness("probes", 5*time.Second)
 )
 
 // silentTotal counts the connections that were given up for silence.
--- a/wire/liveness_test.go
+++ b/wire/liveness_test.go
@@ -16,7 +16,7 @@
 )
 
 // testAlive is a liveness short enough for tests.
-var testAlive = Alive("test", 90*time.Millisecond)
+var testAlive = NewLiveness("test", 90*time.Millisecond)
 
 // note is a message of the tests.
 type note struct {
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -48,14 +48,14 @@
 
 // ToNode is sent by control.
 type ToNode struct {
-	Redirect  *Redirect      `cbor:"1,keyasint,omitempty"`
-	Welcome   *Welcome       `cbor:"2,keyasint,omitempty"`
-	Update    *Update        `cbor:"3,keyasint,omitempty"`
-	Upstreams *Upstreams     `cbor:"4,keyasint,omitempty"`
-	Assign    *Assign        `cbor:"5,keyasint,omitempty"`
-	Grant     *Grant         `cbor:"6,keyasint,omitempty"`
-	Taken     *Taken         `cbor:"7,keyasint,omitempty"`
-	Result    *CommandResult `cbor:"8,keyasint,omitempty"`
+	Redirect   *Redirect      `cbor:"1,keyasint,omitempty"`
+	Welcome    *Welcome       `cbor:"2,keyasint,omitempty"`
+	Update     *Update        `cbor:"3,keyasint,omitempty"`
+	Upstreams  *Upstreams     `cbor:"4,keyasint,omitempty"`
+	Assign     *Assign        `cbor:"5,keyasint,omitempty"`
+	Grant      *Grant         `cbor:"6,keyasint,omitempty"`
+	ReportsAck *ReportsAck    `cbor:"7,keyasint,omitempty"`
+	Result     *CommandResult `cbor:"8,keyasint,omitempty"`
 }
 
 // Hello opens a session. Region, failure domain and group of the sender stand
@@ -157,8 +157,8 @@
 	Reports []rudderfork.Report `cbor:"2,keyasint"`
 }
 
-// Taken answers a ReportBatch once it is committed.
-type Taken struct {
+// ReportsAck answers a ReportBatch once it is committed.
+type ReportsAck struct {
 	ID uint64 `cbor:"1,keyasint"`
 }
 
--- a/wire/queue.go
+++ b/wire/queue.go
@@ -14,8 +14,8 @@
 	Ends      *EndsReport   `cbor:"4,keyasint,omitempty"`
 	Ping      int64         `cbor:"5,keyasint,omitempty"` // answered by the same number
 
-	// Learned is what a VM's agent was told of pressures, for a leader that is new.
-	Learned []PairPressure `cbor:"6,keyasint,omitempty"`
+	// KnownPressures is what a VM's agent was told of pressures, for a leader that is new.
+	KnownPressures []PairPressure `cbor:"6,keyasint,omitempty"`
 }
 
 // ToQueueNode is sent by control in a queue session.
@@ -25,7 +25,7 @@
 	Response *QueueResponse `cbor:"3,keyasint,omitempty"`
 	Grant    *VMGrant       `cbor:"4,keyasint,omitempty"`
 	Orders   *Orders        `cbor:"5,keyasint,omitempty"`
-	Noted    *Noted         `cbor:"6,keyasint,omitempty"`
+	EndsAck  *EndsAck       `cbor:"6,keyasint,omitempty"`
 	Pong     int64          `cbor:"7,keyasint,omitempty"`
 }
 
@@ -48,8 +48,8 @@
 	Members []string `cbor:"2,keyasint,omitempty"` // addresses of all control processes
 }
 
-// Place names a host and path, as a client asked for them.
-type Place struct {
+// HostPath names a host and path, as a client asked for them.
+type HostPath struct {
 	Host string `cbor:"1,keyasint"`
 	Path string `cbor:"2,keyasint"`
 }
@@ -59,7 +59,7 @@
 	ID     uint64          `cbor:"1,keyasint"`
 	Submit *queue.Submit   `cbor:"2,keyasint,omitempty"`
 	Cancel *queue.Cancel   `cbor:"3,keyasint,omitempty"`
-	Status *Place          `cbor:"4,keyasint,omitempty"` // of a job, or a queue's count
+	Status *HostPath       `cbor:"4,keyasint,omitempty"` // of a job, or a queue's count
 	Put    *queue.Document `cbor:"5,keyasint,omitempty"`
 	Get    bool            `cbor:"6,keyasint,omitempty"` // the document
 	Wave   *queue.Wave     `cbor:"7,keyasint,omitempty"`
@@ -180,7 +180,7 @@
 	Departed bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Noted answers an EndsReport.
-type Noted struct {
+// EndsAck answers an EndsReport.
+type EndsAck struct {
 	Seq uint64 `cbor:"1,keyasint"`
 }
