--- a/scheduler/evacuation_test.go
+++ b/scheduler/evacuation_test.go
@@ -102,11 +102,11 @@
 func TestGrantReportsEvacuation(t *testing.T) {
 	s := newTestCluster(t, nil)
 	s.putDocument(nil)
-	p := s.connectAgent()
-	assert.Assert(t, !p.heartbeat("life-1").Cordoned)
+	client := s.connectAgent()
+	assert.Assert(t, !client.heartbeat("life-1").Cordoned)
 	vm := heartbeatOf("life-1").VM
 	s.evacuate(vm.Domain, false, queue.OK)
-	assert.Assert(t, p.heartbeat("life-1").Cordoned)
+	assert.Assert(t, client.heartbeat("life-1").Cordoned)
 	assert.Assert(t, s.connectAgent().heartbeat("life-1").Cordoned)
 	s.evacuate(vm.Domain, true, queue.OK)
 	assert.Assert(t, !s.connectAgent().heartbeat("life-1").Cordoned)
--- a/scheduler/last_test.go
+++ b/scheduler/last_test.go
@@ -14,26 +14,26 @@
 // step waits for, and only for as long as it waits.
 func TestGrantNamesLastFillers(t *testing.T) {
 	s := newTestCluster(t, nil)
-	p := s.connectAgent()
-	p.heartbeat(newIncarnation)
+	client := s.connectAgent()
+	client.heartbeat(newIncarnation)
 	s.putDocument(nil)
 	s.submit("roster", "", queue.Step{Count: 2, Size: smallStep.Size, Filler: true, Image: "roster"})
 	s.waitUntil("both tasks are ordered", func() bool {
-		p.heartbeat(newIncarnation)
-		return len(p.startOrders) == 2
+		client.heartbeat(newIncarnation)
+		return len(client.startOrders) == 2
 	})
-	assert.Equal(t, len(p.heartbeat(newIncarnation).LastOfStep), 0)
-	p.reportDone("roster", 0)
-	s.waitUntil("the last filler is named", func() bool { return len(p.heartbeat(newIncarnation).LastOfStep) == 1 })
-	assert.Equal(t, p.heartbeat(newIncarnation).LastOfStep[0], rudderfork.RunRef{Task: "roster.0.0.1", Run: 1})
-	p.reportDone("roster", 1)
-	s.waitUntil("no filler is named", func() bool { return len(p.heartbeat(newIncarnation).LastOfStep) == 0 })
+	assert.Equal(t, len(client.heartbeat(newIncarnation).LastOfStep), 0)
+	client.reportDone("roster", 0)
+	s.waitUntil("the last filler is named", func() bool { return len(client.heartbeat(newIncarnation).LastOfStep) == 1 })
+	assert.Equal(t, client.heartbeat(newIncarnation).LastOfStep[0], rudderfork.RunRef{Task: "roster.0.0.1", Run: 1})
+	client.reportDone("roster", 1)
+	s.waitUntil("no filler is named", func() bool { return len(client.heartbeat(newIncarnation).LastOfStep) == 0 })
 }
 
 // reportDone reports the first run of a task as done.
-func (p *agentClient) reportDone(job rudderfork.JobID, index int) {
-	p.cluster.t.Helper()
-	assert.NilError(p.cluster.t, p.conn.Send(p.cluster.ctx, wire.FromNode{Ends: &wire.EndsReport{Seq: uint64(index) + 1, Ends: queue.Ends{
+func (c *agentClient) reportDone(job rudderfork.JobID, index int) {
+	c.cluster.t.Helper()
+	assert.NilError(c.cluster.t, c.conn.Send(c.cluster.ctx, wire.FromNode{Ends: &wire.EndsReport{Seq: uint64(index) + 1, Ends: queue.Ends{
 		VM: testVM, Incarnation: newIncarnation, List: []queue.End{{Task: queue.TaskKey{Job: job, Index: index}, Run: 1, Outcome: queue.OutcomeDone}},
 	}}}))
 }
--- a/scheduler/late_model_test.go
+++ b/scheduler/late_model_test.go
@@ -121,8 +121,8 @@
 		}
 		assert.Equal(t, m.committedIncarnation, m.incarnation)
 		assert.Assert(t, m.committedVM().Live)
-		for _, p := range m.clients {
-			p.conn.Close()
+		for _, client := range m.clients {
+			client.conn.Close()
 		}
 	})
 }
--- a/scheduler/late_test.go
+++ b/scheduler/late_test.go
@@ -31,7 +31,7 @@
 // from the first heartbeat.
 func (s *testCluster) connectAgent() *agentClient {
 	s.t.Helper()
-	p := &agentClient{cluster: s, startOrders: map[rudderfork.RunRef]bool{}, stopOrders: map[rudderfork.RunRef]bool{}}
+	client := &agentClient{cluster: s, startOrders: map[rudderfork.RunRef]bool{}, stopOrders: map[rudderfork.RunRef]bool{}}
 	s.waitUntil("a session is opened", func() bool {
 		c, err := wire.Dial[wire.FromNode, wire.ToQueueNode](s.ctx, "ws://"+s.addr+"/queues", wire.QueueSession)
 		if err != nil {
@@ -43,11 +43,11 @@
 			c.Close()
 			return false
 		}
-		p.conn = c
+		client.conn = c
 		return true
 	})
-	s.t.Cleanup(p.conn.Close)
-	return p
+	s.t.Cleanup(client.conn.Close)
+	return client
 }
 
 // connectAgentTwice opens two sessions as the agent of testVM. The first sends a heartbeat of
@@ -71,19 +71,19 @@
 }
 
 // heartbeat sends a heartbeat and returns its grant, recording the orders that arrive before it.
-func (p *agentClient) heartbeat(inc string) *wire.VMGrant {
-	p.cluster.t.Helper()
+func (c *agentClient) heartbeat(inc string) *wire.VMGrant {
+	c.cluster.t.Helper()
 	b := heartbeatOf(inc)
-	assert.NilError(p.cluster.t, p.conn.Send(p.cluster.ctx, wire.FromNode{Heartbeat: &b}))
+	assert.NilError(c.cluster.t, c.conn.Send(c.cluster.ctx, wire.FromNode{Heartbeat: &b}))
 	for {
-		m, err := p.conn.ReceiveWithin(p.cluster.ctx, waitTimeout)
-		assert.NilError(p.cluster.t, err)
+		m, err := c.conn.ReceiveWithin(c.cluster.ctx, waitTimeout)
+		assert.NilError(c.cluster.t, err)
 		if m.Orders != nil {
 			for _, o := range m.Orders.Start {
-				p.startOrders[o.RunRef] = true
+				c.startOrders[o.RunRef] = true
 			}
 			for _, r := range m.Orders.Stop {
-				p.stopOrders[r] = true
+				c.stopOrders[r] = true
 			}
 		}
 		if m.Grant != nil {
@@ -94,15 +94,15 @@
 
 // sendAndWait sends a message and returns when the leader has handled it: when it answers a ping
 // sent after it, or ends the session.
-func (p *agentClient) sendAndWait(m wire.FromNode) {
-	p.cluster.t.Helper()
+func (c *agentClient) sendAndWait(m wire.FromNode) {
+	c.cluster.t.Helper()
 	for _, m := range []wire.FromNode{m, {Ping: 1}} {
-		if p.conn.Send(p.cluster.ctx, m) != nil {
+		if c.conn.Send(c.cluster.ctx, m) != nil {
 			return
 		}
 	}
 	for {
-		m, err := p.conn.ReceiveWithin(p.cluster.ctx, waitTimeout)
+		m, err := c.conn.ReceiveWithin(c.cluster.ctx, waitTimeout)
 		if err != nil || m.Pong != 0 {
 			return
 		}
@@ -111,33 +111,33 @@
 
 // sendStaleHeartbeat sends a heartbeat whose load and draining flag a leader that accepts it
 // would record for the wrong incarnation.
-func (p *agentClient) sendStaleHeartbeat(inc string) {
-	p.cluster.t.Helper()
+func (c *agentClient) sendStaleHeartbeat(inc string) {
+	c.cluster.t.Helper()
 	b := heartbeatOf(inc)
 	b.Draining = true
 	b.Rows = []rudderfork.RunStatus{{RunRef: rudderfork.RunRef{Task: "feed.0.0.0", Run: 1}, Load: 9999, Percent: 3, PacedDownPercent: 100}}
-	p.sendAndWait(wire.FromNode{Heartbeat: &b})
+	c.sendAndWait(wire.FromNode{Heartbeat: &b})
 }
 
 // startLastingTask submits a lasting task and waits for the order to start it.
-func (p *agentClient) startLastingTask(inc string) {
-	p.cluster.t.Helper()
-	p.cluster.putDocument(nil)
-	p.cluster.submit("feed", "", queue.Step{Count: 1, Size: smallStep.Size, Lasting: true})
-	p.cluster.waitUntil("the lasting task is ordered", func() bool {
-		p.heartbeat(inc)
-		return len(p.startOrders) == 1
+func (c *agentClient) startLastingTask(inc string) {
+	c.cluster.t.Helper()
+	c.cluster.putDocument(nil)
+	c.cluster.submit("feed", "", queue.Step{Count: 1, Size: smallStep.Size, Lasting: true})
+	c.cluster.waitUntil("the lasting task is ordered", func() bool {
+		c.heartbeat(inc)
+		return len(c.startOrders) == 1
 	})
 }
 
 // assertCurrent checks that the VM is registered with newIncarnation, and that its epoch, run,
 // load and draining flag are unaffected by earlier sessions.
-func (s *testCluster) assertCurrent(p *agentClient, epoch uint64) {
+func (s *testCluster) assertCurrent(client *agentClient, epoch uint64) {
 	s.t.Helper()
-	grant := p.heartbeat(newIncarnation)
+	grant := client.heartbeat(newIncarnation)
 	assert.Equal(s.t, grant.Epoch, epoch)
 	assert.Assert(s.t, grant.LeaseMS > 0)
-	assert.Equal(s.t, len(p.stopOrders), 0)
+	assert.Equal(s.t, len(client.stopOrders), 0)
 	s.sched.rep.View(func(st *state.State) {
 		vm := st.Queues().VM(testVM)
 		assert.Equal(s.t, vm.Incarnation, newIncarnation)
@@ -211,16 +211,16 @@
 // session is registering it. It gets no epoch and no lease until that has finished.
 func TestConcurrentRegistrationsOfVM(t *testing.T) {
 	s := newTestCluster(t, nil)
-	p := s.connectAgent()
+	client := s.connectAgent()
 	setRegistering := func(on bool) {
 		s.sched.mu.Lock()
 		defer s.sched.mu.Unlock()
 		s.sched.fleet.vm(testVM).registering = on
 	}
 	setRegistering(true)
-	grant := p.heartbeat(newIncarnation)
+	grant := client.heartbeat(newIncarnation)
 	assert.Equal(t, grant.Epoch, uint64(0))
 	assert.Equal(t, grant.LeaseMS, int64(0))
 	setRegistering(false)
-	assert.Equal(t, p.heartbeat(newIncarnation).Epoch, uint64(1))
+	assert.Equal(t, client.heartbeat(newIncarnation).Epoch, uint64(1))
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -258,9 +258,9 @@
 	done         map[string]bool
 	downAt       map[string]time.Time
 	maxDown      int
-	duties       []rudderfork.Issuer
+	issuers      []rudderfork.Issuer
 	refusals     int
-	outranked    bool // another holder has used a higher fencing token
+	fenced       bool // another holder has used a higher fencing token
 	beforeUpkeep func(machine string)
 }
 
@@ -279,11 +279,11 @@
 func (p *fakeProvider) Upkeep(_ context.Context, d rudderfork.Issuer, machine string, _ uint64) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.duties = append(p.duties, d)
+	p.issuers = append(p.issuers, d)
 	if machine == "m9" {
 		return rudderfork.ErrNoMachine
 	}
-	if p.outranked {
+	if p.fenced {
 		return rudderfork.ErrFenced
 	}
 	if p.refusals > 0 {
@@ -348,21 +348,21 @@
 		return ans.Code == queue.OK && ans.Left == 0
 	})
 	assert.Equal(t, p.maxDown, 1)
-	for _, d := range p.duties {
+	for _, d := range p.issuers {
 		assert.Equal(t, d.Holder, "c")
 		assert.Assert(t, d.Fence > 0)
 	}
 	assert.Equal(t, s.send(wire.QueueRequest{Upkeep: 8}).Code, queue.NoJob)
 }
 
-// TestOutrankedLeaderStopsOrders rejects a leader's upkeep order because another holder has a newer
+// TestFencedLeaderStopsOrders rejects a leader's upkeep order because another holder has a newer
 // fencing token: the leader gives no more orders, for any machine of any wave, until its next term.
-func TestOutrankedLeaderStopsOrders(t *testing.T) {
+func TestFencedLeaderStopsOrders(t *testing.T) {
 	s := newTestCluster(t, nil)
 	s.addVM(executor.Config{})
 	s.addVM(executor.Config{})
 	s.putDocument(nil)
-	p := &fakeProvider{cluster: s, done: map[string]bool{}, downAt: map[string]time.Time{}, outranked: true}
+	p := &fakeProvider{cluster: s, done: map[string]bool{}, downAt: map[string]time.Time{}, fenced: true}
 	u, ok := s.sched.Upkeep(p, "c", 0).(*upkeep)
 	assert.Assert(t, ok)
 	for id := range uint64(2) {
@@ -372,11 +372,11 @@
 	for range 10 {
 		assert.Assert(t, u.round(t.Context()), "no open waves found")
 	}
-	assert.Equal(t, len(p.duties), 1)
+	assert.Equal(t, len(p.issuers), 1)
 	t.Run("a later term gives orders again", func(t *testing.T) {
 		u.term--
 		u.round(t.Context())
-		assert.Equal(t, len(p.duties), 2)
+		assert.Equal(t, len(p.issuers), 2)
 	})
 }
 
--- a/scheduler/simfleet_test.go
+++ b/scheduler/simfleet_test.go
@@ -40,7 +40,7 @@
 	health      executorHealth
 	down        bool // it sends nothing
 	omitsRuns   bool // its heartbeats report no runs
-	startedAt   map[queue.RunKey]time.Time
+	begunAt     map[queue.RunKey]time.Time
 }
 
 func (v *simVM) incarnationName() string { return fmt.Sprintf("%s-life-%d", v.id, v.incarnation) }
@@ -72,7 +72,7 @@
 }
 
 func (s *simFleet) addVM() {
-	v := &simVM{id: rudderfork.VMID(fmt.Sprintf("vm%03d", len(s.vms))), startedAt: map[queue.RunKey]time.Time{}}
+	v := &simVM{id: rudderfork.VMID(fmt.Sprintf("vm%03d", len(s.vms))), begunAt: map[queue.RunKey]time.Time{}}
 	s.vms = append(s.vms, v)
 	s.register(v, nil)
 }
@@ -101,7 +101,7 @@
 // isRunning reports whether the VM of a task's first active run has started that run.
 func (s *simFleet) isRunning(k queue.TaskKey) bool {
 	v := s.vmOf(k)
-	return v != nil && !v.startedAt[k.Run(s.task(k).Runs[0].Number)].IsZero()
+	return v != nil && !v.begunAt[k.Run(s.task(k).Runs[0].Number)].IsZero()
 }
 
 // vmsWithCapacity counts the reachable live VMs with free capacity for a task of the step.
@@ -162,7 +162,7 @@
 // ages of the runs that were lost.
 func (s *simFleet) crash(v *simVM, seen bool) {
 	c := &queue.Crash{Incarnation: v.incarnationName()}
-	for k, at := range v.startedAt {
+	for k, at := range v.begunAt {
 		c.Runs = append(c.Runs, queue.RunAge{Task: k.TaskKey, Run: k.Number, AgeMS: s.now.Sub(at).Milliseconds(), Confirmed: true})
 	}
 	slices.SortFunc(c.Runs, func(a, b queue.RunAge) int { return a.Task.Compare(b.Task) })
@@ -170,7 +170,7 @@
 		c = nil
 	}
 	v.incarnation++
-	clear(v.startedAt)
+	clear(v.begunAt)
 	s.register(v, c)
 }
 
@@ -189,7 +189,7 @@
 func (s *simFleet) expireLease(v *simVM) {
 	v.down = true
 	s.fleet.vm(v.id).session = nil
-	clear(v.startedAt)
+	clear(v.begunAt)
 	s.fleet.recordLoss(s.qs.VM(v.id), s.leaderTime())
 	res := s.apply(queue.Command{Lost: &queue.VMLoss{VM: v.id, Incarnation: v.incarnationName()}})
 	s.scheduler().logGone(v.id, incarnationLapsed, res)
@@ -197,7 +197,7 @@
 
 func (s *simFleet) sendHeartbeat(v *simVM) {
 	b := wire.VMHeartbeat{VM: queue.VM{ID: v.id, Incarnation: v.incarnationName()}}
-	for k, at := range v.startedAt {
+	for k, at := range v.begunAt {
 		if v.omitsRuns {
 			break
 		}
@@ -216,25 +216,25 @@
 	var ends []queue.End
 	for k, number := range vm.Runs() {
 		run := k.Run(number)
-		at, started := v.startedAt[run]
+		at, begun := v.begunAt[run]
 		_, stop := s.fleet.stops[k.Ref(number)]
 		switch {
 		case stop:
 			ends = append(ends, queue.End{Task: k, Run: number, Outcome: queue.OutcomeStopped})
-		case started && v.health == failing && s.now.Sub(at) > simStartupTime/2:
+		case begun && v.health == failing && s.now.Sub(at) > simStartupTime/2:
 			ends = append(ends, queue.End{Task: k, Run: number, Outcome: queue.OutcomeFailed})
-		case started:
+		case begun:
 		case v.health == refusing:
 			ends = append(ends, queue.End{Task: k, Run: number, Outcome: queue.OutcomeRefused, Reason: "503"})
 		default:
-			v.startedAt[run] = s.now
+			v.begunAt[run] = s.now
 		}
 	}
 	slices.SortFunc(ends, func(a, b queue.End) int { return a.Task.Compare(b.Task) })
 	s.reportEnds(v, ends...)
-	for run := range v.startedAt {
+	for run := range v.begunAt {
 		if vm.Runs()[run.TaskKey] != run.Number {
-			delete(v.startedAt, run)
+			delete(v.begunAt, run)
 		}
 	}
 	s.sendHeartbeat(v)
--- a/scheduler/waiting_test.go
+++ b/scheduler/waiting_test.go
@@ -23,13 +23,15 @@
 func answerAll(string) executor.Fate { return executor.Answered }
 
 // TestPlacedJobCountedAsBegun guards against a job that stops counting as waiting when its start is
-// ordered, though no executor has started it yet.
+// ordered, though no executor has begun it yet.
 func TestPlacedJobCountedAsBegun(t *testing.T) {
 	s := newTestCluster(t, nil)
 	s.putDocument(nil)
 	e := s.addVM(executor.Config{})
 	e.SetFate(loseStarts)
-	waiting := func() int { return s.send(wire.QueueRequest{Status: &wire.HostPath{Host: testHost, Path: "/q/"}}).Waiting }
+	waiting := func() int {
+		return s.send(wire.QueueRequest{Status: &wire.HostPath{Host: testHost, Path: "/q/"}}).Waiting
+	}
 	s.submit("j", "work=1m", smallStep)
 	s.waitForStatus("j", queue.Running)
 	assert.Equal(t, waiting(), 1)
@@ -39,21 +41,21 @@
 }
 
 // TestNextLeaderCountsRunningJobAsWaiting guards against a new leader that counts running jobs as
-// waiting, because only the old leader knew that they have started.
+// waiting, because only the old leader knew that they have begun.
 func TestNextLeaderCountsRunningJobAsWaiting(t *testing.T) {
 	s := newTestCluster(t, nil)
 	s.putDocument(nil)
 	e := s.addVM(executor.Config{})
 	s.submit("first", "work=1m", smallStep)
 	s.waitUntil("the task runs", func() bool { return len(e.Running()) == 1 })
-	started := func() (ok bool) {
+	begun := func() (ok bool) {
 		s.sched.rep.View(func(st *state.State) { ok = st.Queues().Job("first").Begun })
 		return ok
 	}
 	n := 0
-	s.waitUntil("the state records that the job has started", func() bool {
+	s.waitUntil("the state records that the job has begun", func() bool {
 		n++
 		s.submit(fmt.Sprintf("next-%d", n), "work=1ms", queue.Step{Count: 1})
-		return started()
+		return begun()
 	})
 }
