--- a/pace/pace.go
+++ b/pace/pace.go
@@ -1,17 +1,19 @@
-// Package pace decides how fast each filler of one VM works beside the VM's
-// serving tasks.
+// Package pace sets the pace of each filler on a VM, its speed from 0 to 1, so that the
+// VM's serving tasks keep their tail latency objectives.
 //
-// Fillers press on serving tasks by amounts that differ widely by the pair of
-// images: most pairs hardly at all, some so much that one filler takes all that
-// a task has left. The model is that of package interference: a serving task's
-// headroom, its objective over its tail, falls in a straight line with the share
-// of the VM's processors at which fillers work. A step reads the headrooms, adds
-// to each what the fillers took from it, and deals what lies above the wanted
-// headroom to the fillers: first to those that the rest of their step waits for, then
-// the least harmful. A task without any headroom
-// cuts what may harm it, whatever the model says, and one that stays so stops all
-// of them (Guard). And fillers get only the processors that the others leave
-// idle, so they are not given more than that together.
+// The headroom of a serving task is its tail latency objective divided by its tail
+// latency. The pressure of a pair of images is the headroom that a serving task of the one
+// loses to fillers of the other that use all processors of the VM. The loss is linear in
+// the share of the processors that the fillers use, as package interference models it.
+// Pressures differ widely by pair: most are negligible, and some let a single filler take
+// all the headroom.
+//
+// Speeds computes the headroom that each serving task would have without fillers and
+// assigns what exceeds TargetHeadroom to the fillers: first to those that the rest of
+// their step waits for, then by least impact. Together the fillers get only the processors
+// that other tasks leave idle. A serving task without headroom slows all fillers that may
+// affect it, whatever the model says, and Guard stops all fillers of the VM if that does
+// not help.
 package pace
 
 import (
@@ -23,47 +25,46 @@
 )
 
 const (
-	// MaxUtilization is the part of a VM's processors that may be in use beside serving
-	// tasks. In trials of 0.88, 0.97 and 1.1 over five seeds a day the middle one
-	// earned most: beyond it fillers only slow each other.
+	// MaxUtilization is the share of a VM's processors that may be in use beside serving
+	// tasks. Fillers get the most work done at this value: at 0.88 processors stay idle, and
+	// at 1.1 fillers only slow each other.
 	MaxUtilization = 0.97
-	// ServingUtilization is the part of its processors that a serving task uses, in the
-	// mean (the mean load of the users' sheets).
+	// ServingUtilization is the share of its processors that a serving task uses on average.
 	ServingUtilization = 0.42
-	// TargetHeadroom is the headroom that fillers leave a serving task. What is above 1 is
-	// for load that swings within half a second, the age of the figures: without
-	// fillers the headroom was seen to move by 0.3 in that time.
+	// TargetHeadroom is the headroom that fillers leave a serving task. The excess over 1
+	// allows for changes of load within half a second, the age of the measurements: even
+	// without fillers the headroom moves by 0.3 in that time.
 	TargetHeadroom = 1.1
-	// MaxHeadroom is the most that is believed of a task without fillers: the
-	// tails are in whole milliseconds, and 0 before the first answers.
+	// MaxHeadroom bounds the headroom assumed without fillers, since tail latencies are
+	// measured in whole milliseconds and are 0 before the first response.
 	MaxHeadroom = 3.3
-	// NegligibleImpact is what a filler at full speed takes from a headroom if the pair is
-	// not paced at all: a fiftieth of what tasks have in the mean.
+	// NegligibleImpact is the loss of headroom to a filler at full speed below which the
+	// filler is not paced for a serving task: a fiftieth of the average headroom.
 	NegligibleImpact = 0.05
-	// cut is what is left of the speed of a filler that may harm a task without
-	// headroom, and seenSlack how far the speed that the figures show may lie above
-	// the present one for that: else the last cut is not seen yet.
-	cut       = 0.3
-	seenSlack = 0.1
-	// rise bounds the gain of one step: the model may be wrong, and the figures
-	// show it half a second later.
-	rise = 0.25
-	// patience is how long a task may be without headroom until all fillers
-	// of the VM stop: longer than a figure that jumped takes to fall back, and
-	// well within the 4 s that users accept.
-	patience = 2_200 * time.Millisecond
-	// relief is the headroom above which they go on.
-	relief = 1.1
+	// overloadFactor multiplies the speed of fillers that affect a serving task without
+	// headroom. It applies only if the measured speed exceeds the present one by at most
+	// speedTolerance; otherwise the last reduction is not measured yet.
+	overloadFactor = 0.3
+	speedTolerance = 0.1
+	// maxRise bounds the increase of speed in one call of Speeds. If the model is wrong,
+	// the measurements show it only half a second later.
+	maxRise = 0.25
+	// maxOverload is how long a serving task may be without headroom until all fillers of
+	// the VM stop. It is longer than a single high measurement lasts and well below the 4 s
+	// that users accept.
+	maxOverload = 2_200 * time.Millisecond
+	// resumeHeadroom is the headroom above which stopped fillers resume.
+	resumeHeadroom = 1.1
 )
 
-// ServingTask is a serving task as it was last seen.
+// ServingTask is the latest measurement of a serving task.
 type ServingTask struct {
 	Image    string
-	Headroom float64 // the objective over the tail
+	Headroom float64 // tail latency objective over tail latency
 }
 
-// Headroom returns the objective over a tail, and MostHeadroom while there is no
-// figure.
+// Headroom returns the objective divided by the tail latency, or MaxHeadroom if there is
+// no measurement.
 func Headroom(objectiveMS, tailMS int64) float64 {
 	if tailMS <= 0 {
 		return MaxHeadroom
@@ -71,70 +72,71 @@
 	return float64(objectiveMS) / float64(tailMS)
 }
 
-// Filler is a filler and its present speed.
+// Filler is a filler with its present speed.
 type Filler struct {
 	Run           rudderfork.RunRef
 	Image         string
 	CPUShare      float64 // of the VM's processors, at full speed
-	Speed         float64 // 0 to 1, as last asked for
-	MeasuredSpeed float64 // 0 to 1, in the mean while the headrooms were measured
-	// LastOfStep says that the other tasks of its step are about done, and wait for it.
+	Speed         float64 // 0 to 1, as last set
+	MeasuredSpeed float64 // 0 to 1, average while the headrooms were measured
+	// LastOfStep reports that most other tasks of its step are done and the job waits for
+	// this one.
 	LastOfStep bool
 }
 
-// PressureFunc tells what a filler on all processors takes from the headroom of a
-// serving task.
+// PressureFunc returns the headroom that a serving task of one image loses to fillers of
+// another that use all processors of the VM.
 type PressureFunc func(serving, filler string) float64
 
-// Speeds returns the speeds of the fillers, 0 to 1, in their order. idle is the
-// part of the VM's processors that the fillers may use together.
+// Speeds returns the new speeds of the fillers, 0 to 1, in their order. idle is the share
+// of the VM's processors that the fillers may use together.
 func Speeds(serving []ServingTask, fillers []Filler, idle float64, pressure PressureFunc) []float64 {
-	room := make([]float64, len(serving))
+	slack := make([]float64, len(serving))
 	for i, s := range serving {
-		room[i] = roomOf(s, fillers, pressure)
+		slack[i] = slackOf(s, fillers, pressure)
 	}
 	speeds := make([]float64, len(fillers))
-	for _, f := range inTurn(serving, fillers, pressure) {
-		speeds[f] = speedOf(fillers[f], serving, room, pressure)
+	for _, f := range byPriority(serving, fillers, pressure) {
+		speeds[f] = speedOf(fillers[f], serving, slack, pressure)
 		if len(serving) > 0 {
 			speeds[f] = min(speeds[f], max(0, idle)/fillers[f].CPUShare)
 		}
 		idle -= fillers[f].CPUShare * speeds[f]
 		for i, s := range serving {
-			room[i] -= pressure(s.Image, fillers[f].Image) * fillers[f].CPUShare * speeds[f]
+			slack[i] -= pressure(s.Image, fillers[f].Image) * fillers[f].CPUShare * speeds[f]
 		}
 	}
 	return speeds
 }
 
-// roomOf is how much fillers may take from a task's headroom, if none did.
-func roomOf(s ServingTask, fillers []Filler, pressure PressureFunc) float64 {
-	own := s.Headroom
+// slackOf returns the headroom of a serving task without fillers, less TargetHeadroom.
+func slackOf(s ServingTask, fillers []Filler, pressure PressureFunc) float64 {
+	undisturbed := s.Headroom
 	for _, f := range fillers {
-		own += pressure(s.Image, f.Image) * f.CPUShare * f.MeasuredSpeed
+		undisturbed += pressure(s.Image, f.Image) * f.CPUShare * f.MeasuredSpeed
 	}
-	return min(own, MaxHeadroom) - TargetHeadroom
+	return min(undisturbed, MaxHeadroom) - TargetHeadroom
 }
 
-// inTurn returns the indexes of the fillers: those that others wait for first, then
-// the least harmful, and those that are alike in an order that stays.
-func inTurn(serving []ServingTask, fillers []Filler, pressure PressureFunc) []int {
-	harm := make([]float64, len(fillers))
+// byPriority returns the indexes of the fillers: those that their step waits for first,
+// then by impact. Equal fillers are ordered by task, so that the order is stable.
+func byPriority(serving []ServingTask, fillers []Filler, pressure PressureFunc) []int {
+	impact := make([]float64, len(fillers))
 	order := make([]int, len(fillers))
 	for i, f := range fillers {
 		order[i] = i
 		for _, s := range serving {
-			harm[i] = max(harm[i], pressure(s.Image, f.Image)*f.CPUShare)
+			impact[i] = max(impact[i], pressure(s.Image, f.Image)*f.CPUShare)
 		}
 	}
 	slices.SortFunc(order, func(a, b int) int {
-		return cmp.Or(lastFirst(fillers[a], fillers[b]), cmp.Compare(harm[a], harm[b]), cmp.Compare(fillers[a].Run.Task, fillers[b].Run.Task))
+		return cmp.Or(compareLastOfStep(fillers[a], fillers[b]), cmp.Compare(impact[a], impact[b]), cmp.Compare(fillers[a].Run.Task, fillers[b].Run.Task))
 	})
 	return order
 }
 
-// lastFirst orders a filler that others wait for before one that none waits for.
-func lastFirst(a, b Filler) int {
+// compareLastOfStep orders fillers that their step waits for before others.
+func compareLastOfStep(a, b Filler) int {
 	switch {
 	case a.LastOfStep == b.LastOfStep:
 		return 0
@@ -144,40 +146,40 @@
 	return 1
 }
 
-func speedOf(f Filler, serving []ServingTask, room []float64, pressure PressureFunc) float64 {
-	speed := min(1, f.Speed+rise)
+func speedOf(f Filler, serving []ServingTask, slack []float64, pressure PressureFunc) float64 {
+	speed := min(1, f.Speed+maxRise)
 	for i, s := range serving {
-		harm := pressure(s.Image, f.Image) * f.CPUShare
-		if harm < NegligibleImpact {
+		impact := pressure(s.Image, f.Image) * f.CPUShare
+		if impact < NegligibleImpact {
 			continue
 		}
-		speed = min(speed, max(0, room[i])/harm)
-		if s.Headroom < 1 && f.MeasuredSpeed <= f.Speed+seenSlack {
-			speed = min(speed, cut*f.Speed)
+		speed = min(speed, max(0, slack[i])/impact)
+		if s.Headroom < 1 && f.MeasuredSpeed <= f.Speed+speedTolerance {
+			speed = min(speed, overloadFactor*f.Speed)
 		}
 	}
 	return speed
 }
 
-// Guard stops all fillers of a VM while a task stays without headroom, for where
-// the model is wrong: pressures change within seconds. The zero value is ready to
-// use.
+// Guard stops all fillers of a VM if a serving task stays without headroom. It covers
+// errors of the model, since pressures can change within seconds. The zero value is ready
+// to use.
 type Guard struct {
-	overSince time.Time
+	overloadedSince time.Time
 }
 
-// ShouldStop takes the serving tasks as they are now and reports whether all fillers
-// are to stand still.
+// ShouldStop updates the guard with the present serving tasks and reports whether all
+// fillers must stand still.
 func (g *Guard) ShouldStop(serving []ServingTask, now time.Time) bool {
 	least := MaxHeadroom
 	for _, s := range serving {
 		least = min(least, s.Headroom)
 	}
 	switch {
-	case least > relief:
-		g.overSince = time.Time{}
-	case least <= 1 && g.overSince.IsZero():
-		g.overSince = now
+	case least > resumeHeadroom:
+		g.overloadedSince = time.Time{}
+	case least <= 1 && g.overloadedSince.IsZero():
+		g.overloadedSince = now
 	}
-	return !g.overSince.IsZero() && now.Sub(g.overSince) >= patience
+	return !g.overloadedSince.IsZero() && now.Sub(g.overloadedSince) >= maxOverload
 }
