--- a/swing/swing.go
+++ b/swing/swing.go
@@ -1,16 +1,15 @@
-// Package swing forecasts how the load on serving tasks moves.
+// Package swing forecasts the load of serving tasks.
 //
-// The tasks of one serving step take their load from the same users: it rises and falls
-// for all of them together, over seconds, and about as often for all steps of a queue.
-// (Seen on 62 VMs on a quiet day: the headrooms of two tasks of a job, without fillers
-// beside them, go together with a correlation of 0.93; of two jobs of one image with 0.50,
-// of others with 0.05.) A headroom of 3 at the calmest may be 1.5 within half a wave. So
-// for each step a wave is fitted to the headrooms of all its tasks, which tells each VM
-// what its serving tasks will have left while something works beside them.
+// All tasks of a serving step get their load from the same users. It rises and falls for
+// all of them together within seconds, with about the same period for all steps of a queue:
+// the headrooms of two tasks of a job correlate by 0.93, those of two jobs of one image by
+// 0.50, those of other jobs by 0.05. A headroom of 3 can fall to 1.5 within half a period.
+// Therefore a sine wave is fitted to the headrooms of all tasks of a step, which predicts
+// the headroom that remains while a filler works beside them.
 //
-// How long a wave lasts is found by trying: for each queue the period whose waves would
-// have foretold the figures best. Where none foretells them better than their mean does,
-// there is no forecast.
+// For each queue the model fits waves of several periods and uses the period with the
+// least squared error of its forecasts. If no period forecasts clearly better than the
+// mean, there is no forecast.
 package swing
 
 import (
@@ -23,73 +22,75 @@
 	"rudderfork.example/rudderfork/queue"
 )
 
-// periods are those that are tried: loads that go round sooner cannot be followed by
-// figures of half a second, later ones hardly move meanwhile.
+// periods are the candidate periods. Measurements every half a second cannot follow shorter
+// ones, and during longer ones the load hardly changes while a filler works.
 var periods = []time.Duration{
 	5 * time.Second, 6 * time.Second, 7 * time.Second, 8500 * time.Millisecond, 10 * time.Second,
 	12 * time.Second, 14 * time.Second, 17 * time.Second, 21 * time.Second, 26 * time.Second,
 }
 
 const (
-	// meanVar and waveVar are the variances of the priors of a step's mean headroom and of
-	// its wave, noiseVar that of a figure about them: figures are in whole milliseconds.
+	// meanVar and waveVar are the prior variances of a step's mean headroom and of the
+	// coefficients of its wave. noiseVar is the variance of a sample about them: tail
+	// latencies are measured in whole milliseconds.
 	meanVar, waveVar, noiseVar = 4.0, 1.0, 0.3
-	usualMean                  = 2.5
-	// outlier bounds how far one figure may pull a wave, in standard deviations.
-	outlier = 3.0
-	// halfLife is when a figure counts half for its step's wave: as long as a wave.
+	defaultMean                = 2.5
+	// maxDeviation bounds the influence of one sample on a wave, in standard deviations.
+	maxDeviation = 3.0
+	// halfLife is the half-life of a sample in its step's wave, about one period.
 	halfLife = 10 * time.Second
-	// leastFigures are seen of a step before its wave is believed, and leastGain is how
-	// much less the waves' errors must be than those of the means.
-	leastFigures = 40
-	leastGain    = 0.3
-	// errorKeep is the part of a queue's sums of errors that a further figure leaves, and
-	// meanWeight the weight of a figure in its step's mean, which forgets as slowly.
-	errorKeep  = 0.999
-	meanWeight = 0.01
+	// minSamples is the number of samples of a step that a forecast needs, and minErrorGain
+	// the share by which the squared error of the waves must be below that of the means.
+	minSamples   = 40
+	minErrorGain = 0.3
+	// errorDecay is the factor by which each sample reduces a queue's sums of squared
+	// errors. minMeanWeight is the least weight of a sample in its step's mean, so that the
+	// mean adapts too.
+	errorDecay    = 0.999
+	minMeanWeight = 0.01
 )
 
-// Model is what was seen of serving steps. It is not safe for concurrent use.
+// Model holds the waves of all serving steps. It is not safe for concurrent use.
 type Model struct {
-	start  time.Time // from which phases are counted
-	queues map[string]*errorSums
-	steps  map[queue.StepKey]*step
+	phaseZero time.Time // time of the first sample, from which phases count
+	queues    map[string]*errorSums
+	steps     map[queue.StepKey]*step
 }
 
-// New returns a model that has seen nothing.
+// New returns a model without observations.
 func New() *Model {
 	return &Model{queues: map[string]*errorSums{}, steps: map[queue.StepKey]*step{}}
 }
 
-// errorSums are the squared errors of a queue's forecasts, by period, and of the means.
+// errorSums holds the decaying sums of squared errors of a queue's forecasts.
 type errorSums struct {
-	waves []float64
-	mean  float64
+	waves []float64 // by period
+	mean  float64   // of the means
 }
 
-// step is the waves of one serving step, by period.
+// step holds the fits of one serving step.
 type step struct {
-	fits    []regression.Fit
+	fits    []regression.Fit // by period
 	mean    float64
-	figures int
-	at      time.Time
+	samples int
+	at      time.Time // of the last sample
 }
 
 func newStep() *step {
-	s := &step{fits: make([]regression.Fit, len(periods)), mean: usualMean}
+	s := &step{fits: make([]regression.Fit, len(periods)), mean: defaultMean}
 	for i := range s.fits {
-		s.fits[i].Grow(usualMean, meanVar)
+		s.fits[i].Grow(defaultMean, meanVar)
 		s.fits[i].Grow(0, waveVar)
 		s.fits[i].Grow(0, waveVar)
 	}
 	return s
 }
 
-// Observe takes the headroom that a task of a step had, or would have had without
-// fillers.
+// Observe adds the headroom that a task of a step has without fillers, measured or
+// computed.
 func (m *Model) Observe(queueName string, k queue.StepKey, headroom float64, at time.Time) {
-	if m.start.IsZero() {
-		m.start = at
+	if m.phaseZero.IsZero() {
+		m.phaseZero = at
 	}
 	q := m.queues[queueName]
 	if q == nil {
@@ -101,49 +102,51 @@
 		s = newStep()
 		m.steps[k] = s
 	}
-	s.observe(q, headroom, at, at.Sub(m.start).Seconds())
+	s.observe(q, headroom, at, at.Sub(m.phaseZero).Seconds())
 }
 
-// observe takes a figure at a phase, s, after it was held against the forecasts.
+// observe compares a sample at a phase, in seconds, with the forecasts and adds it.
 func (s *step) observe(q *errorSums, headroom float64, at time.Time, phase float64) {
 	prior := [...]float64{meanVar, waveVar, waveVar}
 	for i := range s.fits {
 		f, x := &s.fits[i], basis(periods[i], phase)
-		if s.known() {
-			q.waves[i] = keepError(q.waves[i], headroom-f.Beta(0)-x[1]*f.Beta(1)-x[2]*f.Beta(2))
+		if s.hasEnoughSamples() {
+			q.waves[i] = addError(q.waves[i], headroom-f.Beta(0)-x[1]*f.Beta(1)-x[2]*f.Beta(2))
 		}
 		if !s.at.IsZero() && at.After(s.at) {
 			f.Widen(regression.Growth(at.Sub(s.at), halfLife), func(j int) float64 { return prior[j] })
 		}
-		f.Update(x, headroom, noiseVar, outlier)
+		f.Update(x, headroom, noiseVar, maxDeviation)
 	}
-	if s.known() {
-		q.mean = keepError(q.mean, headroom-s.mean)
+	if s.hasEnoughSamples() {
+		q.mean = addError(q.mean, headroom-s.mean)
 	}
-	s.figures++
-	s.mean += max(meanWeight, 1/float64(s.figures)) * (headroom - s.mean)
+	s.samples++
+	s.mean += max(minMeanWeight, 1/float64(s.samples)) * (headroom - s.mean)
 	s.at = at
 }
 
-// keepError adds by how much a figure was missed to a sum of squared errors.
-func keepError(sum, off float64) float64 { return errorKeep*sum + off*off }
+// addError adds the square of an error to a decaying sum.
+func addError(sum, off float64) float64 { return errorDecay*sum + off*off }
 
-// known reports whether enough was seen of the step for a forecast.
-func (s *step) known() bool { return s.figures >= leastFigures }
+// hasEnoughSamples reports whether the step has the samples that a forecast needs.
+func (s *step) hasEnoughSamples() bool { return s.samples >= minSamples }
 
-// basis is what the mean and the parts of a wave are weighted by at a phase, s.
+// basis returns the factors of the mean and of the wave's coefficients at a phase, in
+// seconds.
 func basis(period time.Duration, phase float64) []float64 {
 	sin, cos := math.Sincos(2 * math.Pi * phase / period.Seconds())
 	return []float64{1, cos, sin}
 }
 
-// Wave is how the headroom of a step's tasks moves about its mean.
+// Wave is the forecast deviation of a step's headroom from its mean. The zero value is a
+// constant 0.
 type Wave struct {
 	Period   time.Duration
-	Cos, Sin float64 // at the time that it is counted from
+	Cos, Sin float64 // coefficients at the reference time
 }
 
-// After is what the wave adds to the mean a span after the time that it is counted from.
+// After returns the deviation at a span after the reference time.
 func (w Wave) After(span time.Duration) float64 {
 	if w.Period == 0 {
 		return 0
@@ -152,9 +155,9 @@
 	return w.Cos*cos + w.Sin*sin
 }
 
-// Min is the least that the wave adds within a span.
+// Min returns the lowest deviation within a span after the reference time.
 func (w Wave) Min(within time.Duration) float64 {
-	const steps = 8 // fine enough for spans shorter than the shortest period
+	const steps = 8 // fine enough for spans below the shortest period
 	least := w.After(0)
 	for i := 1; i <= steps; i++ {
 		least = min(least, w.After(within*time.Duration(i)/steps))
@@ -162,23 +165,24 @@
 	return least
 }
 
-// Forecast returns the wave of a step, counted from a time; ok is false if none is known.
+// Forecast returns the wave of a step with the given reference time; ok is false if there
+// is no forecast.
 func (m *Model) Forecast(queueName string, k queue.StepKey, at time.Time) (w Wave, ok bool) {
 	q, s := m.queues[queueName], m.steps[k]
-	if q == nil || s == nil || !s.known() {
+	if q == nil || s == nil || !s.hasEnoughSamples() {
 		return w, false
 	}
 	best := slices.Index(q.waves, slices.Min(q.waves))
-	if q.waves[best] > (1-leastGain)*q.mean {
+	if q.waves[best] > (1-minErrorGain)*q.mean {
 		return w, false
 	}
-	x := basis(periods[best], at.Sub(m.start).Seconds())
+	x := basis(periods[best], at.Sub(m.phaseZero).Seconds())
 	b, c := s.fits[best].Beta(1), s.fits[best].Beta(2)
 	// b cos(p+t) + c sin(p+t), as a sum of cos t and sin t.
 	return Wave{Period: periods[best], Cos: b*x[1] + c*x[2], Sin: c*x[1] - b*x[2]}, true
 }
 
-// Prune drops the steps of jobs that are over.
+// Prune drops the steps of jobs that are not live.
 func (m *Model) Prune(live func(rudderfork.JobID) bool) {
 	for k := range m.steps {
 		if !live(k.Job) {
--- a/worktime/worktime.go
+++ b/worktime/worktime.go
@@ -1,11 +1,11 @@
-// Package worktime tells how long a task may be expected to work at full speed, from its
-// submitter's guess and from what was seen.
+// Package worktime estimates how long a task works at full speed from its submitter's
+// estimate and from observed work times.
 //
-// How far guesses are off is a matter of who submits. So for each queue a line is fitted
-// to what tasks took against what was guessed, both as logarithms: where guesses are
-// good it is the guess itself, where they tell little it is nearly the mean of the
-// queue's tasks. The tasks of one step take about as long as each other, whatever was
-// guessed: once some of a step are done, they tell most.
+// The error of submitters' estimates depends on who submits. For each queue a line is
+// fitted to the logarithms of work times over those of the submitted estimates. Where the
+// submitted estimates are good the line reproduces them; where they say little it is close
+// to the mean of the queue's tasks. The tasks of one step have similar work times, so once
+// some of them are done their mean outweighs the line.
 package worktime
 
 import (
@@ -18,63 +18,65 @@
 )
 
 const (
-	// offsetVar and slopeVar are the variances of the prior of a queue's line, by which a
-	// guess is right: guesses are off by a factor of e, and may tell nothing at all.
+	// offsetVar and slopeVar are the prior variances of a queue's line about the submitted
+	// estimate: estimates are off by a factor of e, and may say nothing at all.
 	offsetVar, slopeVar = 1.0, 0.5
-	// stepVar is the variance of the logarithm of a step's work about the line, and
-	// taskVar that of a task's about its step's. (On a day of 62 VMs, 10,350 tasks of two
-	// queues: 0.24 and 0.14; 0.04 and 0.11. By the guesses alone it was 1.1 and 1.0.)
+	// stepVar is the variance of the logarithm of a step's work time about the line, and
+	// taskVar that of a task's about its step's. Measured for two queues with 10,350 tasks
+	// they are 0.24 and 0.14, and 0.04 and 0.11; about the submitted estimates alone the
+	// former are 1.1 and 1.0.
 	stepVar, taskVar = 0.2, 0.1
-	// outlier bounds how far one task may pull a line, in standard deviations.
-	outlier = 3.0
-	// halfLife is when what a task told of its queue counts half: queues change their
-	// work over hours, and a minute has some hundred tasks.
+	// maxDeviation bounds the influence of one task on a line, in standard deviations.
+	maxDeviation = 3.0
+	// halfLife is the half-life of an observation in its queue's line. Work times of a queue
+	// change over hours, and a minute provides some hundred tasks.
 	halfLife = time.Minute
-	// usualMS is where the line's offset is taken, ms: the middle of usual tasks.
-	usualMS = 1_000
+	// referenceMS is the submitted estimate at which the line's offset is taken, ms: a
+	// typical one.
+	referenceMS = 1_000
 )
 
-// Model is what was seen of the queues' tasks. It is not safe for concurrent use.
+// Model holds the observations of all queues. It is not safe for concurrent use.
 type Model struct {
-	lines   map[string]*line // by queue
-	steps   map[queue.StepKey]*mean
+	queues  map[string]*queueLine // by queue
+	steps   map[queue.StepKey]*stepMean
 	changes uint64
 }
 
-// New returns a model that believes guesses.
+// New returns a model without observations, which returns the submitted estimates.
 func New() *Model {
-	return &Model{lines: map[string]*line{}, steps: map[queue.StepKey]*mean{}}
+	return &Model{queues: map[string]*queueLine{}, steps: map[queue.StepKey]*stepMean{}}
 }
 
-// Changes rises with each task that was seen.
+// Changes returns a counter that is incremented by each observation.
 func (m *Model) Changes() uint64 { return m.changes }
 
-// Observe takes what a task of a step worked at full speed, ms. The tasks of a step count
-// together, for its queue, as much as one.
+// Observe adds the work time of a task at full speed, in ms. In the queue's line all tasks
+// of a step together weigh as much as one observation.
 func (m *Model) Observe(queueName string, k queue.StepKey, st *queue.Step, workedMS float64, at time.Time) {
 	if workedMS <= 0 || st.Count < 1 {
 		return
 	}
 	m.changes++
-	l := m.lines[queueName]
+	l := m.queues[queueName]
 	if l == nil {
-		l = newLine()
-		m.lines[queueName] = l
+		l = newQueueLine()
+		m.queues[queueName] = l
 	}
 	l.observe(st.ExpectedMS, workedMS, float64(st.Count), at)
 	s := m.steps[k]
 	if s == nil {
-		s = &mean{}
+		s = &stepMean{}
 		m.steps[k] = s
 	}
 	s.sum += math.Log(workedMS)
 	s.n++
 }
 
-// Estimate returns how long a task of a step may be expected to work, ms.
+// Estimate returns the estimated work time of a task of a step, in ms.
 func (m *Model) Estimate(queueName string, k queue.StepKey, st *queue.Step) float64 {
-	expected := math.Log(guess(st.ExpectedMS))
-	if l := m.lines[queueName]; l != nil {
+	expected := math.Log(submittedMS(st.ExpectedMS))
+	if l := m.queues[queueName]; l != nil {
 		expected += l.correction(st.ExpectedMS)
 	}
 	if s := m.steps[k]; s != nil {
@@ -84,7 +86,7 @@
 	return math.Exp(expected)
 }
 
-// Prune drops the steps of jobs that are over.
+// Prune drops the steps of jobs that are not live.
 func (m *Model) Prune(live func(rudderfork.JobID) bool) {
 	for k := range m.steps {
 		if !live(k.Job) {
@@ -93,40 +95,40 @@
 	}
 }
 
-// guess is a submitter's guess, of at least a millisecond.
-func guess(expectedMS int64) float64 { return float64(max(1, expectedMS)) }
+// submittedMS returns a submitter's estimate, at least 1 ms.
+func submittedMS(expectedMS int64) float64 { return float64(max(1, expectedMS)) }
 
-// mean is of the logarithms of what tasks of a step worked.
-type mean struct{ sum, n float64 }
+// stepMean sums the logarithms of the work times of a step's tasks.
+type stepMean struct{ sum, n float64 }
 
-// line is the logarithm of what tasks of one queue work beside that of the guess, over
-// the latter.
-type line struct {
+// queueLine fits the logarithm of work time over submitted estimate, by the logarithm of
+// the submitted estimate, for the tasks of one queue.
+type queueLine struct {
 	fit regression.Fit
 	at  time.Time
 }
 
-func newLine() *line {
-	l := &line{}
+func newQueueLine() *queueLine {
+	l := &queueLine{}
 	l.fit.Grow(0, offsetVar)
 	l.fit.Grow(0, slopeVar)
 	return l
 }
 
-// along is where on the line a guess lies.
-func along(expectedMS int64) float64 { return math.Log(guess(expectedMS) / usualMS) }
+// position returns the point on the line that belongs to a submitted estimate.
+func position(expectedMS int64) float64 { return math.Log(submittedMS(expectedMS) / referenceMS) }
 
-func (l *line) observe(expectedMS int64, workedMS, tasks float64, at time.Time) {
+func (l *queueLine) observe(expectedMS int64, workedMS, tasks float64, at time.Time) {
 	if !l.at.IsZero() && at.After(l.at) {
 		prior := [...]float64{offsetVar, slopeVar}
 		l.fit.Widen(regression.Growth(at.Sub(l.at), halfLife), func(i int) float64 { return prior[i] })
 	}
 	l.at = at
-	x := []float64{1, along(expectedMS)}
-	l.fit.Update(x, math.Log(workedMS/guess(expectedMS)), (stepVar+taskVar)*tasks, outlier)
+	x := []float64{1, position(expectedMS)}
+	l.fit.Update(x, math.Log(workedMS/submittedMS(expectedMS)), (stepVar+taskVar)*tasks, maxDeviation)
 }
 
-// correction is what the line adds to the logarithm of a guess.
-func (l *line) correction(expectedMS int64) float64 {
-	return l.fit.Beta(0) + l.fit.Beta(1)*along(expectedMS)
+// correction returns the line's correction to the logarithm of a submitted estimate.
+func (l *queueLine) correction(expectedMS int64) float64 {
+	return l.fit.Beta(0) + l.fit.Beta(1)*position(expectedMS)
 }
--- a/worktime/worktime_test.go
+++ b/worktime/worktime_test.go
@@ -15,10 +15,11 @@
 
 var t0 = time.Unix(1000, 0)
 
-// play draws steps of which each has tasks that are guessed and work as draw says, has the
-// model see half of them, and returns by how much it is off for the rest, and the guesses,
-// in the mean of the logarithms.
-func play(draw func(rng *rand.Rand) (guessMS int64, workMS float64)) (off, guessed float64) {
+// meanErrors draws steps whose tasks have the estimate and the work time, in ms, that draw
+// returns. The model estimates the second half of the steps, each before observing it. The
+// results are the mean absolute errors of the model and of the submitted estimates, as
+// logarithms.
+func meanErrors(draw func(rng *rand.Rand) (guessMS int64, workMS float64)) (modelError, submittedError float64) {
 	const steps, tasks = 400, 10
 	rng := rand.New(rand.NewPCG(3, 9))
 	m := New()
@@ -28,46 +29,46 @@
 		st := &queue.Step{Count: tasks, ExpectedMS: guessMS}
 		k := queue.StepKey{Job: rudderfork.JobID(fmt.Sprint(i))}
 		if i >= steps/2 {
-			off += math.Abs(math.Log(m.Estimate("q", k, st) / workMS))
-			guessed += math.Abs(math.Log(float64(guessMS) / workMS))
+			modelError += math.Abs(math.Log(m.Estimate("q", k, st) / workMS))
+			submittedError += math.Abs(math.Log(float64(guessMS) / workMS))
 			n++
 		}
 		for range tasks {
 			m.Observe("q", k, st, workMS*math.Exp(0.2*rng.NormFloat64()), t0.Add(time.Duration(i)*100*time.Millisecond))
 		}
 	}
-	return off / float64(n), guessed / float64(n)
+	return modelError / float64(n), submittedError / float64(n)
 }
 
-func TestModel(t *testing.T) {
-	t.Run("guesses that are good are believed", func(t *testing.T) {
-		off, _ := play(func(rng *rand.Rand) (int64, float64) {
+func TestEstimate(t *testing.T) {
+	t.Run("good submitted estimates are kept", func(t *testing.T) {
+		off, _ := meanErrors(func(rng *rand.Rand) (int64, float64) {
 			w := 1500 * math.Exp(rng.NormFloat64())
 			return int64(w * math.Exp(0.1*rng.NormFloat64())), w
 		})
 		assert.Assert(t, off < 0.12, "off by %.2f", off)
 	})
-	t.Run("guesses that are all too low are corrected", func(t *testing.T) {
-		off, guessed := play(func(rng *rand.Rand) (int64, float64) {
+	t.Run("submitted estimates that are all too low are corrected", func(t *testing.T) {
+		off, guessed := meanErrors(func(rng *rand.Rand) (int64, float64) {
 			w := 1500 * math.Exp(0.5*rng.NormFloat64())
 			return int64(w / 3), w
 		})
-		assert.Assert(t, off < 0.1 && guessed > 1, "off by %.2f, the guesses by %.2f", off, guessed)
+		assert.Assert(t, off < 0.1 && guessed > 1, "off by %.2f, the submitted estimates by %.2f", off, guessed)
 	})
-	t.Run("guesses that tell little are left for what tasks of the queue work", func(t *testing.T) {
-		off, guessed := play(func(rng *rand.Rand) (int64, float64) {
+	t.Run("submitted estimates that say little give way to the queue's mean", func(t *testing.T) {
+		off, guessed := meanErrors(func(rng *rand.Rand) (int64, float64) {
 			w := 1500 * math.Exp(0.5*rng.NormFloat64())
 			return int64(w * math.Exp(rng.NormFloat64())), w
 		})
-		assert.Assert(t, off < 0.6*guessed, "off by %.2f, the guesses by %.2f", off, guessed)
+		assert.Assert(t, off < 0.6*guessed, "off by %.2f, the submitted estimates by %.2f", off, guessed)
 	})
-	t.Run("queues do not tell of each other", func(t *testing.T) {
+	t.Run("queues are independent", func(t *testing.T) {
 		m := New()
 		st := &queue.Step{Count: 1, ExpectedMS: 100}
 		m.Observe("a", queue.StepKey{Job: "a"}, st, 5000, t0)
 		assert.Equal(t, math.Round(m.Estimate("b", queue.StepKey{Job: "b"}, st)), 100.0)
 	})
-	t.Run("the tasks of a step that are done tell most of the others", func(t *testing.T) {
+	t.Run("done tasks of a step determine the estimate of the others", func(t *testing.T) {
 		m := New()
 		st := &queue.Step{Count: 20, ExpectedMS: 100}
 		k := queue.StepKey{Job: "a"}
@@ -81,15 +82,16 @@
 		m.Prune(func(id rudderfork.JobID) bool { return id != "a" })
 		assert.Assert(t, m.Estimate("q", k, st) < got)
 	})
-	t.Run("what cannot be is passed over", func(t *testing.T) {
+	t.Run("invalid work times are ignored", func(t *testing.T) {
 		m := New()
 		m.Observe("q", queue.StepKey{}, &queue.Step{Count: 1, ExpectedMS: 100}, 0, t0)
 		assert.Equal(t, m.Changes(), uint64(0))
 	})
 }
 
-// TestExpectationAfterLongRest expects something of a queue that had no task for a day.
-func TestExpectationAfterLongRest(t *testing.T) {
+// TestEstimateAfterLongPause guards against an infinite or zero estimate after a day
+// without tasks, over which the variances of a fit grow.
+func TestEstimateAfterLongPause(t *testing.T) {
 	m, st := New(), &queue.Step{Count: 1, ExpectedMS: 100}
 	for i := range 2 {
 		m.Observe("q", queue.StepKey{Job: "a"}, st, 200, t0.Add(time.Duration(i)*24*time.Hour))
