--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -434,15 +434,15 @@
 	return status, err
 }
 
-// TestExecutorLeaves has executors announce that they leave, while no lease runs out.
+// TestExecutorLeaves has executors give their shutdown notice, while no lease runs out.
 func TestExecutorLeaves(t *testing.T) {
 	capacity := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
 	countStarts := func(n *atomic.Int32) executor.Config {
 		return executor.Config{Now: steady.Now, Room: capacity, OnStart: func(rudderfork.RunRef) { n.Add(1) }}
 	}
-	// A completed task ran again when its end was listed before the executor announced that it
-	// leaves, and read after that.
-	t.Run("an end that is read after the announcement counts", func(t *testing.T) {
+	// A completed task ran again when its end was listed before the shutdown notice and read after
+	// it.
+	t.Run("an end that is read after the shutdown notice counts", func(t *testing.T) {
 		s := newTestCluster(t, nil)
 		var starts atomic.Int32
 		cfg := countStarts(&starts)
--- a/scheduler/late_model_test.go
+++ b/scheduler/session_model_test.go
@@ -60,7 +60,8 @@
 	m.send(wire.FromNode{Heartbeat: &b})
 }
 
-// leave sends the agent's report that the current incarnation has left, and begins the next.
+// leave sends the report that the current incarnation has left after a shutdown notice, and begins
+// the next.
 func (m *sessionModel) leave() {
 	m.send(wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: queue.Ends{VM: m.vm, Incarnation: modelIncarnation(m.incarnation)}, Departed: true}})
 	m.incarnation++
