--- a/agent/claim.go
+++ b/agent/claim.go
@@ -21,7 +21,7 @@
 	expires time.Time
 
 	front  *front
-	fate   wire.Fate
+	fate   wire.RequestState
 	answer *relay.Capture
 	status int
 	ctype  string
@@ -44,14 +44,14 @@
 	return &claimRef{
 		key:   state.ClaimKey{Service: rudderfork.Service(r.Header.Get(relay.HeaderService)), Key: r.Header.Get(relay.HeaderKey)},
 		token: rudderfork.Token(token), boot: r.Header.Get(relay.HeaderBoot),
-		expires: rudderfork.FromMillis(ms), fate: wire.FateUnknown,
+		expires: rudderfork.FromMillis(ms), fate: wire.RequestUnknown,
 	}, nil
 }
 
 // notRun notes that the request did not reach the upstream.
 func (c *claimRef) notRun() {
 	if c != nil {
-		c.fate = wire.FateNever
+		c.fate = wire.RequestNever
 	}
 }
 
@@ -68,7 +68,7 @@
 // whole notes that the answer came to its end.
 func (c *claimRef) whole() {
 	if c != nil {
-		c.fate = wire.FateDone
+		c.fate = wire.RequestDone
 	}
 }
 
@@ -77,9 +77,9 @@
 	c.front.mu.Lock()
 	defer c.front.mu.Unlock()
 	switch c.fate {
-	case wire.FateNever:
+	case wire.RequestNever:
 		c.front.claims.NotRun(c.key, c.token)
-	case wire.FateDone:
+	case wire.RequestDone:
 		c.front.claims.Done(c.key, c.token, &state.Answer{
 			Status: c.status, ContentType: c.ctype, Body: c.answer.Body(), Partial: c.answer.Partial(),
 		})
--- a/agent/front.go
+++ b/agent/front.go
@@ -261,7 +261,7 @@
 	defer conn.Close()
 	f.entries.add(conn)
 	defer f.entries.remove(conn)
-	if conn.Send(r.Context(), wire.ToEntry{Signs: true}) != nil {
+	if conn.Send(r.Context(), wire.ToEntry{InterimAnswers: true}) != nil {
 		return // the entry opens another
 	}
 	go func() {
@@ -284,7 +284,7 @@
 			}
 		case m.Fence != nil:
 			out.Fenced = f.fence(*m.Fence)
-		case m.Quiet:
+		case m.Drained:
 			f.entries.setQuiet(conn)
 			continue
 		default:
@@ -297,7 +297,7 @@
 }
 
 func (f *front) fence(q wire.Fence) *wire.Fenced {
-	out := &wire.Fenced{ID: q.ID, Fate: wire.FateUnknown}
+	out := &wire.Fenced{ID: q.ID, State: wire.RequestUnknown}
 	if q.Boot != f.boot {
 		return out
 	}
@@ -305,7 +305,7 @@
 	expires := steady.Now().Add(time.Duration(window) * time.Second)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out.Fate, out.Answer = f.claims.Fence(q.Key, q.Token, expires, steady.Now())
+	out.State, out.Answer = f.claims.Fence(q.Key, q.Token, expires, steady.Now())
 	return out
 }
 
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -44,7 +44,7 @@
 // entry is what is known of one key.
 type entry struct {
 	token   rudderfork.Token
-	fate    wire.Fate
+	fate    wire.RequestState
 	answer  *state.Answer
 	expires time.Time
 }
@@ -64,7 +64,7 @@
 	if e := m.entries[k]; e != nil && e.token >= token {
 		return ErrSeen
 	}
-	return m.put(k, &entry{token: token, fate: wire.FateRunning, expires: expires})
+	return m.put(k, &entry{token: token, fate: wire.RequestRunning, expires: expires})
 }
 
 func (m *Memory) put(k state.ClaimKey, e *entry) error {
@@ -89,7 +89,7 @@
 
 // NotRun notes that the request was refused before it reached the upstream.
 func (m *Memory) NotRun(k state.ClaimKey, token rudderfork.Token) {
-	m.end(k, token, wire.FateNever, nil)
+	m.end(k, token, wire.RequestNever, nil)
 }
 
 // Done notes the answer.
@@ -97,15 +97,15 @@
 	if m.bytes+len(a.Body) > maxBytes {
 		a = &state.Answer{Status: a.Status, ContentType: a.ContentType, Partial: true}
 	}
-	m.end(k, token, wire.FateDone, a)
+	m.end(k, token, wire.RequestDone, a)
 }
 
 // Unknown notes that the request reached the upstream and no answer came.
 func (m *Memory) Unknown(k state.ClaimKey, token rudderfork.Token) {
-	m.end(k, token, wire.FateUnknown, nil)
+	m.end(k, token, wire.RequestUnknown, nil)
 }
 
-func (m *Memory) end(k state.ClaimKey, token rudderfork.Token, f wire.Fate, a *state.Answer) {
+func (m *Memory) end(k state.ClaimKey, token rudderfork.Token, f wire.RequestState, a *state.Answer) {
 	if e := m.entries[k]; e != nil && e.token == token {
 		m.drop(e)
 		e.fate, e.answer = f, a
@@ -117,17 +117,17 @@
 
 // Fence returns what became of the request under token, and refuses the token
 // from now on if it was not seen.
-func (m *Memory) Fence(k state.ClaimKey, token rudderfork.Token, expires, now time.Time) (wire.Fate, *state.Answer) {
+func (m *Memory) Fence(k state.ClaimKey, token rudderfork.Token, expires, now time.Time) (wire.RequestState, *state.Answer) {
 	m.expire(now)
 	e := m.entries[k]
 	if e == nil || e.token < token {
-		if m.put(k, &entry{token: token, fate: wire.FateNever, expires: expires}) != nil {
-			return wire.FateUnknown, nil // it cannot be remembered, so not vouched for
+		if m.put(k, &entry{token: token, fate: wire.RequestNever, expires: expires}) != nil {
+			return wire.RequestUnknown, nil // it cannot be remembered, so not vouched for
 		}
-		return wire.FateNever, nil
+		return wire.RequestNever, nil
 	}
 	if e.token > token {
-		return wire.FateUnknown, nil // a later holder exists; ask about that
+		return wire.RequestUnknown, nil // a later holder exists; ask about that
 	}
 	return e.fate, e.answer
 }
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -18,7 +18,7 @@
 	key = state.ClaimKey{Service: "s", Key: "k"}
 )
 
-func checkFate(t *testing.T, m *Memory, token rudderfork.Token, want wire.Fate) {
+func checkFate(t *testing.T, m *Memory, token rudderfork.Token, want wire.RequestState) {
 	t.Helper()
 	got, _ := m.Fence(key, token, exp, t0)
 	assert.Equal(t, got, want)
@@ -27,19 +27,19 @@
 func TestTokenRunsOnce(t *testing.T) {
 	m := New()
 	assert.NilError(t, m.Begin(key, 5, exp, t0))
-	checkFate(t, m, 5, wire.FateRunning)
+	checkFate(t, m, 5, wire.RequestRunning)
 	assert.ErrorIs(t, m.Begin(key, 5, exp, t0), ErrSeen)
 	assert.ErrorIs(t, m.Begin(key, 4, exp, t0), ErrSeen)
 	m.Done(key, 5, &state.Answer{Status: 200})
 	fate, a := m.Fence(key, 5, exp, t0)
-	assert.Equal(t, fate, wire.FateDone)
+	assert.Equal(t, fate, wire.RequestDone)
 	assert.Equal(t, a.Status, 200)
-	t.Run("an older token's fate is not this one's", func(t *testing.T) { checkFate(t, m, 4, wire.FateUnknown) })
+	t.Run("an older token's fate is not this one's", func(t *testing.T) { checkFate(t, m, 4, wire.RequestUnknown) })
 }
 
 func TestFence(t *testing.T) {
 	m := New()
-	checkFate(t, m, 5, wire.FateNever)
+	checkFate(t, m, 5, wire.RequestNever)
 	t.Run("a fenced token never runs", func(t *testing.T) {
 		assert.ErrorIs(t, m.Begin(key, 5, exp, t0), ErrSeen)
 	})
@@ -48,7 +48,7 @@
 	})
 	t.Run("a refusal leaves it not run", func(t *testing.T) {
 		m.NotRun(key, 6)
-		checkFate(t, m, 6, wire.FateNever)
+		checkFate(t, m, 6, wire.RequestNever)
 		assert.ErrorIs(t, m.Begin(key, 6, exp, t0), ErrSeen)
 	})
 }
@@ -59,7 +59,7 @@
 		assert.NilError(t, m.Begin(state.ClaimKey{Key: fmt.Sprint(i)}, 1, exp, t0))
 	}
 	assert.ErrorIs(t, m.Begin(key, 1, exp, t0), ErrFull)
-	t.Run("it vouches for nothing that it cannot remember", func(t *testing.T) { checkFate(t, m, 1, wire.FateUnknown) })
+	t.Run("it vouches for nothing that it cannot remember", func(t *testing.T) { checkFate(t, m, 1, wire.RequestUnknown) })
 	t.Run("it forgets what has expired", func(t *testing.T) {
 		assert.NilError(t, m.Begin(key, 1, exp.Add(time.Hour), exp.Add(time.Second)))
 		assert.Assert(t, m.Len() < maxClaims)
@@ -78,7 +78,7 @@
 	}
 	assert.Assert(t, m.bytes <= maxBytes)
 	fate, a := m.Fence(state.ClaimKey{Key: fmt.Sprint(maxClaims - 1)}, 1, exp, t0)
-	assert.Equal(t, fate, wire.FateDone)
+	assert.Equal(t, fate, wire.RequestDone)
 	assert.Assert(t, a.Partial && a.Status == 200)
 	for range maxClaims {
 		m.expire(exp.Add(time.Second))
--- a/control/hub.go
+++ b/control/hub.go
@@ -279,7 +279,7 @@
 	h.sessions[s] = true
 	h.nodes[s.hello.Process] = Node{
 		Process: s.hello.Process, Kind: s.hello.Kind, Place: s.hello.Place, Admin: s.hello.Admin,
-		Have: s.hello.Have, BeatAt: steady.Now(), Connected: true,
+		Have: s.hello.TableRevision, BeatAt: steady.Now(), Connected: true,
 	}
 }
 
--- a/control/session.go
+++ b/control/session.go
@@ -57,7 +57,7 @@
 
 func newSession(h *hub, c *wire.Conn[wire.ToNode, wire.ToControl], number uint64, hello wire.Hello) *session {
 	s := &session{
-		hub: h, number: number, conn: c, hello: hello, sent: pushed{table: hello.Have},
+		hub: h, number: number, conn: c, hello: hello, sent: pushed{table: hello.TableRevision},
 		out: make(chan wire.ToNode, outQueue), woken: wakeup.New(),
 	}
 	s.woken.Set()
@@ -253,7 +253,7 @@
 			s.hub.learned.beat(st, s.hello.Place.VM, b, steady.Now())
 		}
 	})
-	s.hub.have(s.hello.Process, b.Have, newest)
+	s.hub.have(s.hello.Process, b.TableRevision, newest)
 	if s.epoch == 0 {
 		s.answer(wire.ToNode{Grant: &wire.Grant{}})
 		return
--- a/entry/claimed.go
+++ b/entry/claimed.go
@@ -174,13 +174,13 @@
 	fate, answer := c.fate(held)
 	c.event("claim_met", fmt.Sprintf("token %d on %s: %s", held.Token, held.VM, fate))
 	switch fate {
-	case wire.FateNever:
+	case wire.RequestNever:
 		ask.After = held.Token
 		return true
-	case wire.FateDone:
+	case wire.RequestDone:
 		c.h.settle(state.Settle{Key: held.Key, Token: held.Token, Answer: answer})
 		c.replay(answer)
-	case wire.FateRunning:
+	case wire.RequestRunning:
 		c.fail(c.running("a request with this key is still running"))
 	default:
 		p := problem.New(http.StatusBadGateway, "unknown", "a request with this key was sent to "+string(held.VM)+", and whether it ran cannot be known now", rudderfork.RanUnknown)
@@ -208,14 +208,14 @@
 			c.event("fate_unknown", err.Error())
 			return false
 		case err != nil:
-		case f.Fate == wire.FateDone:
+		case f.State == wire.RequestDone:
 			c.h.settle(state.Settle{Key: cl.Key, Token: cl.Token, Answer: f.Answer})
 			c.replay(f.Answer)
 			return true
-		case f.Fate == wire.FateNever:
+		case f.State == wire.RequestNever:
 			a.problem = c.unavailable("unreachable", "the connection to "+string(a.vm)+" fell silent before the request came there")
 			return false
-		case f.Fate == wire.FateUnknown:
+		case f.State == wire.RequestUnknown:
 			return false
 		}
 		steady.Pause(c.ctx, settlePause)
@@ -224,12 +224,12 @@
 }
 
 // fate asks the agent that the claim names.
-func (c *call) fate(held *state.Claim) (wire.Fate, *state.Answer) {
+func (c *call) fate(held *state.Claim) (wire.RequestState, *state.Answer) {
 	f, err := c.askFate(held)
 	if err != nil {
-		return wire.FateUnknown, nil
+		return wire.RequestUnknown, nil
 	}
-	return f.Fate, f.Answer
+	return f.State, f.Answer
 }
 
 func (c *call) askFate(held *state.Claim) (wire.Fenced, error) {
--- a/entry/link.go
+++ b/entry/link.go
@@ -114,7 +114,7 @@
 	}
 	l.asked = false
 	select {
-	case l.out <- wire.ToAgent{Quiet: true}:
+	case l.out <- wire.ToAgent{Drained: true}:
 	default:
 		l.fleet.log.Warn().Str("node_vm", string(l.vm)).Msg("quiet_not_said") // it ends without
 	}
@@ -173,7 +173,7 @@
 			return err
 		}
 		switch {
-		case m.Signs:
+		case m.InterimAnswers:
 			l.setSigns()
 		case m.Stopping:
 			stopping = true
--- a/entry/link_test.go
+++ b/entry/link_test.go
@@ -32,7 +32,7 @@
 
 // TestQuiet follows a link to an agent that stops.
 func TestQuiet(t *testing.T) {
-	quiet := wire.ToAgent{Quiet: true}
+	quiet := wire.ToAgent{Drained: true}
 	t.Run("none on its way", func(t *testing.T) {
 		l, out := newTestLink()
 		l.stop()
--- a/node/client.go
+++ b/node/client.go
@@ -108,7 +108,7 @@
 	c.mu.Unlock()
 	hello := c.h.Hello()
 	hello.Version = wire.Version
-	hello.Have = c.table.Revision()
+	hello.TableRevision = c.table.Revision()
 	if err := conn.Send(ctx, wire.ToControl{Hello: &hello}); err != nil {
 		return err
 	}
@@ -180,7 +180,7 @@
 
 func (c *Client) beatMessage() wire.ToControl {
 	b := c.h.Beat()
-	b.Have = c.table.Revision()
+	b.TableRevision = c.table.Revision()
 	return wire.ToControl{Heartbeat: &b}
 }
 
--- a/queue/blame.go
+++ b/queue/blame.go
@@ -144,20 +144,20 @@
 
 // BaseRate is how often executors crash that no task is to blame for.
 type BaseRate struct {
-	Mille int64 `cbor:"1,keyasint,omitempty"` // crashes, in thousandths, as far as no task was their likely cause
-	VMMS  int64 `cbor:"2,keyasint,omitempty"` // for how long VMs were watched, ms, summed up over them
+	CrashesMilli int64 `cbor:"1,keyasint,omitempty"` // crashes, in thousandths, as far as no task was their likely cause
+	ObservedMS   int64 `cbor:"2,keyasint,omitempty"` // for how long VMs were watched, ms, summed up over them
 }
 
 // weight is the rate at which one executor crashes, and never 0.
 func (b *BaseRate) weight() int64 {
-	return max(1, (1000+b.Mille)*(weightScale/1000)/(ordinaryMS+b.VMMS))
+	return max(1, (1000+b.CrashesMilli)*(weightScale/1000)/(ordinaryMS+b.ObservedMS))
 }
 
 // note counts a crash that no task caused, with a probability in thousandths.
-func (b *BaseRate) note(mille int64) { b.Mille += mille }
+func (b *BaseRate) note(mille int64) { b.CrashesMilli += mille }
 
 // watch counts time, ms, for which VMs were watched.
-func (b *BaseRate) watch(ms int64, vms int) { b.VMMS += ms * int64(vms) }
+func (b *BaseRate) watch(ms int64, vms int) { b.ObservedMS += ms * int64(vms) }
 
 // openTask returns a task that may still run, or nil.
 func (s *State) openTask(k TaskKey) *Task {
--- a/queue/crash_test.go
+++ b/queue/crash_test.go
@@ -156,7 +156,7 @@
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, 1)
 			outage(w)
-			assert.Equal(t, w.s.base.Mille, int64(1000))
+			assert.Equal(t, w.s.base.CrashesMilli, int64(1000))
 		})
 	}
 }
--- a/queue/crashrate.go
+++ b/queue/crashrate.go
@@ -18,19 +18,19 @@
 // CrashHistory is how often a VM's executor has crashed lately, as far as no task was the
 // likely cause. Its times are of the state's clock, ms.
 type CrashHistory struct {
-	Mille   int64 `cbor:"1,keyasint,omitempty"` // crashes in thousandths, as they counted at AtMS
-	AtMS    int64 `cbor:"2,keyasint,omitempty"` // of the newest
-	SinceMS int64 `cbor:"3,keyasint,omitempty"` // of the first one that counts
+	CrashesMilli int64 `cbor:"1,keyasint,omitempty"` // crashes in thousandths, as they counted at AtMS
+	NewestMS     int64 `cbor:"2,keyasint,omitempty"` // of the newest
+	SinceMS      int64 `cbor:"3,keyasint,omitempty"` // of the first one that counts
 }
 
 // mille returns how many crashes count now, in thousandths.
 func (h *CrashHistory) mille(nowMS int64) int64 {
-	age := max(0, nowMS-h.AtMS)
+	age := max(0, nowMS-h.NewestMS)
 	halves := age / crashHalfMS
-	if h.Mille == 0 || halves > 10 {
+	if h.CrashesMilli == 0 || halves > 10 {
 		return 0
 	}
-	left := h.Mille >> halves
+	left := h.CrashesMilli >> halves
 	return left - left/2*(age%crashHalfMS)/crashHalfMS
 }
 
@@ -40,7 +40,7 @@
 	if left < crashPriorMille {
 		left, h.SinceMS = 0, nowMS
 	}
-	h.Mille, h.AtMS = left+mille, nowMS
+	h.CrashesMilli, h.NewestMS = left+mille, nowMS
 }
 
 // weight is the rate at which the executor crashes, in weightScale, where base is that of
--- a/replica/peers.go
+++ b/replica/peers.go
@@ -160,7 +160,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if l := p.links[p.addrOf(leader.ID)]; l != nil {
-		l.push(wire.Peer{Join: &m, Passed: true})
+		l.push(wire.Peer{Join: &m, Forwarded: true})
 	}
 }
 
@@ -327,7 +327,7 @@
 				rep.Step(r.Context(), *m.Quorum)
 			case m.Join != nil:
 				rep.Join(*m.Join)
-				if !m.Passed {
+				if !m.Forwarded {
 					p.passOn(*m.Join, rep.Status().Leader)
 				}
 			case m.Self != nil:
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -21,10 +21,10 @@
 
 // Peer passes between control processes, from the one that dialled.
 type Peer struct {
-	Quorum *quorum.Message `cbor:"1,keyasint,omitempty"`
-	Join   *quorum.Member  `cbor:"2,keyasint,omitempty"` // asks to be added
-	Self   *quorum.Member  `cbor:"3,keyasint,omitempty"` // the sender, once at the start
-	Passed bool            `cbor:"4,keyasint,omitempty"` // Join was passed on by a follower
+	Quorum    *quorum.Message `cbor:"1,keyasint,omitempty"`
+	Join      *quorum.Member  `cbor:"2,keyasint,omitempty"` // asks to be added
+	Self      *quorum.Member  `cbor:"3,keyasint,omitempty"` // the sender, once at the start
+	Forwarded bool            `cbor:"4,keyasint,omitempty"` // Join was passed on by a follower
 }
 
 // NodeKind tells the two kinds of process that hold a session with control.
@@ -61,14 +61,14 @@
 // Hello opens a session. Region, failure domain and group of the sender stand
 // in its place, so that a regional relay can later stand between.
 type Hello struct {
-	Version  int                 `cbor:"1,keyasint"`
-	Kind     NodeKind            `cbor:"2,keyasint"`
-	Process  string              `cbor:"3,keyasint"`
-	Place    rudderfork.Place    `cbor:"4,keyasint"`
-	Boot     string              `cbor:"5,keyasint"` // new with each start of the process
-	Admin    string              `cbor:"6,keyasint"` // host:port of its admin server
-	Have     rudderfork.Revision `cbor:"7,keyasint"` // of the table in force there
-	Register *state.Register     `cbor:"8,keyasint,omitempty"`
+	Version       int                 `cbor:"1,keyasint"`
+	Kind          NodeKind            `cbor:"2,keyasint"`
+	Process       string              `cbor:"3,keyasint"`
+	Place         rudderfork.Place    `cbor:"4,keyasint"`
+	Boot          string              `cbor:"5,keyasint"` // new with each start of the process
+	Admin         string              `cbor:"6,keyasint"` // host:port of its admin server
+	TableRevision rudderfork.Revision `cbor:"7,keyasint"` // of the table in force there
+	Register      *state.Register     `cbor:"8,keyasint,omitempty"`
 }
 
 // Redirect says that another control process leads; Addr may be empty.
@@ -120,11 +120,11 @@
 
 // Heartbeat is the heartbeat of a node. Control answers an agent's with a Grant.
 type Heartbeat struct {
-	Have     rudderfork.Revision `cbor:"1,keyasint"` // of the table in force there
-	Epoch    rudderfork.Token    `cbor:"2,keyasint,omitempty"`
-	Services []ServiceUsage      `cbor:"3,keyasint,omitempty"`
-	Tasks    []TaskUsage         `cbor:"4,keyasint,omitempty"`
-	Leaving  bool                `cbor:"5,keyasint,omitempty"`
+	TableRevision rudderfork.Revision `cbor:"1,keyasint"` // of the table in force there
+	Epoch         rudderfork.Token    `cbor:"2,keyasint,omitempty"`
+	Services      []ServiceUsage      `cbor:"3,keyasint,omitempty"`
+	Tasks         []TaskUsage         `cbor:"4,keyasint,omitempty"`
+	Leaving       bool                `cbor:"5,keyasint,omitempty"`
 
 	// Exhausted says that throttling all tasks was not enough for the services.
 	Exhausted bool `cbor:"6,keyasint,omitempty"`
@@ -194,9 +194,9 @@
 	Probe *Probe `cbor:"1,keyasint,omitempty"`
 	Fence *Fence `cbor:"2,keyasint,omitempty"`
 
-	// Quiet answers ToEntry.Stopping: no request of this entry is on its way to
+	// Drained answers ToEntry.Stopping: no request of this entry is on its way to
 	// the agent, and none will be sent.
-	Quiet bool `cbor:"3,keyasint,omitempty"`
+	Drained bool `cbor:"3,keyasint,omitempty"`
 }
 
 // ToEntry answers it.
@@ -208,10 +208,10 @@
 	// Loads that come after it in the same session may be older.
 	Stopping bool `cbor:"3,keyasint,omitempty"`
 
-	// Signs comes unasked, first in a session: the agent gives signs of life while
+	// InterimAnswers comes unasked, first in a session: the agent gives signs of life while
 	// it has a request that asks for them (relay.GiveSigns). Of an agent that does
 	// not say so, silence says nothing.
-	Signs bool `cbor:"4,keyasint,omitempty"`
+	InterimAnswers bool `cbor:"4,keyasint,omitempty"`
 }
 
 // Probe asks for the present load.
@@ -234,20 +234,20 @@
 	Boot  string           `cbor:"4,keyasint"` // that the claim names
 }
 
-// Fate is what an agent knows of a claimed request.
-type Fate string
+// RequestState is what an agent knows of a claimed request.
+type RequestState string
 
 // The fates.
 const (
-	FateNever   Fate = "never"   // not run, and never will under this token
-	FateRunning Fate = "running" // at the upstream now
-	FateDone    Fate = "done"    // the answer is known
-	FateUnknown Fate = "unknown"
+	RequestNever   RequestState = "never"   // not run, and never will under this token
+	RequestRunning RequestState = "running" // at the upstream now
+	RequestDone    RequestState = "done"    // the answer is known
+	RequestUnknown RequestState = "unknown"
 )
 
 // Fenced answers a Fence.
 type Fenced struct {
 	ID     uint64        `cbor:"1,keyasint"`
-	Fate   Fate          `cbor:"2,keyasint"`
+	State  RequestState  `cbor:"2,keyasint"`
 	Answer *state.Answer `cbor:"3,keyasint,omitempty"`
 }
