--- a/cmd/rudderctl/queues.go
+++ b/cmd/rudderctl/queues.go
@@ -148,7 +148,7 @@
 	return show(list, func(w io.Writer) {
 		fmt.Fprintln(w, "TASK\tQUEUE\tCRASHES\tIN DOUBT\tSUSPICION\tON")
 		for _, t := range list {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.1f%%\t%s\n", t.Task, t.Queue, t.Crashes, t.Doubts, float64(t.Suspicion)/milliPerCent, strings.Join(t.VMs, " "))
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.1f%%\t%s\n", t.Task, t.Queue, t.Crashes, t.UnresolvedLosses, float64(t.Suspicion)/milliPerCent, strings.Join(t.VMs, " "))
 		}
 	})
 }
--- a/scheduler/evacuation.go
+++ b/scheduler/evacuation.go
@@ -50,8 +50,8 @@
 	return known
 }
 
-// startsClosed reports whether nothing more is to be started on a VM.
-func (s *Scheduler) startsClosed(id rudderfork.VMID) (closed bool) {
+// cordoned reports whether nothing more is to be started on a VM.
+func (s *Scheduler) cordoned(id rudderfork.VMID) (closed bool) {
 	s.rep.View(func(st *state.State) {
 		vm := st.Queues().VM(id)
 		closed = vm != nil && st.Queues().Evacuating(vm.Domain)
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -18,9 +18,9 @@
 	// heartbeatLimit is how old the newest heartbeat of a usable VM may be: two of
 	// them and some delay.
 	heartbeatLimit = 1_300 * time.Millisecond
-	// refusalPause keeps a task that was refused back for a moment, so that a
+	// refusalBackOff keeps a task that was refused back for a moment, so that a
 	// VM that refuses everything does not cause a commit after the other.
-	refusalPause = 150 * time.Millisecond
+	refusalBackOff = 150 * time.Millisecond
 	// failureStep is what one failure adds to a VM's doubt, and doubtHalf how
 	// long it takes to lose half of it.
 	failureStep     = 0.5
@@ -39,31 +39,31 @@
 // fleet is what the leader knows of the VMs and runs beside the replicated
 // state. It is guarded by the scheduler's mu.
 type fleet struct {
-	vms       map[rudderfork.VMID]*vmInfo
-	stops     map[rudderfork.RunRef]string // runs that are to end, with why
-	stopsOn   map[rudderfork.VMID]bool     // the VMs of these
-	last      map[rudderfork.VMID][]queue.RunKey
-	noted     map[rudderfork.RunRef]bool // stops that were logged
-	failed    map[queue.TaskKey][]rudderfork.VMID
-	putOff    map[queue.TaskKey]time.Time
-	pruneAt   time.Time
-	pressures *pressures
-	advice    *advice
-	planner   *dispatch.Planner
-	runs      map[queue.RunKey]dispatch.RunView // of all VMs' rows
-	begun     map[rudderfork.JobID]bool         // jobs with such a row, until the state has them as begun
-
-	// regroupAt is when to look next for a serving task that had better run
+	vms          map[rudderfork.VMID]*vmInfo
+	stops        map[rudderfork.RunRef]string // runs that are to end, with why
+	stopsOn      map[rudderfork.VMID]bool     // the VMs of these
+	lastOfStep   map[rudderfork.VMID][]queue.RunKey
+	loggedStops  map[rudderfork.RunRef]bool // stops that were logged
+	failedOn     map[queue.TaskKey][]rudderfork.VMID
+	backOffUntil map[queue.TaskKey]time.Time
+	pruneAt      time.Time
+	pressures    *pressures
+	advice       *advice
+	planner      *dispatch.Planner
+	runs         map[queue.RunKey]dispatch.RunView // of all VMs' rows
+	begun        map[rudderfork.JobID]bool         // jobs with such a row, until the state has them as begun
+
+	// relocateAt is when to look next for a serving task that had better run
 	// elsewhere; moved is the one that was moved last.
-	regroupAt time.Time
-	moved     dispatch.Relocation
-	accountAt time.Time // when the fleet is summed up next
-	expireAt  time.Time // when leases are looked at next
-	short     dispatch.ShortDemand
-	worktimes *worktime.Model
-	swings    *swing.Model
-	// emptying is the VM whose upkeep is next; it gets no new work.
-	emptying rudderfork.VMID
+	relocateAt     time.Time
+	lastRelocation dispatch.Relocation
+	summaryAt      time.Time // when the fleet is summed up next
+	expiryCheckAt  time.Time // when leases are looked at next
+	shortDemand    dispatch.ShortDemand
+	worktimes      *worktime.Model
+	swings         *swing.Model
+	// cordonedForUpkeep is the VM whose upkeep is next; it gets no new work.
+	cordonedForUpkeep rudderfork.VMID
 }
 
 // vmInfo is one VM at the moment.
@@ -107,15 +107,15 @@
 	progressedAt   time.Time
 	pacedDownSince time.Time // since when it is held down; zero if it is not
 
-	workedMS   float64   // at full speed, since seenAt and until takenAt
-	reportedAt time.Time // when a heartbeat last told of it
-	ahead      float64   // of its headroom, as dispatch.RunView has it
+	workedMS       float64   // at full speed, since seenAt and until takenAt
+	reportedAt     time.Time // when a heartbeat last told of it
+	forecastChange float64   // of its headroom, as dispatch.RunView has it
 }
 
 func newFleet() *fleet {
 	return &fleet{
-		vms: map[rudderfork.VMID]*vmInfo{}, stops: map[rudderfork.RunRef]string{}, stopsOn: map[rudderfork.VMID]bool{}, noted: map[rudderfork.RunRef]bool{},
-		failed: map[queue.TaskKey][]rudderfork.VMID{}, putOff: map[queue.TaskKey]time.Time{},
+		vms: map[rudderfork.VMID]*vmInfo{}, stops: map[rudderfork.RunRef]string{}, stopsOn: map[rudderfork.VMID]bool{}, loggedStops: map[rudderfork.RunRef]bool{},
+		failedOn: map[queue.TaskKey][]rudderfork.VMID{}, backOffUntil: map[queue.TaskKey]time.Time{},
 		pressures: newPressures(), advice: newAdvice(), planner: dispatch.NewPlanner(), worktimes: worktime.New(), swings: swing.New(), runs: map[queue.RunKey]dispatch.RunView{},
 		begun: map[rudderfork.JobID]bool{},
 	}
@@ -196,7 +196,7 @@
 // view returns the run as dispatch reads it.
 func (r *runInfo) view() dispatch.RunView {
 	run := dispatch.RunView{
-		Percent: r.status.Percent, FirstPercent: r.firstPercent, FirstSeenAt: rudderfork.Millis(r.firstSeenAt), ProgressedAt: rudderfork.Millis(r.progressedAt), Load: r.status.Load, PacedDownPercent: r.status.PacedDownPercent, ForecastHeadroomChange: r.ahead,
+		Percent: r.status.Percent, FirstPercent: r.firstPercent, FirstSeenAt: rudderfork.Millis(r.firstSeenAt), ProgressedAt: rudderfork.Millis(r.progressedAt), Load: r.status.Load, PacedDownPercent: r.status.PacedDownPercent, ForecastHeadroomChange: r.forecastChange,
 	}
 	if !r.pacedDownSince.IsZero() {
 		run.PacedDownSince = rudderfork.Millis(r.pacedDownSince)
@@ -249,25 +249,25 @@
 func (f *fleet) view(s *queue.State, now time.Time) dispatch.View {
 	view := dispatch.View{
 		Now: rudderfork.Millis(now), VMs: make(map[rudderfork.VMID]dispatch.VMView, len(f.vms)), Runs: f.runs,
-		FailedOn: f.failed, BackOffUntil: map[queue.TaskKey]int64{},
+		FailedOn: f.failedOn, BackOffUntil: map[queue.TaskKey]int64{},
 		Tickets:        f.advice.view(s, now),
 		NoTicketAt:     f.advice.askedAt(),
-		LastRelocation: f.moved,
-		ShortDemand:    f.short,
+		LastRelocation: f.lastRelocation,
+		ShortDemand:    f.shortDemand,
 
-		WorkTime: f.worktimes.Estimate, WorkTimeVersion: f.worktimes.Changes() / worktimesStep,
+		WorkTime: f.worktimes.Estimate, WorkTimeVersion: f.worktimes.Changes() / workTimesBatch,
 		Pressure: func(serving, filler string) float64 { return f.pressures.estimate(serving, filler, now) },
 	}
 	for _, vm := range s.VMs() {
 		v := f.vm(vm.ID)
 		f.pruneRuns(vm, v)
 		view.VMs[vm.ID] = dispatch.VMView{
-			Usable: v.usable(now), Draining: v.heartbeat.Draining, Cordoned: vm.ID == f.emptying, FailureScore: v.failureScore(now), Changes: v.changes,
+			Usable: v.usable(now), Draining: v.heartbeat.Draining, Cordoned: vm.ID == f.cordonedForUpkeep, FailureScore: v.failureScore(now), Changes: v.changes,
 		}
 	}
-	for k, until := range f.putOff {
+	for k, until := range f.backOffUntil {
 		if now.After(until) {
-			delete(f.putOff, k)
+			delete(f.backOffUntil, k)
 			continue
 		}
 		view.BackOffUntil[k] = rudderfork.Millis(until)
@@ -283,17 +283,17 @@
 	if !due(&f.pruneAt, prunePause, now) {
 		return
 	}
-	for k := range f.failed {
+	for k := range f.failedOn {
 		if s.Live()[k.Job] == nil {
-			delete(f.failed, k)
+			delete(f.failedOn, k)
 		}
 	}
 	live := func(id rudderfork.JobID) bool { return s.Live()[id] != nil }
 	f.worktimes.Prune(live)
 	f.swings.Prune(live)
-	for ref := range f.noted {
+	for ref := range f.loggedStops {
 		if _, ok := f.stops[ref]; !ok {
-			delete(f.noted, ref)
+			delete(f.loggedStops, ref)
 		}
 	}
 }
@@ -311,17 +311,17 @@
 	}
 }
 
-// regroupPause is between two looks for a serving task to move, which weigh each
+// relocatePause is between two looks for a serving task to move, which weigh each
 // against all VMs.
-const regroupPause = 500 * time.Millisecond
+const relocatePause = 500 * time.Millisecond
 
-func (f *fleet) regroupDue(now time.Time) bool { return due(&f.regroupAt, regroupPause, now) }
+func (f *fleet) relocateDue(now time.Time) bool { return due(&f.relocateAt, relocatePause, now) }
 
-// accountPause is between two accounts of the fleet in the log: a day of them is a
+// summaryPause is between two accounts of the fleet in the log: a day of them is a
 // few megabytes.
-const accountPause = 2 * time.Second
+const summaryPause = 2 * time.Second
 
-func (f *fleet) accountDue(now time.Time) bool { return due(&f.accountAt, accountPause, now) }
+func (f *fleet) summaryDue(now time.Time) bool { return due(&f.summaryAt, summaryPause, now) }
 
 // due reports whether a time has come, and sets the next one.
 func due(at *time.Time, pause time.Duration, now time.Time) bool {
@@ -339,19 +339,19 @@
 	for _, st := range stops {
 		f.stopsOn[st.VM] = true
 		f.stops[st.Task.Ref(st.Run)] = st.Reason
-		if st.Reason == dispatch.ReasonRelocated && (f.moved.Task != st.Task || f.moved.Run != st.Run) {
-			f.moved = dispatch.Relocation{Task: st.Task, Run: st.Run, At: rudderfork.Millis(now)}
+		if st.Reason == dispatch.ReasonRelocated && (f.lastRelocation.Task != st.Task || f.lastRelocation.Run != st.Run) {
+			f.lastRelocation = dispatch.Relocation{Task: st.Task, Run: st.Run, At: rudderfork.Millis(now)}
 		}
 	}
 }
 
-// noteStop reports whether a stop is new.
-func (f *fleet) noteStop(st dispatch.Stop) bool {
+// markStopLogged reports whether a stop is new.
+func (f *fleet) markStopLogged(st dispatch.Stop) bool {
 	ref := st.Task.Ref(st.Run)
-	if f.noted[ref] {
+	if f.loggedStops[ref] {
 		return false
 	}
-	f.noted[ref] = true
+	f.loggedStops[ref] = true
 	return true
 }
 
@@ -368,24 +368,24 @@
 		v.addFailures(-failureStep, now)
 	case e.Outcome == queue.OutcomeFailed, e.Outcome == queue.OutcomeRefused, f.stops[ref] == dispatch.ReasonStalled, f.stops[ref] == dispatch.ReasonSlow:
 		v.addFailures(failureStep, now)
-		f.failedOn(e.Task, vm)
+		f.recordFailedOn(e.Task, vm)
 	}
 	if e.Outcome == queue.OutcomeRefused && e.Reason == rudderfork.StartTicket.String() {
 		f.advice.dropTicket(e.Task.StepKey(), vm)
 	}
 	if e.Outcome == queue.OutcomeRefused {
-		f.putOff[e.Task] = now.Add(refusalPause)
+		f.backOffUntil[e.Task] = now.Add(refusalBackOff)
 	}
 }
 
-// workedSpan is how long a lasting task must have been at work for its failure to say nothing
+// minWorkedSpan is how long a lasting task must have been at work for its failure to say nothing
 // of the VM: one that fails what it starts does so sooner.
-const workedSpan = 2 * time.Second
+const minWorkedSpan = 2 * time.Second
 
 // hadWorked reports whether a run that has ended was at work for long.
 func (v *vmInfo) hadWorked(e queue.End, now time.Time) bool {
 	r := v.runs[e.Task]
-	return r != nil && r.status.Run == e.Run && r.status.Percent == fullPercent && now.Sub(r.firstSeenAt) >= workedSpan
+	return r != nil && r.status.Run == e.Run && r.status.Percent == fullPercent && now.Sub(r.firstSeenAt) >= minWorkedSpan
 }
 
 // recordCrash draws conclusions from a life of a VM's executor that a new one follows.
@@ -400,7 +400,7 @@
 		v.addCrash(now)
 	}
 	for _, k := range tasks {
-		f.failedOn(k, vm.ID)
+		f.recordFailedOn(k, vm.ID)
 	}
 }
 
@@ -415,17 +415,17 @@
 	v.lostEpoch = vm.Epoch
 	v.addCrash(now)
 	for k := range vm.Runs() {
-		f.failedOn(k, vm.ID)
+		f.recordFailedOn(k, vm.ID)
 	}
 }
 
-func (f *fleet) failedOn(k queue.TaskKey, vm rudderfork.VMID) {
-	list := f.failed[k]
+func (f *fleet) recordFailedOn(k queue.TaskKey, vm rudderfork.VMID) {
+	list := f.failedOn[k]
 	if slices.Contains(list, vm) {
 		return
 	}
 	if len(list) >= maxFailedOn {
 		list = list[1:]
 	}
-	f.failed[k] = append(list, vm)
+	f.failedOn[k] = append(list, vm)
 }
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -21,14 +21,14 @@
 		f := newFleet()
 		f.setStops([]dispatch.Stop{stop}, at)
 		f.setStops([]dispatch.Stop{stop}, at.Add(time.Second))
-		assert.Equal(t, f.moved, dispatch.Relocation{Task: key, Run: 1, At: rudderfork.Millis(at)})
+		assert.Equal(t, f.lastRelocation, dispatch.Relocation{Task: key, Run: 1, At: rudderfork.Millis(at)})
 	})
 	t.Run("a stop for another reason is no relocation", func(t *testing.T) {
 		f := newFleet()
 		other := stop
 		other.Reason = dispatch.ReasonSlow
 		f.setStops([]dispatch.Stop{other}, at)
-		assert.Equal(t, f.moved, dispatch.Relocation{})
+		assert.Equal(t, f.lastRelocation, dispatch.Relocation{})
 	})
 	t.Run("upkeep counts a task that is being relocated as away", func(t *testing.T) {
 		s := &Scheduler{fleet: newFleet()}
--- a/scheduler/gone.go
+++ b/scheduler/gone.go
@@ -15,8 +15,8 @@
 // The ways.
 const (
 	incarnationReplaced incarnationEnd = "replaced" // another one describes itself
-	incarnationLapsed   incarnationEnd = "lapsed"   // its lease ran out
-	incarnationLeft     incarnationEnd = "left"     // it said farewell
+	incarnationExpired  incarnationEnd = "lapsed"   // its lease ran out
+	incarnationDeparted incarnationEnd = "left"     // it said farewell
 )
 
 // maxGoneLogged bounds the runs that one line names.
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -143,7 +143,7 @@
 	s.closeSessions()
 	s.term = term
 	s.fleet = newFleet()
-	s.fleet.moved.At = rudderfork.Millis(now) // the leader before may have just moved a task
+	s.fleet.lastRelocation.At = rudderfork.Millis(now) // the leader before may have just moved a task
 	for _, vm := range vms {
 		s.fleet.vm(vm).lease.AssumeLease(now.Add(s.cfg.Lease))
 	}
@@ -219,7 +219,7 @@
 	if res.Code == queue.OK {
 		s.met.lost.Inc()
 	}
-	s.logGone(l.VM, incarnationLapsed, res)
+	s.logGone(l.VM, incarnationExpired, res)
 	s.log.Warn().Str("lost_vm", string(l.VM)).Str("life", l.Incarnation).Str("result", string(res.Code)).Msg("vm_lost")
 	s.record("vm_lost", string(l.VM), "its lease ran out and it did not come back")
 }
@@ -230,7 +230,7 @@
 	s.rep.View(func(st *state.State) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if !due(&s.fleet.expireAt, roundPause, now) {
+		if !due(&s.fleet.expiryCheckAt, roundPause, now) {
 			return
 		}
 		for _, vm := range st.Queues().VMs() {
@@ -256,12 +256,12 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		view := s.fleet.view(st.Queues(), began)
-		view.Relocate = s.fleet.regroupDue(began)
-		view.Summarize = s.fleet.accountDue(began)
+		view.Relocate = s.fleet.relocateDue(began)
+		view.Summarize = s.fleet.summaryDue(began)
 		plan = s.fleet.planner.Plan(st.Queues(), view)
 		s.fleet.setStops(plan.Stops, began)
-		s.fleet.short.Observe(plan.ShortTasks, view.Now)
-		s.fleet.last = plan.LastOfStep
+		s.fleet.shortDemand.Observe(plan.ShortTasks, view.Now)
+		s.fleet.lastOfStep = plan.LastOfStep
 		begun = s.fleet.newlyBegun(st.Queues())
 		if plan.Summary != nil {
 			forecasts = s.fleet.forecasts()
@@ -270,7 +270,7 @@
 	t.plan = steady.Now().Sub(began)
 	s.met.plan.Observe(t.plan.Seconds())
 	if plan.Summary != nil {
-		s.logAccount(plan.Summary, forecasts)
+		s.logSummary(plan.Summary, forecasts)
 		s.logOverdue()
 	}
 	s.logStops(plan.Stops)
@@ -293,7 +293,7 @@
 	s.logStarts(plan.Starts, res.Numbers)
 }
 
-func (s *Scheduler) logAccount(a *dispatch.FleetSummary, forecasts int) {
+func (s *Scheduler) logSummary(a *dispatch.FleetSummary, forecasts int) {
 	s.log.Info().Int("vms", a.VMs).Int("serving", a.Serving).Int("serving_images", a.ServingImages).
 		Int("fillers", a.Fillers).Int("waiting_fillers", a.WaitingFillers).Int("waiting_others", a.WaitingOthers).
 		Float64("filler_cores", a.FillerCores).Float64("paced_cores", a.PacedCores).
@@ -324,7 +324,7 @@
 func (s *Scheduler) logStops(stops []dispatch.Stop) {
 	for _, st := range stops {
 		s.mu.Lock()
-		fresh := s.fleet.noteStop(st)
+		fresh := s.fleet.markStopLogged(st)
 		s.mu.Unlock()
 		if !fresh {
 			continue
--- a/scheduler/session.go
+++ b/scheduler/session.go
@@ -55,7 +55,7 @@
 	fullListDeadline time.Time
 	ordersVersion    vmVersion // for which orders were worked out last
 
-	closed        bool // the last orders said that nothing more is started on the VM
+	cordoned      bool // the last orders said that nothing more is started on the VM
 	startsSent    map[rudderfork.RunRef]bool
 	stopsSent     map[rudderfork.RunRef]bool    // sent
 	pressuresSent map[interference.Pair]float64 // pressures that were sent
--- a/scheduler/simfleet_test.go
+++ b/scheduler/simfleet_test.go
@@ -192,7 +192,7 @@
 	clear(v.begunAt)
 	s.fleet.recordLoss(s.qs.VM(v.id), s.leaderTime())
 	res := s.apply(queue.Command{Lost: &queue.VMLoss{VM: v.id, Incarnation: v.incarnationName()}})
-	s.scheduler().logGone(v.id, incarnationLapsed, res)
+	s.scheduler().logGone(v.id, incarnationExpired, res)
 }
 
 func (s *simFleet) sendHeartbeat(v *simVM) {
@@ -258,7 +258,7 @@
 	view := s.fleet.view(s.qs, s.leaderTime())
 	plan = s.fleet.planner.Plan(s.qs, view)
 	s.fleet.setStops(plan.Stops, s.leaderTime())
-	s.fleet.short.Observe(plan.ShortTasks, view.Now)
+	s.fleet.shortDemand.Observe(plan.ShortTasks, view.Now)
 	if len(plan.Starts) == 0 {
 		return plan
 	}
--- a/scheduler/swings.go
+++ b/scheduler/swings.go
@@ -51,10 +51,10 @@
 		if w, ok := f.swings.Forecast(s.CurrentQueue(j).Name, k.StepKey(), now); ok {
 			ahead = w.Min(foreseen) - w.After(-figureAge)
 		}
-		if math.Abs(ahead-r.ahead) < leastAhead {
+		if math.Abs(ahead-r.forecastChange) < leastAhead {
 			continue
 		}
-		r.ahead = ahead
+		r.forecastChange = ahead
 		f.runs[k.Run(r.status.Run)] = r.view()
 		v.changes++
 	}
@@ -64,7 +64,7 @@
 func (f *fleet) forecasts() (n int) {
 	for _, v := range f.vms {
 		for _, r := range v.runs {
-			if r.ahead != 0 {
+			if r.forecastChange != 0 {
 				n++
 			}
 		}
--- a/scheduler/upkeep.go
+++ b/scheduler/upkeep.go
@@ -251,7 +251,7 @@
 			continue
 		}
 		on := tasks[i].Runs[0]
-		if s.fleet.moved.Covers(k, on.Number, now) {
+		if s.fleet.lastRelocation.Covers(k, on.Number, now) {
 			n++
 			continue
 		}
@@ -294,5 +294,5 @@
 	u.next = name
 	u.s.mu.Lock()
 	defer u.s.mu.Unlock()
-	u.s.fleet.emptying = vm
+	u.s.fleet.cordonedForUpkeep = vm
 }
--- a/scheduler/views.go
+++ b/scheduler/views.go
@@ -56,20 +56,20 @@
 
 // SuspectView is a task under which executors have crashed, as operators see it.
 type SuspectView struct {
-	Task      string   `json:"task"`
-	Queue     string   `json:"queue"`
-	Crashes   int      `json:"crashes"`
-	Doubts    int      `json:"doubts"`    // runs on VMs that fell silent and are not back
-	Suspicion int      `json:"suspicion"` // thousandths
-	Suspect   bool     `json:"suspect"`   // it runs apart from other suspects
-	VMs       []string `json:"on"`
+	Task             string   `json:"task"`
+	Queue            string   `json:"queue"`
+	Crashes          int      `json:"crashes"`
+	UnresolvedLosses int      `json:"doubts"`    // runs on VMs that fell silent and are not back
+	Suspicion        int      `json:"suspicion"` // thousandths
+	Suspect          bool     `json:"suspect"`   // it runs apart from other suspects
+	VMs              []string `json:"on"`
 }
 
 func suspectViews(s *queue.State) []SuspectView {
 	views := []SuspectView{}
 	for _, a := range s.CrashedTasks() {
 		v := SuspectView{
-			Task: a.Key.String(), Queue: s.Job(a.Key.Job).Queue.Name, Crashes: a.Task.Crashes, Doubts: a.Task.UnresolvedLosses,
+			Task: a.Key.String(), Queue: s.Job(a.Key.Job).Queue.Name, Crashes: a.Task.Crashes, UnresolvedLosses: a.Task.UnresolvedLosses,
 			Suspicion: a.Task.Suspicion, Suspect: a.Task.Suspect(), VMs: []string{},
 		}
 		for _, r := range a.Task.Runs {
--- a/scheduler/vm.go
+++ b/scheduler/vm.go
@@ -17,7 +17,7 @@
 	ses.s.rep.View(func(st *state.State) {
 		ses.s.mu.Lock()
 		defer ses.s.mu.Unlock()
-		before := ses.closed
+		before := ses.cordoned
 		o = ses.newOrders(st.Queues())
 		news = o.Full || o.Cordoned != before || len(o.Start)+len(o.Stop) > 0
 	})
@@ -27,7 +27,7 @@
 // mayHaveOrders reports whether there may be news for the session's VM. The caller holds mu.
 func (ses *session) mayHaveOrders(qs *queue.State) bool {
 	vm := qs.VM(ses.vm)
-	return vm != nil && (ses.ordersVersion != versionOf(vm) || ses.s.fleet.stopsOn[ses.vm] || ses.closed != qs.Evacuating(vm.Domain))
+	return vm != nil && (ses.ordersVersion != versionOf(vm) || ses.s.fleet.stopsOn[ses.vm] || ses.cordoned != qs.Evacuating(vm.Domain))
 }
 
 // newOrders compares what was sent with what is to run. The caller holds mu.
@@ -44,7 +44,7 @@
 	ses.fullListSent = true
 	ses.ordersVersion = versionOf(vm)
 	o.Cordoned = qs.Evacuating(vm.Domain)
-	ses.closed = o.Cordoned
+	ses.cordoned = o.Cordoned
 	active := map[rudderfork.RunRef]bool{}
 	for k, run := range vm.Runs() {
 		ref := k.Ref(run)
@@ -150,7 +150,7 @@
 	if !s.leads(ses.term) {
 		return errNotLeading
 	}
-	grant := wire.VMGrant{Sent: b.Sent, Incarnation: b.VM.Incarnation, Epoch: ses.epoch, Cordoned: s.startsClosed(b.VM.ID)}
+	grant := wire.VMGrant{Sent: b.Sent, Incarnation: b.VM.Incarnation, Epoch: ses.epoch, Cordoned: s.cordoned(b.VM.ID)}
 	s.mu.Lock()
 	v := s.fleet.vm(b.VM.ID)
 	if ses.superseded(v) {
@@ -161,7 +161,7 @@
 	v.session = ses
 	s.fleet.recordHeartbeat(v, b, now)
 	if !b.Unresponsive && ses.epoch != 0 && ses.incarnation == b.VM.Incarnation {
-		for _, k := range s.fleet.last[b.VM.ID] {
+		for _, k := range s.fleet.lastOfStep[b.VM.ID] {
 			grant.LastOfStep = append(grant.LastOfStep, k.Ref(k.Number))
 		}
 		left := v.lease.Grant(time.Unix(0, st.ContactNS), now, s.cfg.Lease)
@@ -431,7 +431,7 @@
 		return err
 	}
 	ses.s.met.left.Inc()
-	ses.s.logGone(vm, incarnationLeft, res)
+	ses.s.logGone(vm, incarnationDeparted, res)
 	ses.s.log.Info().Str("left_vm", string(vm)).Str("life", life).Str("result", string(res.Code)).Msg("vm_left")
 	ses.s.record("vm_left", string(vm), "its executor has left")
 	return nil
--- a/scheduler/worktimes.go
+++ b/scheduler/worktimes.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// worktimesStep is how many tasks are seen between two times that expectations are
+	// workTimesBatch is how many tasks are seen between two times that expectations are
 	// worked out again for all jobs.
-	worktimesStep = 32
-	// mostUnseen is the part of a task's work, in percent, that may have been done before
+	workTimesBatch = 32
+	// maxUnseenPercent is the part of a task's work, in percent, that may have been done before
 	// its run was first heard of for that to tell how long the whole takes.
-	mostUnseen = 60
+	maxUnseenPercent = 60
 )
 
 // worked is how long the run has worked at full speed since it was first heard of, ms.
@@ -24,7 +24,7 @@
 // totalWork is what a run that has ended worked in all, ms; 0 if heartbeats do not tell.
 func (v *vmInfo) totalWork(e queue.End, now time.Time) float64 {
 	r := v.runs[e.Task]
-	if r == nil || r.status.Run != e.Run || r.firstPercent >= mostUnseen {
+	if r == nil || r.status.Run != e.Run || r.firstPercent >= maxUnseenPercent {
 		return 0
 	}
 	return r.worked(now) * fullPercent / float64(fullPercent-r.firstPercent)
