--- a/dispatch/colocate.go
+++ b/dispatch/colocate.go
@@ -204,7 +204,7 @@
 	if known := c.tolerance[image+1]; !math.IsNaN(known) {
 		return known
 	}
-	open := 0.0
+	tolerated := 0.0
 	for filler, part := range p.fillerDemand() {
 		if part == 0 {
 			continue
@@ -216,8 +216,8 @@
 		for i := range c.serving {
 			most = max(most, p.pressure(c.serving[i].image, filler))
 		}
-		open += part / (1 + most*most/(halfTolerancePressure*halfTolerancePressure))
+		tolerated += part / (1 + most*most/(halfTolerancePressure*halfTolerancePressure))
 	}
-	c.tolerance[image+1] = open
-	return open
+	c.tolerance[image+1] = tolerated
+	return tolerated
 }
--- a/dispatch/rank.go
+++ b/dispatch/rank.go
@@ -99,9 +99,9 @@
 	return objectiveMS(row, j, w.estimates(row, j, openOccurrence(j)))
 }
 
-func objectiveMS(row queue.Queue, j *queue.Job, works []float64) int64 {
-	chain := criticalPathMS(j.Spec, works, func(int) bool { return true })
-	return int64(max(1, row.Stretch)*chain) + row.LatencyMS
+func objectiveMS(row queue.Queue, j *queue.Job, workMS []float64) int64 {
+	path := criticalPathMS(j.Spec, workMS, func(int) bool { return true })
+	return int64(max(1, row.Stretch)*path) + row.LatencyMS
 }
 
 // openOccurrence returns the oldest unfinished occurrence of a job, or the last one.
@@ -116,23 +116,23 @@
 
 // pathLeftMS returns the estimated length of the critical path through the unfinished
 // steps of the open occurrence, in ms.
-func pathLeftMS(j *queue.Job, works []float64) int64 {
+func pathLeftMS(j *queue.Job, workMS []float64) int64 {
 	if len(j.Occurrences) == 0 {
 		return 0
 	}
 	o := j.Occurrences[openOccurrence(j)]
-	return int64(criticalPathMS(j.Spec, works, func(step int) bool { return o.Remaining[step] > 0 }))
+	return int64(criticalPathMS(j.Spec, workMS, func(step int) bool { return o.Remaining[step] > 0 }))
 }
 
 // workLeft returns the estimated work of the unfinished tasks of the open occurrence, in
 // thousandths of a core times ms. It is 0 for a lasting job, whose work has no end.
-func workLeft(j *queue.Job, works []float64) (work float64) {
+func workLeft(j *queue.Job, workMS []float64) (work float64) {
 	if hasLastingStep(j) || len(j.Occurrences) == 0 {
 		return 0
 	}
 	o := j.Occurrences[openOccurrence(j)]
 	for i := range j.Spec.Steps {
-		work += expectedWork(&j.Spec.Steps[i], works[i], o.Remaining[i])
+		work += expectedWork(&j.Spec.Steps[i], workMS[i], o.Remaining[i])
 	}
 	return work
 }
@@ -145,14 +145,14 @@
 
 // criticalPathMS returns the length of the longest chain of steps, in ms. Only steps for
 // which counts is true add to it.
-func criticalPathMS(spec queue.Spec, works []float64, counts func(step int) bool) (longest float64) {
+func criticalPathMS(spec queue.Spec, workMS []float64, counts func(step int) bool) (longest float64) {
 	ends := make([]float64, len(spec.Steps))
 	for i, st := range spec.Steps {
 		for _, d := range st.DependsOn {
 			ends[i] = max(ends[i], ends[d])
 		}
 		if counts(i) {
-			ends[i] += works[i]
+			ends[i] += workMS[i]
 		}
 		longest = max(longest, ends[i])
 	}
--- a/dispatch/stops.go
+++ b/dispatch/stops.go
@@ -110,11 +110,11 @@
 	if st.Filler || st.Gang {
 		return false
 	}
-	still := p.view.Now - run.ProgressedAt
+	stalledFor := p.view.Now - run.ProgressedAt
 	if st.Lasting {
-		return run.Percent < 100 && still > startupMS
+		return run.Percent < 100 && stalledFor > startupMS
 	}
-	return still > stallMS
+	return stalledFor > stallMS
 }
 
 const (
--- a/dispatch/summary.go
+++ b/dispatch/summary.go
@@ -19,10 +19,10 @@
 
 // summarize returns the summary of all VMs and waiting tasks.
 func (p *pass) summarize() *FleetSummary {
-	a := &FleetSummary{}
+	s := &FleetSummary{}
 	for _, v := range p.vms {
 		if v.schedulable {
-			p.summarizeVM(a, v)
+			p.summarizeVM(s, v)
 		}
 	}
 	planned := map[queue.StepKey]int{}
@@ -30,38 +30,38 @@
 		planned[st.Task.StepKey()]++
 	}
 	for _, js := range p.jobs {
-		p.summarizeWaiting(a, js, planned)
+		p.summarizeWaiting(s, js, planned)
 	}
-	return a
+	return s
 }
 
-func (p *pass) summarizeVM(a *FleetSummary, v *vmState) {
+func (p *pass) summarizeVM(s *FleetSummary, v *vmState) {
 	const perCore = 1_000
-	a.VMs++
-	a.ServingImages += len(v.colocation.serving)
+	s.VMs++
+	s.ServingImages += len(v.colocation.serving)
 	for i := range v.colocation.serving {
-		a.Serving += v.colocation.serving[i].tasks
+		s.Serving += v.colocation.serving[i].tasks
 	}
-	a.Fillers += len(v.colocation.fillers)
+	s.Fillers += len(v.colocation.fillers)
 	for _, f := range v.colocation.fillers {
-		a.FillerCores += f.cpu / perCore
-		a.PacedCores += f.cpu * (1 - f.speed) / perCore
+		s.FillerCores += f.cpu / perCore
+		s.PacedCores += f.cpu * (1 - f.speed) / perCore
 	}
-	a.IdleCores += max(0, v.colocation.idleCPU) / perCore
-	a.TolerableCores += p.fillerCapacity(&v.colocation, nil, noImage) * v.colocation.totalCPU / perCore
+	s.IdleCores += max(0, v.colocation.idleCPU) / perCore
+	s.TolerableCores += p.fillerCapacity(&v.colocation, nil, noImage) * v.colocation.totalCPU / perCore
 }
 
 // summarizeWaiting adds the ready tasks of a job that the plan does not start.
-func (p *pass) summarizeWaiting(a *FleetSummary, js *jobState, planned map[queue.StepKey]int) {
+func (p *pass) summarizeWaiting(s *FleetSummary, js *jobState, planned map[queue.StepKey]int) {
 	for _, w := range js.waiting {
 		if !p.isReady(js, w) {
 			continue
 		}
 		waiting := max(0, w.tasks-planned[w.StepKey])
 		if js.job.Spec.Steps[w.Step].Filler {
-			a.WaitingFillers += waiting
+			s.WaitingFillers += waiting
 			continue
 		}
-		a.WaitingOthers += waiting
+		s.WaitingOthers += waiting
 	}
 }
