--- a/scheduler/advice.go
+++ b/scheduler/advice.go
@@ -148,7 +148,7 @@
 		// It holds from the answer on; the call's begin is surely before that.
 		l.tickets[lives[life]] = ticket{text, life, began.Add(validity)}
 	}
-	s.kicked.Set()
+	s.roundDue.Set()
 }
 
 // livesOf returns the lives of the VMs asked about, and how long tickets of the
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,10 +1,30 @@
-// Package scheduler is what the leader of the control processes does for the
-// queues: it holds the sessions of fronts and of VMs' agents, grants the VMs
-// their leases, carries out the plans of package dispatch, and answers fronts.
+// Package scheduler is the leader's I/O layer for the queues. It connects the replicated
+// state (package queue, committed by package replica), the planner (package dispatch, which
+// does no I/O) and the nodes: fronts, which submit jobs, and the agents of VMs, which run
+// their tasks.
 //
-// Nothing is told to anyone before it is committed: a front hears that a job is
-// taken, an agent that an end is noted, and a VM what to run, only after the
-// quorum holds it. What is read is read at a point that the quorum confirmed.
+// Every control process has a Scheduler; only the leader's does anything. In each term it
+// begins with an empty fleet: what it knows of VMs and runs beside the replicated state,
+// such as heartbeats, the progress of runs, failure scores and advisers' tickets.
+//
+// Sessions: a node opens one connection to the leader; other control processes redirect
+// it. A front sends requests (ask.go). An agent sends heartbeats (vm.go): they register
+// its VM where that is needed, and the leader answers each with a lease grant. An agent
+// also reports the ends of runs, which are committed and then acknowledged. A session
+// sends its agent orders: the difference between the runs that are committed for the VM
+// and what it has sent before. Its first orders are the full list.
+//
+// Rounds: every 100 ms, or sooner after a change, the leader expires the leases of silent
+// VMs, makes a plan, commits the starts in it, and wakes the sessions that have new orders.
+// Stops are part of the plan and are sent without a commit, since stopping a run twice does
+// nothing; its end is committed once the agent reports it.
+//
+// Nothing is sent before a quorum has committed it: neither to a front that a job is
+// accepted, nor to an agent that an end is recorded, nor to a VM what to run. Fronts' and
+// operators' reads pass a barrier first, so that they see all that was committed before
+// the call.
+//
+// Locks: replica.View takes the replica's lock, so mu is taken inside it, never around it.
 package scheduler
 
 import (
@@ -24,31 +44,31 @@
 )
 
 const (
-	// roundPause is the longest pause between two rounds: leases run out and
-	// stand-stills are seen without any event.
+	// roundPause is the longest pause between two rounds. Leases expire, and stalled runs
+	// are found, without an event that starts a round.
 	roundPause = 100 * time.Millisecond
-	// commandTimeout bounds one command; a leader that cannot commit for so
-	// long has most likely lost its quorum.
+	// commandTimeout bounds one command. A leader that cannot commit for that long has
+	// most likely lost its quorum.
 	commandTimeout = 3 * time.Second
 )
 
-// Settings are those of a scheduler.
+// Settings configures a Scheduler.
 type Settings struct {
-	// Lease is how long a VM may run on without contact to the leader.
+	// Lease is how long a VM may go on running tasks without contact to the leader.
 	Lease time.Duration
-	// StartWindow is how long after its last contact to the leader a VM may start what it
-	// was ordered; 0 means as long as the lease. It bounds how long after an evacuation
-	// is acknowledged a VM that does not hear of it may start something.
+	// StartWindow is how long after its last contact to the leader a VM may start the runs
+	// that it was ordered to; 0 means as long as the lease. After an evacuation is
+	// acknowledged, a VM that cannot be reached may start runs for at most that long.
 	StartWindow time.Duration
-	// StatusRetention is how long the status of a finished job can be asked for.
+	// StatusRetention is how long the status of a finished job is kept.
 	StatusRetention time.Duration
-	// HasDomain reports whether the settings of the moment name a failure domain; nil if
-	// they name none.
+	// HasDomain reports whether the current settings name a failure domain. It may be nil
+	// if they name none.
 	HasDomain func(rudderfork.Domain) bool
 }
 
-// Scheduler is the leader's part for the queues. It runs on every control
-// process and does something only on the leader.
+// Scheduler runs on every control process. It serves nodes and plans only while its process
+// leads.
 type Scheduler struct {
 	cfg Settings
 	rep *replica.Replica
@@ -58,24 +78,24 @@
 
 	adviser rudderfork.Adviser
 
-	kicked wakeup.Signal // a round is due at once
+	roundDue wakeup.Signal // the next round needn't wait for roundPause
 
-	mu       sync.Mutex
-	term     uint64 // for which sessions are taken; 0 while not leading
-	fleet    *fleet
-	sessions map[*session]bool
-	opened   uint64 // sessions until now
+	mu             sync.Mutex
+	term           uint64 // in which sessions are accepted; 0 while not leading
+	fleet          *fleet
+	sessions       map[*session]bool
+	sessionsOpened uint64 // number of the newest session
 
-	losses  sync.WaitGroup        // on their way
-	overdue map[queue.RunKey]bool // runs that were logged as such; of the rounds alone
+	losses  sync.WaitGroup        // commits of VM losses that are under way
+	overdue map[queue.RunKey]bool // runs logged as overdue; only rounds use it
 }
 
-// New returns a scheduler over a replica.
-// adviser may be nil: then nothing of a queue with an adviser runs.
+// New returns a scheduler that commits through rep. If adviser is nil, tasks of queues that
+// need an adviser's ticket are not started.
 func New(cfg Settings, rep *replica.Replica, adviser rudderfork.Adviser, log zerolog.Logger, rec rudderfork.Recorder) *Scheduler {
 	return &Scheduler{
 		cfg: cfg, rep: rep, adviser: adviser, log: log, rec: rec, met: newMetrics(),
-		kicked: wakeup.New(), fleet: newFleet(), sessions: map[*session]bool{},
+		roundDue: wakeup.New(), fleet: newFleet(), sessions: map[*session]bool{},
 	}
 }
 
@@ -96,7 +116,7 @@
 		select {
 		case <-ctx.Done():
 		case <-changed:
-		case <-s.kicked:
+		case <-s.roundDue:
 		case <-wait.C:
 		}
 		wait.Stop()
@@ -105,13 +125,13 @@
 	return ctx.Err()
 }
 
-// round does the leader's duties once.
+// round expires leases, makes a plan, commits its starts and wakes sessions.
 func (s *Scheduler) round(ctx context.Context) (t roundTimes) {
 	bounded, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	if term := s.rep.Status().Term; term != s.currentTerm() {
 		if s.rep.Barrier(bounded) != nil {
-			return t // leadership was lost again
+			return t // this process doesn't lead any more
 		}
 		s.startTerm(term)
 	}
@@ -128,8 +148,8 @@
 	return s.term
 }
 
-// startTerm opens the scheduler for a term. Every live VM may hold a lease that
-// an earlier leader granted until now.
+// startTerm makes the scheduler accept sessions in a term. Any live VM may hold a lease that
+// an earlier leader granted up to this moment, so each is assumed to hold a full one.
 func (s *Scheduler) startTerm(term uint64) {
 	now := steady.Now()
 	var vms []rudderfork.VMID
@@ -143,7 +163,7 @@
 	s.closeSessions()
 	s.term = term
 	s.fleet = newFleet()
-	s.fleet.lastRelocation.At = rudderfork.Millis(now) // the leader before may have just moved a task
+	s.fleet.lastRelocation.At = rudderfork.Millis(now) // the previous leader may have just relocated a task
 	for _, vm := range vms {
 		s.fleet.vm(vm).lease.AssumeLease(now.Add(s.cfg.Lease))
 	}
@@ -168,9 +188,8 @@
 	}
 }
 
-// wakeSessions wakes the sessions whose VMs have something new to be told. (Waking
-// all of them after each round had 240 agents' orders worked out for each change of
-// one.)
+// wakeSessions wakes the sessions that may have new orders for their VMs. Waking all of them
+// after each round would compute the orders of every VM for a change of one.
 func (s *Scheduler) wakeSessions() {
 	s.rep.View(func(st *state.State) {
 		s.mu.Lock()
@@ -183,7 +202,7 @@
 	})
 }
 
-// do commits a command on the queues.
+// do commits a command and returns its result once it is applied.
 func (s *Scheduler) do(ctx context.Context, c queue.Command) (queue.Result, error) {
 	began := steady.Now()
 	res, err := s.rep.Do(ctx, state.Command{Queue: &c})
@@ -191,15 +210,16 @@
 	return res.Queue, err
 }
 
-// expireLeases proposes the losses of VMs whose lease has run out for sure. Their commits share
-// syncs, and the round does not wait for them: what is to start elsewhere can.
+// expireLeases proposes the losses of VMs whose lease has certainly expired. The commits run
+// concurrently, so that they share disk syncs, and the round does not wait for them, so that
+// other tasks start meanwhile.
 func (s *Scheduler) expireLeases(ctx context.Context) {
 	for _, l := range s.expiredLeases() {
 		s.losses.Go(func() { s.commitLoss(ctx, l) })
 	}
 }
 
-// loss is the loss of a VM on its way.
+// loss is the loss of a VM whose commit is under way.
 type loss struct {
 	queue.VMLoss
 	info *vmInfo
@@ -221,10 +241,11 @@
 	}
 	s.logGone(l.VM, incarnationExpired, res)
 	s.log.Warn().Str("lost_vm", string(l.VM)).Str("life", l.Incarnation).Str("result", string(res.Code)).Msg("vm_lost")
-	s.record("vm_lost", string(l.VM), "its lease ran out and it did not come back")
+	s.record("vm_lost", string(l.VM), "its lease expired and it did not return")
 }
 
-// expiredLeases returns the losses that are not on their way yet.
+// expiredLeases returns the losses of VMs whose lease has expired, without those whose
+// commit is under way.
 func (s *Scheduler) expiredLeases() (list []loss) {
 	now := steady.Now()
 	s.rep.View(func(st *state.State) {
@@ -246,7 +267,7 @@
 	return list
 }
 
-// dispatch makes a plan and carries it out.
+// dispatch makes a plan, sends its advice requests and commits its starts.
 func (s *Scheduler) dispatch(ctx context.Context, t *roundTimes) {
 	began := steady.Now()
 	var plan dispatch.Plan
--- a/scheduler/session.go
+++ b/scheduler/session.go
@@ -15,53 +15,56 @@
 )
 
 const (
-	// outQueue bounds the answers that wait for a node that does not read.
+	// outQueue is how many messages may wait for a node that reads slowly; one more ends the
+	// session.
 	outQueue = 256
-	// helloTimeout bounds the opening of a session.
+	// helloTimeout is how long a new connection may take to send its hello.
 	helloTimeout = 2 * time.Second
-	// silenceLimit ends a session that sent nothing for so long; nodes send a
+	// silenceLimit ends a session in which nothing was received for that long; nodes send a
 	// heartbeat twice a second.
 	silenceLimit = 3 * time.Second
-	// fullListTimeout is how long after a full list was sent an agent may not have told that it has
-	// it: two of its heartbeats.
+	// fullListTimeout is how long after a full list was sent an agent's heartbeats may still
+	// show another epoch: two heartbeats.
 	fullListTimeout = time.Second
-	// leaderWait bounds how long a node waits for word of a leader: less than it waits
-	// for a process that does not answer.
+	// leaderWait is how long a hello waits for a leader to be known. It is shorter than the
+	// time after which a node gives up on a process that does not answer.
 	leaderWait = 400 * time.Millisecond
 )
 
 var errNotLeading = errors.New("another control process leads")
 
-// session is the connection of one front or agent.
+// session is the connection of one front or agent. Its read loop (run) handles messages one
+// after the other; a second goroutine sends (write), a third commits reported ends (reports).
 type session struct {
 	s         *Scheduler
 	conn      *wire.Conn[wire.ToQueueNode, wire.FromNode]
 	hello     wire.QueueHello
-	number    uint64 // rises with each session that is opened
+	number    uint64 // rises with each session that is opened on this process
 	term      uint64
 	cancel    context.CancelFunc
 	out       chan wire.ToQueueNode
 	ordersDue wakeup.Signal // orders may have changed
 
-	reports *reportQueue // of an agent
+	reports *reportQueue // ends that an agent reports, until committed
 
 	// Guarded by the scheduler's mu.
-	vm           rudderfork.VMID // of an agent, once its first heartbeat came
-	incarnation  string          // of its executor
-	epoch        uint64          // of the VM; 0 until registered
+	vm           rudderfork.VMID // of an agent, once its VM is registered
+	incarnation  string          // of the VM's executor
+	epoch        uint64          // of the VM's registration; 0 until registered
 	fullListSent bool            // the full list was sent in this epoch
-	firstInTerm  bool            // in the term, of the VM's agent
-	// fullListDeadline is until when the agent may not have told that it has the full list.
+	firstInTerm  bool            // no earlier session of the term had a heartbeat from the VM
+	// fullListDeadline is when the agent's heartbeats must show that it has the full list.
 	fullListDeadline time.Time
-	ordersVersion    vmVersion // for which orders were worked out last
+	ordersVersion    vmVersion // for which orders were computed last
 
-	cordoned      bool // the last orders said that nothing more is started on the VM
-	startsSent    map[rudderfork.RunRef]bool
-	stopsSent     map[rudderfork.RunRef]bool    // sent
-	pressuresSent map[interference.Pair]float64 // pressures that were sent
+	cordoned      bool                          // the last orders said that nothing more is started on the VM
+	startsSent    map[rudderfork.RunRef]bool    // runs whose start was sent, until they end
+	stopsSent     map[rudderfork.RunRef]bool    // of these, the runs whose stop was sent
+	pressuresSent map[interference.Pair]float64 // the values that the agent has
 }
 
-// Accept takes the sessions of fronts and agents.
+// Accept serves a session of a front or an agent until it ends. If another process leads, it
+// sends a redirect.
 func (s *Scheduler) Accept(w http.ResponseWriter, r *http.Request) {
 	c, err := wire.Accept[wire.ToQueueNode, wire.FromNode](w, r, wire.QueueSession)
 	if err != nil {
@@ -83,7 +86,7 @@
 	}
 	ses.reports = newReportQueue(ses.ends)
 	if !s.openOrRedirect(ctx, ses) {
-		_ = c.Send(ctx, wire.ToQueueNode{Redirect: s.redirect()}) // the node asks another if it is lost
+		_ = c.Send(ctx, wire.ToQueueNode{Redirect: s.redirect()}) // if it is lost, the node tries another process
 		return
 	}
 	s.log.Info().Str("node", hello.Process).Msg("queue_session_opened")
@@ -98,14 +101,14 @@
 	case err != nil:
 		return nil, err
 	case m.Hello == nil:
-		return nil, errors.New("the first message is no hello")
+		return nil, errors.New("first message is not a hello")
 	}
 	return m.Hello, wire.CheckVersion(m.Hello.Process, m.Hello.Version)
 }
 
-// open takes a session in, if this process leads now and its duties have begun in
-// the present term. That they have not ended shows nothing: they may be waiting
-// for a commit that will not come.
+// open adds a session if this process leads and its rounds have begun the current term. That
+// a term has begun here and not ended is not enough: a round may be waiting for a commit that
+// never comes, while another process leads.
 func (s *Scheduler) open(ses *session) bool {
 	st := s.rep.Status() // before mu: View takes the replica's lock first
 	s.mu.Lock()
@@ -113,15 +116,15 @@
 	if !st.Leads() || s.term != st.Term {
 		return false
 	}
-	s.opened++
-	ses.number, ses.term = s.opened, s.term
+	s.sessionsOpened++
+	ses.number, ses.term = s.sessionsOpened, s.term
 	s.sessions[ses] = true
 	return true
 }
 
-// openOrRedirect takes a session in, or waits until this process knows who else leads. A
-// fleet that has lost its leader asks all processes at once, and would ask again and again
-// while one is elected.
+// openOrRedirect opens a session, or waits up to leaderWait until it is known which other
+// process leads; false means that the node is to be redirected. Without the wait, a fleet that
+// has lost its leader would reconnect to all processes over and over during the election.
 func (s *Scheduler) openOrRedirect(ctx context.Context, ses *session) (opened bool) {
 	limit := time.NewTimer(leaderWait)
 	defer limit.Stop()
@@ -144,8 +147,8 @@
 	}
 }
 
-// leads reports whether this process still leads in a term. Its duties may be
-// waiting for a commit that will not come, so they are not asked.
+// leads reports whether this process still leads in a term. It asks the replica, since s.term
+// is outdated while a round waits for a commit that never comes.
 func (s *Scheduler) leads(term uint64) bool {
 	st := s.rep.Status()
 	return st.Leads() && st.Term == term
@@ -160,7 +163,7 @@
 	}
 }
 
-// redirect says where the leader is, as far as this process knows.
+// redirect returns the address of the leader, if it is known, and those of all members.
 func (s *Scheduler) redirect() *wire.QueueRedirect {
 	st := s.rep.Status()
 	r := &wire.QueueRedirect{Members: addrsOf(st)}
@@ -201,7 +204,7 @@
 // handle takes a message of the node.
 func (ses *session) handle(ctx context.Context, m wire.FromNode) error {
 	if !ses.s.leads(ses.term) {
-		return errNotLeading // the node finds the one that does
+		return errNotLeading // the node reconnects to the process that does
 	}
 	switch {
 	case m.Request != nil:
@@ -218,7 +221,7 @@
 	return nil
 }
 
-// reply queues a message; a node that reads too little loses the session.
+// reply queues a message for the node. If the queue is full, the session ends.
 func (ses *session) reply(m wire.ToQueueNode) {
 	select {
 	case ses.out <- m:
--- a/scheduler/upkeep.go
+++ b/scheduler/upkeep.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// upkeepPause is between two looks at the waves while there are any, and at
+	// wavePause is between two looks at the waves while there are any, and at
 	// the provider's list.
-	upkeepPause = 500 * time.Millisecond
+	wavePause = 500 * time.Millisecond
 	// idlePause is the same while there are none.
 	idlePause = time.Second
 	// providerTimeout bounds one call to the provider.
 	providerTimeout = 2 * time.Second
-	// settleTime is how long a machine whose upkeep has begun counts as down
+	// listLag is how long a machine whose upkeep has begun counts as down
 	// even if the list, which lags, still calls it up.
-	settleTime = 3 * time.Second
-	// refusalRest is how long a machine rests after an order that was refused, so
+	listLag = 3 * time.Second
+	// refusedUpkeepBackOff is how long a machine rests after an order that was refused, so
 	// that the others of its wave go on.
-	refusalRest = 2 * time.Second
-	// emptyTime is how long a machine is kept from new work before its upkeep, so
+	refusedUpkeepBackOff = 2 * time.Second
+	// drainTime is how long a machine is kept from new work before its upkeep, so
 	// that short tasks end by themselves.
-	emptyTime = 2 * time.Second
+	drainTime = 2 * time.Second
 )
 
 // upkeep carries out the waves: a loop of the leader.
@@ -40,22 +40,22 @@
 	holder   string
 	wait     time.Duration // after an election, until orders are given
 
-	term     uint64
-	ordersAt time.Time            // no orders before
-	begunAt  map[string]time.Time // by machine: when an order may have been carried out
-	refused  map[string]time.Time // by machine: when an order was refused last
+	term       uint64
+	ordersFrom time.Time            // no orders before
+	orderedAt  map[string]time.Time // by machine: when an order may have been carried out
+	refusedAt  map[string]time.Time // by machine: when an order was refused last
 	// outranked says that a newer holder has given orders: this one gives no more
 	// in its term, since its fencing token will not get higher.
-	outranked bool
-	next      string // the machine kept from new work, since nextAt
-	nextAt    time.Time
+	outranked  bool
+	cordoned   string // the machine kept from new work, since nextAt
+	cordonedAt time.Time
 }
 
 // Upkeep returns the service that carries out waves. holder names this process to
 // the provider; wait is how long an earlier leader's orders may still be under
 // way.
 func (s *Scheduler) Upkeep(p rudderfork.Provider, holder string, wait time.Duration) suture.Service {
-	return &upkeep{s: s, provider: p, holder: holder, wait: wait, begunAt: map[string]time.Time{}, refused: map[string]time.Time{}}
+	return &upkeep{s: s, provider: p, holder: holder, wait: wait, orderedAt: map[string]time.Time{}, refusedAt: map[string]time.Time{}}
 }
 
 // String names the service in the supervisor's log.
@@ -66,7 +66,7 @@
 	for ctx.Err() == nil {
 		pause := idlePause
 		if u.round(ctx) {
-			pause = upkeepPause
+			pause = wavePause
 		}
 		steady.Pause(ctx, pause)
 	}
@@ -78,20 +78,20 @@
 	term := u.s.currentTerm()
 	if term == 0 {
 		u.term = 0
-		u.keepFree("", "")
+		u.cordon("", "")
 		return false
 	}
 	now := steady.Now()
 	if term != u.term {
-		u.term, u.ordersAt, u.outranked = term, now.Add(u.wait), false
-		clear(u.begunAt)
+		u.term, u.ordersFrom, u.outranked = term, now.Add(u.wait), false
+		clear(u.orderedAt)
 	}
 	waves := u.s.openWaves()
 	if len(waves) == 0 {
-		u.keepFree("", "")
+		u.cordon("", "")
 		return false
 	}
-	if now.Before(u.ordersAt) || u.outranked {
+	if now.Before(u.ordersFrom) || u.outranked {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, providerTimeout)
@@ -129,14 +129,14 @@
 func (u *upkeep) advance(ctx context.Context, w queue.Wave, byName map[string]rudderfork.Machine, now time.Time) {
 	down := 0
 	for _, name := range w.Machines {
-		if m, known := byName[name]; known && (!m.Up || now.Sub(u.begunAt[name]) < settleTime) {
+		if m, known := byName[name]; known && (!m.Up || now.Sub(u.orderedAt[name]) < listLag) {
 			down++
 		}
 	}
 	// An order without an answer may have been carried out: it goes first, since
 	// asking again is harmless, and the machine counts as down already.
 	for _, name := range w.Remaining() {
-		if at, asked := u.begunAt[name]; asked && now.Sub(at) < settleTime {
+		if at, asked := u.orderedAt[name]; asked && now.Sub(at) < listLag {
 			u.order(ctx, w, name, byName[name].Executor, now)
 			return
 		}
@@ -148,11 +148,11 @@
 	if !ok {
 		return
 	}
-	if u.next != c.machine {
-		u.keepFree(c.machine, c.vm)
-		u.nextAt = now
+	if u.cordoned != c.machine {
+		u.cordon(c.machine, c.vm)
+		u.cordonedAt = now
 	}
-	if now.Sub(u.nextAt) >= emptyTime || rudderfork.Millis(now.Add(emptyTime)) > w.DueMS {
+	if now.Sub(u.cordonedAt) >= drainTime || rudderfork.Millis(now.Add(drainTime)) > w.DueMS {
 		u.order(ctx, w, c.machine, byName[c.machine].Executor, now)
 	}
 }
@@ -168,7 +168,7 @@
 // budget; one that is being emptied stays chosen.
 func (u *upkeep) choose(w queue.Wave, byName map[string]rudderfork.Machine, now time.Time) (best candidate, ok bool) {
 	for _, c := range u.candidates(w, byName, now) {
-		if c.machine == u.next {
+		if c.machine == u.cordoned {
 			return c, true
 		}
 		if !ok || c.runs < best.runs {
@@ -185,7 +185,7 @@
 		defer u.s.mu.Unlock()
 		for _, name := range w.Remaining() {
 			m, known := byName[name]
-			if known && !m.Up || now.Sub(u.refused[name]) < refusalRest {
+			if known && !m.Up || now.Sub(u.refusedAt[name]) < refusedUpkeepBackOff {
 				continue
 			}
 			vm := vmOfExecutor(st.Queues(), m.Executor)
@@ -268,7 +268,7 @@
 // order asks the provider for a machine's upkeep, which ends a life of an executor,
 // and notes what is sure.
 func (u *upkeep) order(ctx context.Context, w queue.Wave, name, executor string, now time.Time) {
-	u.begunAt[name] = now
+	u.orderedAt[name] = now
 	life := u.s.lifeOf(executor) // before the order: the next one may come under the same id
 	err := u.provider.Upkeep(ctx, rudderfork.Issuer{Holder: u.holder, Fence: u.term}, name, w.ID)
 	u.s.log.Info().Uint64("wave", w.ID).Str("machine", name).Int("left", len(w.Remaining())).AnErr("error", err).Msg("upkeep_ordered")
@@ -278,20 +278,20 @@
 		if _, err := u.s.do(ctx, queue.Command{Upkeep: &note}); err != nil {
 			u.s.log.Warn().Err(err).Msg("upkeep_not_committed") // it is ordered again, which changes nothing
 		}
-		u.keepFree("", "")
+		u.cordon("", "")
 	case errors.Is(err, rudderfork.ErrFenced):
 		u.outranked = true
-		u.keepFree("", "")
+		u.cordon("", "")
 	case errors.Is(err, rudderfork.ErrRefused):
-		delete(u.begunAt, name)
-		u.refused[name] = now
-		u.keepFree("", "")
+		delete(u.orderedAt, name)
+		u.refusedAt[name] = now
+		u.cordon("", "")
 	}
 }
 
-// keepFree names the machine that gets no new work, and its VM; or none.
-func (u *upkeep) keepFree(name string, vm rudderfork.VMID) {
-	u.next = name
+// cordon names the machine that gets no new work, and its VM; or none.
+func (u *upkeep) cordon(name string, vm rudderfork.VMID) {
+	u.cordoned = name
 	u.s.mu.Lock()
 	defer u.s.mu.Unlock()
 	u.s.fleet.cordonedForUpkeep = vm
--- a/scheduler/vm.go
+++ b/scheduler/vm.go
@@ -173,7 +173,7 @@
 	ses.reply(wire.ToQueueNode{Grant: &grant})
 	if fresh {
 		ses.ordersDue.Set()
-		s.kicked.Set()
+		s.roundDue.Set()
 	}
 	return nil
 }
