--- a/dispatch/drawn_test.go
+++ b/dispatch/drawn_test.go
@@ -161,23 +161,23 @@
 func (p *reference) rejectReason(j *queue.Job, k queue.TaskKey, vm *queue.VM) string {
 	st := j.Spec.Steps[k.Step]
 	if view := p.view.VMs[vm.ID]; !view.Usable || view.Draining || view.Cordoned {
-		return "unfit"
+		return "not schedulable"
 	}
-	held, alike := vm.Used(), p.s.CountRuns(vm, k)
+	used, sameStep := vm.Used(), p.s.CountRuns(vm, k)
 	for _, s := range p.starts {
 		if s.VM != vm.ID {
 			continue
 		}
-		held = held.Add(p.s.Job(s.Task.Job).Spec.Steps[s.Task.Step].Need())
+		used = used.Add(p.s.Job(s.Task.Job).Spec.Steps[s.Task.Step].Need())
 		if s.Task.StepKey() == k.StepKey() {
-			alike++
+			sameStep++
 		}
 	}
 	switch {
-	case st.MaxPerVM > 0 && alike >= st.MaxPerVM:
+	case st.MaxPerVM > 0 && sameStep >= st.MaxPerVM:
 		return "too many"
-	case !held.Add(st.Need()).Fits(vm.Capacity):
-		return "no room"
+	case !used.Add(st.Need()).Fits(vm.Capacity):
+		return "no capacity"
 	}
 	return p.s.RejectReason(j, k, vm)
 }
@@ -231,14 +231,14 @@
 	cpu, whole := float64(max(1, st.Size.CPUMilli)), float64(vm.Capacity.CPUMilli)
 	speed := min(1, max(0, idle)/cpu)
 	for image, headroom := range headrooms {
-		room := headroom - placementHeadroom
+		slack := headroom - placementHeadroom
 		for _, f := range fillers {
 			if f.unmeasured {
-				room -= p.view.Pressure(image, f.image) * f.cpu / whole
+				slack -= p.view.Pressure(image, f.image) * f.cpu / whole
 			}
 		}
 		if harm := p.view.Pressure(image, st.Image) * cpu / whole; harm >= pace.NegligibleImpact {
-			speed = min(speed, max(0, room)/harm)
+			speed = min(speed, max(0, slack)/harm)
 		}
 	}
 	return speed
@@ -246,13 +246,13 @@
 
 func (p *reference) cost(j *queue.Job, k queue.TaskKey, vm *queue.VM) float64 {
 	st := j.Spec.Steps[k.Step]
-	held := vm.Used()
+	used := vm.Used()
 	for _, s := range p.starts {
 		if s.VM == vm.ID {
-			held = held.Add(p.s.Job(s.Task.Job).Spec.Steps[s.Task.Step].Need())
+			used = used.Add(p.s.Job(s.Task.Job).Spec.Steps[s.Task.Step].Need())
 		}
 	}
-	full := max(share(held.CPUMilli, vm.Capacity.CPUMilli), share(held.MemoryMB, vm.Capacity.MemoryMB))
+	full := max(share(used.CPUMilli, vm.Capacity.CPUMilli), share(used.MemoryMB, vm.Capacity.MemoryMB))
 	c := full + costFailureScore*p.view.VMs[vm.ID].FailureScore
 	if st.DataRack != "" && vm.Rack != st.DataRack {
 		c += costRemoteData
@@ -272,7 +272,7 @@
 func (p *reference) servingCost(st queue.Step, vm *queue.VM) (c float64) {
 	_, tasks, fillers, _ := p.colocated(vm)
 	whole := float64(vm.Capacity.CPUMilli)
-	room := func(extra int64, images ...string) float64 {
+	fillerCapacity := func(extra int64, images ...string) float64 {
 		spare := pace.MaxUtilization*whole - float64(extra)*pace.ServingUtilization
 		for k := range vm.Runs() {
 			spare -= p.nonFillerUse(k)
@@ -284,7 +284,7 @@
 		}
 		return max(0, spare) / whole * p.fillerTolerance(tasks, images)
 	}
-	c = costFillerLoss * (room(0) - room(st.Size.CPUMilli, st.Image))
+	c = costFillerLoss * (fillerCapacity(0) - fillerCapacity(st.Size.CPUMilli, st.Image))
 	all := 0
 	for _, n := range tasks {
 		all += n
--- a/dispatch/last_of_step.go
+++ b/dispatch/last_of_step.go
@@ -7,8 +7,8 @@
 
 // lastOfStepShare is the largest share of a step's tasks that may remain for these to
 // be the last of the step. The rest is done and the job waits for them alone, so pacing
-// them down delays the whole job: without this rule that took 5.7 of the 13.8 s of an
-// average job.
+// them down delays the whole job: without this rule that took 5.7 of the 13.8 s of a
+// job on a busy fleet.
 const lastOfStepShare = 0.15
 
 // lastOfSteps returns, by VM, the runs of fillers that are among the last of their step.
--- a/dispatch/load_test.go
+++ b/dispatch/load_test.go
@@ -43,34 +43,34 @@
 // planIntervalMS is the time between two plans.
 const planIntervalMS = 20
 
-func (l *simulation) id(i int) string { return fmt.Sprintf("job%04d", i) }
+func (sim *simulation) id(i int) string { return fmt.Sprintf("job%04d", i) }
 
 // simulate runs until all jobs are done.
-func (l *simulation) simulate() {
-	next, left := 0, len(l.jobs)
+func (sim *simulation) simulate() {
+	next, left := 0, len(sim.jobs)
 	for left > 0 {
-		l.view.Now += planIntervalMS
-		for ; next < len(l.jobs) && l.jobs[next].at <= l.view.Now; next++ {
-			l.submit(l.jobs[next].queue, l.id(next), l.jobs[next].at, l.jobs[next].spec...)
+		sim.view.Now += planIntervalMS
+		for ; next < len(sim.jobs) && sim.jobs[next].at <= sim.view.Now; next++ {
+			sim.submit(sim.jobs[next].queue, sim.id(next), sim.jobs[next].at, sim.jobs[next].spec...)
 		}
-		for len(l.ends) > 0 && l.ends[0].at <= l.view.Now {
-			e := l.ends[0]
-			l.ends = l.ends[1:]
-			l.s.Apply(queue.Command{Ends: &queue.Ends{
+		for len(sim.ends) > 0 && sim.ends[0].at <= sim.view.Now {
+			e := sim.ends[0]
+			sim.ends = sim.ends[1:]
+			sim.s.Apply(queue.Command{Ends: &queue.Ends{
 				VM: e.start.VM, Incarnation: e.start.Incarnation, List: []queue.End{{Task: e.start.Task, Run: e.run, Outcome: queue.OutcomeDone}},
 			}}, e.at)
 		}
-		left = l.recordDone(next)
-		l.start()
+		left = sim.recordDone(next)
+		sim.start()
 	}
 }
 
 // recordDone records when jobs were done and returns how many are not done.
-func (l *simulation) recordDone(submitted int) (left int) {
-	for i := range l.jobs {
-		j := &l.jobs[i]
-		if i < submitted && j.done == 0 && l.s.Job(rudderfork.JobID(l.id(i))).Status == queue.Completed {
-			j.done = l.s.Job(rudderfork.JobID(l.id(i))).EndedAt
+func (sim *simulation) recordDone(submitted int) (left int) {
+	for i := range sim.jobs {
+		j := &sim.jobs[i]
+		if i < submitted && j.done == 0 && sim.s.Job(rudderfork.JobID(sim.id(i))).Status == queue.Completed {
+			j.done = sim.s.Job(rudderfork.JobID(sim.id(i))).EndedAt
 		}
 		if j.done == 0 {
 			left++
@@ -79,9 +79,9 @@
 	return left
 }
 
-func (l *simulation) start() {
-	plan := l.pl.Plan(l.s, l.view)
-	l.view.ShortDemand.Observe(plan.ShortTasks, l.view.Now)
+func (sim *simulation) start() {
+	plan := sim.pl.Plan(sim.s, sim.view)
+	sim.view.ShortDemand.Observe(plan.ShortTasks, sim.view.Now)
 	var c queue.Command
 	for _, st := range plan.Starts {
 		c.Starts = append(c.Starts, st.Start)
@@ -89,31 +89,31 @@
 	if len(c.Starts) == 0 {
 		return
 	}
-	for i, n := range l.s.Apply(c, l.view.Now).Numbers {
-		assert.Assert(l.t, n > 0)
+	for i, n := range sim.s.Apply(c, sim.view.Now).Numbers {
+		assert.Assert(sim.t, n > 0)
 		st := c.Starts[i]
-		if l.s.Job(st.Task.Job).Spec.Steps[st.Task.Step].Lasting {
+		if sim.s.Job(st.Task.Job).Spec.Steps[st.Task.Step].Lasting {
 			continue
 		}
 		var index int
 		_, err := fmt.Sscanf(string(st.Task.Job), "job%d", &index)
-		assert.NilError(l.t, err)
-		took := float64(l.jobs[index].trueMS[st.Task.Step]) * (1 + 0.15*l.rnd.NormFloat64())
-		l.scheduleEnd(pendingEnd{l.view.Now + max(1, int64(took)), st, n})
+		assert.NilError(sim.t, err)
+		took := float64(sim.jobs[index].trueMS[st.Task.Step]) * (1 + 0.15*sim.rnd.NormFloat64())
+		sim.scheduleEnd(pendingEnd{sim.view.Now + max(1, int64(took)), st, n})
 	}
 }
 
 // scheduleEnd adds a future end of a run.
-func (l *simulation) scheduleEnd(e pendingEnd) {
-	i, _ := slices.BinarySearchFunc(l.ends, e, func(a, b pendingEnd) int { return cmp.Compare(a.at, b.at) })
-	l.ends = slices.Insert(l.ends, i, e)
+func (sim *simulation) scheduleEnd(e pendingEnd) {
+	i, _ := slices.BinarySearchFunc(sim.ends, e, func(a, b pendingEnd) int { return cmp.Compare(a.at, b.at) })
+	sim.ends = slices.Insert(sim.ends, i, e)
 }
 
 // inTimeShare returns the share of a queue's jobs that were done within their objective.
-func (l *simulation) inTimeShare(queueName string) float64 {
-	row, _ := l.s.Document().Queue(queueName)
+func (sim *simulation) inTimeShare(queueName string) float64 {
+	row, _ := sim.s.Document().Queue(queueName)
 	all, good := 0, 0
-	for i, j := range l.jobs {
+	for i, j := range sim.jobs {
 		if j.queue != queueName {
 			continue
 		}
@@ -123,7 +123,7 @@
 		for _, took := range j.trueMS {
 			chain += took
 		}
-		if l.jobs[i].done-j.at <= int64(max(1, row.Stretch)*float64(chain))+row.LatencyMS {
+		if sim.jobs[i].done-j.at <= int64(max(1, row.Stretch)*float64(chain))+row.LatencyMS {
 			good++
 		}
 	}
@@ -131,43 +131,43 @@
 }
 
 // logNormal draws from a log-normal distribution, up to most.
-func (l *simulation) logNormal(mean, spread, most float64) float64 {
-	return min(most, mean*math.Exp(l.rnd.NormFloat64()*spread-spread*spread/2))
+func (sim *simulation) logNormal(mean, spread, most float64) float64 {
+	return min(most, mean*math.Exp(sim.rnd.NormFloat64()*spread-spread*spread/2))
 }
 
 // newRosterLoad returns a load of wide batch jobs that for a while exceeds what the 12 VMs
 // can work off. Submitters' estimates are off by half.
 func newRosterLoad(t *testing.T, seed uint64) *simulation {
-	l := &simulation{fixture: newFixture(t, 0), rnd: rand.New(rand.NewPCG(seed, 2)), pl: NewPlanner()}
-	doc := *l.s.Document()
+	sim := &simulation{fixture: newFixture(t, 0), rnd: rand.New(rand.NewPCG(seed, 2)), pl: NewPlanner()}
+	doc := *sim.s.Document()
 	doc.Version++
 	doc.Queues = []queue.Queue{{Name: "later", Host: host, Prefix: "/later/", Service: "desk", Priority: 2, MaxAttempts: 2, Stretch: 2, LatencyMS: 1_000}}
-	assert.Equal(t, l.s.Apply(queue.Command{Document: &doc}, 1).Code, queue.OK)
+	assert.Equal(t, sim.s.Apply(queue.Command{Document: &doc}, 1).Code, queue.OK)
 	for i := range 12 {
 		id := rudderfork.VMID(fmt.Sprintf("vm%02d", i))
-		l.s.Apply(queue.Command{Register: &queue.VM{ID: id, Incarnation: "life", Service: "desk", Capacity: rudderfork.Resources{CPUMilli: 32_000, MemoryMB: 32_000}}}, 1)
-		l.view.VMs[id] = VMView{Usable: true, Changes: 1}
+		sim.s.Apply(queue.Command{Register: &queue.VM{ID: id, Incarnation: "life", Service: "desk", Capacity: rudderfork.Resources{CPUMilli: 32_000, MemoryMB: 32_000}}}, 1)
+		sim.view.VMs[id] = VMView{Usable: true, Changes: 1}
 	}
 	for at := 1_000.0; at < 30_000; {
 		every := 800.0
 		if at > 8_000 && at < 13_000 {
 			every = 270
 		}
-		at += l.rnd.ExpFloat64() * every
+		at += sim.rnd.ExpFloat64() * every
 		j := simJob{queue: "later", at: int64(at)}
-		for range 1 + l.rnd.IntN(3) {
-			st := fillerStep("roster", int64(l.logNormal(3_500, 0.3, 7_000)))
-			st.Count, st.Size.MemoryMB = int(max(1, l.logNormal(20, 0.6, 80))), 6_400
-			took := l.logNormal(1_700, 0.5, 4_300)
-			st.ExpectedMS = int64(max(1, took*l.logNormal(1, 0.5, 3)))
+		for range 1 + sim.rnd.IntN(3) {
+			st := fillerStep("roster", int64(sim.logNormal(3_500, 0.3, 7_000)))
+			st.Count, st.Size.MemoryMB = int(max(1, sim.logNormal(20, 0.6, 80))), 6_400
+			took := sim.logNormal(1_700, 0.5, 4_300)
+			st.ExpectedMS = int64(max(1, took*sim.logNormal(1, 0.5, 3)))
 			if n := len(j.spec); n > 0 {
 				st.DependsOn = []int{n - 1}
 			}
 			j.spec, j.trueMS = append(j.spec, st), append(j.trueMS, int64(took))
 		}
-		l.jobs = append(l.jobs, j)
+		sim.jobs = append(sim.jobs, j)
 	}
-	return l
+	return sim
 }
 
 // TestInTimeShareUnderOverload checks that jobs with the least remaining work go first
@@ -177,9 +177,9 @@
 	const days, atLeast = 8, 0.52
 	sum := 0.0
 	for seed := range uint64(days) {
-		l := newRosterLoad(t, seed)
-		l.simulate()
-		sum += l.inTimeShare("later")
+		sim := newRosterLoad(t, seed)
+		sim.simulate()
+		sum += sim.inTimeShare("later")
 	}
 	t.Logf("in time: %.3f", sum/days)
 	assert.Assert(t, sum/days >= atLeast, "in time: %.3f on average", sum/days)
--- a/dispatch/quarantine.go
+++ b/dispatch/quarantine.go
@@ -98,7 +98,8 @@
 	)
 }
 
-// isRisky reports whether the task has failed on a VM or the VM has failed often.
+// isRisky reports whether the task has failed on a VM or the VM's failure score is that of
+// a recent failure or more.
 func (p *pass) isRisky(k queue.TaskKey, v *vmState) bool {
 	return v.view.FailureScore >= riskyFailureScore || p.failedCost(k, v) > 0
 }
--- a/dispatch/rank.go
+++ b/dispatch/rank.go
@@ -7,7 +7,7 @@
 )
 
 // worthlessFactor is the multiple of its objective after which a job is worth nothing to
-// its owner: jobs count until they are three times as late as the objective allows.
+// its owner. Later than the objective but within this time it still counts in part.
 const worthlessFactor = 3
 
 // rank orders jobs. Within a priority, jobs that can still be in time go before late ones:
--- a/dispatch/reserve.go
+++ b/dispatch/reserve.go
@@ -6,11 +6,11 @@
 	"rudderfork.example/rudderfork/queue"
 )
 
-// Short and lasting tasks both need processors reserved for them. A lasting task that
-// starts later only loses that time, but a short task that finds no free capacity misses
-// its objective, which leaves it a fraction of a second. So while the VMs are nearly
-// full, a lasting task starts only if capacity remains for as many short tasks as usually
-// run at once.
+// Short tasks and lasting tasks occupy processors of their own, unlike fillers. A lasting
+// task that starts later only loses that time, but a short task that finds no free
+// processors misses its objective, which leaves it a fraction of a second. So while the VMs
+// are nearly full, a lasting task starts only if capacity remains for as many short tasks
+// as usually run at once.
 const (
 	// shortHalfLifeMS is the half-life of an observation of short tasks. Bursts of client
 	// accounts begin and end within this time.
@@ -50,11 +50,11 @@
 	if tasks == 0 {
 		return
 	}
-	each := float64(s.CPUMilli) / tasks
+	size := float64(s.CPUMilli) / tasks
 	if d.cpu == 0 {
-		d.cpu = each
+		d.cpu = size
 	}
-	d.cpu += weight * (each - d.cpu)
+	d.cpu += weight * (size - d.cpu)
 }
 
 // reserve is the capacity kept free for short tasks in a plan.
@@ -65,7 +65,7 @@
 	nearlyFull bool  // utilization exceeds reserveUtilization
 }
 
-// reserveRoom counts the short tasks and computes the reserve.
+// computeReserve counts the short tasks and computes the reserve.
 func (p *pass) computeReserve() {
 	for _, js := range p.jobs {
 		p.countShort(js)
--- a/dispatch/stops.go
+++ b/dispatch/stops.go
@@ -231,6 +231,6 @@
 	return v.view.FailureScore < riskyFailureScore && p.isFeasible(cl, v) && !cl.runsOn(k, v)
 }
 
-// riskyFailureScore is the failure score from which nothing is moved to a VM: less than
-// one failure.
+// riskyFailureScore is the failure score right after one failure. Nothing is moved to a VM
+// with this score or more.
 const riskyFailureScore = 0.5
