--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -30,7 +30,7 @@
 	Usable       bool    // has a session, a lease and an executor that answers polls
 	Draining     bool    // is about to leave
 	Cordoned     bool    // gets no new work because its upkeep is next
-	FailureScore float64 // 0 for a healthy VM; rises with failed, stalled and slow runs and with crashes, and decays
+	FailureScore float64 // 0 for a healthy VM; rises with failures of the VM and its runs, and decays
 
 	// Changes is incremented whenever the view of one of the VM's runs changes. At 0
 	// changes are not counted, and each plan reads the runs again.
