--- a/scheduler/session.go
+++ b/scheduler/session.go
@@ -52,7 +52,7 @@
 	incarnation  string          // of the VM's executor
 	epoch        uint64          // of the VM's registration; 0 until registered
 	fullListSent bool            // the full list was sent in this epoch
-	firstInTerm  bool            // no earlier session of the term had a heartbeat from the VM
+	firstInTerm  bool            // no earlier session of the term has had a heartbeat from the VM
 	// fullListDeadline is when the agent's heartbeats must show that it has the full list.
 	fullListDeadline time.Time
 	ordersVersion    vmVersion // for which orders were computed last
@@ -201,7 +201,7 @@
 	}
 }
 
-// handle takes a message of the node.
+// handle processes one message of the node. An error ends the session.
 func (ses *session) handle(ctx context.Context, m wire.FromNode) error {
 	if !ses.s.leads(ses.term) {
 		return errNotLeading // the node reconnects to the process that does
--- a/scheduler/vm.go
+++ b/scheduler/vm.go
@@ -12,25 +12,28 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// orders returns what the VM has not been told yet.
-func (ses *session) orders() (o *wire.Orders, news bool) {
+// orders returns the orders that were not sent yet; changed is false if there are none.
+func (ses *session) orders() (o *wire.Orders, changed bool) {
 	ses.s.rep.View(func(st *state.State) {
 		ses.s.mu.Lock()
 		defer ses.s.mu.Unlock()
 		before := ses.cordoned
 		o = ses.newOrders(st.Queues())
-		news = o.Full || o.Cordoned != before || len(o.Start)+len(o.Stop) > 0
+		changed = o.Full || o.Cordoned != before || len(o.Start)+len(o.Stop) > 0
 	})
-	return o, news
+	return o, changed
 }
 
-// mayHaveOrders reports whether there may be news for the session's VM. The caller holds mu.
+// mayHaveOrders reports whether there may be orders that the session's VM lacks. It is cheap,
+// and may be true when there are none. The caller holds mu.
 func (ses *session) mayHaveOrders(qs *queue.State) bool {
 	vm := qs.VM(ses.vm)
 	return vm != nil && (ses.ordersVersion != versionOf(vm) || ses.s.fleet.stopsOn[ses.vm] || ses.cordoned != qs.Evacuating(vm.Domain))
 }
 
-// newOrders compares what was sent with what is to run. The caller holds mu.
+// newOrders returns the difference between the VM's committed runs and the orders sent before,
+// and records it as sent. It returns no starts or stops unless the session has the VM's present
+// epoch. The caller holds mu.
 func (ses *session) newOrders(qs *queue.State) *wire.Orders {
 	o := &wire.Orders{Epoch: ses.epoch, Incarnation: ses.incarnation}
 	vm := qs.VM(ses.vm)
@@ -54,8 +57,8 @@
 			ses.startsSent[ref] = true
 			o.Start = append(o.Start, orderOf(j, k, ref))
 		}
-		// A leader that is new has sessions before its first plan. What it knows
-		// from the state goes with the start, so that the agent never makes it.
+		// A new leader has sessions before its first plan. A final job's runs are known
+		// from the state, so their stops go with their starts, and the agent makes neither.
 		_, stop := ses.s.fleet.stops[ref]
 		if (stop || j.Status.Final()) && !ses.stopsSent[ref] {
 			ses.stopsSent[ref] = true
@@ -66,8 +69,8 @@
 		if active[ref] {
 			continue
 		}
-		// Its end is known, or was concluded from elsewhere; stopping what has
-		// ended does nothing.
+		// The run has ended, as the agent reported or as was concluded without it.
+		// Stopping an ended run does nothing.
 		delete(ses.startsSent, ref)
 		if !ses.stopsSent[ref] {
 			o.Stop = append(o.Stop, ref)
@@ -75,7 +78,7 @@
 		delete(ses.stopsSent, ref)
 	}
 	if len(o.Start) > 0 {
-		// A filler's pace is right from its start only if its pressures are known.
+		// The agent needs the pressures to pace a filler correctly from its start on.
 		c := workloadOf(qs, vm, ses.s.fleet.vm(ses.vm))
 		for k := range vm.Runs() {
 			c.add(qs.Job(k.Job).Spec.Steps[k.Step])
@@ -94,17 +97,17 @@
 	}
 }
 
-// errSuperseded means that the VM's agent has spoken in a later session.
+// errSuperseded means that the VM's agent has sent a heartbeat in a later session.
 var errSuperseded = errors.New("the VM's agent has a later session")
 
-// claimVM notes that the VM's agent has spoken in the session, unless it has in a
-// later one: then what comes here was held up on its way, and may be of a life that
-// is over.
+// claimVM records that the VM's agent has sent a heartbeat in the session. It fails if the
+// agent has sent one in a later session: then this heartbeat was delayed on its way, and may be
+// of an incarnation that has ended.
 //
-// Sessions are in the order of their agents' lives. An agent leaves its session
-// before it opens the next, and speaks only after the leader's welcome: the first
-// heartbeat in a session was sent after the session was opened here, by an agent
-// that was in no earlier one any more.
+// The numbers of sessions are in the order in which a VM's agents used them. An agent leaves
+// its session before it opens the next, and sends nothing before the leader's welcome. So the
+// first heartbeat in a session was sent after the session was opened here, by an agent that had
+// left all earlier ones.
 func (ses *session) claimVM(id rudderfork.VMID) error {
 	ses.s.mu.Lock()
 	defer ses.s.mu.Unlock()
@@ -117,7 +120,7 @@
 	return nil
 }
 
-// checkCurrent refuses what comes in a session that the VM's agent has left.
+// checkCurrent returns errSuperseded if the VM's agent has left the session for a later one.
 func (ses *session) checkCurrent(id rudderfork.VMID) error {
 	ses.s.mu.Lock()
 	defer ses.s.mu.Unlock()
@@ -127,12 +130,13 @@
 	return nil
 }
 
-// superseded reports whether the VM's agent has spoken in a later session. The caller
-// holds mu.
+// superseded reports whether the VM's agent has sent a heartbeat in a later session. The
+// caller holds mu.
 func (ses *session) superseded(v *vmInfo) bool { return ses.number < v.latestSession }
 
-// heartbeat takes a VM's heartbeat, registers the VM where that is needed, and
-// grants it a lease.
+// heartbeat processes a VM's heartbeat: it registers the VM if its description is new, records
+// the status of its runs, and replies with a lease grant. A VM whose executor does not respond
+// gets a grant without a lease.
 func (ses *session) heartbeat(ctx context.Context, b wire.VMHeartbeat) error {
 	if err := ses.claimVM(b.VM.ID); err != nil {
 		return err
@@ -155,9 +159,9 @@
 	v := s.fleet.vm(b.VM.ID)
 	if ses.superseded(v) {
 		s.mu.Unlock()
-		return errSuperseded // while the VM was registered
+		return errSuperseded // the later session began during the registration
 	}
-	fresh := v.session != ses
+	firstHeartbeat := v.session != ses
 	v.session = ses
 	s.fleet.recordHeartbeat(v, b, now)
 	if !b.Unresponsive && ses.epoch != 0 && ses.incarnation == b.VM.Incarnation {
@@ -171,15 +175,15 @@
 	s.mu.Unlock()
 	grant.Pressures = ses.observe(now)
 	ses.reply(wire.ToQueueNode{Grant: &grant})
-	if fresh {
+	if firstHeartbeat {
 		ses.ordersDue.Set()
 		s.roundDue.Set()
 	}
 	return nil
 }
 
-// observe draws on the VM's account for the pressures of fillers, and returns those
-// that its agent lacks.
+// observe updates the models of pressure and of load from the VM's heartbeat, and returns the
+// pressures that its agent lacks.
 func (ses *session) observe(now time.Time) (list []wire.PairPressure) {
 	ses.s.rep.View(func(st *state.State) {
 		ses.s.mu.Lock()
@@ -198,7 +202,9 @@
 	return list
 }
 
-// register commits the VM's description if it is new.
+// register commits the VM's description if it is new, and adopts the epoch of its registration.
+// It returns nil without having registered if the VM may not be registered yet; the next
+// heartbeat tries again.
 func (ses *session) register(ctx context.Context, vm queue.VM, crash *queue.Crash) error {
 	if ses.inSync(vm) {
 		return nil
@@ -213,7 +219,7 @@
 	if err := ses.awaitReports(ctx, vm); err != nil {
 		return err
 	}
-	if ses.registered(vm) {
+	if ses.adoptEpoch(vm) {
 		return nil
 	}
 	ses.s.recordCrash(vm, crash)
@@ -227,36 +233,37 @@
 	ses.s.mu.Lock()
 	ses.s.fleet.vm(vm.ID).lease.AllowGrants()
 	ses.s.mu.Unlock()
-	if !ses.registered(vm) {
+	if !ses.adoptEpoch(vm) {
 		return errNotLeading
 	}
 	return nil
 }
 
-// awaitReports waits for the commits of what the VM's agent has reported, before the VM is
-// registered or a full list is worked out of what is committed. A run that was reported as
-// refused, and is still ordered by the list, would be started by an agent that has
-// forgotten the report, and elsewhere too.
+// awaitReports waits until the ends that the VM's agent has reported are committed. This comes
+// before the VM is registered or a full list is computed from the committed state. Otherwise a
+// run that was reported as refused could still be in the list: the agent, which has dropped the
+// report, would start it while it also starts elsewhere.
 func (ses *session) awaitReports(ctx context.Context, vm queue.VM) error {
-	if err := ses.reports.Wait(ctx); err != nil || ses.firstInTerm || !ses.describedAsKnown(vm) {
+	if err := ses.reports.Wait(ctx); err != nil || ses.firstInTerm || !ses.isRegistered(vm) {
 		return err
 	}
-	// What earlier sessions have proposed is committed before this, or never.
+	// Ends that earlier sessions have proposed are committed before this empty command, or
+	// never.
 	_, err := ses.s.do(ctx, queue.Command{Ends: &queue.Ends{VM: vm.ID, Incarnation: vm.Incarnation}})
 	return err
 }
 
-// describedAsKnown reports whether the VM is live and known as it describes itself, so that it need
-// not be registered.
-func (ses *session) describedAsKnown(vm queue.VM) (ok bool) {
+// isRegistered reports whether the VM is live and registered with the description vm, so that
+// it need not be registered.
+func (ses *session) isRegistered(vm queue.VM) (ok bool) {
 	ses.s.rep.View(func(st *state.State) {
 		ok = st.Queues().VM(vm.ID).RegisteredAs(vm)
 	})
 	return ok
 }
 
-// inSync reports whether the session's orders are of the VM's present epoch, and the VM is
-// known as it describes itself.
+// inSync reports whether the VM is registered with the description vm and the session has the
+// epoch of that registration, so that a heartbeat needs no further step.
 func (ses *session) inSync(vm queue.VM) (ok bool) {
 	ses.s.rep.View(func(st *state.State) {
 		ses.s.mu.Lock()
@@ -267,8 +274,8 @@
 	return ok
 }
 
-// recordCrash draws conclusions on a VM from the end of the life that a new one follows,
-// before that is committed.
+// recordCrash records whether the VM's previous incarnation has crashed, before the
+// registration of the new one is committed and removes it.
 func (s *Scheduler) recordCrash(vm queue.VM, crash *queue.Crash) {
 	s.rep.View(func(st *state.State) {
 		s.mu.Lock()
@@ -277,11 +284,12 @@
 	})
 }
 
-// beginRegistration reports whether a VM may be registered, and gives it time to fetch
-// its first lease. While its loss is being committed it may not: a lease granted
-// after that would outlive the runs it was granted for. Nor while it is registered
-// from another session, so that registrations are committed in the order of the
-// sessions. The registration is to be followed by endRegistration.
+// beginRegistration reports whether a VM may be registered, and if so assumes a full lease, so
+// that the VM has time to get its first grant. The caller calls endRegistration afterwards.
+//
+// A VM may not be registered while its loss is being committed: a lease granted then would
+// outlast the runs that it was granted for. Nor while another session registers it, so that
+// registrations are committed in the order of the sessions.
 func (ses *session) beginRegistration(id rudderfork.VMID) (v *vmInfo, ok bool) {
 	ses.s.rep.View(func(st *state.State) {
 		ses.s.mu.Lock()
@@ -298,17 +306,17 @@
 	return v, ok
 }
 
-// endRegistration lets the VM be registered again. A command without an answer may
-// be committed yet, but before any that is proposed from now on.
+// endRegistration allows further registrations of the VM. A registration that timed out may
+// still be committed, but only before any that is proposed from now on.
 func (ses *session) endRegistration(v *vmInfo) {
 	ses.s.mu.Lock()
 	defer ses.s.mu.Unlock()
 	v.registering = false
 }
 
-// registered reports whether the state knows the VM as it describes itself, and
-// takes over its epoch.
-func (ses *session) registered(vm queue.VM) (ok bool) {
+// adoptEpoch takes over the epoch of the VM's registration if the VM is registered with the
+// description vm, and reports whether it is. A new epoch makes the session send the full list.
+func (ses *session) adoptEpoch(vm queue.VM) (ok bool) {
 	ses.s.rep.View(func(st *state.State) {
 		ses.s.mu.Lock()
 		defer ses.s.mu.Unlock()
@@ -326,7 +334,7 @@
 	return ok
 }
 
-// sendFull has the full list of orders sent. The caller holds mu.
+// sendFull makes the next orders the full list. The caller holds mu.
 func (ses *session) sendFull() {
 	ses.fullListSent = false
 	clear(ses.startsSent)
@@ -334,8 +342,9 @@
 	ses.ordersDue.Set()
 }
 
-// checkEpoch sends an agent the full list again that does not have it, as one that took
-// its executor's life for over and takes it up again.
+// checkEpoch sends the full list again if the agent has lost it. An agent drops its orders when
+// it takes its executor's incarnation to have ended, and lacks them if the same incarnation
+// then turns out to run on.
 func (ses *session) checkEpoch(ctx context.Context, b wire.VMHeartbeat) error {
 	if !ses.lacksList(b) {
 		return nil
@@ -350,17 +359,20 @@
 	return nil
 }
 
-// lacksList reports whether an agent does not have the full list that was sent to it.
+// lacksList reports whether the agent's heartbeat shows another epoch although it has had time
+// to receive the full list.
 func (ses *session) lacksList(b wire.VMHeartbeat) bool {
 	ses.s.mu.Lock()
 	defer ses.s.mu.Unlock()
 	return b.Epoch != nil && *b.Epoch != ses.epoch && ses.incarnation == b.VM.Incarnation && ses.fullListSent && !steady.Now().Before(ses.fullListDeadline)
 }
 
-// ends commits the ends that a VM reports, then says so. A session that was left
-// reports none: its agent may have been refused a start that the next one made again,
-// and taking the refusal would let the run start elsewhere beside it. An agent that
-// lives reports again in its next session, and so does the executor what it lists.
+// ends commits the ends that a VM reports, then acknowledges them.
+//
+// Reports of a superseded session are dropped. A start that was refused there may have been
+// made again in the later session; committing the refusal would let the task start elsewhere
+// beside that run. Nothing is lost: the agent repeats its reports in its next session, and an
+// executor goes on to list the runs that have ended.
 func (ses *session) ends(ctx context.Context, r wire.EndsReport) error {
 	if err := ses.checkCurrent(r.Ends.VM); err != nil {
 		return err
@@ -392,10 +404,10 @@
 	return nil
 }
 
-// recordEnds draws conclusions on a VM from the ends that it reports, before they are
-// committed: the plan that finds a task without a run is to know why it is. It returns what
-// each run worked, which is dropped with the run. A run that is not active was learned of
-// before.
+// recordEnds records for the planner what reported ends say of a VM. It comes before their
+// commit, so that the first plan that finds a task without a run knows why. Ends of runs that
+// are not active are skipped, as they were recorded before. It returns how long each run
+// worked, in ms, since that is dropped with the run.
 func (s *Scheduler) recordEnds(ends queue.Ends) (worked []float64) {
 	worked = make([]float64, len(ends.List))
 	s.rep.View(func(st *state.State) {
@@ -412,7 +424,7 @@
 	return worked
 }
 
-// observeWorkTime draws on how long a run worked that has ended.
+// observeWorkTime passes the work time of a run that has ended, in ms, to the model.
 func (ses *session) observeWorkTime(e queue.End, worked float64, now time.Time) {
 	ses.s.rep.View(func(st *state.State) {
 		ses.s.mu.Lock()
@@ -421,10 +433,11 @@
 	})
 }
 
-// endDeparted ends the runs of a life that has endDeparted, without waiting for its lease.
-func (ses *session) endDeparted(ctx context.Context, vm rudderfork.VMID, life string) error {
+// endDeparted commits the loss of an incarnation that has sent its shutdown notice, so that its
+// runs end without waiting for its lease to expire.
+func (ses *session) endDeparted(ctx context.Context, vm rudderfork.VMID, inc string) error {
 	ses.s.mu.Lock()
-	lost := queue.VMLoss{VM: vm, Incarnation: life, Checkpoints: ses.s.fleet.vm(vm).checkpoints(), Departed: true}
+	lost := queue.VMLoss{VM: vm, Incarnation: inc, Checkpoints: ses.s.fleet.vm(vm).checkpoints(), Departed: true}
 	ses.s.mu.Unlock()
 	res, err := ses.s.do(ctx, queue.Command{Lost: &lost})
 	if err != nil {
@@ -432,7 +445,7 @@
 	}
 	ses.s.met.left.Inc()
 	ses.s.logGone(vm, incarnationDeparted, res)
-	ses.s.log.Info().Str("left_vm", string(vm)).Str("life", life).Str("result", string(res.Code)).Msg("vm_left")
-	ses.s.record("vm_left", string(vm), "its executor has left")
+	ses.s.log.Info().Str("left_vm", string(vm)).Str("life", inc).Str("result", string(res.Code)).Msg("vm_left")
+	ses.s.record("vm_left", string(vm), "its executor gave a shutdown notice")
 	return nil
 }
