--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -15,83 +15,82 @@
 )
 
 const (
-	// heartbeatLimit is how old the newest heartbeat of a usable VM may be: two of
-	// them and some delay.
+	// heartbeatLimit is how old the newest heartbeat of a usable VM may be: two heartbeat
+	// intervals of 500 ms and some delay.
 	heartbeatLimit = 1_300 * time.Millisecond
-	// refusalBackOff keeps a task that was refused back for a moment, so that a
-	// VM that refuses everything does not cause a commit after the other.
+	// refusalBackOff delays the next start of a task that a VM refused, so that a VM that
+	// refuses everything does not cause one commit after the other.
 	refusalBackOff = 150 * time.Millisecond
-	// failureStep is what one failure adds to a VM's doubt, and doubtHalf how
-	// long it takes to lose half of it.
+	// failureStep is what one failure adds to a VM's failure score, and failureHalfLife how
+	// long it takes to lose half of that.
 	failureStep     = 0.5
 	failureHalfLife = 3 * time.Second
-	// crashHalfLife is how long it takes until a crash of a VM's executor counts half. The first
-	// one is an ordinary crash; each further one adds doubtStep to the VM's doubt.
+	// crashHalfLife is how long it takes until a crash of a VM's executor counts half. The
+	// first crash is not held against the VM; each further one adds failureStep to its
+	// failure score.
 	crashHalfLife = 10 * time.Second
-	// maxFailedOn bounds the VMs remembered for a task.
+	// maxFailedOn is how many VMs are remembered for a task that failed on them.
 	maxFailedOn = 64
-	// pacedDownPercent is the percent by which a filler is paced down that counts as being
-	// held back: what a place where it could begin would gain it, with what a move
-	// costs.
+	// pacedDownPercent is by how many percent of full speed a filler must be paced down for
+	// the planner to consider another place for it. Below that, what it would gain elsewhere
+	// does not make up for the cost of a move.
 	pacedDownPercent = 35
 )
 
-// fleet is what the leader knows of the VMs and runs beside the replicated
-// state. It is guarded by the scheduler's mu.
+// fleet is what the leader knows of VMs and runs beside the replicated state. It is made anew
+// in each term, and guarded by the scheduler's mu.
 type fleet struct {
 	vms          map[rudderfork.VMID]*vmInfo
-	stops        map[rudderfork.RunRef]string // runs that are to end, with why
-	stopsOn      map[rudderfork.VMID]bool     // the VMs of these
-	lastOfStep   map[rudderfork.VMID][]queue.RunKey
-	loggedStops  map[rudderfork.RunRef]bool // stops that were logged
-	failedOn     map[queue.TaskKey][]rudderfork.VMID
-	backOffUntil map[queue.TaskKey]time.Time
+	stops        map[rudderfork.RunRef]string        // runs that the newest plan stops, with the reason
+	stopsOn      map[rudderfork.VMID]bool            // the VMs of these runs
+	lastOfStep   map[rudderfork.VMID][]queue.RunKey  // fillers that the rest of their step waits for
+	loggedStops  map[rudderfork.RunRef]bool          // stops that were logged
+	failedOn     map[queue.TaskKey][]rudderfork.VMID // where a task has failed, oldest first
+	backOffUntil map[queue.TaskKey]time.Time         // tasks that are not started before a time
 	pruneAt      time.Time
 	pressures    *pressures
 	advice       *advice
 	planner      *dispatch.Planner
-	runs         map[queue.RunKey]dispatch.RunView // of all VMs' rows
-	begun        map[rudderfork.JobID]bool         // jobs with such a row, until the state has them as begun
-
-	// relocateAt is when to look next for a serving task that had better run
-	// elsewhere; moved is the one that was moved last.
-	relocateAt     time.Time
-	lastRelocation dispatch.Relocation
-	summaryAt      time.Time // when the fleet is summed up next
-	expiryCheckAt  time.Time // when leases are looked at next
+	runs         map[queue.RunKey]dispatch.RunView // the runs of all VMs, as dispatch reads them
+	begun        map[rudderfork.JobID]bool         // jobs of which a run was reported, until that is committed
+
+	relocateAt     time.Time           // when the planner next looks for a serving task to relocate
+	lastRelocation dispatch.Relocation // the newest one, which may be under way
+	summaryAt      time.Time           // when the fleet is summarized in the log next
+	expiryCheckAt  time.Time           // when leases are checked for expiry next
 	shortDemand    dispatch.ShortDemand
 	worktimes      *worktime.Model
 	swings         *swing.Model
-	// cordonedForUpkeep is the VM whose upkeep is next; it gets no new work.
+	// cordonedForUpkeep is the VM that gets no new tasks since its upkeep is next.
 	cordonedForUpkeep rudderfork.VMID
 }
 
-// vmInfo is one VM at the moment.
+// vmInfo is what the leader knows of one VM.
 type vmInfo struct {
 	lease   runs.Lessor
-	session *session
+	session *session // its agent's; nil if it has none
 	// latestSession is the number of the latest session in which the VM's agent has sent a
-	// heartbeat; registering says that one of them registers the VM.
+	// heartbeat. registering says that a session is registering the VM.
 	latestSession uint64
 	registering   bool
-	lossPending   bool   // its loss is on its way
-	lostEpoch     uint64 // in which its lease ran out last
+	lossPending   bool   // the commit of its loss is under way
+	lostEpoch     uint64 // in which its lease expired last
 
 	heartbeatAt time.Time
-	changes     uint64 // rises with each change of rows
-	// prunedAt is the VM and its changes for which rows were pruned last.
+	changes     uint64 // rises with each change of runs
+	// prunedAt is the version of the VM for which runs were pruned last.
 	prunedAt   vmVersion
-	heartbeat  wire.VMHeartbeat
+	heartbeat  wire.VMHeartbeat // the newest, without the status of runs
 	runs       map[queue.TaskKey]*runInfo
-	failures   float64
+	failures   float64 // the failure score without crashes, as of failuresAt
 	failuresAt time.Time
 
-	crashes            float64 // of its executor, and losses, at crashAt; newer ones count more
+	crashes            float64 // decayed count of its executor's crashes and of losses, as of crashAt
 	crashAt            time.Time
 	crashedIncarnation string // the one whose crash was counted last
 }
 
-// vmVersion tells whether a VM's runs have changed.
+// vmVersion changes whenever the runs that are committed for a VM change.
 type vmVersion struct {
 	vm      *queue.VM
 	changes uint64
@@ -99,17 +98,17 @@
 
 func versionOf(vm *queue.VM) vmVersion { return vmVersion{vm, vm.Changes()} }
 
-// runInfo is one run at the moment.
+// runInfo is what heartbeats have reported of one run.
 type runInfo struct {
-	status         rudderfork.RunStatus
-	firstPercent   int // percent when it was first reported
+	status         rudderfork.RunStatus // the newest
+	firstPercent   int                  // percent when it was first reported
 	firstSeenAt    time.Time
-	progressedAt   time.Time
-	pacedDownSince time.Time // since when it is held down; zero if it is not
+	progressedAt   time.Time // when its percent last changed
+	pacedDownSince time.Time // since when it is paced down by pacedDownPercent or more; zero if it is not
 
-	workedMS       float64   // at full speed, since seenAt and until takenAt
-	reportedAt     time.Time // when a heartbeat last told of it
-	forecastChange float64   // of its headroom, as dispatch.RunView has it
+	workedMS       float64   // work time from firstSeenAt to reportedAt, as if at full speed
+	reportedAt     time.Time // when a heartbeat last reported it
+	forecastChange float64   // forecast change of its headroom, see dispatch.RunView
 }
 
 func newFleet() *fleet {
@@ -130,7 +129,7 @@
 	return v
 }
 
-// checkpoints returns the newest known of each run on the VM.
+// checkpoints returns the newest reported checkpoint of each run on the VM that has one.
 func (v *vmInfo) checkpoints() map[queue.TaskKey]string {
 	m := map[queue.TaskKey]string{}
 	for k, r := range v.runs {
@@ -141,7 +140,8 @@
 	return m
 }
 
-// recordHeartbeat notes a VM's heartbeat.
+// recordHeartbeat stores a VM's heartbeat and updates its runs. With a new incarnation, what was
+// known of the old one's runs and failures is dropped.
 func (f *fleet) recordHeartbeat(v *vmInfo, b wire.VMHeartbeat, now time.Time) {
 	if v.heartbeat.VM.Incarnation != b.VM.Incarnation {
 		for k := range v.runs {
@@ -153,7 +153,7 @@
 	for _, row := range b.Rows {
 		k, err := queue.ParseTaskKey(string(row.Task))
 		if err != nil {
-			continue // not a run of ours; the agent stops it
+			continue // not a run of this leader; the agent stops it
 		}
 		if r := v.runs[k]; r != nil && r.status.Run != row.Run {
 			f.dropRun(v, k)
@@ -171,26 +171,26 @@
 	v.heartbeat.Rows = nil
 }
 
-// dropRun forgets what a VM has told of a task.
+// dropRun drops what a VM has reported of a task.
 func (f *fleet) dropRun(v *vmInfo, k queue.TaskKey) {
 	delete(f.runs, k.Run(v.runs[k].status.Run))
 	delete(v.runs, k)
 	v.changes++
 }
 
-// update notes what a heartbeat tells of the run.
-func (r *runInfo) update(row rudderfork.RunStatus, now time.Time) {
+// update stores the status of the run from a heartbeat.
+func (r *runInfo) update(status rudderfork.RunStatus, now time.Time) {
 	r.workedMS, r.reportedAt = r.worked(now), now
-	if r.status.Percent != row.Percent {
+	if r.status.Percent != status.Percent {
 		r.progressedAt = now
 	}
 	switch {
-	case row.PacedDownPercent < pacedDownPercent:
+	case status.PacedDownPercent < pacedDownPercent:
 		r.pacedDownSince = time.Time{}
 	case r.pacedDownSince.IsZero():
 		r.pacedDownSince = now
 	}
-	r.status = row
+	r.status = status
 }
 
 // view returns the run as dispatch reads it.
@@ -204,32 +204,33 @@
 	return run
 }
 
-// usable reports whether the VM's agent can be told what to start, and can start it.
+// usable reports whether the VM's agent can receive orders and start runs now.
 func (v *vmInfo) usable(now time.Time) bool {
 	return v.session != nil && v.session.epoch != 0 && !v.heartbeat.Unresponsive && now.Sub(v.heartbeatAt) < heartbeatLimit && v.lease.Leased(now)
 }
 
-// renew lets leases be granted again to a VM that is back: in a later epoch than the one
-// that was lost. The answer to its registration may have been missed. vm is nil if the VM
-// is not known.
+// renew allows lease grants again if the VM has registered in a later epoch than the one that
+// was lost. It covers registrations that were committed although their proposer got no answer.
+// vm is nil if the VM is not registered.
 func (v *vmInfo) renew(vm *queue.VM) {
 	if vm != nil && v.lease.Expired() && !v.lossPending && vm.Live && vm.Epoch > v.lostEpoch {
 		v.lease.AllowGrants()
 	}
 }
 
-// addFailures counts a failure, or with a negative step a success.
+// addFailures adds step to the failures, which is negative for a success.
 func (v *vmInfo) addFailures(step float64, now time.Time) {
 	v.failures = max(0, v.failuresNow(now)+step)
 	v.failuresAt = now
 }
 
-// failureScore is the doubt, which halves every doubtHalf, with that of the executor's crashes.
+// failureScore returns the VM's failure score: the decayed failures, and failureStep for each
+// decayed crash but the first.
 func (v *vmInfo) failureScore(now time.Time) float64 {
 	return v.failuresNow(now) + failureStep*max(0, v.crashesNow(now)-1)
 }
 
-// failuresNow is what is left of the doubt that failures have added.
+// failuresNow returns the failures, halved for each failureHalfLife that has passed.
 func (v *vmInfo) failuresNow(now time.Time) float64 {
 	left := v.failures
 	for span := now.Sub(v.failuresAt); span >= failureHalfLife && left > 0.01; span -= failureHalfLife {
@@ -238,6 +239,7 @@
 	return left
 }
 
+// crashesNow returns the decayed count of crashes and losses.
 func (v *vmInfo) crashesNow(now time.Time) float64 {
 	return v.crashes * math.Exp2(-max(0, now.Sub(v.crashAt).Seconds())/crashHalfLife.Seconds())
 }
@@ -245,7 +247,8 @@
 // addCrash counts a crash of the VM's executor, or a loss.
 func (v *vmInfo) addCrash(now time.Time) { v.crashes, v.crashAt = v.crashesNow(now)+1, now }
 
-// view returns what dispatch reads. It is good until the next change of the fleet.
+// view returns the fleet as dispatch reads it. It shares maps with the fleet, so it is valid
+// until the fleet's next change.
 func (f *fleet) view(s *queue.State, now time.Time) dispatch.View {
 	view := dispatch.View{
 		Now: rudderfork.Millis(now), VMs: make(map[rudderfork.VMID]dispatch.VMView, len(f.vms)), Runs: f.runs,
@@ -276,7 +279,7 @@
 	return view
 }
 
-// prunePause is how often what concerns jobs that are over is dropped.
+// prunePause is how often data of jobs that have ended is dropped.
 const prunePause = 5 * time.Second
 
 func (f *fleet) prune(s *queue.State, now time.Time) {
@@ -298,7 +301,7 @@
 	}
 }
 
-// pruneRuns drops the rows of runs that are over.
+// pruneRuns drops the runs that are not committed for the VM any more.
 func (f *fleet) pruneRuns(vm *queue.VM, v *vmInfo) {
 	if v.prunedAt == versionOf(vm) {
 		return
@@ -311,19 +314,19 @@
 	}
 }
 
-// relocatePause is between two looks for a serving task to move, which weigh each
-// against all VMs.
+// relocatePause is between two searches for a serving task to relocate, each of which weighs all
+// serving tasks against all VMs.
 const relocatePause = 500 * time.Millisecond
 
 func (f *fleet) relocateDue(now time.Time) bool { return due(&f.relocateAt, relocatePause, now) }
 
-// summaryPause is between two accounts of the fleet in the log: a day of them is a
-// few megabytes.
+// summaryPause is between two summaries of the fleet in the log, which take a few megabytes a
+// day.
 const summaryPause = 2 * time.Second
 
 func (f *fleet) summaryDue(now time.Time) bool { return due(&f.summaryAt, summaryPause, now) }
 
-// due reports whether a time has come, and sets the next one.
+// due reports whether the time *at has come, and if so sets it to the next one.
 func due(at *time.Time, pause time.Duration, now time.Time) bool {
 	if now.Before(*at) {
 		return false
@@ -332,7 +335,7 @@
 	return true
 }
 
-// setStops replaces the runs that are to end.
+// setStops replaces the runs that are to be stopped, and remembers a new relocation.
 func (f *fleet) setStops(stops []dispatch.Stop, now time.Time) {
 	clear(f.stops)
 	clear(f.stopsOn)
@@ -345,7 +348,7 @@
 	}
 }
 
-// markStopLogged reports whether a stop is new.
+// markStopLogged reports whether a stop was not logged yet, and marks it as logged.
 func (f *fleet) markStopLogged(st dispatch.Stop) bool {
 	ref := st.Task.Ref(st.Run)
 	if f.loggedStops[ref] {
@@ -355,7 +358,7 @@
 	return true
 }
 
-// recordEnd draws conclusions from the end of a run.
+// recordEnd records what the end of a run says of the VM, of the task and of its ticket.
 func (f *fleet) recordEnd(vm rudderfork.VMID, e queue.End, now time.Time) {
 	v := f.vm(vm)
 	ref := e.Task.Ref(e.Run)
@@ -378,23 +381,25 @@
 	}
 }
 
-// minWorkedSpan is how long a lasting task must have been at work for its failure to say nothing
-// of the VM: one that fails what it starts does so sooner.
+// minWorkedSpan is how long a lasting task must have worked for its failure not to count against
+// the VM: a VM that fails the tasks it starts does so sooner.
 const minWorkedSpan = 2 * time.Second
 
-// hadWorked reports whether a run that has ended was at work for long.
+// hadWorked reports whether a run that has ended was a lasting task's that had worked for
+// minWorkedSpan.
 func (v *vmInfo) hadWorked(e queue.End, now time.Time) bool {
 	r := v.runs[e.Task]
 	return r != nil && r.status.Run == e.Run && r.status.Percent == fullPercent && now.Sub(r.firstSeenAt) >= minWorkedSpan
 }
 
-// recordCrash draws conclusions from a life of a VM's executor that a new one follows.
+// recordCrash records a crash of the VM's previous incarnation, if a new one (vm, with what it
+// reports of the crash) shows that it crashed: for the VM, and for the tasks that ran there.
 func (f *fleet) recordCrash(s *queue.State, vm queue.VM, crash *queue.Crash, now time.Time) {
 	tasks, crashed := s.TasksAtCrash(vm, crash)
 	if !crashed {
 		return
 	}
-	// One that was lost first was counted then.
+	// An incarnation whose lease expired first was counted by recordLoss.
 	if v, old := f.vm(vm.ID), s.VM(vm.ID); v.crashedIncarnation != old.Incarnation && v.lostEpoch != old.Epoch {
 		v.crashedIncarnation = old.Incarnation
 		v.addCrash(now)
@@ -404,9 +409,9 @@
 	}
 }
 
-// recordLoss draws conclusions from the loss of a VM: what ran there had better run elsewhere
-// should it be back, and one that falls silent again and again is in doubt. A loss that is
-// proposed again in the same epoch tells nothing new.
+// recordLoss records the loss of a VM. The tasks that ran there prefer other VMs should it return,
+// and repeated losses raise its failure score. A loss that is proposed again in the same epoch
+// is not counted again.
 func (f *fleet) recordLoss(vm *queue.VM, now time.Time) {
 	v := f.vm(vm.ID)
 	if v.lostEpoch == vm.Epoch {
@@ -419,6 +424,7 @@
 	}
 }
 
+// recordFailedOn remembers that a task has failed on a VM, for the newest maxFailedOn VMs.
 func (f *fleet) recordFailedOn(k queue.TaskKey, vm rudderfork.VMID) {
 	list := f.failedOn[k]
 	if slices.Contains(list, vm) {
