--- a/scheduler/advice.go
+++ b/scheduler/advice.go
@@ -13,32 +13,33 @@
 )
 
 const (
-	// adviceTimeout bounds one call, which takes a time for each VM asked about.
+	// adviceTimeout bounds one call, which takes longer the more VMs it asks about.
 	adviceTimeout = 5 * time.Second
-	// adviceAgain is how long a step rests after an answer that did not help it.
-	adviceAgain = 300 * time.Millisecond
-	// defaultTicketValidity is how long a ticket holds where the document does not say.
+	// adviceBackOff is between an adviser's answer and the next call for the same step.
+	adviceBackOff = 300 * time.Millisecond
+	// defaultTicketValidity is how long a ticket is valid if the queue's settings name no time.
 	defaultTicketValidity = time.Second
 )
 
-// advice is the tickets that advisers gave. It is guarded by the scheduler's mu.
+// advice holds the tickets that the adviser has given; a ticket is its permission to run a step
+// on a VM. It is guarded by the scheduler's mu.
 type advice struct {
 	steps       map[queue.StepKey]*stepTickets
-	callRunning bool // an adviser works on one call of a process at a time
+	callRunning bool // the adviser handles one call of a process at a time
 }
 
-// stepTickets is what an adviser said of a step.
+// stepTickets holds the tickets of one step.
 type stepTickets struct {
 	tickets    map[rudderfork.VMID]ticket
-	noTicketAt map[rudderfork.VMID]time.Time // when VMs were last asked about in vain
-	nextCallAt time.Time                     // not before; adviceAgain after the last answer
+	noTicketAt map[rudderfork.VMID]time.Time // when the adviser last gave no ticket for a VM
+	nextCallAt time.Time                     // no call for the step before this time
 }
 
-func newLeave() *stepTickets {
+func newStepTickets() *stepTickets {
 	return &stepTickets{tickets: map[rudderfork.VMID]ticket{}, noTicketAt: map[rudderfork.VMID]time.Time{}}
 }
 
-// ticket is valid for one life of a VM, until a time.
+// ticket is valid for one incarnation of a VM's executor, until a time.
 type ticket struct {
 	text        string
 	incarnation string
@@ -47,18 +48,19 @@
 
 func newAdvice() *advice { return &advice{steps: map[queue.StepKey]*stepTickets{}} }
 
-// noteAsked notes the VMs that were asked about in vain. Which VMs may run a step does not
-// change, but an answer may be wrong: they are asked about again after the others.
-func (l *stepTickets) noteAsked(asked map[string]rudderfork.VMID, good map[string]string, now time.Time) {
-	for life, vm := range asked {
-		if _, ok := good[life]; !ok {
+// recordNoTickets records the VMs that were asked about and got no ticket. Which VMs may run a
+// step does not change, but an answer may be wrong, so these VMs are asked about again after all
+// others. asked and good are keyed by incarnation.
+func (l *stepTickets) recordNoTickets(asked map[string]rudderfork.VMID, good map[string]string, now time.Time) {
+	for inc, vm := range asked {
+		if _, ok := good[inc]; !ok {
 			l.noTicketAt[vm] = now
 		}
 	}
 }
 
-// askedAt returns when VMs were last asked about in vain, by step.
-func (a *advice) askedAt() map[queue.StepKey]map[rudderfork.VMID]time.Time {
+// noTicketTimes returns when the adviser last gave no ticket, by step and VM.
+func (a *advice) noTicketTimes() map[queue.StepKey]map[rudderfork.VMID]time.Time {
 	all := map[queue.StepKey]map[rudderfork.VMID]time.Time{}
 	for k, l := range a.steps {
 		all[k] = l.noTicketAt
@@ -66,8 +68,7 @@
 	return all
 }
 
-// view returns the tickets that are valid, and drops those of steps that are
-// over.
+// view returns the valid tickets by step and VM, and drops those of jobs that have ended.
 func (a *advice) view(s *queue.State, now time.Time) map[queue.StepKey]map[rudderfork.VMID]string {
 	all := map[queue.StepKey]map[rudderfork.VMID]string{}
 	for k, l := range a.steps {
@@ -86,15 +87,16 @@
 	return all
 }
 
-// dropTicket forgets a ticket that an executor did not accept.
+// dropTicket drops a ticket that an executor did not accept.
 func (a *advice) dropTicket(k queue.StepKey, vm rudderfork.VMID) {
 	if l := a.steps[k]; l != nil {
 		delete(l.tickets, vm)
 	}
 }
 
-// askAdviser sends the first of the asks that is due, unless a call is under way.
-func (s *Scheduler) askAdviser(asks []dispatch.AdviceRequest) {
+// askAdviser starts a call for the due request whose step has waited longest, unless a call is
+// under way.
+func (s *Scheduler) askAdviser(reqs []dispatch.AdviceRequest) {
 	if s.adviser == nil {
 		return
 	}
@@ -102,67 +104,68 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.fleet.advice
-	slices.SortStableFunc(asks, func(x, y dispatch.AdviceRequest) int { return a.askAt(x.Step).Compare(a.askAt(y.Step)) })
-	for _, ask := range asks {
-		if a.callRunning || now.Before(a.askAt(ask.Step)) {
+	slices.SortStableFunc(reqs, func(x, y dispatch.AdviceRequest) int { return a.nextCallAt(x.Step).Compare(a.nextCallAt(y.Step)) })
+	for _, req := range reqs {
+		if a.callRunning || now.Before(a.nextCallAt(req.Step)) {
 			continue
 		}
-		if a.steps[ask.Step] == nil {
-			a.steps[ask.Step] = newLeave()
+		if a.steps[req.Step] == nil {
+			a.steps[req.Step] = newStepTickets()
 		}
 		a.callRunning = true
-		go s.advise(a, ask)
+		go s.advise(a, req)
 	}
 }
 
-// askAt is when a step may be asked for: the one that has waited for longest comes first.
-func (a *advice) askAt(k queue.StepKey) time.Time {
+// nextCallAt returns the time before which no call for a step is made; zero if there was none.
+func (a *advice) nextCallAt(k queue.StepKey) time.Time {
 	if l := a.steps[k]; l != nil {
 		return l.nextCallAt
 	}
 	return time.Time{}
 }
 
-// advise makes one call and notes its answer.
-func (s *Scheduler) advise(a *advice, ask dispatch.AdviceRequest) {
+// advise makes one call and stores the tickets in its answer.
+func (s *Scheduler) advise(a *advice, req dispatch.AdviceRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), adviceTimeout)
 	defer cancel()
-	lives, names, validity := s.livesOf(ask)
+	vms, incarnations, validity := s.incarnationsOf(req)
 	began := steady.Now()
-	tickets, err := s.adviser.Advise(ctx, ask.Step.String(), names)
+	tickets, err := s.adviser.Advise(ctx, req.Step.String(), incarnations)
 	now := steady.Now()
-	s.log.Info().Str("step", ask.Step.String()).Int("asked", len(names)).Int("good", len(tickets)).
+	s.log.Info().Str("step", req.Step.String()).Int("asked", len(incarnations)).Int("good", len(tickets)).
 		Dur("took", now.Sub(began)).AnErr("error", err).Msg("adviser_asked")
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a.callRunning = false
-	l := a.steps[ask.Step]
+	l := a.steps[req.Step]
 	if l == nil {
-		return // the job is over
+		return // the job has ended
 	}
-	l.nextCallAt = now.Add(adviceAgain)
+	l.nextCallAt = now.Add(adviceBackOff)
 	if err == nil {
-		l.noteAsked(lives, tickets, now)
+		l.recordNoTickets(vms, tickets, now)
 	}
-	for life, text := range tickets {
-		// It holds from the answer on; the call's begin is surely before that.
-		l.tickets[lives[life]] = ticket{text, life, began.Add(validity)}
+	for inc, text := range tickets {
+		// A ticket is valid from the answer on. Counting from the start of the call is on
+		// the safe side.
+		l.tickets[vms[inc]] = ticket{text, inc, began.Add(validity)}
 	}
 	s.roundDue.Set()
 }
 
-// livesOf returns the lives of the VMs asked about, and how long tickets of the
-// step's queue hold.
-func (s *Scheduler) livesOf(ask dispatch.AdviceRequest) (vms map[string]rudderfork.VMID, names []string, validity time.Duration) {
+// incarnationsOf returns the incarnations of the VMs that a request names, their VMs by
+// incarnation, and how long tickets of the step's queue are valid.
+func (s *Scheduler) incarnationsOf(req dispatch.AdviceRequest) (vms map[string]rudderfork.VMID, incarnations []string, validity time.Duration) {
 	vms, validity = map[string]rudderfork.VMID{}, defaultTicketValidity
 	s.rep.View(func(st *state.State) {
-		for _, id := range ask.VMs {
+		for _, id := range req.VMs {
 			if vm := st.Queues().VM(id); vm != nil {
 				vms[vm.Incarnation] = id
-				names = append(names, vm.Incarnation)
+				incarnations = append(incarnations, vm.Incarnation)
 			}
 		}
-		j := st.Queues().Job(ask.Step.Job)
+		j := st.Queues().Job(req.Step.Job)
 		if j == nil {
 			return
 		}
@@ -170,5 +173,5 @@
 			validity = time.Duration(adv.ValidMS) * time.Millisecond
 		}
 	})
-	return vms, names, validity
+	return vms, incarnations, validity
 }
--- a/scheduler/advice_test.go
+++ b/scheduler/advice_test.go
@@ -77,7 +77,7 @@
 	}
 	for _, l := range steps {
 		if l.nextCallAt.Before(newest) || len(steps) == 1 {
-			l.nextCallAt = l.nextCallAt.Add(-adviceAgain)
+			l.nextCallAt = l.nextCallAt.Add(-adviceBackOff)
 		}
 	}
 }
--- a/scheduler/ask.go
+++ b/scheduler/ask.go
@@ -27,15 +27,15 @@
 	defer cancel()
 	began := steady.Now()
 	kind := kindOf(a)
-	defer func() { s.noteAnswer(kind, ans, began) }()
+	defer func() { s.observeResponse(kind, ans, began) }()
 	switch {
 	case a.Submit != nil:
 		a.Submit.KeepMS = s.cfg.StatusRetention.Milliseconds()
 		ans = s.commit(ctx, queue.Command{Submit: a.Submit})
-		s.logAsk(kind, a.Submit.Path, ans)
+		s.logRequest(kind, a.Submit.Path, ans)
 	case a.Cancel != nil:
 		ans = s.commit(ctx, queue.Command{Cancel: a.Cancel})
-		s.logAsk(kind, a.Cancel.Path, ans)
+		s.logRequest(kind, a.Cancel.Path, ans)
 	case a.Put != nil:
 		ans = s.commit(ctx, queue.Command{Document: a.Put})
 		s.log.Info().Uint64("version", a.Put.Version).Int("queues", len(a.Put.Queues)).Str("result", string(ans.Code)).
@@ -84,7 +84,7 @@
 	return "get_document"
 }
 
-func (s *Scheduler) noteAnswer(kind string, ans wire.QueueResponse, began time.Time) {
+func (s *Scheduler) observeResponse(kind string, ans wire.QueueResponse, began time.Time) {
 	outcome := string(ans.Code)
 	if ans.Unsure {
 		outcome = "unsure"
@@ -95,7 +95,7 @@
 	s.met.answer.WithLabelValues(kind).Observe(steady.Now().Sub(began).Seconds())
 }
 
-func (s *Scheduler) logAsk(kind, path string, ans wire.QueueResponse) {
+func (s *Scheduler) logRequest(kind, path string, ans wire.QueueResponse) {
 	s.log.Info().Str("ask", kind).Str("path", path).Str("result", string(ans.Code)).Str("detail", ans.Text).
 		Bool("unsure", ans.Unsure).Bool("not_taken", ans.NotTaken).Msg("ask_answered")
 	s.record("job_"+kind, path, string(ans.Code)+" "+ans.Text)
@@ -132,7 +132,7 @@
 		return wire.QueueResponse{Code: queue.NoQueue}
 	}
 	if rest == "" {
-		return s.countOf(st, q.Name)
+		return s.countWaiting(st, q.Name)
 	}
 	j := st.Job(rudderfork.JobID(rest))
 	if j == nil {
@@ -141,8 +141,8 @@
 	return wire.QueueResponse{Code: queue.OK, Status: j.Status}
 }
 
-// countOf counts a queue's jobs that wait.
-func (s *Scheduler) countOf(st *queue.State, name string) wire.QueueResponse {
+// countWaiting counts a queue's jobs that wait.
+func (s *Scheduler) countWaiting(st *queue.State, name string) wire.QueueResponse {
 	s.mu.Lock()
 	waiting, ordered := st.Waiting(name, s.fleet.hasBegun)
 	s.mu.Unlock()
--- a/scheduler/evacuation.go
+++ b/scheduler/evacuation.go
@@ -10,18 +10,18 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// EvacuationView is a failure domain whose evacuation is ordered, as operators see it.
+// EvacuationView is the evacuation of a failure domain as operators see it.
 type EvacuationView struct {
 	queue.Evacuation
-	VMs  int `json:"vms"`  // live ones there
-	Runs int `json:"runs"` // that are active there still
+	VMs  int `json:"vms"`  // live VMs in the domain
+	Runs int `json:"runs"` // runs that are still active there
 }
 
-// evacuate orders an evacuation or takes it back. It is answered once a quorum holds it,
-// and from then on no start is committed there.
+// evacuate orders or cancels an evacuation. It returns once that is committed; from then on no
+// start is committed in the failure domain.
 func (s *Scheduler) evacuate(ctx context.Context, e queue.Evacuate) wire.QueueResponse {
 	if !s.domainExists(e.Domain) {
-		return wire.QueueResponse{Code: queue.NoDomain, Text: "no failure domain is called " + string(e.Domain)}
+		return wire.QueueResponse{Code: queue.NoDomain, Text: "unknown failure domain " + string(e.Domain)}
 	}
 	ans := s.commit(ctx, queue.Command{Evacuate: &e})
 	s.log.Info().Str("domain", string(e.Domain)).Bool("end", e.End).Str("result", string(ans.Code)).
@@ -32,12 +32,12 @@
 
 func evacuationText(e queue.Evacuate) string {
 	if e.End {
-		return "taken back: "
+		return "cancelled: "
 	}
 	return "ordered: "
 }
 
-// domainExists reports whether the settings name a failure domain, or a VM is in it.
+// domainExists reports whether the settings name a failure domain or a VM is in it.
 func (s *Scheduler) domainExists(d rudderfork.Domain) (known bool) {
 	if s.cfg.HasDomain != nil && s.cfg.HasDomain(d) {
 		return true
@@ -50,7 +50,8 @@
 	return known
 }
 
-// cordoned reports whether nothing more is to be started on a VM.
+// cordoned reports whether nothing more is to be started on a VM since its failure domain is
+// evacuated.
 func (s *Scheduler) cordoned(id rudderfork.VMID) (closed bool) {
 	s.rep.View(func(st *state.State) {
 		vm := st.Queues().VM(id)
@@ -59,8 +60,8 @@
 	return closed
 }
 
-// startTimeLeft is what of a lease's rest is left for starts: they may be made for the
-// shorter StartSpan, counted from the same time.
+// startTimeLeft returns for how long a VM may still start runs if its lease is valid for left.
+// Both the lease and the shorter StartWindow count from the same contact to the leader.
 func (s *Scheduler) startTimeLeft(left time.Duration) time.Duration {
 	if s.cfg.StartWindow == 0 {
 		return left
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -254,7 +254,7 @@
 		Now: rudderfork.Millis(now), VMs: make(map[rudderfork.VMID]dispatch.VMView, len(f.vms)), Runs: f.runs,
 		FailedOn: f.failedOn, BackOffUntil: map[queue.TaskKey]int64{},
 		Tickets:        f.advice.view(s, now),
-		NoTicketAt:     f.advice.askedAt(),
+		NoTicketAt:     f.advice.noTicketTimes(),
 		LastRelocation: f.lastRelocation,
 		ShortDemand:    f.shortDemand,
 
@@ -364,9 +364,9 @@
 	ref := e.Task.Ref(e.Run)
 	switch {
 	case e.Outcome == queue.OutcomeRefused && e.Reason == runs.ReasonCordoned:
-		return // it says nothing of the VM, and the task may begin elsewhere at once
+		return // not held against the VM, and the task may start elsewhere at once
 	case e.Outcome == queue.OutcomeFailed && v.hadWorked(e, now):
-		return // it says nothing of the VM
+		return // not held against the VM
 	case e.Outcome == queue.OutcomeDone:
 		v.addFailures(-failureStep, now)
 	case e.Outcome == queue.OutcomeFailed, e.Outcome == queue.OutcomeRefused, f.stops[ref] == dispatch.ReasonStalled, f.stops[ref] == dispatch.ReasonSlow:
--- a/scheduler/gone.go
+++ b/scheduler/gone.go
@@ -9,40 +9,41 @@
 	"rudderfork.example/rudderfork/queue"
 )
 
-// incarnationEnd says how the leader knows that a life of a VM's executor is over.
+// incarnationEnd says how the leader knows that an incarnation of a VM's executor has ended. The
+// values are labels of metrics and log values.
 type incarnationEnd string
 
-// The ways.
+// Values of incarnationEnd.
 const (
-	incarnationReplaced incarnationEnd = "replaced" // another one describes itself
-	incarnationExpired  incarnationEnd = "lapsed"   // its lease ran out
-	incarnationDeparted incarnationEnd = "left"     // it said farewell
+	incarnationReplaced incarnationEnd = "replaced" // a new incarnation has registered
+	incarnationExpired  incarnationEnd = "lapsed"   // its lease expired
+	incarnationDeparted incarnationEnd = "left"     // it gave a shutdown notice
 )
 
-// maxGoneLogged bounds the runs that one line names.
-const maxGoneLogged = 16
+// maxLostRunsLogged bounds the runs that one log line names.
+const maxLostRunsLogged = 16
 
-// logGone logs the runs that ended with a life of a VM's executor: what ran there
-// is all that can be blamed for a crash.
-func (s *Scheduler) logGone(vm rudderfork.VMID, how incarnationEnd, res queue.Result) {
+// logLostRuns logs the runs that ended with an incarnation of a VM's executor. If it crashed,
+// one of them may be the cause.
+func (s *Scheduler) logLostRuns(vm rudderfork.VMID, how incarnationEnd, res queue.Result) {
 	s.logAssessments(vm, res.Assessments)
-	gone := res.LostRuns
-	if len(gone) == 0 {
+	lost := res.LostRuns
+	if len(lost) == 0 {
 		return
 	}
-	s.met.gone.WithLabelValues(string(how)).Add(float64(len(gone)))
+	s.met.gone.WithLabelValues(string(how)).Add(float64(len(lost)))
 	names := zerolog.Arr()
-	for _, g := range gone[:min(len(gone), maxGoneLogged)] {
+	for _, g := range lost[:min(len(lost), maxLostRunsLogged)] {
 		names.Str(g.Task.Run(g.Run).String())
 	}
-	s.log.Info().Str("on", string(vm)).Str("life_end", string(how)).Int("count", len(gone)).Array("runs", names).Msg("runs_gone")
-	for _, g := range gone {
+	s.log.Info().Str("on", string(vm)).Str("life_end", string(how)).Int("count", len(lost)).Array("runs", names).Msg("runs_gone")
+	for _, g := range lost {
 		s.record("task_ended", g.Task.String(), "on "+string(vm)+": gone with its executor, which was "+string(how))
 	}
 }
 
-// logAssessments logs whom a crash is laid to: the suspects, and the tasks that are
-// given up for it.
+// logAssessments logs the tasks that are suspected of a crash, and those that are given up for
+// it.
 func (s *Scheduler) logAssessments(vm rudderfork.VMID, list []queue.Assessment) {
 	for _, v := range list {
 		if v.Suspicion < queue.SuspectMille && !v.GivenUp {
--- a/scheduler/overdue.go
+++ b/scheduler/overdue.go
@@ -9,22 +9,22 @@
 	"rudderfork.example/rudderfork/state"
 )
 
-// overdueAfter is how long after its start a run of a usable VM may be unheard of: the
-// order, the start, an account and a heartbeat, and one repetition.
+// overdueAfter is how long after the commit of its start a run of a usable VM may be missing from
+// the VM's heartbeats. It covers sending the order, the start, a poll of the executor and a
+// heartbeat, with one retry.
 const overdueAfter = 2500 * time.Millisecond
 
-// overdueRun is a run that its VM, which is in session, does not report.
+// overdueRun is a run that is missing from its VM's heartbeats although the VM is usable.
 type overdueRun struct {
 	queue.RunKey
 	vm           rudderfork.VMID
 	age          time.Duration // since its start was committed
 	heartbeatAge time.Duration // of the VM's newest heartbeat
 	epoch        uint64
-	reported     int // of the VM's runs
+	reported     int // how many runs the VM does report
 }
 
-// logOverdue logs the runs that have become overdue, each once, and counts those that
-// are.
+// logOverdue logs each run once that has become overdue, and sets the metric of overdue runs.
 func (s *Scheduler) logOverdue() {
 	now := steady.Now()
 	list := s.overdueRuns(now)
@@ -38,11 +38,11 @@
 		}
 		s.log.Warn().Str("task", r.TaskKey.String()).Uint32("run", r.Number).Str("on", string(r.vm)).Dur("age", r.age).
 			Dur("beat_age", r.heartbeatAge).Uint64("epoch", r.epoch).Int("reported", r.reported).Msg("run_overdue")
-		s.record("run_overdue", r.TaskKey.String(), "on "+string(r.vm)+": it was not seen to begin")
+		s.record("run_overdue", r.TaskKey.String(), "on "+string(r.vm)+": its VM has not reported it")
 	}
 }
 
-// overdueRuns returns the runs of usable VMs that were not heard of for long.
+// overdueRuns returns the overdue runs of usable VMs.
 func (s *Scheduler) overdueRuns(now time.Time) (list []overdueRun) {
 	s.rep.View(func(st *state.State) {
 		s.mu.Lock()
--- a/scheduler/pressures.go
+++ b/scheduler/pressures.go
@@ -11,29 +11,30 @@
 )
 
 const (
-	// tellChange is the relative change of a pressure that an agent is told of,
-	// and leastChange the absolute one: less does not change a pace.
-	tellChange  = 0.15
-	leastChange = 0.3
-	// caution is the part of a pressure's standard error that is added to it.
-	caution = 0.3
-	// fullPercent is a lasting task at work, or a filler that is not paced.
+	// An agent is sent a pressure anew when it has changed by minRelativeChange of its old
+	// value and by minAbsoluteChange; smaller changes hardly alter a filler's pace.
+	minRelativeChange = 0.15
+	minAbsoluteChange = 0.3
+	// stderrWeight is how many standard errors are added to a pressure, to be on the safe side
+	// while it is uncertain.
+	stderrWeight = 0.3
+	// fullPercent is the percent of a lasting task that works, and full speed of a filler.
 	fullPercent = 100
 )
 
-// pressures learns what fillers take from serving tasks, by pair of images, from
-// the accounts of all VMs.
+// pressures estimates from the heartbeats of all VMs what fillers take from the headroom of
+// serving tasks, by pair of images (see package interference).
 type pressures struct {
 	model *interference.Pressures
 }
 
 func newPressures() *pressures { return &pressures{interference.NewPressures()} }
 
-// workload is the serving tasks and the fillers that run on a VM.
+// workload is the serving tasks and fillers that run on a VM.
 type workload struct {
-	serving map[string]bool       // images
-	fillers map[string]bool       // images, also of those paced to a standstill
-	figures []interference.Figure // of the serving tasks at work
+	serving map[string]bool       // images of serving tasks
+	fillers map[string]bool       // images of fillers, including those paced down to zero
+	figures []interference.Figure // measurements of the serving tasks that work
 }
 
 func workloadOf(s *queue.State, vm *queue.VM, v *vmInfo) workload {
@@ -53,7 +54,7 @@
 	return c
 }
 
-// add notes the images of a step that runs on the VM.
+// add adds the image of a step that runs on the VM.
 func (c workload) add(st queue.Step) {
 	if st.TailMS > 0 {
 		c.serving[st.Image] = true
@@ -63,7 +64,7 @@
 	}
 }
 
-// observe takes a VM's account.
+// observe adds the measurements in a VM's heartbeat to the model.
 func (p *pressures) observe(c workload, b wire.VMHeartbeat, now time.Time) {
 	if !b.Measured {
 		return
@@ -74,8 +75,8 @@
 	}
 }
 
-// assume takes what the leader before had learned, from what it told the agents.
-func (s *Scheduler) assume(list []wire.PairPressure) {
+// assumePressures takes over the previous leader's estimates from an agent that has them.
+func (s *Scheduler) assumePressures(list []wire.PairPressure) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	taken := 0
@@ -87,24 +88,24 @@
 	s.log.Info().Int("told", len(list)).Int("taken", taken).Msg("pressures_assumed")
 }
 
-// estimate returns what is known or assumed estimate a pair, on the cautious side.
+// estimate returns the pressure of a pair of images, plus stderrWeight standard errors.
 func (p *pressures) estimate(serving, filler string, now time.Time) float64 {
 	pressure, stderr := p.model.Of(serving, filler, now)
-	return pressure + caution*stderr
+	return pressure + stderrWeight*stderr
 }
 
-// changedFor returns the pressures between the images on a VM that an agent has not
-// been told of, or that have changed since.
-func (p *pressures) changedFor(c workload, told map[interference.Pair]float64, now time.Time) (list []wire.PairPressure) {
+// changedFor returns the pressures between the images on a VM that its agent lacks or that have
+// changed much since they were sent, and records them in sent.
+func (p *pressures) changedFor(c workload, sent map[interference.Pair]float64, now time.Time) (list []wire.PairPressure) {
 	for serving := range c.serving {
 		for filler := range c.fillers {
 			pair := interference.Pair{Serving: serving, Filler: filler}
 			pressure := p.estimate(serving, filler, now)
-			old, ok := told[pair]
-			if ok && math.Abs(pressure-old) < max(leastChange, tellChange*math.Abs(old)) {
+			old, ok := sent[pair]
+			if ok && math.Abs(pressure-old) < max(minAbsoluteChange, minRelativeChange*math.Abs(old)) {
 				continue
 			}
-			told[pair] = pressure
+			sent[pair] = pressure
 			list = append(list, wire.PairPressure{Serving: serving, Filler: filler, Pressure: float32(pressure)})
 		}
 	}
--- a/scheduler/reports.go
+++ b/scheduler/reports.go
@@ -6,17 +6,19 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// maxReports bounds the reports of one agent that wait for their commits, above what an
-// agent sends unasked.
+// maxReports bounds the reports of one agent that wait for their commits. It is more than an
+// agent sends without an acknowledgement.
 const maxReports = 64
 
-// reportQueue commits what an agent reportQueue, in order, beside the heartbeats of its session.
+// reportQueue commits an agent's reports of ended runs in order, concurrently with the heartbeats
+// of its session.
 type reportQueue struct {
 	queue  chan report
 	commit func(ctx context.Context, r wire.EndsReport) error
 }
 
-// report is one report, or the end of those before it, which is told.
+// report is one report (ends), or a marker whose channel done is closed once all reports before
+// it are committed.
 type report struct {
 	ends *wire.EndsReport
 	done chan struct{}
@@ -26,7 +28,7 @@
 	return &reportQueue{queue: make(chan report, maxReports), commit: commit}
 }
 
-// Run commits reports until ctx ends or one cannot be committed.
+// Run commits reports until ctx ends or a commit fails, and returns the error.
 func (q *reportQueue) Run(ctx context.Context) error {
 	for {
 		select {
@@ -42,8 +44,9 @@
 	}
 }
 
-// Add queues a report. One that tells that the life has left is waited for: a heartbeat
-// after it is of another life, or of one that has to be registered again.
+// Add queues a report. If the report says that the incarnation gave its shutdown notice, Add
+// returns only when it is committed: a heartbeat after it is of another incarnation, or of one
+// that has to be registered again.
 func (q *reportQueue) Add(ctx context.Context, ends wire.EndsReport) error {
 	if err := q.add(ctx, report{ends: &ends}); err != nil || !ends.Departed {
 		return err
--- a/scheduler/round.go
+++ b/scheduler/round.go
@@ -6,8 +6,8 @@
 	"rudderfork.example/rudderfork/internal/steady"
 )
 
-// slowRound is the length of a round from which it is logged: a tenth of the time after
-// which users count a short task's start as late.
+// slowRound is the duration from which a round is logged: a tenth of the time after which users
+// count a short task's start as late.
 const slowRound = 25 * time.Millisecond
 
 // roundTimes is how long the parts of a round took.
@@ -16,7 +16,7 @@
 	starts                     int
 }
 
-// timed calls f and returns how long it took.
+// timed calls f and returns how long that took.
 func timed(f func()) time.Duration {
 	began := steady.Now()
 	f()
@@ -25,16 +25,16 @@
 
 func (t roundTimes) sum() time.Duration { return t.work() + t.commit }
 
-// work is the round without the wait for the commit of its starts.
+// work returns the duration of the round without the wait for its commit.
 func (t roundTimes) work() time.Duration { return t.expire + t.plan + t.wake }
 
-// pause is how long the next round waits, whatever changes: rounds take half of the
-// processor at most. A large fleet in a burst has hundreds of changes a second, and each
-// round costs something for every VM; what comes during a pause shares one round.
+// pause returns how long the next round waits even if something changes, so that rounds take at
+// most half of a processor. In a burst, a large fleet has hundreds of changes a second, and the
+// cost of a round grows with the number of VMs; changes during the pause share one round.
 func (t roundTimes) pause() time.Duration { return min(t.work(), roundPause) }
 
-// noteRound logs a round that has held others up.
-func (s *Scheduler) noteRound(t roundTimes) {
+// observeRound records the round's duration, and logs a slow one.
+func (s *Scheduler) observeRound(t roundTimes) {
 	s.met.round.Observe(t.sum().Seconds())
 	if t.sum() < slowRound {
 		return
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -138,7 +138,7 @@
 	t.expire = timed(func() { s.expireLeases(ctx) })
 	s.dispatch(bounded, &t)
 	t.wake = timed(s.wakeSessions)
-	s.noteRound(t)
+	s.observeRound(t)
 	return t
 }
 
@@ -239,7 +239,7 @@
 	if res.Code == queue.OK {
 		s.met.lost.Inc()
 	}
-	s.logGone(l.VM, incarnationExpired, res)
+	s.logLostRuns(l.VM, incarnationExpired, res)
 	s.log.Warn().Str("lost_vm", string(l.VM)).Str("life", l.Incarnation).Str("result", string(res.Code)).Msg("vm_lost")
 	s.record("vm_lost", string(l.VM), "its lease expired and it did not return")
 }
--- a/scheduler/session.go
+++ b/scheduler/session.go
@@ -214,7 +214,7 @@
 	case m.Ends != nil:
 		return ses.reports.Add(ctx, *m.Ends)
 	case len(m.KnownPressures) > 0:
-		ses.s.assume(m.KnownPressures)
+		ses.s.assumePressures(m.KnownPressures)
 	case m.Ping != 0:
 		ses.reply(wire.ToQueueNode{Pong: m.Ping})
 	}
--- a/scheduler/simfleet_test.go
+++ b/scheduler/simfleet_test.go
@@ -144,7 +144,7 @@
 	}
 	s.fleet.recordCrash(s.qs, vm, seen, s.leaderTime())
 	res := s.apply(queue.Command{Crash: seen, Register: &vm})
-	s.scheduler().logGone(v.id, incarnationReplaced, res)
+	s.scheduler().logLostRuns(v.id, incarnationReplaced, res)
 	v.down = false
 	s.connect(v)
 }
@@ -192,7 +192,7 @@
 	clear(v.begunAt)
 	s.fleet.recordLoss(s.qs.VM(v.id), s.leaderTime())
 	res := s.apply(queue.Command{Lost: &queue.VMLoss{VM: v.id, Incarnation: v.incarnationName()}})
-	s.scheduler().logGone(v.id, incarnationExpired, res)
+	s.scheduler().logLostRuns(v.id, incarnationExpired, res)
 }
 
 func (s *simFleet) sendHeartbeat(v *simVM) {
--- a/scheduler/swings_test.go
+++ b/scheduler/swings_test.go
@@ -50,7 +50,7 @@
 	forecast := map[time.Duration]float64{}
 	for at := time.Duration(0); at < 4*period; at += interval {
 		headroom := 2.6 + 1.1*math.Cos(2*math.Pi*at.Seconds()/period.Seconds())
-		takeTails(qs, f, tasks, int64(math.Round(18/headroom)), t0.Add(figureAge+at))
+		takeTails(qs, f, tasks, int64(math.Round(18/headroom)), t0.Add(sampleDelay+at))
 		forecast[at%period] = f.runs[queue.RunKey{TaskKey: queue.TaskKey{Job: "feed"}, Number: 1}].ForecastHeadroomChange
 	}
 	assert.Assert(t, forecast[period/10] < -0.5, "the headroom falls, forecast: %.2f", forecast[period/10])
--- a/scheduler/upkeep.go
+++ b/scheduler/upkeep.go
@@ -213,8 +213,8 @@
 	return nil
 }
 
-// lifeOf returns the life that an executor is known to have, or "".
-func (s *Scheduler) lifeOf(executor string) (life string) {
+// incarnationOf returns the life that an executor is known to have, or "".
+func (s *Scheduler) incarnationOf(executor string) (life string) {
 	s.rep.View(func(st *state.State) {
 		if vm := vmOfExecutor(st.Queues(), executor); vm != nil {
 			life = vm.Incarnation
@@ -269,7 +269,7 @@
 // and notes what is sure.
 func (u *upkeep) order(ctx context.Context, w queue.Wave, name, executor string, now time.Time) {
 	u.orderedAt[name] = now
-	life := u.s.lifeOf(executor) // before the order: the next one may come under the same id
+	life := u.s.incarnationOf(executor) // before the order: the next one may come under the same id
 	err := u.provider.Upkeep(ctx, rudderfork.Issuer{Holder: u.holder, Fence: u.term}, name, w.ID)
 	u.s.log.Info().Uint64("wave", w.ID).Str("machine", name).Int("left", len(w.Remaining())).AnErr("error", err).Msg("upkeep_ordered")
 	switch {
--- a/scheduler/vm.go
+++ b/scheduler/vm.go
@@ -227,7 +227,7 @@
 	if err != nil {
 		return err
 	}
-	ses.s.logGone(vm.ID, incarnationReplaced, res)
+	ses.s.logLostRuns(vm.ID, incarnationReplaced, res)
 	ses.s.log.Info().Str("registered_vm", string(vm.ID)).Str("life", vm.Incarnation).Stringer("capacity", vm.Capacity).
 		Strs("labels", vm.Labels).Msg("vm_registered")
 	ses.s.mu.Lock()
@@ -444,7 +444,7 @@
 		return err
 	}
 	ses.s.met.left.Inc()
-	ses.s.logGone(vm, incarnationDeparted, res)
+	ses.s.logLostRuns(vm, incarnationDeparted, res)
 	ses.s.log.Info().Str("left_vm", string(vm)).Str("life", inc).Str("result", string(res.Code)).Msg("vm_left")
 	ses.s.record("vm_left", string(vm), "its executor gave a shutdown notice")
 	return nil
--- a/scheduler/worktimes.go
+++ b/scheduler/worktimes.go
@@ -7,21 +7,22 @@
 )
 
 const (
-	// workTimesBatch is how many tasks are seen between two times that expectations are
-	// worked out again for all jobs.
+	// workTimesBatch is how many work times are observed before the estimates of all jobs are
+	// computed again.
 	workTimesBatch = 32
-	// maxUnseenPercent is the part of a task's work, in percent, that may have been done before
-	// its run was first heard of for that to tell how long the whole takes.
+	// maxUnseenPercent is how many percent of a task may have been done before its run was
+	// first reported, so that the rest still shows how long the whole takes.
 	maxUnseenPercent = 60
 )
 
-// worked is how long the run has worked at full speed since it was first heard of, ms.
+// worked returns the run's work time since it was first reported, as if at full speed, in ms.
 func (r *runInfo) worked(now time.Time) float64 {
 	speed := 1 - float64(r.status.PacedDownPercent)/fullPercent
 	return r.workedMS + speed*float64(max(0, now.Sub(r.reportedAt)))/float64(time.Millisecond)
 }
 
-// totalWork is what a run that has ended worked in all, ms; 0 if heartbeats do not tell.
+// totalWork returns the work time of a run that has ended, in ms, extrapolated to all of it; 0 if
+// heartbeats do not show it.
 func (v *vmInfo) totalWork(e queue.End, now time.Time) float64 {
 	r := v.runs[e.Task]
 	if r == nil || r.status.Run != e.Run || r.firstPercent >= maxUnseenPercent {
@@ -30,9 +31,8 @@
 	return r.worked(now) * fullPercent / float64(fullPercent-r.firstPercent)
 }
 
-// observeWorkTime takes what a task that is done worked, if its only run has done it all.
-// Without figures of heartbeats, runs that are too short for these, it is the time from
-// the start on.
+// observeWorkTime adds the work time of a task that is done to the model, if its first run has
+// done it. Runs too short to appear in heartbeats count with the time since their start.
 func (f *fleet) observeWorkTime(s *queue.State, e queue.End, worked float64, now time.Time) {
 	j := s.Job(e.Task.Job)
 	if e.Outcome != queue.OutcomeDone || e.Run != 1 || j == nil || j.Task(e.Task) == nil {
