--- a/life.go
+++ b/life.go
@@ -11,8 +11,8 @@
 // whatever is kept of an executor is kept by the name of its life, which holds the id
 // and when the start began.
 
-// bornMark is between id and begin in a life's name.
-const bornMark = "@"
+// startMark is between id and begin in a life's name.
+const startMark = "@"
 
 // IncarnationName names the start of an executor that began at a time, Unix ms. Of executors
 // that do not tell (0) the id alone is the name.
@@ -20,16 +20,16 @@
 	if bornMS == 0 {
 		return id
 	}
-	return id + bornMark + strconv.FormatInt(bornMS, 10)
+	return id + startMark + strconv.FormatInt(bornMS, 10)
 }
 
 // SplitIncarnation is the inverse of LifeName.
 func SplitIncarnation(life string) (id string, bornMS int64) {
-	i := strings.LastIndex(life, bornMark)
+	i := strings.LastIndex(life, startMark)
 	if i < 0 {
 		return life, 0
 	}
-	bornMS, err := strconv.ParseInt(life[i+len(bornMark):], 10, 64)
+	bornMS, err := strconv.ParseInt(life[i+len(startMark):], 10, 64)
 	if err != nil || bornMS == 0 {
 		return life, 0 // the mark is part of the id
 	}
--- a/queue/apply.go
+++ b/queue/apply.go
@@ -13,29 +13,29 @@
 
 // Apply applies a command. at is the proposer's clock, Unix ms.
 func (s *State) Apply(c Command, at int64) Result {
-	s.base.watch(s.clock.tick(at), len(s.vms))
-	s.settleCases()
+	s.base.addObserved(s.clock.tick(at), len(s.vms))
+	s.resolveOldLosses()
 	switch {
 	case c.Document != nil:
-		return s.takeDocument(c.Document)
+		return s.acceptDocument(c.Document)
 	case c.Submit != nil:
 		s.forget(s.clock.NowMS - c.Submit.KeepMS)
 		return s.submit(*c.Submit, at)
 	case c.Cancel != nil:
 		return s.cancel(*c.Cancel, at)
 	case len(c.Starts) > 0:
-		s.noteBegun(c.Begun)
+		s.markBegun(c.Begun)
 		return s.start(c.Starts, at)
 	case c.Ends != nil:
-		return s.takeEnds(*c.Ends, at)
+		return s.recordEnds(*c.Ends, at)
 	case c.Register != nil:
 		return s.register(*c.Register, c.Crash, at)
 	case c.Lost != nil:
-		return s.lose(*c.Lost, at)
+		return s.loseVM(*c.Lost, at)
 	case c.Wave != nil:
-		return s.takeWave(*c.Wave)
+		return s.acceptWave(*c.Wave)
 	case c.Upkeep != nil:
-		return s.noteUpkeep(*c.Upkeep)
+		return s.recordUpkeep(*c.Upkeep)
 	case c.Clear != nil:
 		return s.clearTask(*c.Clear)
 	case c.Evacuate != nil:
@@ -44,7 +44,7 @@
 	return Result{Code: Invalid, Text: "the command is empty"}
 }
 
-func (s *State) takeDocument(d *Document) Result {
+func (s *State) acceptDocument(d *Document) Result {
 	if err := d.Check(); err != nil {
 		return Result{Code: Invalid, Text: err.Error()}
 	}
@@ -57,9 +57,9 @@
 
 func (s *State) setDocument(d *Document) {
 	s.doc = d
-	clear(s.queue)
+	clear(s.queuesByName)
 	for i := range d.Queues {
-		s.queue[d.Queues[i].Name] = &d.Queues[i]
+		s.queuesByName[d.Queues[i].Name] = &d.Queues[i]
 	}
 }
 
@@ -160,14 +160,14 @@
 		for starts[i].Group != 0 && i+n < len(starts) && starts[i+n].Group == starts[i].Group {
 			n++
 		}
-		s.startTogether(starts[i:i+n], res.Numbers[i:i+n], at)
+		s.startGroup(starts[i:i+n], res.Numbers[i:i+n], at)
 		i += n
 	}
 	return res
 }
 
-// noteBegun notes jobs of which executors have begun a task.
-func (s *State) noteBegun(ids []rudderfork.JobID) {
+// markBegun notes jobs of which executors have begun a task.
+func (s *State) markBegun(ids []rudderfork.JobID) {
 	for _, id := range ids {
 		if j := s.jobs[id]; j != nil {
 			j.Begun = true
@@ -175,8 +175,8 @@
 	}
 }
 
-// startTogether starts all of the list under one number, or none.
-func (s *State) startTogether(list []Start, numbers []uint32, at int64) {
+// startGroup starts all of the list under one number, or none.
+func (s *State) startGroup(list []Start, numbers []uint32, at int64) {
 	number := uint32(0)
 	for _, st := range list {
 		if j := s.jobs[st.Task.Job]; j != nil && j.Task(st.Task) != nil {
@@ -185,7 +185,7 @@
 	}
 	for i, st := range list {
 		if !s.startable(st, at) {
-			s.undo(list[:i])
+			s.undoStarts(list[:i])
 			return
 		}
 		j := s.jobs[st.Task.Job]
@@ -200,7 +200,7 @@
 	}
 }
 
-func (s *State) undo(list []Start) {
+func (s *State) undoStarts(list []Start) {
 	for _, st := range list {
 		j := s.jobs[st.Task.Job]
 		t := j.Task(st.Task)
@@ -218,13 +218,13 @@
 	if runs > 1 || runs == 1 && (!st.Copy || t.Suspect() || !j.Spec.Steps[st.Task.Step].Speculative) {
 		return false
 	}
-	if t.reachesMost(s.lasts(st.Task)) {
+	if t.atCrashLimit(s.isLasting(st.Task)) {
 		return false // it is given up once its runs have ended, unless they end well
 	}
 	return s.RejectReason(j, st.Task, vm) == ""
 }
 
-func (s *State) takeEnds(c Ends, at int64) Result {
+func (s *State) recordEnds(c Ends, at int64) Result {
 	res := Result{Code: OK, Accepted: make([]bool, len(c.List))}
 	vm := s.vms[c.VM]
 	if vm == nil || vm.Incarnation != c.Incarnation {
@@ -249,22 +249,22 @@
 	for i, r := range t.Runs {
 		if r.VM == vm && r.Number == e.Run {
 			s.removeRun(j, e.Task, t, i)
-			if e.Outcome.began() {
+			if e.Outcome.hasBegun() {
 				j.Begun = true
-				t.noteEnd(e.Outcome, at-r.StartedAt)
+				t.recordEnd(e.Outcome, at-r.StartedAt)
 			}
 			if e.Outcome == OutcomeDone {
 				t.TookMS = at - r.StartedAt
 			}
-			s.settle(j, e, t, at)
+			s.applyEnd(j, e, t, at)
 			return true
 		}
 	}
 	return false
 }
 
-// settle draws the conclusions of a run's end for its task and job.
-func (s *State) settle(j *Job, e End, t *Task, at int64) {
+// applyEnd draws the conclusions of a run's end for its task and job.
+func (s *State) applyEnd(j *Job, e End, t *Task, at int64) {
 	st := j.Spec.Steps[e.Task.Step]
 	t.EndedAt = at
 	j.changes++
@@ -337,14 +337,14 @@
 	v.Epoch, v.Leaving = 1, false
 	v.UnresolvedRuns, v.LeaseExpiredAt, v.Resolved, v.ExecutorSilent, v.Crashes = nil, 0, false, false, CrashHistory{}
 	if old := s.vms[v.ID]; old != nil {
-		same := continues(old.Incarnation, v.Incarnation)
-		how := endingOf(old, seen)
-		how.over = true
+		same := mayBeSame(old.Incarnation, v.Incarnation)
+		how := terminationOf(old, seen)
+		how.replaced = true
 		switch {
 		case !old.Live:
-			res.Assessments = s.returned(old, how, same, at)
+			res.Assessments = s.resolveReturned(old, how, same, at)
 		case !same:
-			res = s.endLife(old, how, nil, at)
+			res = s.endIncarnation(old, how, nil, at)
 		}
 		v.used, v.runs, v.Epoch, v.Crashes = old.used, old.runs, old.Epoch, old.Crashes
 		v.Leaving = same && old.Leaving
@@ -357,63 +357,63 @@
 	return res
 }
 
-// endingOf is how the life of a VM's executor has ended, by what its agent has seen.
-func endingOf(vm *VM, seen *Crash) ending {
+// terminationOf is how the life of a VM's executor has ended, by what its agent has seen.
+func terminationOf(vm *VM, seen *Crash) termination {
 	seen = seen.ForIncarnation(vm.Incarnation)
-	return ending{planned: vm.Leaving || seen.announced(), seen: seen}
+	return termination{planned: vm.Leaving || seen.announced(), crash: seen}
 }
 
 // TasksAtCrash returns the tasks whose runs ended with the life of an executor that v
 // follows; crashed is false if v follows none, or one that was to end.
 func (s *State) TasksAtCrash(v VM, seen *Crash) (tasks []TaskKey, crashed bool) {
 	old := s.vms[v.ID]
-	if old == nil || continues(old.Incarnation, v.Incarnation) {
+	if old == nil || mayBeSame(old.Incarnation, v.Incarnation) {
 		return nil, false
 	}
-	how := endingOf(old, seen)
+	how := terminationOf(old, seen)
 	if how.planned {
 		return nil, false
 	}
-	for _, r := range s.atWorkOf(old, how.seen, 0) {
+	for _, r := range s.activeRuns(old, how.crash, 0) {
 		tasks = append(tasks, r.Task)
 	}
 	return tasks, true
 }
 
-// continues reports whether a life as it is named now may be the one that was named
+// mayBeSame reports whether a life as it is named now may be the one that was named
 // before. Agents of earlier releases named lives by their ids alone; what runs in one may
 // not be taken for over because it gets to say when it began.
-func continues(before, now string) bool {
+func mayBeSame(before, now string) bool {
 	id, _ := rudderfork.SplitIncarnation(now)
 	return before == now || before == id
 }
 
-func (s *State) lose(c VMLoss, at int64) Result {
+func (s *State) loseVM(c VMLoss, at int64) Result {
 	vm := s.vms[c.VM]
 	if vm == nil || vm.Incarnation != c.Incarnation || c.Epoch != 0 && c.Epoch != vm.Epoch {
 		return Result{Code: Stale}
 	}
-	how := endingOf(vm, c.Crash)
+	how := terminationOf(vm, c.Crash)
 	how.planned = how.planned || c.Departed
 	if !vm.Live {
-		s.lostAgain(vm, how, at)
+		s.loseAgain(vm, how, at)
 		return Result{Code: Stale}
 	}
-	res := s.endLife(vm, how, c.Checkpoints, at)
+	res := s.endIncarnation(vm, how, c.Checkpoints, at)
 	vm.Live = false
 	return res
 }
 
-// lostAgain takes the loss of a life that was lost before. Its runs have ended; that it
+// loseAgain takes the loss of a life that was lost before. Its runs have ended; that it
 // left as planned may be news.
-func (s *State) lostAgain(vm *VM, how ending, at int64) {
+func (s *State) loseAgain(vm *VM, how termination, at int64) {
 	if how.planned {
-		s.returned(vm, how, true, at)
+		s.resolveReturned(vm, how, true, at)
 	}
 }
 
-// endAll ends every active run of a VM without a report of its own.
-func (s *State) endAll(vm *VM, checkpoints map[TaskKey]string, at int64) (gone []LostRun) {
+// endAllRuns ends every active run of a VM without a report of its own.
+func (s *State) endAllRuns(vm *VM, checkpoints map[TaskKey]string, at int64) (gone []LostRun) {
 	for _, k := range sortedKeys(vm.runs) {
 		run := vm.runs[k]
 		s.endRun(vm.ID, End{Task: k, Run: run, Outcome: OutcomeLost, Checkpoint: checkpoints[k]}, at)
--- a/queue/blame.go
+++ b/queue/blame.go
@@ -17,75 +17,75 @@
 // it soon after its start, so that of a run that has just begun and one that has run for
 // a minute the former is the likelier cause, and a task that was suspected before more so.
 const (
-	// priorMille is the part, in thousandths, of tasks that are taken to crash their
+	// priorMilli is the part, in thousandths, of tasks that are taken to crash their
 	// executors before anything was seen of them.
-	priorMille = 2
-	// topMille bounds what is believed either way, in thousandths.
-	topMille = 998
-	// delayMS is how long after its start a task that crashes its executor does so, in
+	priorMilli = 2
+	// maxMilli bounds what is believed either way, in thousandths.
+	maxMilli = 998
+	// crashDelayMS is how long after its start a task that crashes its executor does so, in
 	// the median, ms. The density falls with the square of the age, so that little
 	// depends on this figure: 10 ms were seen, on which the steps of an agent's calls
 	// are laid.
-	delayMS = 50
-	// promptMS is how long after its start a run may be lost in a crash that bears witness
+	crashDelayMS = 50
+	// promptCrashMS is how long after its start a run may be lost in a crash that bears witness
 	// against its task, ms: most poison tasks crash their executors sooner, the steps of an
 	// agent's calls included.
-	promptMS = 100
-	// ordinaryMS is the mean time between two crashes of an executor that no task is to
+	promptCrashMS = 100
+	// spontaneousCrashMS is the mean time between two crashes of an executor that no task is to
 	// blame for, ms, before any was seen; it counts as much as one that was.
-	ordinaryMS = 60_000
-	// provenMS is how long a run must have been at work to show that its task does not
+	spontaneousCrashMS = 60_000
+	// provenRunMS is how long a run must have been at work to show that its task does not
 	// crash what starts it: far above delayMS, and below what lasting tasks run.
-	provenMS = 10_000
-	// unheardMS is taken off the age of a run that nobody has told the age of: a lease,
+	provenRunMS = 10_000
+	// unknownAgeMarginMS is taken off the age of a run that nobody has told the age of: a lease,
 	// an executor's return, and the steps of clocks between two leaders.
-	unheardMS = 15_000
+	unknownAgeMarginMS = 15_000
 
-	// MostCrashes is how many executors may crash under a task, or may yet, before it
+	// MaxCrashes is how many executors may crash under a task, or may yet, before it
 	// is given up whatever it is suspected of: once three have, it is started twice
 	// more at most (the users' pages).
-	MostCrashes = 5
-	// twiceMille and thriceMille are the suspicions, in thousandths, at which a task is
+	MaxCrashes = 5
+	// poisonMilliAfter2 and thriceMille are the suspicions, in thousandths, at which a task is
 	// given up after two and after three crashes. (In modelled days of 13 VMs with five
 	// poison tasks, each took 2.07 executors down, and one innocent job of 390 a day was
 	// given up in 20 days; 2.57 and one in 11 days at 995 and 950. With 30 poison tasks
 	// 2.84 and 3.32. bench -only crashes.)
-	twiceMille  = 950
-	thriceMille = 700
+	poisonMilliAfter2 = 950
+	poisonMilliAfter3 = 700
 
-	// SuspectMille is the suspicion, in thousandths, from which on a task is a suspect,
+	// SuspectMilli is the suspicion, in thousandths, from which on a task is a suspect,
 	// which runs apart from other suspects until it is cleared: ten times the prior.
-	SuspectMille = 20
+	SuspectMilli = 20
 )
 
 // Suspect reports whether the task is likelier than others to crash its executors.
-func (t *Task) Suspect() bool { return t.Suspicion >= SuspectMille }
+func (t *Task) Suspect() bool { return t.Suspicion >= SuspectMilli }
 
 // prior is the probability, in thousandths, before the next crash.
-func (t *Task) prior() int64 { return max(priorMille, min(topMille, int64(t.Suspicion))) }
+func (t *Task) prior() int64 { return max(priorMilli, min(maxMilli, int64(t.Suspicion))) }
 
 // isPoison reports whether the task is to be given up.
 func (t *Task) isPoison() bool {
 	switch {
-	case t.Crashes >= MostCrashes:
+	case t.Crashes >= MaxCrashes:
 		return true
 	case t.PromptCrashes >= 3:
-		return t.Suspicion >= thriceMille
+		return t.Suspicion >= poisonMilliAfter3
 	case t.PromptCrashes >= 2:
-		return t.Suspicion >= twiceMille
+		return t.Suspicion >= poisonMilliAfter2
 	}
 	return false
 }
 
-// clear takes back all that the task was suspected of, but for what is open yet.
-func (t *Task) clear() { t.Crashes, t.PromptCrashes, t.Suspicion = 0, 0, 0 }
+// clearSuspicion takes back all that the task was suspected of, but for what is open yet.
+func (t *Task) clearSuspicion() { t.Crashes, t.PromptCrashes, t.Suspicion = 0, 0, 0 }
 
 // clearProven clears the tasks of runs that had been at work for long: they show that their
 // tasks do not crash what starts them.
 func (s *State) clearProven(list []RunAge) {
 	for _, r := range list {
-		if t := s.openTask(r.Task); t != nil && r.AgeMS >= provenMS {
-			t.clear()
+		if t := s.openTask(r.Task); t != nil && r.AgeMS >= provenRunMS {
+			t.clearSuspicion()
 		}
 	}
 }
@@ -96,22 +96,22 @@
 func (s *State) countCrash(list []RunAge, told bool) {
 	for _, r := range list {
 		t := s.openTask(r.Task)
-		if t == nil || r.AgeMS >= provenMS || told && s.lasts(r.Task) && !t.Suspect() {
+		if t == nil || r.AgeMS >= provenRunMS || told && s.isLasting(r.Task) && !t.Suspect() {
 			continue
 		}
 		t.Crashes++
-		if r.Confirmed && r.AgeMS <= promptMS {
+		if r.Confirmed && r.AgeMS <= promptCrashMS {
 			t.PromptCrashes++
 		}
 	}
 }
 
-func (s *State) lasts(k TaskKey) bool { return s.jobs[k.Job].Spec.Steps[k.Step].Lasting }
+func (s *State) isLasting(k TaskKey) bool { return s.jobs[k.Job].Spec.Steps[k.Step].Lasting }
 
-// blame renews what the tasks of the runs at a crash on a VM are suspected of: for each
+// updateSuspicion renews what the tasks of the runs at a crash on a VM are suspected of: for each
 // the probability that it was the cause, against the others and against a crash that no
 // task caused, whose probability it returns in thousandths.
-func (s *State) blame(vm *VM, list []RunAge) (ordinaryMille int64) {
+func (s *State) updateSuspicion(vm *VM, list []RunAge) (ordinaryMille int64) {
 	ordinary := vm.Crashes.weight(s.base.weight(), s.clock.NowMS)
 	total := ordinary
 	weights := make([]int64, len(list))
@@ -120,21 +120,21 @@
 		if t == nil {
 			continue
 		}
-		late := max(0, r.AgeMS) + delayMS
+		late := max(0, r.AgeMS) + crashDelayMS
 		p := t.prior()
-		weights[i] = p * weightScale / (1000 - p) / late * delayMS / late
+		weights[i] = p * weightScale / (1000 - p) / late * crashDelayMS / late
 		total += weights[i]
 	}
 	ordinaryMille = 1000 * ordinary / total
-	s.base.note(ordinaryMille)
+	s.base.addCrash(ordinaryMille)
 	for i, r := range list {
 		t := s.openTask(r.Task)
 		if t == nil {
 			continue
 		}
 		// Where another one was the cause, this one has at least lived so long.
-		lived := t.prior() * delayMS / (max(0, r.AgeMS) + delayMS)
-		t.Suspicion = int(min(topMille, max(1000*weights[i]/total, lived)))
+		lived := t.prior() * crashDelayMS / (max(0, r.AgeMS) + crashDelayMS)
+		t.Suspicion = int(min(maxMilli, max(1000*weights[i]/total, lived)))
 	}
 	return ordinaryMille
 }
@@ -150,14 +150,14 @@
 
 // weight is the rate at which one executor crashes, and never 0.
 func (b *BaseRate) weight() int64 {
-	return max(1, (1000+b.CrashesMilli)*(weightScale/1000)/(ordinaryMS+b.ObservedMS))
+	return max(1, (1000+b.CrashesMilli)*(weightScale/1000)/(spontaneousCrashMS+b.ObservedMS))
 }
 
-// note counts a crash that no task caused, with a probability in thousandths.
-func (b *BaseRate) note(mille int64) { b.CrashesMilli += mille }
+// addCrash counts a crash that no task caused, with a probability in thousandths.
+func (b *BaseRate) addCrash(mille int64) { b.CrashesMilli += mille }
 
-// watch counts time, ms, for which VMs were watched.
-func (b *BaseRate) watch(ms int64, vms int) { b.ObservedMS += ms * int64(vms) }
+// addObserved counts time, ms, for which VMs were watched.
+func (b *BaseRate) addObserved(ms int64, vms int) { b.ObservedMS += ms * int64(vms) }
 
 // openTask returns a task that may still run, or nil.
 func (s *State) openTask(k TaskKey) *Task {
@@ -172,9 +172,9 @@
 	return t
 }
 
-// giveUp fails the jobs of the poison tasks among the tasks of runs, and tells what all of
+// failPoisonTasks fails the jobs of the poison tasks among the tasks of runs, and tells what all of
 // them are suspected of.
-func (s *State) giveUp(list []RunAge, at int64) (found []Assessment) {
+func (s *State) failPoisonTasks(list []RunAge, at int64) (found []Assessment) {
 	for _, r := range list {
 		t := s.openTask(r.Task)
 		if t == nil {
@@ -182,7 +182,7 @@
 		}
 		j := s.jobs[r.Task.Job]
 		j.changes++
-		s.noteRuns(t)
+		s.markVMsChanged(t)
 		poison := t.isPoison()
 		found = append(found, Assessment{Task: r.Task, Run: r.Run, AgeMS: r.AgeMS, Crashes: t.Crashes, Suspicion: t.Suspicion, GivenUp: poison})
 		if poison {
@@ -193,18 +193,18 @@
 	return found
 }
 
-// noteRuns notes a change at the VMs of a task's runs, which are read with what it is
+// markVMsChanged notes a change at the VMs of a task's runs, which are read with what it is
 // suspected of.
-func (s *State) noteRuns(t *Task) {
+func (s *State) markVMsChanged(t *Task) {
 	for _, r := range t.Runs {
 		s.vms[r.VM].changes++
 	}
 }
 
-// noteEnd draws on an end that an executor has listed: it lives.
-func (t *Task) noteEnd(how Outcome, tookMS int64) {
-	if how == OutcomeDone || how == OutcomeFailed || tookMS >= provenMS {
-		t.clear()
+// recordEnd draws on an end that an executor has listed: it lives.
+func (t *Task) recordEnd(how Outcome, tookMS int64) {
+	if how == OutcomeDone || how == OutcomeFailed || tookMS >= provenRunMS {
+		t.clearSuspicion()
 	}
 }
 
@@ -218,13 +218,13 @@
 	GivenUp   bool // its job has failed for it
 }
 
-// reachesMost reports whether one more run of the task might be one too many, should
+// atCrashLimit reports whether one more run of the task might be one too many, should
 // those that are active crash their executors too, and those in doubt have done so. A task
 // that lasts waits only for what agents have told: its users are without it meanwhile.
-func (t *Task) reachesMost(lasting bool) bool {
+func (t *Task) atCrashLimit(lasting bool) bool {
 	doubts := t.UnresolvedLosses
 	if lasting {
 		doubts = t.UnresolvedSilent
 	}
-	return t.Crashes+doubts+len(t.Runs) >= MostCrashes
+	return t.Crashes+doubts+len(t.Runs) >= MaxCrashes
 }
--- a/queue/blame_test.go
+++ b/queue/blame_test.go
@@ -185,7 +185,7 @@
 		starts++
 		w.lose(vm, VMLoss{})
 	}
-	assert.Equal(t, starts, MostCrashes)
+	assert.Equal(t, starts, MaxCrashes)
 	assert.Equal(t, w.status("j1"), Running)
 	w.register("vm1", oldLife)
 	_, ok := w.startAnywhere(k)
@@ -200,8 +200,8 @@
 	for vm, ok := w.startAnywhere(k); ok; vm, ok = w.startAnywhere(k) {
 		w.lose(vm, VMLoss{})
 	}
-	checkCounts(t, w.task(k), 0, MostCrashes)
-	w.pass(doubtMS)
+	checkCounts(t, w.task(k), 0, MaxCrashes)
+	w.pass(unresolvedLossMS)
 	checkCounts(t, w.task(k), 0, 0)
 	vm, ok := w.startAnywhere(k)
 	assert.Assert(t, ok)
@@ -214,7 +214,7 @@
 		checkCounts(t, w.task(k), 1, 1)
 		w.restore()
 		checkCounts(t, w.task(k), 1, 1)
-		w.pass(doubtMS)
+		w.pass(unresolvedLossMS)
 		checkCounts(t, w.task(k), 1, 0)
 	})
 }
@@ -225,7 +225,7 @@
 	w.submit("j1", one)
 	k := key("j1", 0, 0)
 	w.start(k, "vm1")
-	w.n += provenMS + unheardMS
+	w.n += provenRunMS + unknownAgeMarginMS
 	w.lose("vm1", VMLoss{})
 	checkCounts(t, w.task(k), 0, 0)
 	w.register("vm1", oldLife)
--- a/queue/crash.go
+++ b/queue/crash.go
@@ -45,8 +45,8 @@
 	return c.Runs[i], true
 }
 
-// among returns what is known of the runs of a list that had begun.
-func (c *Crash) among(list []RunAge) (known []RunAge) {
+// filterBegun returns what is known of the runs of a list that had begun.
+func (c *Crash) filterBegun(list []RunAge) (known []RunAge) {
 	for _, r := range list {
 		if k, began := c.find(r.Task, r.Run); began {
 			known = append(known, k)
--- a/queue/crash_test.go
+++ b/queue/crash_test.go
@@ -124,7 +124,7 @@
 	w := newWorld(t, 4)
 	w.submit("feed", lasting)
 	k := key("feed", 0, 0)
-	for i := range 2 * MostCrashes {
+	for i := range 2 * MaxCrashes {
 		for _, idle := range []rudderfork.VMID{"vm2", "vm3", "vm4"} {
 			w.crash(idle, fmt.Sprintf("idle-%d", i))
 		}
@@ -138,7 +138,7 @@
 // TestFirstCrashInDays guards against a state that cannot apply a crash where hardly any was in long.
 func TestFirstCrashInDays(t *testing.T) {
 	w, bad, good := two(t, one)
-	w.s.base.watch((30 * 24 * time.Hour).Milliseconds(), 3_900)
+	w.s.base.addObserved((30 * 24 * time.Hour).Milliseconds(), 3_900)
 	w.crash("vm2", "life-2")
 	w.crash("vm1", "life-2", aged(bad, 1, 0), aged(good, 1, 300))
 	assert.Assert(t, w.task(bad).Suspicion > w.task(good).Suspicion)
@@ -192,15 +192,15 @@
 	base := (&BaseRate{}).weight()
 	h := CrashHistory{}
 	assert.Equal(t, h.weight(base, 5_000), base)
-	h.note(1000, 5_000)
+	h.addCrash(1000, 5_000)
 	soon, later := h.weight(base, 6_000), h.weight(base, 15_000)
 	assert.Assert(t, soon > later && later > base, "%d, %d, %d", soon, later, base)
-	assert.Equal(t, h.mille(15_000), int64(500))
-	assert.Equal(t, h.mille(10_000), int64(750))
+	assert.Equal(t, h.crashesMilli(15_000), int64(500))
+	assert.Equal(t, h.crashesMilli(10_000), int64(750))
 	assert.Equal(t, h.weight(base, 200_000), base)
-	h.note(1000, 6_500)
+	h.addCrash(1000, 6_500)
 	assert.Assert(t, h.weight(base, 7_500) > soon, "it crashes again and again")
 	assert.Assert(t, h.weight(weightScale, 5_000) >= weightScale, "all crash all the time")
-	h.note(1000, 200_000)
+	h.addCrash(1000, 200_000)
 	assert.Equal(t, h.SinceMS, int64(200_000), "what was long ago counts no more")
 }
--- a/queue/crashrate.go
+++ b/queue/crashrate.go
@@ -5,14 +5,14 @@
 // less of what ran than one where none was seen for long. This file keeps, for each VM,
 // how often its executor has crashed lately that no task is to blame for.
 const (
-	// crashHalfMS is how long it takes until a crash counts half, ms.
-	crashHalfMS = 10_000
-	// crashSpanMS is over how long crashes are counted on the whole, ms: the mean age of
+	// crashHalfLifeMS is how long it takes until a crash counts half, ms.
+	crashHalfLifeMS = 10_000
+	// crashWindowMS is over how long crashes are counted on the whole, ms: the mean age of
 	// what halves every crashHalfMS.
-	crashSpanMS = 14_400
-	// crashPriorMille is how many crashes, in thousandths, the rate over all VMs counts as
+	crashWindowMS = 14_400
+	// crashPriorMilli is how many crashes, in thousandths, the rate over all VMs counts as
 	// beside a VM's own: little, since the rates of VMs lie far apart.
-	crashPriorMille = 50
+	crashPriorMilli = 50
 )
 
 // CrashHistory is how often a VM's executor has crashed lately, as far as no task was the
@@ -23,21 +23,21 @@
 	SinceMS      int64 `cbor:"3,keyasint,omitempty"` // of the first one that counts
 }
 
-// mille returns how many crashes count now, in thousandths.
-func (h *CrashHistory) mille(nowMS int64) int64 {
+// crashesMilli returns how many crashes count now, in thousandths.
+func (h *CrashHistory) crashesMilli(nowMS int64) int64 {
 	age := max(0, nowMS-h.NewestMS)
-	halves := age / crashHalfMS
+	halves := age / crashHalfLifeMS
 	if h.CrashesMilli == 0 || halves > 10 {
 		return 0
 	}
 	left := h.CrashesMilli >> halves
-	return left - left/2*(age%crashHalfMS)/crashHalfMS
+	return left - left/2*(age%crashHalfLifeMS)/crashHalfLifeMS
 }
 
-// note counts a crash that no task caused, with a probability in thousandths.
-func (h *CrashHistory) note(mille, nowMS int64) {
-	left := h.mille(nowMS)
-	if left < crashPriorMille {
+// addCrash counts a crash that no task caused, with a probability in thousandths.
+func (h *CrashHistory) addCrash(mille, nowMS int64) {
+	left := h.crashesMilli(nowMS)
+	if left < crashPriorMilli {
 		left, h.SinceMS = 0, nowMS
 	}
 	h.CrashesMilli, h.NewestMS = left+mille, nowMS
@@ -46,11 +46,11 @@
 // weight is the rate at which the executor crashes, in weightScale, where base is that of
 // all VMs.
 func (h *CrashHistory) weight(base, nowMS int64) int64 {
-	mille := h.mille(nowMS)
+	mille := h.crashesMilli(nowMS)
 	if mille == 0 {
 		return base
 	}
-	watched := min(crashSpanMS, max(0, nowMS-h.SinceMS))
+	watched := min(crashWindowMS, max(0, nowMS-h.SinceMS))
 	const unit = weightScale / 1000
-	return max(base, (crashPriorMille+mille)*unit/max(1, crashPriorMille*unit/base+watched))
+	return max(base, (crashPriorMilli+mille)*unit/max(1, crashPriorMilli*unit/base+watched))
 }
--- a/queue/image.go
+++ b/queue/image.go
@@ -50,7 +50,7 @@
 			s.live[j.ID] = j
 		}
 	}
-	s.restoreCases()
+	s.restoreLosses()
 	return s
 }
 
--- a/queue/model.go
+++ b/queue/model.go
@@ -200,8 +200,8 @@
 	OutcomeLost           Outcome = "gone"    // the VM knows nothing of it and never will
 )
 
-// began reports whether a run that ended so had begun: an executor has listed the end.
-func (e Outcome) began() bool { return e != OutcomeRefused && e != OutcomeLost }
+// hasBegun reports whether a run that ended so had begun: an executor has listed the end.
+func (e Outcome) hasBegun() bool { return e != OutcomeRefused && e != OutcomeLost }
 
 // Run is one run of a task on a VM, from its start until its end is known.
 type Run struct {
--- a/queue/state.go
+++ b/queue/state.go
@@ -10,17 +10,17 @@
 // State is the replicated state of the queues. It is not safe for concurrent
 // use.
 type State struct {
-	doc   *Document
-	queue map[string]*Queue // rows of doc by name
-	jobs  map[rudderfork.JobID]*Job
-	ended []rudderfork.JobID // oldest first
-	live  map[rudderfork.JobID]*Job
-	vms   map[rudderfork.VMID]*VM
-	order []*VM   // all of vms, by their names
-	waves []*Wave // oldest first
-	clock Clock
-	base  BaseRate
-	cases []openCase // that may be settled yet, the oldest first
+	doc          *Document
+	queuesByName map[string]*Queue // rows of doc by name
+	jobs         map[rudderfork.JobID]*Job
+	ended        []rudderfork.JobID // oldest first
+	live         map[rudderfork.JobID]*Job
+	vms          map[rudderfork.VMID]*VM
+	vmsByID      []*VM   // all of vms, by their names
+	waves        []*Wave // oldest first
+	clock        Clock
+	base         BaseRate
+	losses       []unresolvedLoss // that may be settled yet, the oldest first
 
 	evacuations map[rudderfork.Domain]Evacuation
 }
@@ -28,10 +28,10 @@
 // New returns an empty state.
 func New() *State {
 	return &State{
-		queue: map[string]*Queue{},
-		jobs:  map[rudderfork.JobID]*Job{},
-		live:  map[rudderfork.JobID]*Job{},
-		vms:   map[rudderfork.VMID]*VM{},
+		queuesByName: map[string]*Queue{},
+		jobs:         map[rudderfork.JobID]*Job{},
+		live:         map[rudderfork.JobID]*Job{},
+		vms:          map[rudderfork.VMID]*VM{},
 
 		evacuations: map[rudderfork.Domain]Evacuation{},
 	}
@@ -51,15 +51,15 @@
 
 // VMs returns all VMs in the order of their names. The list must not be changed, nor kept
 // over the next command.
-func (s *State) VMs() []*VM { return s.order }
+func (s *State) VMs() []*VM { return s.vmsByID }
 
 // setVM adds a VM or replaces it.
 func (s *State) setVM(vm *VM) {
-	i, there := slices.BinarySearchFunc(s.order, vm.ID, func(v *VM, id rudderfork.VMID) int { return cmp.Compare(v.ID, id) })
+	i, there := slices.BinarySearchFunc(s.vmsByID, vm.ID, func(v *VM, id rudderfork.VMID) int { return cmp.Compare(v.ID, id) })
 	if there {
-		s.order[i] = vm
+		s.vmsByID[i] = vm
 	} else {
-		s.order = slices.Insert(s.order, i, vm)
+		s.vmsByID = slices.Insert(s.vmsByID, i, vm)
 	}
 	s.vms[vm.ID] = vm
 }
@@ -67,7 +67,7 @@
 // CurrentQueue returns the present row of a job's queue: the document's, or the one the
 // job was handed in under if the document has it no more.
 func (s *State) CurrentQueue(j *Job) Queue {
-	if q := s.queue[j.Queue.Name]; q != nil {
+	if q := s.queuesByName[j.Queue.Name]; q != nil {
 		return *q
 	}
 	return j.Queue
--- a/queue/suspects.go
+++ b/queue/suspects.go
@@ -38,8 +38,8 @@
 	if t == nil {
 		return Result{Code: NoJob, Text: "there is no such task that may still run"}
 	}
-	t.clear()
+	t.clearSuspicion()
 	s.jobs[k.Job].changes++
-	s.noteRuns(t)
+	s.markVMsChanged(t)
 	return Result{Code: OK, Job: k.Job}
 }
--- a/queue/wave.go
+++ b/queue/wave.go
@@ -58,7 +58,7 @@
 	return open
 }
 
-func (s *State) takeWave(w Wave) Result {
+func (s *State) acceptWave(w Wave) Result {
 	if w.MaxDown < 1 || len(w.Machines) == 0 {
 		return Result{Code: Invalid, Text: "a wave needs machines, and room for one of them to be down"}
 	}
@@ -73,9 +73,9 @@
 	return Result{Code: OK}
 }
 
-func (s *State) noteUpkeep(n UpkeepReport) Result {
+func (s *State) recordUpkeep(n UpkeepReport) Result {
 	if !n.Gone {
-		s.endPlanned(n.Incarnation)
+		s.markLeaving(n.Incarnation)
 	}
 	w := s.Wave(n.Wave)
 	if w == nil || !slices.Contains(w.Remaining(), n.Machine) {
--- a/scheduler/crash_test.go
+++ b/scheduler/crash_test.go
@@ -96,7 +96,7 @@
 		s.waitForStatus(fmt.Sprintf("good-%d", i), queue.Completed)
 	}
 	s.waitForStatus("bad-feed", queue.Failed)
-	c.assertStartsAtMost(t, queue.MostCrashes)
+	c.assertStartsAtMost(t, queue.MaxCrashes)
 }
 
 func (s *testCluster) vmCount() (n int) {
--- a/scheduler/gone.go
+++ b/scheduler/gone.go
@@ -46,7 +46,7 @@
 // it.
 func (s *Scheduler) logAssessments(vm rudderfork.VMID, list []queue.Assessment) {
 	for _, v := range list {
-		if v.Suspicion < queue.SuspectMille && !v.GivenUp {
+		if v.Suspicion < queue.SuspectMilli && !v.GivenUp {
 			continue
 		}
 		event := "task_suspected"
--- a/scheduler/liveness_test.go
+++ b/scheduler/liveness_test.go
@@ -50,9 +50,9 @@
 		duration time.Duration // how long the task runs on each VM
 	}{{"after long runs", longRunTime}, {"after short runs", 2 * time.Second}} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newSimFleet(t, 2+queue.MostCrashes)
+			s := newSimFleet(t, 2+queue.MaxCrashes)
 			s.submit("feed", lastingStep(1))
-			for range queue.MostCrashes {
+			for range queue.MaxCrashes {
 				s.advance(c.duration)
 				assert.Assert(t, s.isRunning(k))
 				s.expireLease(s.vmOf(k))
@@ -62,9 +62,9 @@
 		})
 	}
 	t.Run("after a long run that followed the losses", func(t *testing.T) {
-		s := newSimFleet(t, 2+queue.MostCrashes)
+		s := newSimFleet(t, 2+queue.MaxCrashes)
 		s.submit("feed", lastingStep(1))
-		for range queue.MostCrashes - 1 {
+		for range queue.MaxCrashes - 1 {
 			s.advance(2 * time.Second)
 			s.expireLease(s.vmOf(k))
 		}
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -46,12 +46,12 @@
 // receive all the time, also where no messages are expected: silence is only
 // noticed while the connection is read.
 type Conn[Out, In any] struct {
-	ws      *websocket.Conn
-	alive   Liveness
-	watch   watch
-	ticker  *time.Timer
-	silent  atomic.Bool // it was given up for silence
-	beating atomic.Bool // a keep-alive is being written
+	ws               *websocket.Conn
+	alive            Liveness
+	watch            watch
+	ticker           *time.Timer
+	silent           atomic.Bool // it was given up for silence
+	sendingKeepAlive atomic.Bool // a keep-alive is being written
 }
 
 // Dial connects to url, which starts with ws://.
@@ -98,8 +98,8 @@
 		return
 	}
 	c.ticker.Reset(c.alive.tick()) // before the write, which may wait for the peer
-	if idle && c.beating.CompareAndSwap(false, true) {
-		defer c.beating.Store(false)
+	if idle && c.sendingKeepAlive.CompareAndSwap(false, true) {
+		defer c.sendingKeepAlive.Store(false)
 		if c.write(context.Background(), keepAlive) != nil {
 			c.Close()
 		}
@@ -113,7 +113,7 @@
 	if err != nil {
 		return err
 	}
-	c.watch.send()
+	c.watch.noteSent()
 	return c.write(ctx, data)
 }
 
@@ -127,8 +127,8 @@
 // says why where the other end sent nothing any more.
 func (c *Conn[Out, In]) Receive(ctx context.Context) (m In, err error) {
 	defer errs.Annotate(&err, "receive")
-	c.watch.read(true)
-	defer c.watch.read(false)
+	c.watch.setReading(true)
+	defer c.watch.setReading(false)
 	data, err := c.read(ctx)
 	switch {
 	case c.silent.Load():
@@ -150,8 +150,8 @@
 		if err != nil {
 			return nil, err
 		}
-		c.watch.hear()
-		data, err := io.ReadAll(hearing{r, &c.watch})
+		c.watch.noteReceived()
+		data, err := io.ReadAll(activityReader{r, &c.watch})
 		if err != nil {
 			return nil, err
 		}
@@ -161,23 +161,23 @@
 	}
 }
 
-// hearingPiece is the most that is read at a time, in bytes: a reader fills what it is
+// maxReadBytes is the most that is read at a time, in bytes: a reader fills what it is
 // given, so that megabytes would be one sign of life. A message of 5 MB at 2 MB/s was
 // taken for silence of 500 ms; pieces of 16 KiB pass at 33 KB/s.
-const hearingPiece = 16 << 10
+const maxReadBytes = 16 << 10
 
-// hearing notes each piece of a long message as a sign of life: on a slow link a
+// activityReader notes each piece of a long message as a sign of life: on a slow link a
 // snapshot takes longer than the silence limit.
-type hearing struct {
+type activityReader struct {
 	r io.Reader
 	w *watch
 }
 
 // Read implements io.Reader.
-func (h hearing) Read(p []byte) (n int, err error) {
-	n, err = h.r.Read(p[:min(len(p), hearingPiece)])
+func (h activityReader) Read(p []byte) (n int, err error) {
+	n, err = h.r.Read(p[:min(len(p), maxReadBytes)])
 	if n > 0 {
-		h.w.hear()
+		h.w.noteReceived()
 	}
 	return n, err
 }
--- a/wire/liveness.go
+++ b/wire/liveness.go
@@ -75,30 +75,30 @@
 // watch is what a connection has seen since its last tick. It is safe for
 // concurrent use.
 type watch struct {
-	mu      sync.Mutex
-	heard   bool
-	sent    bool
-	reading bool
-	missed  int // ticks in a row without a byte
+	mu       sync.Mutex
+	received bool
+	sent     bool
+	reading  bool
+	missed   int // ticks in a row without a byte
 }
 
-// hear notes that bytes came.
-func (w *watch) hear() {
+// noteReceived notes that bytes came.
+func (w *watch) noteReceived() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.heard = true
+	w.received = true
 }
 
-// send notes that a message goes out.
-func (w *watch) send() {
+// noteSent notes that a message goes out.
+func (w *watch) noteSent() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.sent = true
 }
 
-// read notes whether the connection is being read. Silence counts only meanwhile:
-// what has arrived and is not read yet waits unseen.
-func (w *watch) read(reading bool) {
+// setReading notes whether the connection is being setReading. Silence counts only meanwhile:
+// what has arrived and is not setReading yet waits unseen.
+func (w *watch) setReading(reading bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.reading = reading
@@ -111,12 +111,12 @@
 func (w *watch) tick() (silent, idle bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.heard || !w.reading {
+	if w.received || !w.reading {
 		w.missed = 0
 	} else {
 		w.missed++
 	}
 	idle = !w.sent
-	w.heard, w.sent = false, false
+	w.received, w.sent = false, false
 	return w.missed >= missedTicks, idle
 }
--- a/wire/liveness_test.go
+++ b/wire/liveness_test.go
@@ -128,29 +128,29 @@
 	}
 	t.Run("silent", func(t *testing.T) {
 		var w watch
-		w.read(true)
+		w.setReading(true)
 		assert.Assert(t, !ticks(&w, missedTicks-1))
 		assert.Assert(t, ticks(&w, 1))
 	})
 	t.Run("a byte a tick is enough", func(t *testing.T) {
 		var w watch
-		w.read(true)
+		w.setReading(true)
 		for range 3 * missedTicks {
-			w.hear()
+			w.noteReceived()
 			assert.Assert(t, !ticks(&w, missedTicks))
 		}
 	})
 	t.Run("not counted while nobody reads", func(t *testing.T) {
 		var w watch
 		assert.Assert(t, !ticks(&w, 10*missedTicks))
-		w.read(true)
+		w.setReading(true)
 		assert.Assert(t, !ticks(&w, missedTicks-1))
 	})
 	t.Run("a keep-alive is due where nothing was sent", func(t *testing.T) {
 		var w watch
 		_, idle := w.tick()
 		assert.Assert(t, idle)
-		w.send()
+		w.noteSent()
 		_, idle = w.tick()
 		assert.Assert(t, !idle)
 		_, idle = w.tick()
@@ -186,9 +186,9 @@
 // was filled before anything counted as heard.)
 func TestLongMessage(t *testing.T) {
 	var w watch
-	w.read(true)
+	w.setReading(true)
 	const size = 5 << 20
-	data, err := io.ReadAll(hearing{&fullReader{t: t, w: &w, piece: hearingPiece, left: size}, &w})
+	data, err := io.ReadAll(activityReader{&fullReader{t: t, w: &w, piece: maxReadBytes, left: size}, &w})
 	assert.NilError(t, err)
 	assert.Equal(t, len(data), size)
 }
