--- a/scheduler/faults_test.go
+++ b/scheduler/faults_test.go
@@ -24,10 +24,10 @@
 
 const (
 	faultVMs        = 4
-	faultTasks      = 6   // of the lasting job
-	maxFaultCrashes = 1   // executor crashes in a schedule; more of them make jobs fail
+	faultTasks      = 6   // tasks of the lasting job
+	maxFaultCrashes = 1   // executor crashes in a schedule; with more, jobs fail for them
 	faultEvents     = 80  // events of a schedule with an even seed; twice as many with an odd one
-	executorStartMS = 500 // start time of the first incarnations, Unix ms
+	executorStartMS = 500 // start time in the name of an incarnation with a new id, Unix ms
 	// maxPlatformLease is the longest lease that the users' platform grants.
 	maxPlatformLease = 5 * time.Second
 )
