--- a/runs/cancel_test.go
+++ b/runs/cancel_test.go
@@ -18,20 +18,20 @@
 	// stopLimit what the stop itself may take beyond that.
 	cancelLimit = 3 * time.Second
 	stopLimit   = 200 * time.Millisecond
-	// leastDelay and mostDelay are for how long executors hold calls back.
-	leastDelay = 2 * time.Second
-	mostDelay  = 12 * time.Second
+	// minDelay and mostDelay are for how long executors hold calls back.
+	minDelay = 2 * time.Second
+	maxDelay  = 12 * time.Second
 
-	// longLease is the longest that a VM of the users' platform gets. callTimeout and
+	// maxLease is the longest that a VM of the users' platform gets. callTimeout and
 	// lookSteps are those of package runner: half a second until a call counts as
 	// unanswered, and a second between two accounts.
-	longLease   = 5 * time.Second
+	maxLease   = 5 * time.Second
 	callTimeout = 500 * time.Millisecond
-	lookSteps   = int(time.Second / stepTime)
+	pollSteps   = int(time.Second / stepTime)
 
-	// replacePause is between two replacements of one VM's agent: an agent that lives
+	// minAgentLifetime is between two replacements of one VM's agent: an agent that lives
 	// for less than it takes to look and to stop twice ends nothing.
-	replacePause = 4 * time.Second
+	minAgentLifetime = 4 * time.Second
 
 	cancelSeeds = 100
 	cancelSteps = 1500 // 30 s
@@ -39,29 +39,29 @@
 	cancelJobs  = 12
 )
 
-// cancelSite is a site whose jobs are cancelled, while executors hold calls back
+// cancelSimulation is a site whose jobs are cancelled, while executors hold calls back
 // and those who ordered the runs are replaced.
-type cancelSite struct {
-	*site
+type cancelSimulation struct {
+	*simulation
 	cancelled map[rudderfork.JobID]time.Time
-	begunAt   map[rudderfork.RunRef]time.Time
-	stops     map[rudderfork.RunRef]int // calls so far
-	replaced  map[rudderfork.VMID]time.Time
+	startedAt   map[rudderfork.RunRef]time.Time
+	stopCalls     map[rudderfork.RunRef]int // calls so far
+	replacedAt  map[rudderfork.VMID]time.Time
 	lateRuns  int // that began after their job was cancelled
 }
 
-func newCancelSite(t *testing.T, seed uint64, forgets bool) *cancelSite {
-	c := &cancelSite{cancelled: map[rudderfork.JobID]time.Time{}, begunAt: map[rudderfork.RunRef]time.Time{}, stops: map[rudderfork.RunRef]int{}, replaced: map[rudderfork.VMID]time.Time{}}
-	c.site = newSite(t, seed, 3)
-	c.lease, c.patience, c.lookSteps = longLease, callTimeout, lookSteps
+func newCancelSimulation(t *testing.T, seed uint64, forgets bool) *cancelSimulation {
+	c := &cancelSimulation{cancelled: map[rudderfork.JobID]time.Time{}, startedAt: map[rudderfork.RunRef]time.Time{}, stopCalls: map[rudderfork.RunRef]int{}, replacedAt: map[rudderfork.VMID]time.Time{}}
+	c.simulation = newSimulation(t, seed, 3)
+	c.leaseLength, c.callTimeout, c.pollSteps = maxLease, callTimeout, pollSteps
 	for _, v := range c.vms {
-		v.exec = executor.New(v.nextLife(), executor.Config{
+		v.exec = executor.New(v.nextIncarnation(), executor.Config{
 			Now: func() time.Time { return c.now }, Rate: 1 - 0.02*c.rng.Float64(), StopTime: stopLimit, Forgets: forgets,
 			Fate: c.fate,
 			Delay: func(string) time.Duration {
-				return leastDelay + time.Duration(c.rng.Int64N(int64(mostDelay-leastDelay)))
+				return minDelay + time.Duration(c.rng.Int64N(int64(maxDelay-minDelay)))
 			},
-			OnStart: c.noteStart,
+			OnStart: c.recordLateStart,
 		})
 		v.restartAgent()
 	}
@@ -70,23 +70,23 @@
 
 // fate holds back half of the starts. Of a run's stops it leaves every other one
 // unanswered, in each of the ways there are.
-func (c *cancelSite) fate(call string) executor.Fate {
+func (c *cancelSimulation) fate(call string) executor.Fate {
 	switch call {
 	case "start":
 		if c.rng.IntN(2) == 0 {
 			return executor.Postponed
 		}
 	case "stop":
-		c.stops[c.calling]++
-		if c.stops[c.calling]%2 == 1 {
+		c.stopCalls[c.callRef]++
+		if c.stopCalls[c.callRef]%2 == 1 {
 			return []executor.Fate{executor.Unheard, executor.Lost, executor.Postponed}[c.rng.IntN(3)]
 		}
 	}
 	return executor.Answered
 }
 
-func (c *cancelSite) noteStart(r rudderfork.RunRef) {
-	c.begunAt[r] = c.now
+func (c *cancelSimulation) recordLateStart(r rudderfork.RunRef) {
+	c.startedAt[r] = c.now
 	if _, late := c.cancelled[jobOf(r)]; late {
 		c.lateRuns++
 	}
@@ -101,7 +101,7 @@
 }
 
 // submitAndCancel hands in a job at every other slot, and cancels it at the next.
-func (c *cancelSite) submitAndCancel(n int) {
+func (c *cancelSimulation) submitAndCancel(n int) {
 	i := n / (2 * slotSteps)
 	if i >= cancelJobs {
 		return
@@ -121,14 +121,14 @@
 }
 
 // replace puts a new agent, leader or session in the place of one.
-func (c *cancelSite) replace() {
+func (c *cancelSimulation) replace() {
 	v := c.vms[c.rng.IntN(len(c.vms))]
 	switch c.rng.IntN(150) {
 	case 0:
 		c.elect()
 	case 1, 2:
-		if c.now.Sub(c.replaced[v.id]) >= replacePause {
-			c.replaced[v.id] = c.now
+		if c.now.Sub(c.replacedAt[v.id]) >= minAgentLifetime {
+			c.replacedAt[v.id] = c.now
 			v.restartAgent()
 		}
 	case 3:
@@ -137,7 +137,7 @@
 }
 
 // check holds the rule at the present moment.
-func (c *cancelSite) check() {
+func (c *cancelSimulation) check() {
 	for _, v := range c.vms {
 		for _, r := range v.exec.Running() {
 			at, cancelled := c.cancelled[jobOf(r)]
@@ -145,7 +145,7 @@
 				continue
 			}
 			from := at
-			if begun := c.begunAt[r]; begun.After(from) {
+			if begun := c.startedAt[r]; begun.After(from) {
 				from = begun
 			}
 			over := c.now.Sub(from)
@@ -163,7 +163,7 @@
 		lateRuns := 0
 		for seed := range uint64(cancelSeeds) {
 			t.Run(fmt.Sprintf("%d/forgets=%v", seed, forgets), func(t *testing.T) {
-				c := newCancelSite(t, seed, forgets)
+				c := newCancelSimulation(t, seed, forgets)
 				for n := range cancelSteps {
 					c.submitAndCancel(n)
 					c.replace()
@@ -188,19 +188,19 @@
 		begins bool
 		most   time.Duration // that the run may last
 	}{
-		{"removed at once, begun after the least delay", leastDelay, 0, true, longLease - leastDelay},
-		{"begun when the lease has nearly run out", 4500 * time.Millisecond, 0, true, longLease - 4500*time.Millisecond},
+		{"removed at once, begun after the least delay", minDelay, 0, true, maxLease - minDelay},
+		{"begun when the lease has nearly run out", 4500 * time.Millisecond, 0, true, maxLease - 4500*time.Millisecond},
 		{"begun after the lease has run out", 5100 * time.Millisecond, 0, false, 0},
-		{"begun after the longest delay", mostDelay, 0, false, 0},
+		{"begun after the longest delay", maxDelay, 0, false, 0},
 		// The looks extend what the executor may run, and so the late run too.
-		{"removed just before the run begins", leastDelay, leastDelay - stepTime, true, longLease},
+		{"removed just before the run begins", minDelay, minDelay - stepTime, true, maxLease},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			s := newSite(t, 1, 1)
-			s.lease = longLease
+			s := newSimulation(t, 1, 1)
+			s.leaseLength = maxLease
 			var begun, ended time.Time
 			v := s.vms[0]
-			v.exec = executor.New(v.nextLife(), executor.Config{
+			v.exec = executor.New(v.nextIncarnation(), executor.Config{
 				Now: func() time.Time { return s.now }, Rate: 0.98,
 				Delay:   func(string) time.Duration { return x.delay },
 				OnStart: func(rudderfork.RunRef) { begun = s.now }, OnFinish: func(rudderfork.RunRef, string) { ended = s.now },
@@ -218,9 +218,9 @@
 				return executor.Answered
 			})
 			s.apply(queue.Command{Submit: &queue.Submit{Host: host, Path: "/q/feed", KeepMS: 1 << 40, Spec: queue.Spec{Steps: []queue.Step{{Count: 1, Lasting: true}}}}})
-			for n := range int((mostDelay + 2*longLease) / stepTime) {
+			for n := range int((maxDelay + 2*maxLease) / stepTime) {
 				if !sent.IsZero() && s.now.Sub(sent) >= x.looks {
-					v.frozen = 2
+					v.frozenSteps = 2
 				}
 				s.step(n)
 			}
--- a/runs/evacuate_test.go
+++ b/runs/evacuate_test.go
@@ -14,31 +14,31 @@
 const (
 	evacuationSeeds = 250
 	evacuationSteps = 600
-	// closedAfter is how long after the acknowledgement of an evacuation starts may be
+	// cordonDelay is how long after the acknowledgement of an evacuation starts may be
 	// called: as long as a grant lets them, a step more for the rounding, and nothing for
 	// agents that are cut off, frozen or replaced, nor for leaders that are away.
-	closedAfter = startSpan + stepTime
+	cordonDelay = startWindow + stepTime
 )
 
 // evacuator orders evacuations and takes them back, at any moment.
 type evacuator struct {
-	s       *site
-	sinceOf map[rudderfork.Domain]time.Time
-	calls   int // of starts
+	s       *simulation
+	evacuatedAt map[rudderfork.Domain]time.Time
+	startCalls   int // of starts
 }
 
-func newEvacuator(s *site) *evacuator {
-	e := &evacuator{s: s, sinceOf: map[rudderfork.Domain]time.Time{}}
-	s.onCall = e.check
+func newEvacuator(s *simulation) *evacuator {
+	e := &evacuator{s: s, evacuatedAt: map[rudderfork.Domain]time.Time{}}
+	s.onStartCall = e.check
 	return e
 }
 
 // check holds that no start is called in a failure domain whose evacuation was
 // acknowledged long enough before.
 func (e *evacuator) check(v *vm, ref rudderfork.RunRef) {
-	e.calls++
-	since, ordered := e.sinceOf[v.domain]
-	if !ordered || e.s.now.Sub(since) <= closedAfter {
+	e.startCalls++
+	since, ordered := e.evacuatedAt[v.domain]
+	if !ordered || e.s.now.Sub(since) <= cordonDelay {
 		return
 	}
 	e.s.t.Fatalf("%v: %s starts %v, %v after the evacuation of %s", e.s.now, v.id, ref, e.s.now.Sub(since), v.domain)
@@ -55,14 +55,14 @@
 		return
 	}
 	e.s.apply(queue.Command{Evacuate: &queue.Evacuate{Domain: d}})
-	if _, ordered := e.sinceOf[d]; !ordered {
-		e.sinceOf[d] = e.s.now
+	if _, ordered := e.evacuatedAt[d]; !ordered {
+		e.evacuatedAt[d] = e.s.now
 	}
 }
 
 func (e *evacuator) end(d rudderfork.Domain) {
 	e.s.apply(queue.Command{Evacuate: &queue.Evacuate{Domain: d, End: true}})
-	delete(e.sinceOf, d)
+	delete(e.evacuatedAt, d)
 }
 
 // TestEvacuations evacuates failure domains and takes them back while orders are late,
@@ -73,7 +73,7 @@
 	calls := 0
 	for seed := range uint64(evacuationSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			s := newSite(t, seed, 3)
+			s := newSimulation(t, seed, 3)
 			e := newEvacuator(s)
 			s.faulty = true
 			s.submitJobs()
@@ -89,8 +89,8 @@
 			for n := range calmSteps {
 				s.step(n)
 			}
-			s.assertOver(t)
-			calls += e.calls
+			s.assertJobsEnded(t)
+			calls += e.startCalls
 		})
 	}
 	assert.Assert(t, calls > evacuationSeeds, "%d starts in all schedules", calls)
--- a/runs/liveness_test.go
+++ b/runs/liveness_test.go
@@ -21,97 +21,97 @@
 	liveFaultSteps = 1000
 	liveCalmSteps  = 800
 	probeStep      = 350 // of the calm ones, at which each VM is given a task
-	probeSpan      = 3 * time.Second
+	probeTimeout      = 3 * time.Second
 	liveVMs        = 3
 	liveTasks      = 4 // of the lasting job
 	failingTasks   = 2 // of another, whose runs fail
 
-	// feedsAGivenUp is how many schedules there may be for each in which the lasting job
+	// seedsPerGivenUp is how many schedules there may be for each in which the lasting job
 	// is given up for the executors that crash under it. (4 of 1,500 are.)
-	feedsAGivenUp = 200
+	seedsPerGivenUp = 200
 )
 
 var livenessSeeds = flag.Uint64("liveness.seeds", 50, "schedules of TestEveryRunBeginsOrEnds")
 
-// liveSite is a site that must carry out all that its state says.
-type liveSite struct {
-	*site
-	odd      oddities
-	lastWork map[queue.RunKey]time.Time
-	worst    time.Duration
+// livenessSimulation is a site that must carry out all that its state says.
+type livenessSimulation struct {
+	*simulation
+	faults      faultRates
+	lastRunning map[queue.RunKey]time.Time
+	longestIdle    time.Duration
 }
 
-// oddities are the faults of liveSite beside those of site; each is the number of
+// faultRates are the faults of liveSite beside those of site; each is the number of
 // looks, or steps, among which there is one.
-type oddities struct{ misleads, partials, rooms int }
+type faultRates struct{ staleIncarnations, partialStatuses, capacityChanges int }
 
-func newLiveSite(t *testing.T, seed uint64, odd oddities) *liveSite {
-	l := &liveSite{site: newSite(t, seed, liveVMs), odd: odd, lastWork: map[queue.RunKey]time.Time{}}
+func newLivenessSimulation(t *testing.T, seed uint64, odd faultRates) *livenessSimulation {
+	l := &livenessSimulation{simulation: newSimulation(t, seed, liveVMs), faults: odd, lastRunning: map[queue.RunKey]time.Time{}}
 	l.faulty, l.sameIDs = true, seed%2 == 0
 	if seed%3 > 0 {
-		l.lease, l.patience, l.lookSteps = longLease, callTimeout, lookSteps
+		l.leaseLength, l.callTimeout, l.pollSteps = maxLease, callTimeout, pollSteps
 	}
 	if seed%5 == 0 {
-		l.replaceExecutors()
+		l.useSlowExecutors()
 	}
-	l.onLook = l.misread
+	l.onPoll = l.corruptStatus
 	l.submit("feed", "", queue.Step{Count: liveTasks, Size: rudderfork.Resources{CPUMilli: 250}, Lasting: true})
 	l.submit("broken", "work=700ms fail", queue.Step{Count: failingTasks, Size: rudderfork.Resources{CPUMilli: 250}, Lasting: true})
 	return l
 }
 
-// replaceExecutors has executors take their time to stop runs, and hold back calls for
+// useSlowExecutors has executors take their time to stop runs, and hold back calls for
 // seconds.
-func (l *liveSite) replaceExecutors() {
+func (l *livenessSimulation) useSlowExecutors() {
 	for _, v := range l.vms {
-		v.exec = executor.New(v.nextLife(), executor.Config{
+		v.exec = executor.New(v.nextIncarnation(), executor.Config{
 			Now: func() time.Time { return l.now }, Rate: 1 - 0.02*l.rng.Float64(), StopTime: stopLimit, Fate: v.fate,
 			Delay: func(string) time.Duration {
-				return leastDelay + time.Duration(l.rng.Int64N(int64(mostDelay-leastDelay)))
+				return minDelay + time.Duration(l.rng.Int64N(int64(maxDelay-minDelay)))
 			},
-			OnStart:  func(r rudderfork.RunRef) { l.began(v, r) },
-			OnFinish: func(r rudderfork.RunRef, how string) { l.finished(v, r, how) },
+			OnStart:  func(r rudderfork.RunRef) { l.recordStart(v, r) },
+			OnFinish: func(r rudderfork.RunRef, how string) { l.recordEnd(v, r, how) },
 		})
 		v.restartAgent()
 	}
 }
 
-func (l *liveSite) submit(id, payload string, st queue.Step) {
+func (l *livenessSimulation) submit(id, payload string, st queue.Step) {
 	spec := queue.Spec{Payload: payload, Steps: []queue.Step{st}}
 	res := l.apply(queue.Command{Submit: &queue.Submit{Host: host, Path: "/q/" + id, Spec: spec, KeepMS: 1 << 40}})
 	assert.Equal(l.t, res.Code, queue.OK)
 }
 
-// misread makes accounts another life's, or partial.
-func (l *liveSite) misread(look *rudderfork.ExecutorStatus) error {
+// corruptStatus makes accounts another life's, or partial.
+func (l *livenessSimulation) corruptStatus(look *rudderfork.ExecutorStatus) error {
 	if !l.faulty {
 		return nil
 	}
-	if l.one(l.odd.misleads) {
+	if l.oneIn(l.faults.staleIncarnations) {
 		return rudderfork.ErrStaleIncarnation
 	}
-	if l.one(l.odd.partials) {
+	if l.oneIn(l.faults.partialStatuses) {
 		look.Partial = true
 		look.Running = look.Running[:len(look.Running)/2]
 	}
 	return nil
 }
 
-// one reports whether this is one of so many; 0 means that none is.
-func (l *liveSite) one(of int) bool { return of > 0 && l.rng.IntN(of) == 0 }
+// oneIn reports whether this is oneIn of so many; 0 means that none is.
+func (l *livenessSimulation) oneIn(of int) bool { return of > 0 && l.rng.IntN(of) == 0 }
 
-// changeRooms changes the room of a VM now and then; its executor tells at once.
-func (l *liveSite) changeRooms() {
-	if l.faulty && l.one(l.odd.rooms) {
+// changeCapacity changes the room of a VM now and then; its executor tells at once.
+func (l *livenessSimulation) changeCapacity() {
+	if l.faulty && l.oneIn(l.faults.capacityChanges) {
 		v := l.vms[l.rng.IntN(len(l.vms))]
-		v.told = int64(l.rng.IntN(5)) * 500
-		v.keeper.SetCapacity(rudderfork.Resources{CPUMilli: v.told})
+		v.reportedCapacity = int64(l.rng.IntN(5)) * 500
+		v.reconciler.SetCapacity(rudderfork.Resources{CPUMilli: v.reportedCapacity})
 	}
 }
 
-// watch notes which active runs are at work, and holds that all are that have been
+// checkActiveRuns notes which active runs are at work, and holds that all are that have been
 // active for long.
-func (l *liveSite) watch(calmAt time.Time) {
+func (l *livenessSimulation) checkActiveRuns(calmAt time.Time) {
 	for _, v := range l.vms {
 		vm := l.state.VM(v.id)
 		if vm == nil {
@@ -123,53 +123,53 @@
 		}
 		for k, n := range vm.Runs() {
 			run := k.Run(n)
-			if at, known := l.lastWork[run]; working[k.Ref(n)] || !known || at.Before(calmAt) {
-				l.lastWork[run] = l.now
+			if at, known := l.lastRunning[run]; working[k.Ref(n)] || !known || at.Before(calmAt) {
+				l.lastRunning[run] = l.now
 			}
-			idle := l.now.Sub(l.lastWork[run])
-			l.worst = max(l.worst, idle)
+			idle := l.now.Sub(l.lastRunning[run])
+			l.longestIdle = max(l.longestIdle, idle)
 			assert.Assert(l.t, idle <= settleTime, "%v: %v run %d is active on %s, and not at work for %v", l.now, k, n, v.id, idle)
 		}
 	}
 }
 
-// play has faults happen, and then none.
-func (l *liveSite) play() {
+// run has faults happen, and then none.
+func (l *livenessSimulation) run() {
 	n := 0
 	for ; n < liveFaultSteps; n++ {
-		l.changeRooms()
+		l.changeCapacity()
 		l.step(n)
 	}
 	l.faulty = false
 	calmAt := l.now
 	for _, v := range l.vms {
 		v.exec.Flush()
-		v.frozen, v.cut = 0, 0
-		v.told = v.room
-		v.keeper.SetCapacity(rudderfork.Resources{CPUMilli: v.told})
+		v.frozenSteps, v.cutSteps = 0, 0
+		v.reportedCapacity = v.capacity
+		v.reconciler.SetCapacity(rudderfork.Resources{CPUMilli: v.reportedCapacity})
 	}
 	for i := range liveCalmSteps {
 		if i == probeStep {
 			l.submit("probe", "work=20ms", queue.Step{Count: liveVMs, MaxPerVM: 1, Size: rudderfork.Resources{CPUMilli: 250}})
 		}
 		l.step(n + i)
-		l.watch(calmAt)
+		l.checkActiveRuns(calmAt)
 	}
 }
 
-// checkWhole holds that each lasting task is at work, and that each VM took a start. Tasks
+// checkRecovered holds that each lasting task is at work, and that each VM took a start. Tasks
 // may be given up in keeping with the users' pages.
-func (l *liveSite) checkWhole() (givenUp bool) {
+func (l *livenessSimulation) checkRecovered() (givenUp bool) {
 	l.t.Helper()
 	j := l.state.Job("probe")
 	assert.Equal(l.t, j.Status, queue.Completed)
 	took := rudderfork.FromMillis(j.EndedAt).Sub(rudderfork.FromMillis(j.SubmittedAt))
-	assert.Assert(l.t, took <= probeSpan, "the probe took %v", took)
+	assert.Assert(l.t, took <= probeTimeout, "the probe took %v", took)
 	if l.givenUp(l.state.Job("feed")) {
 		return true
 	}
 	for i := range liveTasks {
-		_, there := l.active[rudderfork.TaskID(fmt.Sprintf("feed.0.0.%d", i))]
+		_, there := l.running[rudderfork.TaskID(fmt.Sprintf("feed.0.0.%d", i))]
 		assert.Assert(l.t, there, "feed task %d is not at work", i)
 	}
 	return false
@@ -177,26 +177,26 @@
 
 // TestEveryRunBeginsOrEnds guards against runs that the leader holds for active and no executor begins.
 func TestEveryRunBeginsOrEnds(t *testing.T) {
-	t.Run("as in TestModel", func(t *testing.T) { drawLiveSites(t, oddities{}) })
-	t.Run("rooms change, accounts are partial", func(t *testing.T) { drawLiveSites(t, oddities{partials: 10, rooms: 40}) })
+	t.Run("as in TestModel", func(t *testing.T) { checkLiveness(t, faultRates{}) })
+	t.Run("rooms change, accounts are partial", func(t *testing.T) { checkLiveness(t, faultRates{partialStatuses: 10, capacityChanges: 40}) })
 }
 
 // TestRunsOfLifeTakenUpAgainNeverBegin guards against an agent that has forgotten its orders, and a leader that has not.
-func TestRunsOfLifeTakenUpAgainNeverBegin(t *testing.T) { drawLiveSites(t, oddities{misleads: 300}) }
+func TestRunsOfLifeTakenUpAgainNeverBegin(t *testing.T) { checkLiveness(t, faultRates{staleIncarnations: 300}) }
 
-func drawLiveSites(t *testing.T, odd oddities) {
+func checkLiveness(t *testing.T, odd faultRates) {
 	t.Helper()
 	worst, givenUp := time.Duration(0), uint64(0)
 	for seed := range *livenessSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			l := newLiveSite(t, seed, odd)
-			l.play()
-			if l.checkWhole() {
+			l := newLivenessSimulation(t, seed, odd)
+			l.run()
+			if l.checkRecovered() {
 				givenUp++
 			}
-			worst = max(worst, l.worst)
+			worst = max(worst, l.longestIdle)
 		})
 	}
 	t.Logf("an active run was without work for %v at most", worst)
-	assert.Assert(t, givenUp <= 1+*livenessSeeds/feedsAGivenUp, "%d jobs were given up", givenUp)
+	assert.Assert(t, givenUp <= 1+*livenessSeeds/seedsPerGivenUp, "%d jobs were given up", givenUp)
 }
--- a/runs/model_test.go
+++ b/runs/model_test.go
@@ -23,48 +23,48 @@
 
 const (
 	leaseTime = 2 * time.Second
-	startSpan = 600 * time.Millisecond // for which a grant lets starts be made
+	startWindow = 600 * time.Millisecond // for which a grant lets starts be made
 	stepTime  = 20 * time.Millisecond
-	beatSteps = 5           // between two heartbeats
-	fullSpan  = time.Second // as in package scheduler
+	heartbeatSteps = 5           // between two heartbeats
+	fullListTimeout  = time.Second // as in package scheduler
 	host      = "tours.example"
-	firstBorn = 1000 // when an executor's first life under an id began, ms
-	wholeRoom = 2000 // of a VM, thousandths of a core
+	startMS = 1000 // when an executor's first life under an id began, ms
+	fullCapacity = 2000 // of a VM, thousandths of a core
 )
 
-// site is a leader, agents and executors in simulated time. The leader's state
+// simulation is a leader, agents and executors in simulated time. The leader's state
 // is taken as replicated: commands commit at once, and a change of the leader
 // loses what it knew beside the state.
-type site struct {
+type simulation struct {
 	t   *testing.T
 	rng *rand.Rand
 	now time.Time
 
 	state   *queue.State
 	term    uint64
-	leadAt  time.Time // the present leader's election
-	contact time.Time // of its quorum
-	leases  map[rudderfork.VMID]*runs.Lessor
+	electedAt  time.Time // the present leader's election
+	quorumContact time.Time // of its quorum
+	lessors  map[rudderfork.VMID]*runs.Lessor
 	vms     []*vm
 	faulty  bool
 
 	// sameIDs says that executors which crash start again under their id.
 	sameIDs   bool
-	lease     time.Duration
-	patience  time.Duration // until agents take a call for unanswered
-	lookSteps int           // between two looks
-
-	onBegan func(v *vm)                                 // may be nil
-	onCall  func(v *vm, ref rudderfork.RunRef)          // before a start is called; may be nil
-	onLook  func(look *rudderfork.ExecutorStatus) error // may change an account; may be nil
-	// standStill says that agents' clocks stand still while they are frozen, as one that
+	leaseLength     time.Duration
+	callTimeout  time.Duration // until agents take a call for unanswered
+	pollSteps int           // between two looks
+
+	onStarted func(v *vm)                                 // may be nil
+	onStartCall  func(v *vm, ref rudderfork.RunRef)          // before a start is called; may be nil
+	onPoll  func(look *rudderfork.ExecutorStatus) error // may change an account; may be nil
+	// clockStops says that agents' clocks stand still while they are frozen, as one that
 	// leaves out a machine's suspension does; twice counts what that breaks.
-	standStill bool
-	twice      int
-	calling    rudderfork.RunRef // what the present call is about
+	clockStops bool
+	doubleRuns      int
+	callRef    rudderfork.RunRef // what the present call is about
 
-	active  map[rudderfork.TaskID]rudderfork.VMID // at work now, by what executors tell
-	crashed map[rudderfork.TaskID]int             // executors that crashed under it, by what they tell
+	running  map[rudderfork.TaskID]rudderfork.VMID // at work now, by what executors tell
+	crashes map[rudderfork.TaskID]int             // executors that crashed under it, by what they tell
 	done    map[rudderfork.TaskID]bool            // the leader has committed it
 }
 
@@ -73,55 +73,55 @@
 type vm struct {
 	id     rudderfork.VMID
 	domain rudderfork.Domain
-	s      *site
+	s      *simulation
 	exec   *executor.Executor
-	lives  int
-	keeper *runs.Reconciler
-	ended  uint64 // ends acknowledged to the executor
-
-	open     bool     // the session
-	number   int      // of the session
-	spoken   int      // latest session whose heartbeat the leader has heard
-	late     []func() // sent to this leader in earlier sessions, and not arrived
+	incarnations  int
+	reconciler *runs.Reconciler
+	ackedSeq  uint64 // ends acknowledged to the executor
+
+	sessionOpen     bool     // the session
+	sessionID   int      // of the session
+	lastSession   int      // latest session whose heartbeat the leader has heard
+	lateMessages     []func() // sent to this leader in earlier sessions, and not arrived
 	epoch    uint64
-	fullBy   time.Time // until when the agent may not have told that it has the full list
-	sent     map[rudderfork.RunRef]bool
-	stops    map[rudderfork.RunRef]bool // sent
+	fullListDeadline   time.Time // until when the agent may not have told that it has the full list
+	sentStarts     map[rudderfork.RunRef]bool
+	sentStops    map[rudderfork.RunRef]bool // sent
 	toAgent  []func()
 	toLeader []func()
-	waiting  []unanswered
-	unnoted  []queue.End // that were reported
-	begun    map[rudderfork.RunRef]begun
-	room     int64         // of the executor, thousandths of a core
-	told     int64         // what the executor has said of it
+	pendingCalls  []pendingCall
+	uncommittedEnds  []queue.End // that were reported
+	starts    map[rudderfork.RunRef]startRecord
+	capacity     int64         // of the executor, thousandths of a core
+	reportedCapacity     int64         // what the executor has said of it
 	crash    *queue.Crash  // what the agent saw of the life before
-	lag      time.Duration // by which its agent's clock is behind
-	frozen   int           // steps for which the agent stands still
-	cut      int           // steps for which agent and leader do not hear each other
+	clockLag      time.Duration // by which its agent's clock is behind
+	frozenSteps   int           // steps for which the agent stands still
+	cutSteps      int           // steps for which agent and leader do not hear each other
 }
 
-// begun is when the agent first heard that a run began, or called without an answer.
-type begun struct {
+// startRecord is when the agent first heard that a run began, or called without an answer.
+type startRecord struct {
 	at   time.Time
 	sure bool
 }
 
-// unanswered is a call that the agent still waits for.
-type unanswered struct {
-	keeper *runs.Reconciler // that made it
-	life   string
+// pendingCall is a call that the agent still waits for.
+type pendingCall struct {
+	reconciler *runs.Reconciler // that made it
+	incarnation   string
 	until  time.Time
-	tell   func()
+	finish   func()
 }
 
-func newSite(t *testing.T, seed uint64, vms int) *site {
-	s := &site{
+func newSimulation(t *testing.T, seed uint64, vms int) *simulation {
+	s := &simulation{
 		t: t, rng: rand.New(rand.NewPCG(seed, 11)), now: time.Unix(1000, 0), state: queue.New(), term: 1,
-		leases: map[rudderfork.VMID]*runs.Lessor{}, active: map[rudderfork.TaskID]rudderfork.VMID{}, done: map[rudderfork.TaskID]bool{},
-		crashed: map[rudderfork.TaskID]int{},
+		lessors: map[rudderfork.VMID]*runs.Lessor{}, running: map[rudderfork.TaskID]rudderfork.VMID{}, done: map[rudderfork.TaskID]bool{},
+		crashes: map[rudderfork.TaskID]int{},
 	}
-	s.leadAt, s.contact = s.now, s.now
-	s.lease, s.lookSteps = leaseTime, beatSteps
+	s.electedAt, s.quorumContact = s.now, s.now
+	s.leaseLength, s.pollSteps = leaseTime, heartbeatSteps
 	s.apply(queue.Command{Document: &queue.Document{
 		Version: 1, Queues: []queue.Queue{{Name: "q", Host: host, Prefix: "/q/", Service: "desk", MaxAttempts: 50}},
 		Pools: []queue.Pool{{Service: "desk"}},
@@ -129,12 +129,12 @@
 	for i := range vms {
 		v := &vm{
 			id: rudderfork.VMID(fmt.Sprintf("vm%d", i)), domain: rudderfork.Domain(fmt.Sprintf("domain%d", i)),
-			s: s, room: wholeRoom, told: wholeRoom,
+			s: s, capacity: fullCapacity, reportedCapacity: fullCapacity,
 		}
-		v.exec = executor.New(v.nextLife(), executor.Config{
+		v.exec = executor.New(v.nextIncarnation(), executor.Config{
 			Now: func() time.Time { return s.now }, Rate: 1 - 0.02*s.rng.Float64(), Fate: v.fate,
-			OnStart:  func(r rudderfork.RunRef) { s.began(v, r) },
-			OnFinish: func(r rudderfork.RunRef, how string) { s.finished(v, r, how) },
+			OnStart:  func(r rudderfork.RunRef) { s.recordStart(v, r) },
+			OnFinish: func(r rudderfork.RunRef, how string) { s.recordEnd(v, r, how) },
 		})
 		v.restartAgent()
 		s.vms = append(s.vms, v)
@@ -142,37 +142,37 @@
 	return s
 }
 
-func (s *site) apply(c queue.Command) queue.Result {
+func (s *simulation) apply(c queue.Command) queue.Result {
 	return s.state.Apply(c, rudderfork.Millis(s.now))
 }
 
-// began holds that a task never runs twice at once, nor after it is done.
-func (s *site) began(v *vm, r rudderfork.RunRef) {
-	other, twice := s.active[r.Task]
-	if s.standStill && (twice || s.done[r.Task]) {
-		s.twice++
+// recordStart holds that a task never runs twice at once, nor after it is done.
+func (s *simulation) recordStart(v *vm, r rudderfork.RunRef) {
+	other, twice := s.running[r.Task]
+	if s.clockStops && (twice || s.done[r.Task]) {
+		s.doubleRuns++
 		return
 	}
 	assert.Assert(s.t, !twice, "%v: %s run %d begins on %s while a run is at work on %s", s.now, r.Task, r.Run, v.id, other)
 	assert.Assert(s.t, !s.done[r.Task], "%v: %s run %d begins on %s after it was done", s.now, r.Task, r.Run, v.id)
-	s.active[r.Task] = v.id
-	if s.onBegan != nil {
-		s.onBegan(v)
+	s.running[r.Task] = v.id
+	if s.onStarted != nil {
+		s.onStarted(v)
 	}
 }
 
-func (s *site) finished(v *vm, r rudderfork.RunRef, how string) {
+func (s *simulation) recordEnd(v *vm, r rudderfork.RunRef, how string) {
 	if how == "crashed" {
-		s.crashed[r.Task]++
+		s.crashes[r.Task]++
 	}
-	if s.active[r.Task] == v.id {
-		delete(s.active, r.Task)
+	if s.running[r.Task] == v.id {
+		delete(s.running, r.Task)
 	}
 }
 
-func (v *vm) nextLife() string {
-	v.lives++
-	return rudderfork.IncarnationName(fmt.Sprintf("%s-life-%d", v.id, v.lives), firstBorn)
+func (v *vm) nextIncarnation() string {
+	v.incarnations++
+	return rudderfork.IncarnationName(fmt.Sprintf("%s-life-%d", v.id, v.incarnations), startMS)
 }
 
 func (v *vm) fate(string) executor.Fate {
@@ -192,114 +192,114 @@
 
 func (v *vm) restartAgent() {
 	term := uint64(0)
-	if v.keeper != nil {
-		term = v.keeper.FencingToken()
-	}
-	v.keeper = runs.New()
-	v.keeper.SetTerm(term * 0) // a new process has seen no leader
-	v.keeper.Reset(v.exec.Life())
-	v.keeper.SetCapacity(rudderfork.Resources{CPUMilli: v.told})
-	v.ended, v.crash, v.begun, v.unnoted = 0, nil, nil, nil
+	if v.reconciler != nil {
+		term = v.reconciler.FencingToken()
+	}
+	v.reconciler = runs.New()
+	v.reconciler.SetTerm(term * 0) // a new process has seen no leader
+	v.reconciler.Reset(v.exec.Life())
+	v.reconciler.SetCapacity(rudderfork.Resources{CPUMilli: v.reportedCapacity})
+	v.ackedSeq, v.crash, v.starts, v.uncommittedEnds = 0, nil, nil, nil
 	v.closeSession()
 }
 
 // closeSession ends the session. What was sent in it may yet arrive.
 func (v *vm) closeSession() {
-	v.late = append(v.late, v.toLeader...)
-	v.number++
-	v.open, v.epoch = false, 0
-	v.forgetOrders()
+	v.lateMessages = append(v.lateMessages, v.toLeader...)
+	v.sessionID++
+	v.sessionOpen, v.epoch = false, 0
+	v.forgetSent()
 	v.toAgent, v.toLeader = nil, nil
 }
 
-func (v *vm) forgetOrders() {
-	v.sent, v.stops = map[rudderfork.RunRef]bool{}, map[rudderfork.RunRef]bool{}
+func (v *vm) forgetSent() {
+	v.sentStarts, v.sentStops = map[rudderfork.RunRef]bool{}, map[rudderfork.RunRef]bool{}
 }
 
 // now is the time by the agent's clock.
-func (v *vm) now() time.Time { return v.s.now.Add(-v.lag) }
+func (v *vm) now() time.Time { return v.s.now.Add(-v.clockLag) }
 
 // step advances time and lets everyone act.
-func (s *site) step(n int) {
+func (s *simulation) step(n int) {
 	s.now = s.now.Add(stepTime)
 	for _, v := range s.vms {
 		v.exec.Running() // ends what is due, so that it is not counted as at work
 	}
 	if s.faulty {
-		s.break1()
+		s.injectFault()
 	}
 	if !s.faulty || s.rng.IntN(3) > 0 {
-		s.contact = s.now
+		s.quorumContact = s.now
 	}
-	s.lead()
+	s.runLeader()
 	for _, v := range s.vms {
 		v.step(n)
 	}
 }
 
-// break1 breaks one thing at random.
-func (s *site) break1() {
+// injectFault breaks one thing at random.
+func (s *simulation) injectFault() {
 	v := s.vms[s.rng.IntN(len(s.vms))]
 	switch s.rng.IntN(400) {
 	case 0:
 		s.elect()
 	case 1, 2:
-		v.crashes()
+		v.crashExecutor()
 	case 3, 4:
 		v.restartAgent()
 	case 5, 6, 7:
-		v.frozen = s.rng.IntN(300)
+		v.frozenSteps = s.rng.IntN(300)
 	case 8, 9, 10:
-		v.cut = s.rng.IntN(300)
+		v.cutSteps = s.rng.IntN(300)
 	case 11, 12, 13, 14:
 		v.closeSession()
 	case 15, 16, 17, 18, 19, 20:
 		v.exec.Flush()
 	case 21, 22, 23, 24, 25, 26:
-		deliver(&v.late)
+		deliver(&v.lateMessages)
 	}
 }
 
-// crashes has the executor crash, and start again.
-func (v *vm) crashes() {
+// crashExecutor has the executor crash, and start again.
+func (v *vm) crashExecutor() {
 	if v.s.sameIDs {
 		v.exec.StartAgain()
 		return
 	}
-	v.exec.Restart(v.nextLife())
+	v.exec.Restart(v.nextIncarnation())
 }
 
 // elect puts a new leader in place, who knows only what is replicated.
-func (s *site) elect() {
+func (s *simulation) elect() {
 	s.term++
-	s.leadAt, s.contact = s.now, s.now
-	s.leases = map[rudderfork.VMID]*runs.Lessor{}
+	s.electedAt, s.quorumContact = s.now, s.now
+	s.lessors = map[rudderfork.VMID]*runs.Lessor{}
 	for _, vm := range s.state.VMs() {
-		s.grantor(vm.ID).AssumeLease(s.now.Add(s.lease))
+		s.lessor(vm.ID).AssumeLease(s.now.Add(s.leaseLength))
 	}
 	for _, v := range s.vms {
 		v.closeSession()
-		v.late, v.spoken = nil, v.number // it was sent to the leader before
+		v.lateMessages, v.lastSession = nil, v.sessionID // it was sent to the leader before
 	}
 }
 
-func (s *site) grantor(id rudderfork.VMID) *runs.Lessor {
-	if s.leases[id] == nil {
-		s.leases[id] = &runs.Lessor{}
+func (s *simulation) lessor(id rudderfork.VMID) *runs.Lessor {
+	if s.lessors[id] == nil {
+		s.lessors[id] = &runs.Lessor{}
 	}
-	return s.leases[id]
+	return s.lessors[id]
 }
 
-// lead does the leader's round: it gives up VMs and starts tasks.
-func (s *site) lead() {
+// runLeader does the leader's round: it gives up VMs and starts tasks.
+func (s *simulation) runLeader() {
 	for _, vm := range s.state.VMs() {
-		if vm.Live && s.grantor(vm.ID).TryExpire(s.now, s.lease) {
+		if vm.Live && s.lessor(vm.ID).TryExpire(s.now, s.leaseLength) {
 			s.apply(queue.Command{Lost: &queue.VMLoss{VM: vm.ID, Incarnation: vm.Incarnation}})
 		}
 	}
 	view := dispatch.View{Now: rudderfork.Millis(s.now), VMs: map[rudderfork.VMID]dispatch.VMView{}}
 	for _, v := range s.vms {
-		view.VMs[v.id] = dispatch.VMView{Usable: v.open && s.grantor(v.id).Leased(s.now)}
+		view.VMs[v.id] = dispatch.VMView{Usable: v.sessionOpen && s.lessor(v.id).Leased(s.now)}
 	}
 	plan := dispatch.PlanOnce(s.state, view)
 	if len(plan.Starts) == 0 {
@@ -313,30 +313,30 @@
 }
 
 func (v *vm) step(n int) {
-	if v.cut > 0 {
-		v.cut--
+	if v.cutSteps > 0 {
+		v.cutSteps--
 	} else {
 		deliver(&v.toLeader)
-		v.push()
+		v.pushOrders()
 	}
-	if v.frozen > 0 {
-		v.frozen--
-		if v.s.standStill {
-			v.lag += stepTime
+	if v.frozenSteps > 0 {
+		v.frozenSteps--
+		if v.s.clockStops {
+			v.clockLag += stepTime
 		}
 		return
 	}
-	if v.cut == 0 {
+	if v.cutSteps == 0 {
 		deliver(&v.toAgent)
 	}
-	if n%beatSteps == 0 {
-		v.beat()
+	if n%heartbeatSteps == 0 {
+		v.sendHeartbeat()
 	}
-	if n%v.s.lookSteps == 0 {
-		v.look()
+	if n%v.s.pollSteps == 0 {
+		v.poll()
 	}
-	v.hangUp()
-	calls, ends := v.keeper.NextCalls(v.now())
+	v.timeOutCalls()
+	calls, ends := v.reconciler.NextCalls(v.now())
 	v.report(ends, 0)
 	for _, c := range calls {
 		v.call(c)
@@ -354,90 +354,90 @@
 // post puts a message of the present session into a box.
 func (v *vm) post(box *[]func(), f func()) { *box = append(*box, f) }
 
-// beat sends a heartbeat; without a session it opens one.
-func (v *vm) beat() {
-	if !v.open {
-		if v.cut > 0 {
+// sendHeartbeat sends a heartbeat; without a session it opens one.
+func (v *vm) sendHeartbeat() {
+	if !v.sessionOpen {
+		if v.cutSteps > 0 {
 			return
 		}
-		v.open = true
-		v.keeper.SetTerm(v.s.term)
-		v.send(v.unnoted, 0) // again, as package runner does
+		v.sessionOpen = true
+		v.reconciler.SetTerm(v.s.term)
+		v.sendEnds(v.uncommittedEnds, 0) // again, as package runner does
 	}
-	sent, number, crash, has := v.now(), v.number, v.crash, v.keeper.Epoch()
-	desc := queue.VM{ID: v.id, Domain: v.domain, Incarnation: v.keeper.Incarnation(), Service: "desk", Capacity: rudderfork.Resources{CPUMilli: v.told}}
-	v.post(&v.toLeader, func() { v.leaderBeat(number, sent, desc, crash, has) })
+	sent, number, crash, has := v.now(), v.sessionID, v.crash, v.reconciler.Epoch()
+	desc := queue.VM{ID: v.id, Domain: v.domain, Incarnation: v.reconciler.Incarnation(), Service: "desk", Capacity: rudderfork.Resources{CPUMilli: v.reportedCapacity}}
+	v.post(&v.toLeader, func() { v.handleHeartbeat(number, sent, desc, crash, has) })
 }
 
-// seeCrash notes what the agent knows of the life that is over, as package runner does.
-func (v *vm) seeCrash() {
-	v.crash = &queue.Crash{Incarnation: v.keeper.Incarnation()}
-	for _, ref := range slices.SortedFunc(maps.Keys(v.begun), byTask) {
+// recordCrash notes what the agent knows of the life that is over, as package runner does.
+func (v *vm) recordCrash() {
+	v.crash = &queue.Crash{Incarnation: v.reconciler.Incarnation()}
+	for _, ref := range slices.SortedFunc(maps.Keys(v.starts), compareRefs) {
 		k, err := queue.ParseTaskKey(string(ref.Task))
 		assert.NilError(v.s.t, err)
-		age := v.now().Sub(v.begun[ref].at).Milliseconds()
-		v.crash.Runs = append(v.crash.Runs, queue.RunAge{Task: k, Run: ref.Run, AgeMS: age, Confirmed: v.begun[ref].sure})
+		age := v.now().Sub(v.starts[ref].at).Milliseconds()
+		v.crash.Runs = append(v.crash.Runs, queue.RunAge{Task: k, Run: ref.Run, AgeMS: age, Confirmed: v.starts[ref].sure})
 	}
-	v.begun = nil
+	v.starts = nil
 }
 
-// noteStart notes what the agent knows of a run after a call to start it.
-func (v *vm) noteStart(ref rudderfork.RunRef, out rudderfork.StartOutcome, err error) {
-	if v.begun == nil {
-		v.begun = map[rudderfork.RunRef]begun{}
+// recordStartResult notes what the agent knows of a run after a call to start it.
+func (v *vm) recordStartResult(ref rudderfork.RunRef, out rudderfork.StartOutcome, err error) {
+	if v.starts == nil {
+		v.starts = map[rudderfork.RunRef]startRecord{}
 	}
-	_, known := v.begun[ref]
+	_, known := v.starts[ref]
 	switch {
 	case err != nil && !known:
-		v.begun[ref] = begun{at: v.now()}
+		v.starts[ref] = startRecord{at: v.now()}
 	case err == nil && out == rudderfork.Started:
-		v.begun[ref] = begun{v.now(), true}
+		v.starts[ref] = startRecord{v.now(), true}
 	case err == nil:
-		delete(v.begun, ref)
+		delete(v.starts, ref)
 	}
 }
 
-// leaderBeat is the leader's handling of a heartbeat in a session, as in package
+// handleHeartbeat is the leader's handling of a heartbeat in a session, as in package
 // scheduler.
-func (v *vm) leaderBeat(number int, sent time.Time, desc queue.VM, crash *queue.Crash, has uint64) {
-	if number < v.spoken {
+func (v *vm) handleHeartbeat(number int, sent time.Time, desc queue.VM, crash *queue.Crash, has uint64) {
+	if number < v.lastSession {
 		return
 	}
-	v.spoken = number
-	s, g := v.s, v.s.grantor(v.id)
+	v.lastSession = number
+	s, g := v.s, v.s.lessor(v.id)
 	known := s.state.VM(v.id)
 	if known == nil || !known.Live || !known.SameRegistration(desc) || g.Expired() {
 		if g.Expired() && known != nil && known.Live {
 			return
 		}
-		g.AssumeLease(s.now.Add(s.lease))
+		g.AssumeLease(s.now.Add(s.leaseLength))
 		s.apply(queue.Command{Register: &desc, Crash: crash})
 		g.AllowGrants()
 		known = s.state.VM(v.id)
 	}
-	if v.epoch != known.Epoch || has != known.Epoch && !s.now.Before(v.fullBy) {
-		v.fullBy = s.now.Add(fullSpan)
+	if v.epoch != known.Epoch || has != known.Epoch && !s.now.Before(v.fullListDeadline) {
+		v.fullListDeadline = s.now.Add(fullListTimeout)
 		v.epoch = known.Epoch
-		v.forgetOrders()
+		v.forgetSent()
 		v.sendOrders(true)
 	}
-	if left := g.Grant(s.contact, s.now, s.lease); left > 0 {
+	if left := g.Grant(s.quorumContact, s.now, s.leaseLength); left > 0 {
 		epoch := known.Epoch
-		lease := runs.Lease{Until: sent.Add(left), StartBy: sent.Add(left - s.lease + startSpan), Cordoned: s.state.Evacuating(v.domain)}
-		v.post(&v.toAgent, func() { v.keeper.Grant(desc.Incarnation, epoch, lease) })
+		lease := runs.Lease{Until: sent.Add(left), StartBy: sent.Add(left - s.leaseLength + startWindow), Cordoned: s.state.Evacuating(v.domain)}
+		v.post(&v.toAgent, func() { v.reconciler.Grant(desc.Incarnation, epoch, lease) })
 	}
 }
 
-// push sends orders that are new.
-func (v *vm) push() {
+// pushOrders sends orders that are new.
+func (v *vm) pushOrders() {
 	known := v.s.state.VM(v.id)
-	if v.open && known != nil && known.Live && known.Epoch == v.epoch {
+	if v.sessionOpen && known != nil && known.Live && known.Epoch == v.epoch {
 		v.sendOrders(false)
 	}
 }
 
-// byTask orders runs by task and number.
-func byTask(a, b rudderfork.RunRef) int {
+// compareRefs orders runs by task and number.
+func compareRefs(a, b rudderfork.RunRef) int {
 	return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.Run, b.Run))
 }
 
@@ -447,79 +447,79 @@
 	for k, run := range v.s.state.VM(v.id).Runs() {
 		ref := rudderfork.RunRef{Task: rudderfork.TaskID(k.String()), Run: run}
 		active[ref] = true
-		if !v.sent[ref] {
-			v.sent[ref] = true
+		if !v.sentStarts[ref] {
+			v.sentStarts[ref] = true
 			j := v.s.state.Job(k.Job)
 			o.Start = append(o.Start, wire.RunOrder{RunRef: ref, Payload: j.Spec.Payload, Need: j.Spec.Steps[k.Step].Need()})
 		}
-		if v.s.state.Job(k.Job).Status.Final() && !v.stops[ref] {
-			v.stops[ref] = true
+		if v.s.state.Job(k.Job).Status.Final() && !v.sentStops[ref] {
+			v.sentStops[ref] = true
 			o.Stop = append(o.Stop, ref)
 		}
 	}
-	for ref := range v.sent {
+	for ref := range v.sentStarts {
 		if active[ref] {
 			continue
 		}
-		delete(v.sent, ref)
-		if !v.stops[ref] {
+		delete(v.sentStarts, ref)
+		if !v.sentStops[ref] {
 			o.Stop = append(o.Stop, ref)
 		}
-		delete(v.stops, ref)
+		delete(v.sentStops, ref)
 	}
-	slices.SortFunc(o.Start, func(a, b wire.RunOrder) int { return byTask(a.RunRef, b.RunRef) })
-	slices.SortFunc(o.Stop, byTask)
+	slices.SortFunc(o.Start, func(a, b wire.RunOrder) int { return compareRefs(a.RunRef, b.RunRef) })
+	slices.SortFunc(o.Stop, compareRefs)
 	if full || len(o.Start)+len(o.Stop) > 0 {
-		v.post(&v.toAgent, func() { v.keeper.ApplyOrders(o) })
+		v.post(&v.toAgent, func() { v.reconciler.ApplyOrders(o) })
 	}
 }
 
-func (v *vm) look() {
-	req := rudderfork.PollRequest{Fence: v.keeper.FencingToken(), AckedUpTo: v.ended}
-	req.UntilMS, _ = v.keeper.ExecutorLeaseEnd(v.now())
-	look, err := v.exec.Poll(context.Background(), v.keeper.Incarnation(), req)
-	if err == nil && v.s.onLook != nil {
-		err = v.s.onLook(&look)
+func (v *vm) poll() {
+	req := rudderfork.PollRequest{Fence: v.reconciler.FencingToken(), AckedUpTo: v.ackedSeq}
+	req.UntilMS, _ = v.reconciler.ExecutorLeaseEnd(v.now())
+	look, err := v.exec.Poll(context.Background(), v.reconciler.Incarnation(), req)
+	if err == nil && v.s.onPoll != nil {
+		err = v.s.onPoll(&look)
 	}
 	if errors.Is(err, rudderfork.ErrStaleIncarnation) {
-		v.seeCrash()
-		v.keeper.Reset(v.exec.Life())
-		v.keeper.SetCapacity(rudderfork.Resources{CPUMilli: v.told})
-		v.ended, v.unnoted = 0, nil
+		v.recordCrash()
+		v.reconciler.Reset(v.exec.Life())
+		v.reconciler.SetCapacity(rudderfork.Resources{CPUMilli: v.reportedCapacity})
+		v.ackedSeq, v.uncommittedEnds = 0, nil
 		return
 	}
 	if err != nil {
 		return
 	}
-	v.keeper.SetClock(look.ClockMS, v.now())
-	upTo := v.ended
+	v.reconciler.SetClock(look.ClockMS, v.now())
+	upTo := v.ackedSeq
 	for _, e := range look.Ended {
 		upTo = max(upTo, e.Seq)
 	}
-	v.report(v.keeper.HandleStatus(look, v.now()), upTo)
+	v.report(v.reconciler.HandleStatus(look, v.now()), upTo)
 	there := map[rudderfork.RunRef]bool{}
 	for _, r := range look.Running {
 		there[r.RunRef] = true
 	}
-	maps.DeleteFunc(v.begun, func(ref rudderfork.RunRef, b begun) bool { return !there[ref] && b.sure })
+	maps.DeleteFunc(v.starts, func(ref rudderfork.RunRef, b startRecord) bool { return !there[ref] && b.sure })
 }
 
 // report keeps ends until they are noted, and sends them to the leader.
 func (v *vm) report(ends []queue.End, upTo uint64) {
-	v.forgetEnds(ends) // an executor lists ends again
-	v.unnoted = append(v.unnoted, ends...)
-	v.send(ends, upTo)
+	v.dropEnds(ends) // an executor lists ends again
+	v.uncommittedEnds = append(v.uncommittedEnds, ends...)
+	v.sendEnds(ends, upTo)
 }
 
-// send has the leader commit ends and say so.
-func (v *vm) send(ends []queue.End, upTo uint64) {
+// sendEnds has the leader commit ends and say so.
+func (v *vm) sendEnds(ends []queue.End, upTo uint64) {
 	if len(ends) == 0 {
 		return
 	}
 	ends = slices.Clone(ends)
-	life, number := v.keeper.Incarnation(), v.number
+	life, number := v.reconciler.Incarnation(), v.sessionID
 	v.post(&v.toLeader, func() {
-		if number < v.spoken {
+		if number < v.lastSession {
 			return // the session was left
 		}
 		res := v.s.apply(queue.Command{Ends: &queue.Ends{VM: v.id, Incarnation: life, List: ends}})
@@ -528,87 +528,87 @@
 				v.s.done[rudderfork.TaskID(e.Task.String())] = true
 			}
 		}
-		if v.number != number {
+		if v.sessionID != number {
 			return // nobody is there to be told
 		}
 		v.post(&v.toAgent, func() {
-			if v.keeper.Incarnation() == life {
-				v.forgetEnds(ends)
-				v.keeper.ForgetEnded(ends)
-				v.ended = max(v.ended, upTo)
+			if v.reconciler.Incarnation() == life {
+				v.dropEnds(ends)
+				v.reconciler.ForgetEnded(ends)
+				v.ackedSeq = max(v.ackedSeq, upTo)
 			}
 		})
 	})
 }
 
-// forgetEnds forgets ends that the leader has taken note of.
-func (v *vm) forgetEnds(ends []queue.End) {
-	v.unnoted = slices.DeleteFunc(v.unnoted, func(e queue.End) bool { return slices.Contains(ends, e) })
+// dropEnds forgets ends that the leader has taken note of.
+func (v *vm) dropEnds(ends []queue.End) {
+	v.uncommittedEnds = slices.DeleteFunc(v.uncommittedEnds, func(e queue.End) bool { return slices.Contains(ends, e) })
 }
 
 func (v *vm) call(c runs.Call) {
-	ctx, life := context.Background(), v.keeper.Incarnation()
-	v.s.calling = c.Ref
+	ctx, life := context.Background(), v.reconciler.Incarnation()
+	v.s.callRef = c.Ref
 	if c.Start == nil {
-		err := v.exec.Stop(ctx, life, c.Ref, v.keeper.FencingToken())
-		v.answer(err, func() { v.keeper.HandleStopResult(c.Ref, err, v.now()) })
+		err := v.exec.Stop(ctx, life, c.Ref, v.reconciler.FencingToken())
+		v.finishCall(err, func() { v.reconciler.HandleStopResult(c.Ref, err, v.now()) })
 		return
 	}
-	if v.s.onCall != nil {
-		v.s.onCall(v, c.Ref)
+	if v.s.onStartCall != nil {
+		v.s.onStartCall(v, c.Ref)
 	}
 	out, err := v.exec.Start(ctx, life, *c.Start)
-	v.noteStart(c.Ref, out, err)
-	v.answer(err, func() {
-		if end := v.keeper.HandleStartResult(c.Ref, out, err, v.now()); end != nil {
+	v.recordStartResult(c.Ref, out, err)
+	v.finishCall(err, func() {
+		if end := v.reconciler.HandleStartResult(c.Ref, out, err, v.now()); end != nil {
 			v.report([]queue.End{*end}, 0)
 		}
 	})
 }
 
-// answer hands a call's answer to the keeper: at once, or if there is none when the
+// finishCall hands a call's finishCall to the keeper: at once, or if there is none when the
 // agent gives the call up.
-func (v *vm) answer(err error, tell func()) {
-	if err == nil || v.s.patience == 0 {
+func (v *vm) finishCall(err error, tell func()) {
+	if err == nil || v.s.callTimeout == 0 {
 		tell()
 		return
 	}
-	v.waiting = append(v.waiting, unanswered{v.keeper, v.keeper.Incarnation(), v.s.now.Add(v.s.patience), tell})
+	v.pendingCalls = append(v.pendingCalls, pendingCall{v.reconciler, v.reconciler.Incarnation(), v.s.now.Add(v.s.callTimeout), tell})
 }
 
-// hangUp gives up the calls that have waited for long enough.
-func (v *vm) hangUp() {
-	all := v.waiting
-	v.waiting = nil
+// timeOutCalls gives up the calls that have waited for long enough.
+func (v *vm) timeOutCalls() {
+	all := v.pendingCalls
+	v.pendingCalls = nil
 	for _, u := range all {
 		switch {
-		case u.keeper != v.keeper || u.life != v.keeper.Incarnation(): // nobody waits for it any more
+		case u.reconciler != v.reconciler || u.incarnation != v.reconciler.Incarnation(): // nobody waits for it any more
 		case v.s.now.Before(u.until):
-			v.waiting = append(v.waiting, u)
+			v.pendingCalls = append(v.pendingCalls, u)
 		default:
-			u.tell()
+			u.finish()
 		}
 	}
 }
 
-// leastCrashes is how many executors must have crashed under a task that is given up
+// minCrashes is how many executors must have crashed under a task that is given up
 // (the users' pages).
-const leastCrashes = 2
+const minCrashes = 2
 
-// mostGivenUp is how many jobs of all schedules may be given up: executors crash every
+// maxGivenUp is how many jobs of all schedules may be given up: executors crash every
 // 12 s there, which no task is to blame for. (3 of 3,200 are.)
-const mostGivenUp = 4
+const maxGivenUp = 4
 
 // givenUp reports whether a job has failed for a task under which enough executors have
 // crashed, by their own record.
-func (s *site) givenUp(j *queue.Job) bool {
+func (s *simulation) givenUp(j *queue.Job) bool {
 	if j.Status != queue.Failed {
 		return false
 	}
 	for step, tasks := range j.Occurrences[0].Steps {
 		for i := range tasks {
 			k := queue.TaskKey{Job: j.ID, Step: step, Index: i}
-			if tasks[i].Crashes >= leastCrashes && s.crashed[rudderfork.TaskID(k.String())] >= leastCrashes {
+			if tasks[i].Crashes >= minCrashes && s.crashes[rudderfork.TaskID(k.String())] >= minCrashes {
 				return true
 			}
 		}
@@ -616,11 +616,11 @@
 	return false
 }
 
-// seeds is how many schedules are tried, secondSeeds how many with executors that start
+// seeds is how many schedules are tried, sameIDSeeds how many with executors that start
 // again under their id, steps how long each is.
 const (
 	seeds       = 400
-	secondSeeds = 150
+	sameIDSeeds = 150
 	faultSteps  = 1500
 	calmSteps   = 3000
 )
@@ -630,16 +630,16 @@
 // restarts, freezes and cuts. What holds at every
 // step stands in began; in the end every job must be done, or be given up in keeping
 // with the users' pages.
-func TestModel(t *testing.T) { drawSchedules(t, seeds, false) }
+func TestModel(t *testing.T) { checkSchedules(t, seeds, false) }
 
 // TestModelSecondStarts does so with executors that start again under their id.
-func TestModelSecondStarts(t *testing.T) { drawSchedules(t, secondSeeds, true) }
+func TestModelSecondStarts(t *testing.T) { checkSchedules(t, sameIDSeeds, true) }
 
-func drawSchedules(t *testing.T, seeds uint64, sameIDs bool) {
+func checkSchedules(t *testing.T, seeds uint64, sameIDs bool) {
 	givenUp := 0
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			s := newSite(t, seed, 3)
+			s := newSimulation(t, seed, 3)
 			s.faulty, s.sameIDs = true, sameIDs
 			for i := range 8 {
 				spec := queue.Spec{
@@ -668,5 +668,5 @@
 			}
 		})
 	}
-	assert.Assert(t, givenUp <= mostGivenUp, "%d jobs were given up", givenUp)
+	assert.Assert(t, givenUp <= maxGivenUp, "%d jobs were given up", givenUp)
 }
--- a/runs/shrink_test.go
+++ b/runs/shrink_test.go
@@ -16,21 +16,21 @@
 	// shrinkGrace is how long after its room has shrunk a VM may be started on as
 	// before: contact to the leader, and one heartbeat of the executor (the users'
 	// pages: contact_ms and one beat).
-	shrinkGrace = 3*time.Second + tellSteps*stepTime
-	tellSteps   = 55 // between two heartbeats of an executor to its agent
+	shrinkGrace = 3*time.Second + reportSteps*stepTime
+	reportSteps   = 55 // between two heartbeats of an executor to its agent
 	taskSize    = 500
 	shrinkSteps = 2500
 )
 
 // shrinker changes the rooms of VMs whose executors do not guard them.
 type shrinker struct {
-	s        *site
+	s        *simulation
 	shrunkAt map[*vm]time.Time
 }
 
-func newShrinker(s *site) *shrinker {
+func newShrinker(s *simulation) *shrinker {
 	sh := &shrinker{s: s, shrunkAt: map[*vm]time.Time{}}
-	s.onBegan = sh.check
+	s.onStarted = sh.check
 	return sh
 }
 
@@ -38,7 +38,7 @@
 // work there, also while it is being stopped.
 func (sh *shrinker) check(v *vm) {
 	used := int64(0)
-	for _, on := range sh.s.active {
+	for _, on := range sh.s.running {
 		if on == v.id {
 			used += taskSize
 		}
@@ -46,7 +46,7 @@
 	if sh.s.now.Sub(sh.shrunkAt[v]) < shrinkGrace {
 		return
 	}
-	assert.Assert(sh.s.t, used <= v.room, "%v: a start brings %s to %d of %d", sh.s.now, v.id, used, v.room)
+	assert.Assert(sh.s.t, used <= v.capacity, "%v: a start brings %s to %d of %d", sh.s.now, v.id, used, v.capacity)
 }
 
 // step changes rooms, and has executors tell of them.
@@ -54,15 +54,15 @@
 	if sh.s.faulty && sh.s.rng.IntN(60) == 0 {
 		v := sh.s.vms[sh.s.rng.IntN(len(sh.s.vms))]
 		room := int64(1+sh.s.rng.IntN(4)) * taskSize
-		if room < v.room {
+		if room < v.capacity {
 			sh.shrunkAt[v] = sh.s.now
 		}
-		v.room = room
+		v.capacity = room
 	}
 	for _, v := range sh.s.vms {
-		if n%tellSteps == 0 || !sh.s.faulty {
-			v.told = v.room
-			v.keeper.SetCapacity(rudderfork.Resources{CPUMilli: v.told})
+		if n%reportSteps == 0 || !sh.s.faulty {
+			v.reportedCapacity = v.capacity
+			v.reconciler.SetCapacity(rudderfork.Resources{CPUMilli: v.reportedCapacity})
 		}
 	}
 }
@@ -71,15 +71,15 @@
 const plainJobs = 10
 
 // submitJobs hands in jobs of one step whose tasks take room.
-func (s *site) submitJobs() {
+func (s *simulation) submitJobs() {
 	for i := range plainJobs {
 		spec := queue.Spec{Payload: fmt.Sprintf("work=%dms", 100+300*i), Steps: []queue.Step{{Count: 4, Size: rudderfork.Resources{CPUMilli: taskSize}}}}
 		s.apply(queue.Command{Submit: &queue.Submit{Host: host, Path: fmt.Sprintf("/q/job%d", i), Spec: spec, KeepMS: 1 << 40}})
 	}
 }
 
-// assertOver holds that the jobs of submitJobs are over.
-func (s *site) assertOver(t *testing.T) {
+// assertJobsEnded holds that the jobs of submitJobs are over.
+func (s *simulation) assertJobsEnded(t *testing.T) {
 	t.Helper()
 	for i := range plainJobs {
 		j := s.state.Job(rudderfork.JobID(fmt.Sprintf("job%d", i)))
@@ -93,7 +93,7 @@
 func TestRoomsShrink(t *testing.T) {
 	for seed := range uint64(shrinkSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			s := newSite(t, seed, 3)
+			s := newSimulation(t, seed, 3)
 			sh := newShrinker(s)
 			s.faulty = true
 			s.submitJobs()
@@ -104,13 +104,13 @@
 			s.faulty = false
 			for _, v := range s.vms {
 				v.exec.Flush()
-				v.room = wholeRoom
+				v.capacity = fullCapacity
 			}
 			for n := range calmSteps {
 				sh.step(n)
 				s.step(n)
 			}
-			s.assertOver(t)
+			s.assertJobsEnded(t)
 		})
 	}
 }
--- a/runs/stop_test.go
+++ b/runs/stop_test.go
@@ -15,50 +15,50 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// stopSite is one agent beside an executor that takes its time to stop runs.
-type stopSite struct {
+// stopSimulation is one agent beside an executor that takes its time to stop runs.
+type stopSimulation struct {
 	t      *testing.T
 	now    time.Time
 	exec   *executor.Executor
-	keeper *runs.Reconciler
+	reconciler *runs.Reconciler
 	acked  uint64
-	stops  int // calls
+	stopCalls  int // calls
 }
 
-func newStopSite(t *testing.T, stopTime time.Duration, starts []wire.RunOrder) *stopSite {
-	s := &stopSite{t: t, now: time.Unix(1000, 0), keeper: runs.New()}
+func newStopSimulation(t *testing.T, stopTime time.Duration, starts []wire.RunOrder) *stopSimulation {
+	s := &stopSimulation{t: t, now: time.Unix(1000, 0), reconciler: runs.New()}
 	s.exec = executor.New("life-1", executor.Config{
 		Now: func() time.Time { return s.now }, StopTime: stopTime,
 		Fate: func(call string) executor.Fate {
 			if call == "stop" {
-				s.stops++
+				s.stopCalls++
 			}
 			return executor.Answered
 		},
 	})
-	s.keeper.Reset("life-1")
-	s.keeper.SetTerm(1)
-	s.keeper.SetClock(1, s.now)
-	s.keeper.ApplyOrders(wire.Orders{Incarnation: "life-1", Epoch: 1, Full: true})
-	s.keeper.ApplyOrders(wire.Orders{Incarnation: "life-1", Epoch: 1, Start: starts})
-	s.keeper.Grant("life-1", 1, runs.Lease{Until: s.now.Add(longLease), StartBy: s.now.Add(longLease)})
+	s.reconciler.Reset("life-1")
+	s.reconciler.SetTerm(1)
+	s.reconciler.SetClock(1, s.now)
+	s.reconciler.ApplyOrders(wire.Orders{Incarnation: "life-1", Epoch: 1, Full: true})
+	s.reconciler.ApplyOrders(wire.Orders{Incarnation: "life-1", Epoch: 1, Start: starts})
+	s.reconciler.Grant("life-1", 1, runs.Lease{Until: s.now.Add(maxLease), StartBy: s.now.Add(maxLease)})
 	s.step()
 	assert.Equal(t, len(s.exec.Running()), len(starts))
 	return s
 }
 
 // step makes the calls that are due, and then takes an account.
-func (s *stopSite) step() {
+func (s *stopSimulation) step() {
 	s.t.Helper()
 	ctx := context.Background()
-	calls, _ := s.keeper.NextCalls(s.now)
+	calls, _ := s.reconciler.NextCalls(s.now)
 	for _, c := range calls {
 		if c.Start == nil {
-			s.keeper.HandleStopResult(c.Ref, s.exec.Stop(ctx, "life-1", c.Ref, 1), s.now)
+			s.reconciler.HandleStopResult(c.Ref, s.exec.Stop(ctx, "life-1", c.Ref, 1), s.now)
 			continue
 		}
 		out, err := s.exec.Start(ctx, "life-1", *c.Start)
-		assert.Assert(s.t, s.keeper.HandleStartResult(c.Ref, out, err, s.now) == nil)
+		assert.Assert(s.t, s.reconciler.HandleStartResult(c.Ref, out, err, s.now) == nil)
 	}
 	s.now = s.now.Add(stepTime)
 	look, err := s.exec.Poll(ctx, "life-1", rudderfork.PollRequest{Fence: 1, AckedUpTo: s.acked})
@@ -66,7 +66,7 @@
 	for _, e := range look.Ended {
 		s.acked = max(s.acked, e.Seq)
 	}
-	s.keeper.ForgetEnded(s.keeper.HandleStatus(look, s.now))
+	s.reconciler.ForgetEnded(s.reconciler.HandleStatus(look, s.now))
 }
 
 // TestStopTime stops runs on an executor that confirms a stop at once, and lists the
@@ -87,13 +87,13 @@
 			"no more in a full list": {Incarnation: "life-1", Epoch: 1, Full: true},
 		} {
 			t.Run(fmt.Sprintf("%s, %v", name, stopTime), func(t *testing.T) {
-				s := newStopSite(t, stopTime, starts)
-				s.keeper.ApplyOrders(o)
+				s := newStopSimulation(t, stopTime, starts)
+				s.reconciler.ApplyOrders(o)
 				for range 50 {
 					s.step()
 				}
 				assert.Equal(t, len(s.exec.Running()), 0)
-				assert.Equal(t, s.stops, count)
+				assert.Equal(t, s.stopCalls, count)
 			})
 		}
 	}
