--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// maxBody bounds an operator's body, in bytes.
+	// maxBody bounds the body of an operator's request, in bytes.
 	maxBody = 4 << 20
-	// storyLimit bounds the events of a job's story.
-	storyLimit = 200
-	// retryPause is when an operator may come back while there is no leader.
+	// maxJobEvents bounds the events that are shown of a job.
+	maxJobEvents = 200
+	// retryPause is after how long an operator is told to retry while there is no leader.
 	retryPause = time.Second
 )
 
-// Routes adds the operators' interface to the queues: the product's own, whatever
-// else the process speaks. story holds the process's events.
-func (s *Scheduler) Routes(mux *http.ServeMux, story *timeline.Ring) {
-	a := &api{s, story}
+// Routes adds the operators' HTTP interface to the queues, which is the same whatever platform
+// interface the process has beside it. events holds the events that the process has recorded.
+func (s *Scheduler) Routes(mux *http.ServeMux, events *timeline.Ring) {
+	a := &api{s, events}
 	for pattern, h := range map[string]func(w http.ResponseWriter, r *http.Request){
 		"PUT /v1/queues":             a.put,
 		"GET /v1/queues":             a.queues,
@@ -48,13 +48,13 @@
 	}
 }
 
-// api answers operators.
+// api handles operators' requests.
 type api struct {
-	s     *Scheduler
-	story *timeline.Ring
+	s      *Scheduler
+	events *timeline.Ring
 }
 
-// onLeader sends calls that reach a follower on to the leader.
+// onLeader redirects requests that reach a follower to the leader, and bounds their bodies.
 func (a *api) onLeader(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		st := a.s.rep.Status()
@@ -68,20 +68,21 @@
 	}
 }
 
-// SubmitBody hands in a job at a host and path.
+// SubmitBody is the request to submit a job at a host and path.
 type SubmitBody struct {
 	Host string     `json:"host"`
 	Path string     `json:"path"`
 	Spec queue.Spec `json:"spec"`
 }
 
-// JobPathBody names a job by host and path.
+// JobPathBody is the request to cancel the job at a host and path.
 type JobPathBody struct {
 	Host string `json:"host"`
 	Path string `json:"path"`
 }
 
-// put takes a document; its text is what is read back.
+// put replaces the document of queues. The text that is stored, and read back, is the decoded
+// document encoded again.
 func (a *api) put(w http.ResponseWriter, r *http.Request) {
 	var d queue.Document
 	if !read(w, r, &d) {
@@ -114,20 +115,20 @@
 	}
 }
 
-// answer carries an order out and writes how it ended.
-func (a *api) answer(w http.ResponseWriter, r *http.Request, ask wire.QueueRequest) {
-	ans := a.s.Handle(r.Context(), ask)
+// answer carries out a request and writes its result.
+func (a *api) answer(w http.ResponseWriter, r *http.Request, req wire.QueueRequest) {
+	resp := a.s.Handle(r.Context(), req)
 	switch {
-	case ans.Unsure:
-		fail(w, http.StatusGatewayTimeout, "unknown", ans.Text, rudderfork.RanUnknown)
-	case ans.NotTaken, ans.Code == queue.NoDocument:
-		fail(w, http.StatusServiceUnavailable, "no-leader", ans.Text, rudderfork.RanNo)
-	case ans.Code == queue.OK, ans.Code == queue.Stale:
-		admin.WriteJSON(w, map[string]string{"result": string(ans.Code), "detail": ans.Text})
-	case ans.Code == queue.NoQueue, ans.Code == queue.NoJob, ans.Code == queue.NoDomain:
-		fail(w, http.StatusNotFound, "not-found", string(ans.Code), rudderfork.RanNo)
+	case resp.Unsure:
+		fail(w, http.StatusGatewayTimeout, "unknown", resp.Text, rudderfork.RanUnknown)
+	case resp.NotTaken, resp.Code == queue.NoDocument:
+		fail(w, http.StatusServiceUnavailable, "no-leader", resp.Text, rudderfork.RanNo)
+	case resp.Code == queue.OK, resp.Code == queue.Stale:
+		admin.WriteJSON(w, map[string]string{"result": string(resp.Code), "detail": resp.Text})
+	case resp.Code == queue.NoQueue, resp.Code == queue.NoJob, resp.Code == queue.NoDomain:
+		fail(w, http.StatusNotFound, "not-found", string(resp.Code), rudderfork.RanNo)
 	default:
-		fail(w, http.StatusUnprocessableEntity, "invalid", ans.Text, rudderfork.RanNo)
+		fail(w, http.StatusUnprocessableEntity, "invalid", resp.Text, rudderfork.RanNo)
 	}
 }
 
@@ -143,7 +144,7 @@
 	a.view(w, r, func(s *queue.State, _ dispatch.View) any { return suspectViews(s) })
 }
 
-// TaskBody names a task of a job, as job.time.step.index.
+// TaskBody names a task, as job.occurrence.step.index.
 type TaskBody struct {
 	Task string `json:"task"`
 }
@@ -165,7 +166,7 @@
 	a.view(w, r, func(s *queue.State, _ dispatch.View) any { return evacuationViews(s) })
 }
 
-// evacuate orders an evacuation, or takes it back.
+// evacuate orders an evacuation (PUT) or cancels it (DELETE).
 func (a *api) evacuate(w http.ResponseWriter, r *http.Request) {
 	domain := rudderfork.Domain(r.PathValue("domain"))
 	a.answer(w, r, wire.QueueRequest{Evacuate: &queue.Evacuate{Domain: domain, End: r.Method == http.MethodDelete}})
@@ -190,14 +191,15 @@
 		}
 		jv := jobView(s, j, v.WorkTime)
 		jv.Tasks = taskViews(j, v.Now, a.s.fleet.planner.Explain(s, v, j))
-		for _, e := range a.story.Select(timeline.Query{Subject: string(id), Limit: storyLimit}) {
+		for _, e := range a.events.Select(timeline.Query{Subject: string(id), Limit: maxJobEvents}) {
 			jv.Events = append(jv.Events, time.UnixMicro(e.At).UTC().Format("15:04:05.000")+" "+e.Subject+" "+e.Kind+": "+e.Text)
 		}
 		return jv
 	})
 }
 
-// view answers with what f makes of the state, as a quorum confirmed it.
+// view writes what f returns for a state that holds all that was committed before the call; nil
+// stands for a job that does not exist.
 func (a *api) view(w http.ResponseWriter, r *http.Request, f func(s *queue.State, v dispatch.View) any) {
 	if err := a.s.rep.Barrier(r.Context()); err != nil {
 		fail(w, http.StatusServiceUnavailable, "no-leader", err.Error(), rudderfork.RanNo)
@@ -210,13 +212,13 @@
 		out = f(st.Queues(), a.s.fleet.view(st.Queues(), steady.Now()))
 	})
 	if out == nil {
-		fail(w, http.StatusNotFound, "not-found", "there is no such job", rudderfork.RanNo)
+		fail(w, http.StatusNotFound, "not-found", "job does not exist", rudderfork.RanNo)
 		return
 	}
 	admin.WriteJSON(w, out)
 }
 
-// read decodes a body; false means that the answer is written already.
+// read decodes a body into v. If it fails, it writes the error and returns false.
 func read(w http.ResponseWriter, r *http.Request, v any) bool {
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
@@ -227,6 +229,7 @@
 	return true
 }
 
+// fail writes a problem document; one with status 503 says when to retry.
 func fail(w http.ResponseWriter, status int, kind, text string, ran rudderfork.Ran) {
 	p := problem.New(status, kind, text, ran)
 	if status == http.StatusServiceUnavailable {
--- a/scheduler/ask.go
+++ b/scheduler/ask.go
@@ -13,95 +13,96 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// handleRequest answers a front's call on its own session.
-func (ses *session) handleRequest(ctx context.Context, a wire.QueueRequest) {
-	ans := ses.s.Handle(ctx, a)
-	ans.ID = a.ID
-	ses.reply(wire.ToQueueNode{Response: &ans})
+// handleRequest handles a front's request and replies in its session.
+func (ses *session) handleRequest(ctx context.Context, req wire.QueueRequest) {
+	resp := ses.s.Handle(ctx, req)
+	resp.ID = req.ID
+	ses.reply(wire.ToQueueNode{Response: &resp})
 }
 
-// Handle carries out a call: it commits orders, and reads at a point that the
-// quorum confirmed.
-func (s *Scheduler) Handle(ctx context.Context, a wire.QueueRequest) (ans wire.QueueResponse) {
+// Handle carries out a request of a front, an operator or the platform, within commandTimeout:
+// it commits changes, and reads state that is at least as new as the call.
+func (s *Scheduler) Handle(ctx context.Context, req wire.QueueRequest) (resp wire.QueueResponse) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	began := steady.Now()
-	kind := kindOf(a)
-	defer func() { s.observeResponse(kind, ans, began) }()
+	kind := kindOf(req)
+	defer func() { s.observeResponse(kind, resp, began) }()
 	switch {
-	case a.Submit != nil:
-		a.Submit.KeepMS = s.cfg.StatusRetention.Milliseconds()
-		ans = s.commit(ctx, queue.Command{Submit: a.Submit})
-		s.logRequest(kind, a.Submit.Path, ans)
-	case a.Cancel != nil:
-		ans = s.commit(ctx, queue.Command{Cancel: a.Cancel})
-		s.logRequest(kind, a.Cancel.Path, ans)
-	case a.Put != nil:
-		ans = s.commit(ctx, queue.Command{Document: a.Put})
-		s.log.Info().Uint64("version", a.Put.Version).Int("queues", len(a.Put.Queues)).Str("result", string(ans.Code)).
-			Bool("unsure", ans.Unsure).Msg("document_put")
-	case a.Status != nil:
-		ans = s.read(ctx, func(st *queue.State) wire.QueueResponse { return s.statusOf(st, *a.Status) })
-	case a.Wave != nil:
-		ans = s.commit(ctx, queue.Command{Wave: a.Wave})
-		s.log.Info().Uint64("wave", a.Wave.ID).Int("machines", len(a.Wave.Machines)).Int("max_down", a.Wave.MaxDown).
-			Str("result", string(ans.Code)).Msg("wave_taken")
-	case a.Upkeep != 0:
-		ans = s.read(ctx, func(st *queue.State) wire.QueueResponse { return waveOf(st, a.Upkeep) })
-	case a.Clear != nil:
-		ans = s.commit(ctx, queue.Command{Clear: a.Clear})
-		s.log.Info().Str("task", a.Clear.String()).Str("result", string(ans.Code)).Bool("unsure", ans.Unsure).Msg("task_cleared")
-		s.record("task_cleared", a.Clear.String(), "by an operator: "+string(ans.Code))
-	case a.Evacuate != nil:
-		ans = s.evacuate(ctx, *a.Evacuate)
-	case a.Get:
-		ans = s.read(ctx, documentOf)
+	case req.Submit != nil:
+		req.Submit.KeepMS = s.cfg.StatusRetention.Milliseconds()
+		resp = s.commit(ctx, queue.Command{Submit: req.Submit})
+		s.logRequest(kind, req.Submit.Path, resp)
+	case req.Cancel != nil:
+		resp = s.commit(ctx, queue.Command{Cancel: req.Cancel})
+		s.logRequest(kind, req.Cancel.Path, resp)
+	case req.Put != nil:
+		resp = s.commit(ctx, queue.Command{Document: req.Put})
+		s.log.Info().Uint64("version", req.Put.Version).Int("queues", len(req.Put.Queues)).Str("result", string(resp.Code)).
+			Bool("unsure", resp.Unsure).Msg("document_put")
+	case req.Status != nil:
+		resp = s.read(ctx, func(st *queue.State) wire.QueueResponse { return s.statusOf(st, *req.Status) })
+	case req.Wave != nil:
+		resp = s.commit(ctx, queue.Command{Wave: req.Wave})
+		s.log.Info().Uint64("wave", req.Wave.ID).Int("machines", len(req.Wave.Machines)).Int("max_down", req.Wave.MaxDown).
+			Str("result", string(resp.Code)).Msg("wave_taken")
+	case req.Upkeep != 0:
+		resp = s.read(ctx, func(st *queue.State) wire.QueueResponse { return waveOf(st, req.Upkeep) })
+	case req.Clear != nil:
+		resp = s.commit(ctx, queue.Command{Clear: req.Clear})
+		s.log.Info().Str("task", req.Clear.String()).Str("result", string(resp.Code)).Bool("unsure", resp.Unsure).Msg("task_cleared")
+		s.record("task_cleared", req.Clear.String(), "by an operator: "+string(resp.Code))
+	case req.Evacuate != nil:
+		resp = s.evacuate(ctx, *req.Evacuate)
+	case req.Get:
+		resp = s.read(ctx, documentOf)
 	default:
-		ans = wire.QueueResponse{Code: queue.Invalid, Text: "the call is empty"}
+		resp = wire.QueueResponse{Code: queue.Invalid, Text: "request is empty"}
 	}
-	return ans
+	return resp
 }
 
-func kindOf(a wire.QueueRequest) string {
+func kindOf(req wire.QueueRequest) string {
 	switch {
-	case a.Submit != nil:
+	case req.Submit != nil:
 		return "submit"
-	case a.Cancel != nil:
+	case req.Cancel != nil:
 		return "cancel"
-	case a.Put != nil:
+	case req.Put != nil:
 		return "put_document"
-	case a.Status != nil:
+	case req.Status != nil:
 		return "status"
-	case a.Wave != nil:
+	case req.Wave != nil:
 		return "wave"
-	case a.Upkeep != 0:
+	case req.Upkeep != 0:
 		return "wave_status"
-	case a.Clear != nil:
+	case req.Clear != nil:
 		return "clear"
-	case a.Evacuate != nil:
+	case req.Evacuate != nil:
 		return "evacuate"
 	}
 	return "get_document"
 }
 
-func (s *Scheduler) observeResponse(kind string, ans wire.QueueResponse, began time.Time) {
-	outcome := string(ans.Code)
-	if ans.Unsure {
+func (s *Scheduler) observeResponse(kind string, resp wire.QueueResponse, began time.Time) {
+	outcome := string(resp.Code)
+	if resp.Unsure {
 		outcome = "unsure"
-	} else if ans.NotTaken {
+	} else if resp.NotTaken {
 		outcome = "not-taken"
 	}
-	s.met.asks.WithLabelValues(kind, outcome).Inc()
-	s.met.answer.WithLabelValues(kind).Observe(steady.Now().Sub(began).Seconds())
+	s.met.requests.WithLabelValues(kind, outcome).Inc()
+	s.met.response.WithLabelValues(kind).Observe(steady.Now().Sub(began).Seconds())
 }
 
-func (s *Scheduler) logRequest(kind, path string, ans wire.QueueResponse) {
-	s.log.Info().Str("ask", kind).Str("path", path).Str("result", string(ans.Code)).Str("detail", ans.Text).
-		Bool("unsure", ans.Unsure).Bool("not_taken", ans.NotTaken).Msg("ask_answered")
-	s.record("job_"+kind, path, string(ans.Code)+" "+ans.Text)
+func (s *Scheduler) logRequest(kind, path string, resp wire.QueueResponse) {
+	s.log.Info().Str("ask", kind).Str("path", path).Str("result", string(resp.Code)).Str("detail", resp.Text).
+		Bool("unsure", resp.Unsure).Bool("not_taken", resp.NotTaken).Msg("ask_answered")
+	s.record("job_"+kind, path, string(resp.Code)+" "+resp.Text)
 }
 
-// commit carries out an order.
+// commit commits a command. The response says NotTaken if it was certainly not committed, and
+// Unsure if it may have been or may yet be.
 func (s *Scheduler) commit(ctx context.Context, c queue.Command) wire.QueueResponse {
 	res, err := s.do(ctx, c)
 	switch {
@@ -113,13 +114,13 @@
 	return wire.QueueResponse{Code: res.Code, Text: res.Text}
 }
 
-// read answers from a state that no newer one had replaced when the call came.
-func (s *Scheduler) read(ctx context.Context, f func(st *queue.State) wire.QueueResponse) (ans wire.QueueResponse) {
+// read answers from a state that holds all that was committed before the call.
+func (s *Scheduler) read(ctx context.Context, f func(st *queue.State) wire.QueueResponse) (resp wire.QueueResponse) {
 	if err := s.rep.Barrier(ctx); err != nil {
 		return wire.QueueResponse{NotTaken: true, Text: err.Error()}
 	}
-	s.rep.View(func(st *state.State) { ans = f(st.Queues()) })
-	return ans
+	s.rep.View(func(st *state.State) { resp = f(st.Queues()) })
+	return resp
 }
 
 func (s *Scheduler) statusOf(st *queue.State, p wire.HostPath) wire.QueueResponse {
@@ -141,7 +142,7 @@
 	return wire.QueueResponse{Code: queue.OK, Status: j.Status}
 }
 
-// countWaiting counts a queue's jobs that wait.
+// countWaiting returns the number of a queue's jobs of which no task has begun.
 func (s *Scheduler) countWaiting(st *queue.State, name string) wire.QueueResponse {
 	s.mu.Lock()
 	waiting, ordered := st.Waiting(name, s.fleet.hasBegun)
@@ -153,7 +154,7 @@
 func waveOf(st *queue.State, id uint64) wire.QueueResponse {
 	w := st.Wave(id)
 	if w == nil {
-		return wire.QueueResponse{Code: queue.NoJob, Text: "there is no such wave"}
+		return wire.QueueResponse{Code: queue.NoJob, Text: "unknown wave"}
 	}
 	return wire.QueueResponse{Code: queue.OK, Left: len(w.Remaining())}
 }
--- a/scheduler/evacuation.go
+++ b/scheduler/evacuation.go
@@ -23,11 +23,11 @@
 	if !s.domainExists(e.Domain) {
 		return wire.QueueResponse{Code: queue.NoDomain, Text: "unknown failure domain " + string(e.Domain)}
 	}
-	ans := s.commit(ctx, queue.Command{Evacuate: &e})
-	s.log.Info().Str("domain", string(e.Domain)).Bool("end", e.End).Str("result", string(ans.Code)).
-		Bool("unsure", ans.Unsure).Bool("not_taken", ans.NotTaken).Msg("evacuation_ordered")
-	s.record("evacuation", string(e.Domain), evacuationText(e)+string(ans.Code))
-	return ans
+	resp := s.commit(ctx, queue.Command{Evacuate: &e})
+	s.log.Info().Str("domain", string(e.Domain)).Bool("end", e.End).Str("result", string(resp.Code)).
+		Bool("unsure", resp.Unsure).Bool("not_taken", resp.NotTaken).Msg("evacuation_ordered")
+	s.record("evacuation", string(e.Domain), evacuationText(e)+string(resp.Code))
+	return resp
 }
 
 func evacuationText(e queue.Evacuate) string {
--- a/scheduler/gone.go
+++ b/scheduler/gone.go
@@ -31,7 +31,7 @@
 	if len(lost) == 0 {
 		return
 	}
-	s.met.gone.WithLabelValues(string(how)).Add(float64(len(lost)))
+	s.met.lostRuns.WithLabelValues(string(how)).Add(float64(len(lost)))
 	names := zerolog.Arr()
 	for _, g := range lost[:min(len(lost), maxLostRunsLogged)] {
 		names.Str(g.Task.Run(g.Run).String())
--- a/scheduler/metrics.go
+++ b/scheduler/metrics.go
@@ -2,18 +2,19 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are the scheduler's own.
+// metrics holds the scheduler's metrics.
 type metrics struct {
-	commit, plan, round   prometheus.Histogram
-	starts, copies, stops prometheus.Counter
-	lost, left            prometheus.Counter
-	suspected, givenUp    prometheus.Counter
-	overdue               prometheus.Gauge
-	ends, gone, asks      *prometheus.CounterVec
-	answer, wait          *prometheus.HistogramVec
+	commit, plan, round      prometheus.Histogram
+	starts, copies, stops    prometheus.Counter
+	lost, departed           prometheus.Counter
+	suspected, givenUp       prometheus.Counter
+	overdue                  prometheus.Gauge
+	ends, lostRuns, requests *prometheus.CounterVec
+	response, startWait      *prometheus.HistogramVec
 }
 
-// latencyBuckets fit objectives of a few hundred milliseconds, in seconds.
+// latencyBuckets are the bounds of histograms, in seconds; they suit objectives of a few hundred
+// milliseconds.
 var latencyBuckets = []float64{.001, .0025, .005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5}
 
 func newMetrics() *metrics {
@@ -24,24 +25,24 @@
 		return prometheus.CounterOpts{Namespace: "rudderfork", Subsystem: "queue", Name: name, Help: help}
 	}
 	return &metrics{
-		commit: prometheus.NewHistogram(histogram("commit_seconds", "From a command's proposal until it is applied.")),
-		plan:   prometheus.NewHistogram(histogram("plan_seconds", "Time taken to make one plan.")),
-		round:  prometheus.NewHistogram(histogram("round_seconds", "Time taken by one round: losses, plan, commit, orders.")),
-		starts: prometheus.NewCounter(counter("starts_total", "Runs started.")),
-		copies: prometheus.NewCounter(counter("copies_total", "Of these, second runs beside a first.")),
-		stops:  prometheus.NewCounter(counter("stops_total", "Runs asked to stop.")),
-		lost:   prometheus.NewCounter(counter("vms_lost_total", "VMs whose lease ran out.")),
-		left:   prometheus.NewCounter(counter("vms_left_total", "VMs whose executor left as planned.")),
+		commit:   prometheus.NewHistogram(histogram("commit_seconds", "From a command's proposal until it is applied.")),
+		plan:     prometheus.NewHistogram(histogram("plan_seconds", "Time taken to make one plan.")),
+		round:    prometheus.NewHistogram(histogram("round_seconds", "Time taken by one round: expiry of leases, plan, commit, waking of sessions.")),
+		starts:   prometheus.NewCounter(counter("starts_total", "Runs started.")),
+		copies:   prometheus.NewCounter(counter("copies_total", "Runs started as copies, beside another run of the task.")),
+		stops:    prometheus.NewCounter(counter("stops_total", "Runs asked to stop.")),
+		lost:     prometheus.NewCounter(counter("vms_lost_total", "VMs whose lease expired.")),
+		departed: prometheus.NewCounter(counter("vms_left_total", "VMs whose executor gave a shutdown notice.")),
 		overdue: prometheus.NewGauge(prometheus.GaugeOpts{
-			Namespace: "rudderfork", Subsystem: "queue", Name: "runs_overdue", Help: "Runs that their VMs, which are in session, do not report.",
+			Namespace: "rudderfork", Subsystem: "queue", Name: "runs_overdue", Help: "Runs that are missing from the heartbeats of a connected VM.",
 		}),
-		suspected: prometheus.NewCounter(counter("suspected_total", "Tasks that were suspected of a crash of their executor.")),
-		givenUp:   prometheus.NewCounter(counter("given_up_total", "Tasks given up since executors crash under them.")),
-		ends:      prometheus.NewCounterVec(counter("ends_total", "Runs that ended, by how."), []string{"how"}),
-		gone:      prometheus.NewCounterVec(counter("gone_total", "Runs that ended with a life of their executor, by how that ended."), []string{"how"}),
-		asks:      prometheus.NewCounterVec(counter("asks_total", "Calls of fronts, by kind and outcome."), []string{"kind", "outcome"}),
-		wait:      prometheus.NewHistogramVec(histogram("start_wait_seconds", "From a task's turn until its first start is committed, by kind."), []string{"kind"}),
-		answer:    prometheus.NewHistogramVec(histogram("answer_seconds", "Time until a front's call is answered."), []string{"kind"}),
+		suspected: prometheus.NewCounter(counter("suspected_total", "Tasks suspected of a crash of their executor.")),
+		givenUp:   prometheus.NewCounter(counter("given_up_total", "Tasks given up because executors crashed while running them.")),
+		ends:      prometheus.NewCounterVec(counter("ends_total", "Reported ends of runs, by outcome."), []string{"how"}),
+		lostRuns:  prometheus.NewCounterVec(counter("gone_total", "Runs that ended with an incarnation of their executor, by how that ended."), []string{"how"}),
+		requests:  prometheus.NewCounterVec(counter("asks_total", "Requests, by kind and outcome."), []string{"kind", "outcome"}),
+		startWait: prometheus.NewHistogramVec(histogram("start_wait_seconds", "From a task's turn until its first start is committed, by kind."), []string{"kind"}),
+		response:  prometheus.NewHistogramVec(histogram("answer_seconds", "Time until a request is answered, by kind."), []string{"kind"}),
 	}
 }
 
@@ -51,7 +52,7 @@
 	sessions := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Namespace: "rudderfork", Subsystem: "queue", Name: "sessions", Help: "Fronts and agents connected here.",
 	}, s.sessionCount)
-	return []prometheus.Collector{sessions, m.commit, m.plan, m.round, m.starts, m.copies, m.stops, m.lost, m.left, m.overdue, m.suspected, m.givenUp, m.ends, m.gone, m.asks, m.answer, m.wait}
+	return []prometheus.Collector{sessions, m.commit, m.plan, m.round, m.starts, m.copies, m.stops, m.lost, m.departed, m.overdue, m.suspected, m.givenUp, m.ends, m.lostRuns, m.requests, m.response, m.startWait}
 }
 
 func (s *Scheduler) sessionCount() float64 {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -336,7 +336,7 @@
 		s.log.Info().Str("task", st.Task.String()).Uint32("run", numbers[i]).Str("to", string(st.VM)).
 			Str("reason", st.Reason).Int64("waited_ms", st.WaitedMS).Msg("task_placed")
 		if st.WaitedMS >= 0 {
-			s.met.wait.WithLabelValues(string(st.Kind)).Observe(float64(st.WaitedMS) / msPerSecond)
+			s.met.startWait.WithLabelValues(string(st.Kind)).Observe(float64(st.WaitedMS) / msPerSecond)
 		}
 		s.record("task_placed", st.Task.String(), "on "+string(st.VM)+": "+st.Reason)
 	}
--- a/scheduler/upkeep.go
+++ b/scheduler/upkeep.go
@@ -15,45 +15,47 @@
 )
 
 const (
-	// wavePause is between two looks at the waves while there are any, and at
-	// the provider's list.
+	// wavePause is between two rounds of upkeep while there are waves. Each reads the
+	// provider's list of machines.
 	wavePause = 500 * time.Millisecond
-	// idlePause is the same while there are none.
+	// idlePause is between two rounds while there are none.
 	idlePause = time.Second
-	// providerTimeout bounds one call to the provider.
+	// providerTimeout bounds the calls to the provider in one round.
 	providerTimeout = 2 * time.Second
-	// listLag is how long a machine whose upkeep has begun counts as down
-	// even if the list, which lags, still calls it up.
+	// listLag is how long a machine whose upkeep was ordered counts as down even if the
+	// provider's list, which lags behind, still shows it as up.
 	listLag = 3 * time.Second
-	// refusedUpkeepBackOff is how long a machine rests after an order that was refused, so
-	// that the others of its wave go on.
+	// refusedUpkeepBackOff is how long a machine is passed over after the provider refused an
+	// order for it, so that the other machines of its wave go on.
 	refusedUpkeepBackOff = 2 * time.Second
-	// drainTime is how long a machine is kept from new work before its upkeep, so
-	// that short tasks end by themselves.
+	// drainTime is how long a machine gets no new tasks before its upkeep, so that its short
+	// tasks end by themselves.
 	drainTime = 2 * time.Second
 )
 
-// upkeep carries out the waves: a loop of the leader.
+// upkeep carries out waves of machine upkeep while this process leads. A wave names machines that
+// need upkeep and how many of them may be down at once. The leader orders the upkeep of single
+// machines from the provider; each order ends the incarnation of the executor there, and carries
+// the leader's term as fencing token.
 type upkeep struct {
 	s        *Scheduler
 	provider rudderfork.Provider
 	holder   string
-	wait     time.Duration // after an election, until orders are given
+	wait     time.Duration // from an election until the first order
 
 	term       uint64
-	ordersFrom time.Time            // no orders before
+	ordersFrom time.Time            // no orders before this time
 	orderedAt  map[string]time.Time // by machine: when an order may have been carried out
 	refusedAt  map[string]time.Time // by machine: when an order was refused last
-	// outranked says that a newer holder has given orders: this one gives no more
-	// in its term, since its fencing token will not get higher.
-	outranked  bool
-	cordoned   string // the machine kept from new work, since nextAt
+	// fenced says that the provider refused this term's fencing token, since a newer leader
+	// has given orders. This one gives no more orders in its term.
+	fenced     bool
+	cordoned   string // the machine that gets no new tasks since cordonedAt; "" for none
 	cordonedAt time.Time
 }
 
-// Upkeep returns the service that carries out waves. holder names this process to
-// the provider; wait is how long an earlier leader's orders may still be under
-// way.
+// Upkeep returns the service that carries out waves. holder is the name of this process for the
+// provider; wait is how long orders of an earlier leader may still be under way.
 func (s *Scheduler) Upkeep(p rudderfork.Provider, holder string, wait time.Duration) suture.Service {
 	return &upkeep{s: s, provider: p, holder: holder, wait: wait, orderedAt: map[string]time.Time{}, refusedAt: map[string]time.Time{}}
 }
@@ -73,7 +75,7 @@
 	return ctx.Err()
 }
 
-// round moves the waves on; false means that there are none.
+// round advances each wave; it returns false if there are none or this process does not lead.
 func (u *upkeep) round(ctx context.Context) bool {
 	term := u.s.currentTerm()
 	if term == 0 {
@@ -83,7 +85,7 @@
 	}
 	now := steady.Now()
 	if term != u.term {
-		u.term, u.ordersFrom, u.outranked = term, now.Add(u.wait), false
+		u.term, u.ordersFrom, u.fenced = term, now.Add(u.wait), false
 		clear(u.orderedAt)
 	}
 	waves := u.s.openWaves()
@@ -91,7 +93,7 @@
 		u.cordon("", "")
 		return false
 	}
-	if now.Before(u.ordersFrom) || u.outranked {
+	if now.Before(u.ordersFrom) || u.fenced {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, providerTimeout)
@@ -106,7 +108,7 @@
 		byName[m.Name] = m
 	}
 	for _, w := range waves {
-		if !u.outranked {
+		if !u.fenced {
 			u.advance(ctx, w, byName, now)
 		}
 	}
@@ -125,7 +127,8 @@
 	return waves
 }
 
-// advance begins the next upkeep of a wave if its bounds allow it.
+// advance orders the next upkeep of a wave, or cordons the machine that is next, unless
+// MaxDown machines are down.
 func (u *upkeep) advance(ctx context.Context, w queue.Wave, byName map[string]rudderfork.Machine, now time.Time) {
 	down := 0
 	for _, name := range w.Machines {
@@ -133,8 +136,8 @@
 			down++
 		}
 	}
-	// An order without an answer may have been carried out: it goes first, since
-	// asking again is harmless, and the machine counts as down already.
+	// An order that got no answer may have been carried out. It is repeated first, since
+	// repeating it does no harm and its machine counts as down already.
 	for _, name := range w.Remaining() {
 		if at, asked := u.orderedAt[name]; asked && now.Sub(at) < listLag {
 			u.order(ctx, w, name, byName[name].Executor, now)
@@ -160,12 +163,12 @@
 // candidate is a machine whose upkeep may begin.
 type candidate struct {
 	machine string
-	vm      rudderfork.VMID // "" if none of ours is on it
-	runs    int
+	vm      rudderfork.VMID // "" if no registered VM is on it
+	runs    int             // active on the VM
 }
 
-// choose returns the machine whose upkeep costs least and breaks no disruption
-// budget; one that is being emptied stays chosen.
+// choose returns the machine for the next upkeep: the cordoned one if it may still be taken down,
+// else the one with the fewest runs.
 func (u *upkeep) choose(w queue.Wave, byName map[string]rudderfork.Machine, now time.Time) (best candidate, ok bool) {
 	for _, c := range u.candidates(w, byName, now) {
 		if c.machine == u.cordoned {
@@ -178,7 +181,8 @@
 	return best, ok
 }
 
-// candidates returns the machines of a wave whose upkeep may begin now.
+// candidates returns the machines of a wave that may be taken down now: those that are not down,
+// were not refused a moment ago, and break no step's disruption budget.
 func (u *upkeep) candidates(w queue.Wave, byName map[string]rudderfork.Machine, now time.Time) (list []candidate) {
 	u.s.rep.View(func(st *state.State) {
 		u.s.mu.Lock()
@@ -200,7 +204,7 @@
 	return list
 }
 
-// vmOfExecutor returns the VM whose executor has an id, in whatever life, or nil.
+// vmOfExecutor returns the VM whose executor has an id, whatever its incarnation, or nil.
 func vmOfExecutor(s *queue.State, id string) *queue.VM {
 	if id == "" {
 		return nil
@@ -213,18 +217,18 @@
 	return nil
 }
 
-// incarnationOf returns the life that an executor is known to have, or "".
-func (s *Scheduler) incarnationOf(executor string) (life string) {
+// incarnationOf returns the registered incarnation of an executor, or "".
+func (s *Scheduler) incarnationOf(executor string) (inc string) {
 	s.rep.View(func(st *state.State) {
 		if vm := vmOfExecutor(st.Queues(), executor); vm != nil {
-			life = vm.Incarnation
+			inc = vm.Incarnation
 		}
 	})
-	return life
+	return inc
 }
 
-// breaksBudget reports whether ending all on a VM would leave more tasks of a
-// lasting step away than it allows. The caller holds mu.
+// breaksBudget reports whether ending all runs on a VM would leave more tasks of a lasting step
+// away, which means not at work, than its MaxAway allows. The caller holds mu.
 func (s *Scheduler) breaksBudget(qs *queue.State, vm *queue.VM) bool {
 	ending := map[queue.StepKey]int{}
 	for k := range vm.Runs() {
@@ -239,9 +243,9 @@
 	return false
 }
 
-// countAway counts the tasks of a step that are not at work on other VMs than the
-// given one. The caller holds mu.
-func (s *Scheduler) countAway(j *queue.Job, step queue.StepKey, but *queue.VM) (n int) {
+// countAway counts the tasks of a step that are away: without a run, being relocated, or not
+// reported to work yet. Runs on the VM except are left out. The caller holds mu.
+func (s *Scheduler) countAway(j *queue.Job, step queue.StepKey, except *queue.VM) (n int) {
 	now := rudderfork.Millis(steady.Now())
 	tasks := j.Occurrences[step.Occurrence].Steps[step.Step]
 	for i := range tasks {
@@ -255,7 +259,7 @@
 			n++
 			continue
 		}
-		if on.VM == but.ID {
+		if on.VM == except.ID {
 			continue
 		}
 		if r := s.fleet.vm(on.VM).runs[k]; r == nil || r.status.Run != on.Number || r.status.Percent < fullPercent {
@@ -265,22 +269,23 @@
 	return n
 }
 
-// order asks the provider for a machine's upkeep, which ends a life of an executor,
-// and notes what is sure.
+// order asks the provider for a machine's upkeep, and commits that it was begun or that the
+// provider doesn't know the machine any more. After any other error nothing is certain, and the
+// order is repeated in a later round.
 func (u *upkeep) order(ctx context.Context, w queue.Wave, name, executor string, now time.Time) {
 	u.orderedAt[name] = now
-	life := u.s.incarnationOf(executor) // before the order: the next one may come under the same id
+	inc := u.s.incarnationOf(executor) // before the order: the next incarnation may register under the same id
 	err := u.provider.Upkeep(ctx, rudderfork.Issuer{Holder: u.holder, Fence: u.term}, name, w.ID)
 	u.s.log.Info().Uint64("wave", w.ID).Str("machine", name).Int("left", len(w.Remaining())).AnErr("error", err).Msg("upkeep_ordered")
 	switch {
 	case err == nil, errors.Is(err, rudderfork.ErrNoMachine):
-		note := queue.UpkeepReport{Wave: w.ID, Machine: name, Gone: err != nil, Incarnation: life}
-		if _, err := u.s.do(ctx, queue.Command{Upkeep: &note}); err != nil {
-			u.s.log.Warn().Err(err).Msg("upkeep_not_committed") // it is ordered again, which changes nothing
+		report := queue.UpkeepReport{Wave: w.ID, Machine: name, Gone: err != nil, Incarnation: inc}
+		if _, err := u.s.do(ctx, queue.Command{Upkeep: &report}); err != nil {
+			u.s.log.Warn().Err(err).Msg("upkeep_not_committed") // the order is repeated, which does no harm
 		}
 		u.cordon("", "")
 	case errors.Is(err, rudderfork.ErrFenced):
-		u.outranked = true
+		u.fenced = true
 		u.cordon("", "")
 	case errors.Is(err, rudderfork.ErrRefused):
 		delete(u.orderedAt, name)
@@ -289,7 +294,8 @@
 	}
 }
 
-// cordon names the machine that gets no new work, and its VM; or none.
+// cordon keeps new tasks from a machine and its VM, in place of the one cordoned before; empty
+// names stand for none.
 func (u *upkeep) cordon(name string, vm rudderfork.VMID) {
 	u.cordoned = name
 	u.s.mu.Lock()
--- a/scheduler/views.go
+++ b/scheduler/views.go
@@ -14,7 +14,7 @@
 type QueueView struct {
 	queue.Queue
 	Waiting int `json:"waiting"` // jobs of which no task has begun
-	Live    int `json:"live"`    // jobs that are not finished
+	Live    int `json:"live"`    // jobs that have not ended
 }
 
 // VMView is one VM as operators see it.
@@ -33,8 +33,8 @@
 	Runs         int                  `json:"runs"`
 }
 
-// JobView is one job as operators see it, with its story: every decision on it
-// that the leader remembers, and why what waits does so.
+// JobView is one job as operators see it. Tasks and Events are set only where a single job is
+// read: its tasks, with the reason why each waits, and the events that the leader has recorded.
 type JobView struct {
 	ID          rudderfork.JobID `json:"job"`
 	Queue       string           `json:"queue"`
@@ -49,9 +49,9 @@
 // TaskView is one task of a job.
 type TaskView struct {
 	Task     string `json:"task"`
-	State    string `json:"state"` // done, running on VM, or why it waits
+	State    string `json:"state"` // done, running on which VMs, or why it waits
 	Failures int    `json:"failures"`
-	Runs     uint32 `json:"runs"` // starts so far
+	Runs     uint32 `json:"runs"` // number of starts so far
 }
 
 // SuspectView is a task under which executors have crashed, as operators see it.
@@ -59,9 +59,9 @@
 	Task             string   `json:"task"`
 	Queue            string   `json:"queue"`
 	Crashes          int      `json:"crashes"`
-	UnresolvedLosses int      `json:"doubts"`    // runs on VMs that fell silent and are not back
+	UnresolvedLosses int      `json:"doubts"`    // runs on VMs whose lease expired and of which it is unknown whether they crashed
 	Suspicion        int      `json:"suspicion"` // thousandths
-	Suspect          bool     `json:"suspect"`   // it runs apart from other suspects
+	Suspect          bool     `json:"suspect"`   // suspected enough to be run apart from other suspects
 	VMs              []string `json:"on"`
 }
 
@@ -110,7 +110,7 @@
 	return views
 }
 
-// jobView returns a job without its tasks and its story.
+// jobView returns a job without its tasks and events.
 func jobView(s *queue.State, j *queue.Job, w dispatch.WorkTimeFunc) JobView {
 	return JobView{
 		ID: j.ID, Queue: j.Queue.Name, Status: j.Status, SubmittedAt: j.SubmittedAt,
@@ -149,8 +149,8 @@
 	return "waiting: " + whyWaiting(j, k, now, e)
 }
 
-// whyWaiting gives the reason, and of VMs that cannot take the task the reasons
-// with their number.
+// whyWaiting returns why a task waits. If its turn has come, these are the reasons why VMs cannot
+// run it, each with the number of VMs.
 func whyWaiting(j *queue.Job, k queue.TaskKey, now int64, e dispatch.Explanation) string {
 	o := j.Occurrences[k.Occurrence]
 	switch {
@@ -164,12 +164,12 @@
 		counts[why]++
 	}
 	if len(counts) == 0 {
-		return "no VM is known"
+		return "no VM is registered"
 	}
 	var reasons []string
 	for why, n := range counts {
 		if why == "" {
-			why = "it could take the task"
+			why = "could run the task"
 		}
 		reasons = append(reasons, fmt.Sprintf("%d VMs: %s", n, why))
 	}
--- a/scheduler/vm.go
+++ b/scheduler/vm.go
@@ -443,7 +443,7 @@
 	if err != nil {
 		return err
 	}
-	ses.s.met.left.Inc()
+	ses.s.met.departed.Inc()
 	ses.s.logLostRuns(vm, incarnationDeparted, res)
 	ses.s.log.Info().Str("left_vm", string(vm)).Str("life", inc).Str("result", string(res.Code)).Msg("vm_left")
 	ses.s.record("vm_left", string(vm), "its executor gave a shutdown notice")
