--- a/event.go
+++ b/event.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Event is one entry of the time line.
+// Event is one entry of the timeline.
 type Event struct {
 	At       int64    `cbor:"1,keyasint" json:"at"` // Unix microseconds
 	Process  string   `cbor:"2,keyasint" json:"process"`
@@ -19,7 +19,7 @@
 	Text     string   `cbor:"9,keyasint,omitempty" json:"text,omitempty"`
 }
 
-// String gives the event as one line of the time line.
+// String formats the event as one line of the timeline.
 func (e Event) String() string {
 	var b strings.Builder
 	at := time.UnixMicro(e.At).UTC().Format("15:04:05.000000")
@@ -36,7 +36,7 @@
 	return b.String()
 }
 
-// Recorder takes events. Implementations add time, process, place and order.
+// Recorder records events. Implementations set the time, process, place and sequence number.
 type Recorder interface {
 	Record(e Event)
 }
--- a/executor.go
+++ b/executor.go
@@ -5,7 +5,7 @@
 	"errors"
 )
 
-// RunRef names one run of a task.
+// RunRef identifies a run of a task.
 type RunRef struct {
 	Task TaskID `cbor:"1,keyasint"`
 	Run  uint32 `cbor:"2,keyasint"`
@@ -15,28 +15,28 @@
 type RunStart struct {
 	RunRef
 	Payload    string
-	Checkpoint string // to resume from; "" means from the beginning
-	Ticket     string // of the adviser, where the queue has one
-	UntilMS    int64  // end of the lease, on the executor's own clock
-	Fence      uint64 // an executor does nothing for a token below the highest it saw
+	Checkpoint string // checkpoint to resume from; "" starts from the beginning
+	Ticket     string // the adviser's permission, if the queue has an adviser
+	UntilMS    int64  // end of the lease, ms on the executor's own clock
+	Fence      uint64 // fencing token; an executor ignores calls with a lower token than the highest it has received
 }
 
-// StartOutcome is an executor's answer to a start.
+// StartOutcome is an executor's response to a start.
 type StartOutcome int
 
-// The outcomes. With all but Started the call has started nothing.
+// The outcomes. With all but Started the call has not started the run.
 const (
-	Started      StartOutcome = iota // also if the run was there already
-	StartFenced                      // a higher token was seen
-	StartEnded                       // that run, or a later one, has ended there
-	StartExpired                     // the lease had run out
-	StartNoRoom                      // it does not fit
+	Started      StartOutcome = iota // also if the run had been started before
+	StartFenced                      // a higher fencing token was received before
+	StartEnded                       // the run, or a later run of the task, has ended there
+	StartExpired                     // the lease had expired
+	StartNoRoom                      // the run does not fit
 	StartTicket                      // the ticket is not valid
-	StartInvalid                     // the executor cannot read the order
-	StartBusy                        // the executor is unwell
+	StartInvalid                     // the executor cannot parse the order
+	StartBusy                        // the executor reports that it is overloaded or unavailable
 )
 
-// String names the outcome.
+// String returns the name of the outcome, as it is logged.
 func (o StartOutcome) String() string {
 	names := [...]string{"started", "fenced", "old", "late", "no room", "ticket", "invalid", "busy"}
 	if int(o) >= len(names) {
@@ -45,68 +45,68 @@
 	return names[o]
 }
 
-// RunStatus is a run as its executor sees it.
+// RunStatus is the status of a run that its executor reports.
 type RunStatus struct {
 	RunRef           `cbor:"1,keyasint"`
 	Checkpoint       string `cbor:"2,keyasint,omitempty"`
-	Percent          int    `cbor:"3,keyasint,omitempty"` // of the work; of a lasting task 100 when it is at work
-	Load             int64  `cbor:"4,keyasint,omitempty"` // tail of a serving task's answers in ms, else thousandths of a core
-	PacedDownPercent int    `cbor:"5,keyasint,omitempty"` // percent by which it is paced down, as last asked for
+	Percent          int    `cbor:"3,keyasint,omitempty"` // progress of the work; 100 for a lasting task that is at work
+	Load             int64  `cbor:"4,keyasint,omitempty"` // of a serving task the tail latency of its responses, ms; else thousandths of a core
+	PacedDownPercent int    `cbor:"5,keyasint,omitempty"` // percent by which its speed is reduced, as last ordered
 }
 
-// EndedRun is the end of a run as its executor lists it, until it is told that
-// the row was taken note of.
+// EndedRun is a run that has ended. Its executor lists it until the entry is acknowledged.
 type EndedRun struct {
-	Seq uint64 // 0 if it must not be acknowledged, since one before it could not be read
+	Seq uint64 // 0 if it must not be acknowledged because an earlier entry could not be parsed
 	RunRef
-	Outcome    string // an ending of package queue
+	Outcome    string // a queue.Outcome
 	Checkpoint string
 }
 
-// ExecutorStatus is an executor's account of itself.
+// ExecutorStatus is the response of an executor to a poll.
 type ExecutorStatus struct {
-	ClockMS int64 // the executor's own clock
+	ClockMS int64 // the executor's own clock, ms
 	Running []RunStatus
 	Ended   []EndedRun
-	// Partial says that it held more, which could not be read: what it does not list may
-	// be there all the same.
+	// Partial means that entries could not be parsed: runs that are not listed may exist all the
+	// same.
 	Partial bool
 }
 
-// PollRequest asks for a Look.
+// PollRequest requests an ExecutorStatus.
 type PollRequest struct {
-	UntilMS   int64  // extends the lease of all that runs; 0 leaves it
+	UntilMS   int64  // extends the lease of all runs to this time; 0 leaves it
 	Fence     uint64 // as in RunStart
-	AckedUpTo uint64 // ends up to this row were taken note of
-	WaitMS    int64  // waits so long for an end that is not acknowledged
+	AckedUpTo uint64 // acknowledges the ended runs up to this Seq
+	WaitMS    int64  // how long to wait for an ended run that is not acknowledged
 }
 
-// ErrStaleIncarnation means that what was meant has been replaced by a newer life.
-var ErrStaleIncarnation = errors.New("the executor has another life now")
+// ErrStaleIncarnation means that the executor has another incarnation than the one that was
+// addressed, which has been replaced.
+var ErrStaleIncarnation = errors.New("the executor has another incarnation now")
 
-// ErrNoStatus means that an executor has answered a look, but not with its account.
-var ErrNoStatus = errors.New("the executor answered without its account")
+// ErrNoStatus means that an executor has answered a poll with something else than its status.
+var ErrNoStatus = errors.New("the response to the poll is not an executor status")
 
-// ErrNotReached means that nothing listens where the executor should: the call was
-// not carried out and will not be.
+// ErrNotReached means that nothing listens at the address of the executor: the call was not carried
+// out and will not be.
 var ErrNotReached = errors.New("nothing listens at the executor's address")
 
-// Executor runs tasks on one VM. Each call is meant for one life of it, and carried out
-// by no other. After an error but ErrNotReached a call may have been carried out, or may
-// yet be, also after later calls; but a run that was stopped never starts afterwards.
+// Executor runs tasks on one VM. Each call addresses one incarnation and is carried out by no
+// other. After any error except ErrNotReached the call may have been carried out, or may still be,
+// even after later calls; but a run that was stopped never starts afterwards.
 type Executor interface {
 	Start(ctx context.Context, life string, s RunStart) (StartOutcome, error)
-	// Stop ends a run, and keeps one that is not there from ever starting.
+	// Stop ends a run. A run that does not exist will never start.
 	Stop(ctx context.Context, life string, r RunRef, fence uint64) error
-	// Poll returns the account, or ErrNoStatus if it is answered otherwise.
+	// Poll returns the status, or ErrNoStatus if the response is something else.
 	Poll(ctx context.Context, life string, r PollRequest) (ExecutorStatus, error)
-	// Pace sets the share of its full speed, in percent, at which a run works.
+	// Pace sets the speed of a run, in percent of its full speed.
 	Pace(ctx context.Context, life string, r RunRef, percent int, fence uint64) error
 }
 
-// Adviser knows which VMs may run a step.
+// Adviser decides which VMs may run a step.
 type Adviser interface {
-	// Advise asks about some executors' lives. It returns tickets by life, for
-	// those that may run the step.
+	// Advise returns a ticket for each of the given executor incarnations that may run the step, by
+	// incarnation.
 	Advise(ctx context.Context, step string, lives []string) (tickets map[string]string, err error)
 }
--- a/life_test.go
+++ b/incarnation_test.go
@@ -6,8 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestLifeName takes the names of lives apart again.
-func TestLifeName(t *testing.T) {
+// TestIncarnationName checks that names of incarnations are split into the same parts.
+func TestIncarnationName(t *testing.T) {
 	for _, want := range []struct {
 		id     string
 		bornMS int64
--- a/job.go
+++ b/job.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// JobSpec is what an operator submits. Sizes stand in the job's row of the
-// table; the spec holds what cannot change.
+// JobSpec is a batch job as an operator submits it. Sizes are in the job's row of the table; the
+// spec contains what cannot change.
 type JobSpec struct {
 	ID       JobID            `cbor:"1,keyasint" json:"id"`
 	Team     Team             `cbor:"2,keyasint" json:"team"`
-	Kind     string           `cbor:"3,keyasint" json:"kind"`  // groups jobs whose interference is alike
+	Kind     string           `cbor:"3,keyasint" json:"kind"`  // jobs of one kind interfere with services in the same way
 	Tasks    int              `cbor:"4,keyasint" json:"tasks"` // number of tasks
-	Units    int64            `cbor:"5,keyasint" json:"units"` // steps of work in each task
+	Units    int64            `cbor:"5,keyasint" json:"units"` // units of work in each task
 	Cells    map[string]int64 `cbor:"6,keyasint,omitempty" json:"cells,omitempty"`
-	Attempts int              `cbor:"7,keyasint,omitempty" json:"attempts,omitempty"` // failures a task may have; 0 means 5
+	Attempts int              `cbor:"7,keyasint,omitempty" json:"attempts,omitempty"` // failures a task may have; 0 means DefaultAttempts
 }
 
-// Bounds of a job's spec.
+// Limits of a job's spec.
 const (
 	MaxTasks        = 10_000
 	MaxUnits        = 1_000_000_000
@@ -22,7 +22,7 @@
 	maxAttempts     = 100
 )
 
-// Check reports the first thing wrong with the spec.
+// Check returns an error for the first invalid part of the spec.
 func (s JobSpec) Check() error {
 	if err := CheckName(string(s.ID)); err != nil {
 		return fmt.Errorf("job id: %w", err)
@@ -50,10 +50,10 @@
 	return nil
 }
 
-// TaskPhase is where a task stands.
+// TaskPhase is the phase of a task.
 type TaskPhase string
 
-// The phases of a task. Only a running or evicting task holds capacity.
+// The phases of a task. Only running and evicting tasks hold capacity.
 const (
 	TaskPending   TaskPhase = "pending"
 	TaskRunning   TaskPhase = "running"
@@ -69,8 +69,8 @@
 // Holds reports whether a task in this phase holds capacity on a VM.
 func (p TaskPhase) Holds() bool { return p == TaskRunning || p == TaskEvicting }
 
-// Lease permits one VM to run one attempt of a task. It is in force while the
-// VM's own lease is: until the deadline that control last granted to the VM.
+// Lease permits one VM to run one attempt of a task. It is valid while the VM's own lease is, that
+// is until the deadline that control last granted to the VM.
 type Lease struct {
 	Task       TaskID    `cbor:"1,keyasint" json:"task"`
 	Token      Token     `cbor:"2,keyasint" json:"token"`
@@ -81,7 +81,7 @@
 	Stop       bool      `cbor:"7,keyasint,omitempty" json:"stop,omitempty"` // checkpoint and stop
 	Discard    bool      `cbor:"8,keyasint,omitempty" json:"discard,omitempty"`
 	Weight     int64     `cbor:"9,keyasint,omitempty" json:"weight,omitempty"`
-	Slowdown   float64   `cbor:"10,keyasint,omitempty" json:"slowdown,omitempty"` // expected of the kind on the VM's services
+	Slowdown   float64   `cbor:"10,keyasint,omitempty" json:"slowdown,omitempty"` // expected factor by which the kind slows the VM's services
 }
 
 // Outcome is how an attempt ended.
@@ -91,12 +91,12 @@
 const (
 	OutcomeDone    Outcome = "done"
 	OutcomeFailed  Outcome = "failed"
-	OutcomeStopped Outcome = "stopped" // checkpointed and stopped when asked
-	OutcomeLost    Outcome = "lost"    // the worker restarted or stopped it for want of a lease
+	OutcomeStopped Outcome = "stopped" // stopped on request, with a checkpoint
+	OutcomeLost    Outcome = "lost"    // the worker restarted, or stopped it because its lease expired
 )
 
-// Report tells control how an attempt ended. It may arrive late or twice:
-// control takes it only if the token is that of the task's current lease.
+// Report tells control how an attempt ended. It may arrive late or more than once: control accepts
+// it only if the token is that of the current lease of the task.
 type Report struct {
 	Task       TaskID  `cbor:"1,keyasint" json:"task"`
 	Token      Token   `cbor:"2,keyasint" json:"token"`
--- a/placer.go
+++ b/placer.go
@@ -9,7 +9,7 @@
 	Free     Resources
 	Services []Service
 	Tasks    map[string]int // running batch tasks by kind
-	Pressure float64        // 0 for none; 1 and above where the service misses its target
+	Pressure float64        // 0 for none; 1 and above if a service misses its target
 }
 
 // TaskView is a pending task as a Placer sees it.
@@ -22,17 +22,17 @@
 	Priority int64
 	Weight   int64
 	Deadline time.Time // zero for none
-	Avoid    []VMID    // VMs on which attempts of it failed
+	Avoid    []VMID    // VMs on which attempts of the task failed
 }
 
-// Choice says where a task goes and why.
+// Choice is the VM chosen for a task, with the reason.
 type Choice struct {
 	VM         VMID
 	Reason     string
-	Rejections []Rejection // what else was considered, bounded
+	Rejections []Rejection // other VMs that were considered; bounded
 }
 
-// Rejection says why a VM was not chosen.
+// Rejection is the reason why a VM was not chosen.
 type Rejection struct {
 	VM     VMID   `cbor:"1,keyasint" json:"vm"`
 	Reason string `cbor:"2,keyasint" json:"reason"`
@@ -40,12 +40,12 @@
 
 // Placer chooses a VM for a task.
 type Placer interface {
-	// Place picks among vms; ok is false when none fits now, and the choice
-	// then still carries the rejections.
+	// Place chooses among vms. ok is false if no VM fits now; the choice then still has the
+	// rejections.
 	Place(t TaskView, vms []VMView, now time.Time) (c Choice, ok bool)
 }
 
-// Interference estimates how much batch kinds slow services.
+// Interference estimates how much kinds of batch job slow down services.
 type Interference interface {
 	// Slowdown returns the expected factor (1 is none) and its standard error.
 	Slowdown(s Service, kind string, now time.Time) (factor, stderr float64)
--- a/problem.go
+++ b/problem.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Ran says whether a refused or failed request ran.
+// Ran says whether a refused or failed request was executed.
 type Ran string
 
-// The three answers. RanNo is said only when the request was surely never
-// handed to the upstream; RanUnknown is all that is not sure.
+// The values. RanNo means that the request was never sent to the upstream; RanUnknown is used
+// whenever that is uncertain.
 const (
 	RanNo      Ran = "no"
 	RanYes     Ran = "yes"
@@ -20,10 +20,10 @@
 	Status  int       `json:"status"`
 	Detail  string    `json:"detail"`
 	Ran     Ran       `json:"ran"`
-	RetryAt time.Time `json:"retry_at,omitzero"` // when to come back; zero if never
+	RetryAt time.Time `json:"retry_at,omitzero"` // earliest time for a retry; zero if a retry is useless
 	Request string    `json:"request,omitempty"`
-	Version Revision  `json:"revision,omitempty"` // of the table that decided
+	Version Revision  `json:"revision,omitempty"` // of the table that was used
 }
 
-// Error makes a Problem an error.
+// Error implements error.
 func (p *Problem) Error() string { return p.Title + ": " + p.Detail }
--- a/queue/apply.go
+++ b/queue/apply.go
@@ -8,7 +8,7 @@
 	"rudderfork.example/rudderfork"
 )
 
-// jobIDForm is the form of a job's ID in a path.
+// jobIDForm is the syntax of a job ID in a path.
 var jobIDForm = regexp.MustCompile(`^[0-9A-Za-z_-]{1,64}$`)
 
 // Apply applies a command. at is the proposer's clock, Unix ms.
@@ -63,7 +63,7 @@
 	}
 }
 
-// forget drops jobs that ended before a time of the state's clock.
+// forget drops the jobs that ended before a time of the state clock, ms.
 func (s *State) forget(before int64) {
 	for len(s.ended) > 0 {
 		j := s.jobs[s.ended[0]]
@@ -75,33 +75,34 @@
 	}
 }
 
-// locate finds the queue and the job's ID that a host and path name.
-func (s *State) locate(host, where string) (q Queue, id rudderfork.JobID, refusal Result, ok bool) {
+// locate returns the queue and the job ID of a host and path, or ok false and the result that
+// refuses the request.
+func (s *State) locate(host, urlPath string) (q Queue, id rudderfork.JobID, refusal Result, ok bool) {
 	if s.doc == nil {
-		return q, "", Result{Code: NoDocument, Text: "no document was ever taken"}, false
+		return q, "", Result{Code: NoDocument, Text: "no document has been accepted yet"}, false
 	}
-	q, rest, found := s.doc.Find(host, where)
+	q, rest, found := s.doc.Find(host, urlPath)
 	if !found {
 		return q, "", Result{Code: NoQueue, Text: "no queue has this host and path"}, false
 	}
 	if !jobIDForm.MatchString(rest) {
-		return q, "", Result{Code: Invalid, Text: "the path does not end with a job's ID"}, false
+		return q, "", Result{Code: Invalid, Text: "the path does not end with a job ID"}, false
 	}
 	return q, rudderfork.JobID(rest), refusal, true
 }
 
 func (s *State) submit(c Submit, at int64) Result {
-	// A job that is here stays accepted, also if its queue is gone since.
+	// A known job stays accepted even if its queue has been removed since.
 	last := rudderfork.JobID(path.Base(c.Path))
 	if j := s.jobs[last]; j != nil {
-		return Result{Code: OK, Job: last, Queue: j.Queue.Name, Text: "handed in before"}
+		return Result{Code: OK, Job: last, Queue: j.Queue.Name, Text: "already submitted"}
 	}
 	q, id, refusal, ok := s.locate(c.Host, c.Path)
 	if !ok {
 		return refusal
 	}
 	if code := s.doc.Limits.exceeded(c.BodyBytes, c.HeaderBytes); code != "" {
-		return Result{Code: code, Text: fmt.Sprintf("a body of %d bytes, a header of %d; the document's limits are %+v", c.BodyBytes, c.HeaderBytes, s.doc.Limits)}
+		return Result{Code: code, Text: fmt.Sprintf("a body of %d bytes and a header of %d bytes exceed the document's limits %+v", c.BodyBytes, c.HeaderBytes, s.doc.Limits)}
 	}
 	if err := c.Spec.Check(); err != nil {
 		return Result{Code: Invalid, Text: err.Error()}
@@ -117,16 +118,16 @@
 	if r := spec.Repeat; r != nil {
 		n, first, every = r.Count, r.FirstMS, r.EveryMS
 	}
-	times := make([]*Occurrence, 0, n)
+	list := make([]*Occurrence, 0, n)
 	for k := range n {
 		o := &Occurrence{DueMS: first + int64(k)*every}
 		for _, st := range spec.Steps {
 			o.Steps = append(o.Steps, make([]Task, st.Count))
 			o.Remaining = append(o.Remaining, st.Count)
 		}
-		times = append(times, o)
+		list = append(list, o)
 	}
-	return times
+	return list
 }
 
 func (s *State) cancel(c Cancel, at int64) Result {
@@ -152,7 +153,7 @@
 	s.retire(j)
 }
 
-// start gives run numbers to the starts that are still right.
+// start assigns run numbers to those starts that are still valid.
 func (s *State) start(starts []Start, at int64) Result {
 	res := Result{Code: OK, Numbers: make([]uint32, len(starts))}
 	for i := 0; i < len(starts); {
@@ -166,7 +167,7 @@
 	return res
 }
 
-// markBegun notes jobs of which executors have begun a task.
+// markBegun marks jobs as begun.
 func (s *State) markBegun(ids []rudderfork.JobID) {
 	for _, id := range ids {
 		if j := s.jobs[id]; j != nil {
@@ -175,7 +176,7 @@
 	}
 }
 
-// startGroup starts all of the list under one number, or none.
+// startGroup starts all runs of the list under one run number, or none of them.
 func (s *State) startGroup(list []Start, numbers []uint32, at int64) {
 	number := uint32(0)
 	for _, st := range list {
@@ -219,7 +220,7 @@
 		return false
 	}
 	if t.atCrashLimit(s.isLasting(st.Task)) {
-		return false // it is given up once its runs have ended, unless they end well
+		return false // the ends of its active runs decide whether it is given up
 	}
 	return s.RejectReason(j, st.Task, vm) == ""
 }
@@ -228,7 +229,7 @@
 	res := Result{Code: OK, Accepted: make([]bool, len(c.List))}
 	vm := s.vms[c.VM]
 	if vm == nil || vm.Incarnation != c.Incarnation {
-		return res // its runs were counted as lost with that life
+		return res // its runs were ended with that incarnation
 	}
 	for i, e := range c.List {
 		res.Accepted[i] = s.endRun(c.VM, e, at)
@@ -236,7 +237,7 @@
 	return res
 }
 
-// endRun takes the end of an active run; false means that it is not active.
+// endRun ends an active run; false means that the run is not active.
 func (s *State) endRun(vm rudderfork.VMID, e End, at int64) bool {
 	j := s.jobs[e.Task.Job]
 	if j == nil {
@@ -263,7 +264,7 @@
 	return false
 }
 
-// applyEnd draws the conclusions of a run's end for its task and job.
+// applyEnd updates the task and the job after the end of a run.
 func (s *State) applyEnd(j *Job, e End, t *Task, at int64) {
 	st := j.Spec.Steps[e.Task.Step]
 	t.EndedAt = at
@@ -276,7 +277,7 @@
 	}
 	switch {
 	case st.Lasting:
-		// However it ended, it is started again.
+		// It is started again whatever its outcome.
 	case e.Outcome == OutcomeDone && st.Gang:
 		for i := range j.Occurrences[e.Task.Occurrence].Steps[e.Task.Step] {
 			k := e.Task
@@ -290,7 +291,8 @@
 	}
 }
 
-// saveCheckpoint keeps a checkpoint; that of one member serves its whole gang.
+// saveCheckpoint stores a checkpoint. The checkpoint of one member of a gang applies to the whole
+// gang.
 func (s *State) saveCheckpoint(j *Job, k TaskKey, checkpoint string) {
 	if !j.Spec.Steps[k.Step].Gang {
 		j.Task(k).Checkpoint = checkpoint
@@ -317,8 +319,8 @@
 	s.finish(j, Completed, at)
 }
 
-// taskFailed counts a failed attempt. The members of a gang count together, on
-// the first of them.
+// taskFailed counts a failed attempt. The failures of all members of a gang are counted on its
+// first task.
 func (s *State) taskFailed(j *Job, k TaskKey, at int64) {
 	if j.Spec.Steps[k.Step].Gang {
 		k.Index = 0
@@ -330,21 +332,21 @@
 	}
 }
 
-// register takes a VM's description of itself. With a new life, all that ran
-// there before is over.
-func (s *State) register(v VM, seen *Crash, at int64) Result {
+// register adds or updates a VM. If the incarnation is another one, all runs of the previous one
+// end.
+func (s *State) register(v VM, crash *Crash, at int64) Result {
 	res := Result{Code: OK}
 	v.Epoch, v.Leaving = 1, false
 	v.UnresolvedRuns, v.LeaseExpiredAt, v.Resolved, v.ExecutorSilent, v.Crashes = nil, 0, false, false, CrashHistory{}
 	if old := s.vms[v.ID]; old != nil {
 		same := mayBeSame(old.Incarnation, v.Incarnation)
-		how := terminationOf(old, seen)
-		how.replaced = true
+		term := terminationOf(old, crash)
+		term.replaced = true
 		switch {
 		case !old.Live:
-			res.Assessments = s.resolveReturned(old, how, same, at)
+			res.Assessments = s.resolveReturned(old, term, same, at)
 		case !same:
-			res = s.endIncarnation(old, how, nil, at)
+			res = s.endIncarnation(old, term, nil, at)
 		}
 		v.used, v.runs, v.Epoch, v.Crashes = old.used, old.runs, old.Epoch, old.Crashes
 		v.Leaving = same && old.Leaving
@@ -357,32 +359,33 @@
 	return res
 }
 
-// terminationOf is how the life of a VM's executor has ended, by what its agent has seen.
-func terminationOf(vm *VM, seen *Crash) termination {
-	seen = seen.ForIncarnation(vm.Incarnation)
-	return termination{planned: vm.Leaving || seen.announced(), crash: seen}
+// terminationOf returns term the incarnation of a VM's executor ended, according to the report of
+// its agent.
+func terminationOf(vm *VM, crash *Crash) termination {
+	crash = crash.ForIncarnation(vm.Incarnation)
+	return termination{planned: vm.Leaving || crash.announced(), crash: crash}
 }
 
-// TasksAtCrash returns the tasks whose runs ended with the life of an executor that v
-// follows; crashed is false if v follows none, or one that was to end.
-func (s *State) TasksAtCrash(v VM, seen *Crash) (tasks []TaskKey, crashed bool) {
+// TasksAtCrash returns the tasks whose runs end if v registers and thereby shows that the previous
+// incarnation crashed. crashed is false if v replaces no incarnation, or one whose end was planned.
+func (s *State) TasksAtCrash(v VM, crash *Crash) (tasks []TaskKey, crashed bool) {
 	old := s.vms[v.ID]
 	if old == nil || mayBeSame(old.Incarnation, v.Incarnation) {
 		return nil, false
 	}
-	how := terminationOf(old, seen)
-	if how.planned {
+	term := terminationOf(old, crash)
+	if term.planned {
 		return nil, false
 	}
-	for _, r := range s.activeRuns(old, how.crash, 0) {
+	for _, r := range s.activeRuns(old, term.crash, 0) {
 		tasks = append(tasks, r.Task)
 	}
 	return tasks, true
 }
 
-// mayBeSame reports whether a life as it is named now may be the one that was named
-// before. Agents of earlier releases named lives by their ids alone; what runs in one may
-// not be taken for over because it gets to say when it began.
+// mayBeSame reports whether now may name the incarnation that before named. Agents of earlier
+// releases name incarnations by the executor ID alone; their runs must not be taken for ended when
+// the start time is added to the name.
 func mayBeSame(before, now string) bool {
 	id, _ := rudderfork.SplitIncarnation(now)
 	return before == now || before == id
@@ -393,31 +396,31 @@
 	if vm == nil || vm.Incarnation != c.Incarnation || c.Epoch != 0 && c.Epoch != vm.Epoch {
 		return Result{Code: Stale}
 	}
-	how := terminationOf(vm, c.Crash)
-	how.planned = how.planned || c.Departed
+	term := terminationOf(vm, c.Crash)
+	term.planned = term.planned || c.Departed
 	if !vm.Live {
-		s.loseAgain(vm, how, at)
+		s.loseAgain(vm, term, at)
 		return Result{Code: Stale}
 	}
-	res := s.endIncarnation(vm, how, c.Checkpoints, at)
+	res := s.endIncarnation(vm, term, c.Checkpoints, at)
 	vm.Live = false
 	return res
 }
 
-// loseAgain takes the loss of a life that was lost before. Its runs have ended; that it
-// left as planned may be news.
-func (s *State) loseAgain(vm *VM, how termination, at int64) {
-	if how.planned {
-		s.resolveReturned(vm, how, true, at)
+// loseAgain handles a repeated loss of an incarnation. Its runs have ended already, but that its
+// end was planned may be new.
+func (s *State) loseAgain(vm *VM, term termination, at int64) {
+	if term.planned {
+		s.resolveReturned(vm, term, true, at)
 	}
 }
 
-// endAllRuns ends every active run of a VM without a report of its own.
-func (s *State) endAllRuns(vm *VM, checkpoints map[TaskKey]string, at int64) (gone []LostRun) {
+// endAllRuns ends every active run of a VM with OutcomeLost.
+func (s *State) endAllRuns(vm *VM, checkpoints map[TaskKey]string, at int64) (lost []LostRun) {
 	for _, k := range sortedKeys(vm.runs) {
 		run := vm.runs[k]
 		s.endRun(vm.ID, End{Task: k, Run: run, Outcome: OutcomeLost, Checkpoint: checkpoints[k]}, at)
-		gone = append(gone, LostRun{Task: k, Run: run})
+		lost = append(lost, LostRun{Task: k, Run: run})
 	}
-	return gone
+	return lost
 }
--- a/queue/blame.go
+++ b/queue/blame.go
@@ -5,66 +5,65 @@
 	"slices"
 )
 
-// A task may crash each executor that starts it. Nothing tells which of the tasks that
-// ran on an executor crashed it; this file keeps, for each task, how likely it is the
-// one, and gives up those that surely are.
+// A poison task crashes each executor that starts it. A crash does not show which of the tasks that
+// ran on the executor caused it. This file estimates for each task how likely it is a poison task,
+// and fails the jobs of tasks that almost certainly are.
 //
-// Of a task it is kept how many executors crashed under it with no run between them
-// that went well, and on how many of these its run was seen to begin just before: the
-// former bounds what a task can do, whoever is to blame. Suspicion is the probability
-// that the task crashes its executors, by Bayes' rule from the ages of all runs at each
-// crash and from how often the executor crashes anyway (crashrate.go): such a task does
-// it soon after its start, so that of a run that has just begun and one that has run for
-// a minute the former is the likelier cause, and a task that was suspected before more so.
+// For each task the state keeps three figures. Crashes counts the executors that crashed under it
+// since its last successful run; it bounds the damage that a task can do, whoever is to blame.
+// PromptCrashes counts those of them that crashed soon after the run was confirmed to have begun.
+// Suspicion is the probability that the task crashes its executors, by Bayes' rule from the ages of
+// all runs at each crash and from the rate of spontaneous crashes (crashrate.go). A poison task
+// crashes its executor soon after its start, so that a run that has just begun is a likelier cause
+// than one that has run for a minute, and the likelier the more its task was suspected before.
 const (
-	// priorMilli is the part, in thousandths, of tasks that are taken to crash their
-	// executors before anything was seen of them.
+	// priorMilli is the prior probability, in thousandths, that a task is a poison task. Suspicion
+	// is never taken as lower.
 	priorMilli = 2
-	// maxMilli bounds what is believed either way, in thousandths.
+	// maxMilli is the highest suspicion, in thousandths.
 	maxMilli = 998
-	// crashDelayMS is how long after its start a task that crashes its executor does so, in
-	// the median, ms. The density falls with the square of the age, so that little
-	// depends on this figure: 10 ms were seen, on which the steps of an agent's calls
-	// are laid.
+	// crashDelayMS is the median time from the start of a poison run to the crash, ms. The density
+	// falls with the square of the age, so that little depends on the value: poison tasks crash
+	// their executors after some 10 ms, and the intervals of the agent's calls add to that.
 	crashDelayMS = 50
-	// promptCrashMS is how long after its start a run may be lost in a crash that bears witness
-	// against its task, ms: most poison tasks crash their executors sooner, the steps of an
-	// agent's calls included.
+	// promptCrashMS is the highest age of a run, ms, at which a crash counts as PromptCrashes. Most
+	// poison tasks crash their executors sooner, including the intervals of the agent's calls.
 	promptCrashMS = 100
-	// spontaneousCrashMS is the mean time between two crashes of an executor that no task is to
-	// blame for, ms, before any was seen; it counts as much as one that was.
+	// spontaneousCrashMS is the prior mean time between two spontaneous crashes of an executor, ms.
+	// It counts as much as one observed crash.
 	spontaneousCrashMS = 60_000
-	// provenRunMS is how long a run must have been at work to show that its task does not
-	// crash what starts it: far above delayMS, and below what lasting tasks run.
+	// provenRunMS is how long a run must have been at work, ms, to show that its task does not
+	// crash its executors: far above crashDelayMS, and below the run times of lasting tasks.
 	provenRunMS = 10_000
-	// unknownAgeMarginMS is taken off the age of a run that nobody has told the age of: a lease,
-	// an executor's return, and the steps of clocks between two leaders.
+	// unknownAgeMarginMS is subtracted from the age of a run that no agent has reported, ms. It
+	// covers a lease, the restart of an executor, and the clock difference between two leaders.
 	unknownAgeMarginMS = 15_000
 
-	// MaxCrashes is how many executors may crash under a task, or may yet, before it
-	// is given up whatever it is suspected of: once three have, it is started twice
-	// more at most (the users' pages).
+	// MaxCrashes is the number of crashes of executors under a task, including possible ones, at
+	// which it is given up whatever its suspicion. The users require that a task is started at most
+	// twice more once three executors have crashed under it.
 	MaxCrashes = 5
-	// poisonMilliAfter2 and thriceMille are the suspicions, in thousandths, at which a task is
-	// given up after two and after three crashes. (In modelled days of 13 VMs with five
-	// poison tasks, each took 2.07 executors down, and one innocent job of 390 a day was
-	// given up in 20 days; 2.57 and one in 11 days at 995 and 950. With 30 poison tasks
-	// 2.84 and 3.32. bench -only crashes.)
+	// poisonMilliAfter2 and poisonMilliAfter3 are the suspicions, in thousandths, at which a task
+	// is given up after two and after three prompt crashes. Higher values let a poison task crash
+	// more executors, lower ones fail innocent jobs: with 13 VMs and five poison tasks, 950 and 700
+	// cost 2.07 executors for each poison task and one innocent job of 390 a day in 20 days, 995
+	// and 950 cost 2.57 executors and one job in 11 days. With 30 poison tasks it is 2.84 and 3.32
+	// executors.
 	poisonMilliAfter2 = 950
 	poisonMilliAfter3 = 700
 
-	// SuspectMilli is the suspicion, in thousandths, from which on a task is a suspect,
-	// which runs apart from other suspects until it is cleared: ten times the prior.
+	// SuspectMilli is the suspicion, in thousandths, from which on a task is a suspect, which runs
+	// apart from other suspects until it is cleared: ten times the prior.
 	SuspectMilli = 20
 )
 
-// Suspect reports whether the task is likelier than others to crash its executors.
+// Suspect reports whether the task is more likely than others to crash its executors.
 func (t *Task) Suspect() bool { return t.Suspicion >= SuspectMilli }
 
-// prior is the probability, in thousandths, before the next crash.
+// prior returns the probability, in thousandths, before the next crash.
 func (t *Task) prior() int64 { return max(priorMilli, min(maxMilli, int64(t.Suspicion))) }
 
-// isPoison reports whether the task is to be given up.
+// isPoison reports whether the task must be given up.
 func (t *Task) isPoison() bool {
 	switch {
 	case t.Crashes >= MaxCrashes:
@@ -77,26 +76,26 @@
 	return false
 }
 
-// clearSuspicion takes back all that the task was suspected of, but for what is open yet.
-func (t *Task) clearSuspicion() { t.Crashes, t.PromptCrashes, t.Suspicion = 0, 0, 0 }
+// clear resets the suspicion against the task. Unresolved losses stay.
+func (t *Task) clear() { t.Crashes, t.PromptCrashes, t.Suspicion = 0, 0, 0 }
 
-// clearProven clears the tasks of runs that had been at work for long: they show that their
-// tasks do not crash what starts them.
+// clearProven clears the tasks of runs that had been at work for provenRunMS, which shows that they
+// do not crash their executors.
 func (s *State) clearProven(list []RunAge) {
 	for _, r := range list {
 		if t := s.openTask(r.Task); t != nil && r.AgeMS >= provenRunMS {
-			t.clearSuspicion()
+			t.clear()
 		}
 	}
 }
 
-// countCrash counts a crash under runs, but for those that had been at work for long, and
-// for those of lasting tasks that are hardly to blame, where the ages are told: a task that
-// lasts meets every executor that crashes by itself sooner or later.
-func (s *State) countCrash(list []RunAge, told bool) {
+// countCrash counts a crash against the tasks of runs, except runs that had been at work for
+// provenRunMS and, if an agent reported the ages, runs of lasting tasks that are no suspects: a
+// lasting task meets every spontaneous crash of its executors sooner or later.
+func (s *State) countCrash(list []RunAge, agesKnown bool) {
 	for _, r := range list {
 		t := s.openTask(r.Task)
-		if t == nil || r.AgeMS >= provenRunMS || told && s.isLasting(r.Task) && !t.Suspect() {
+		if t == nil || r.AgeMS >= provenRunMS || agesKnown && s.isLasting(r.Task) && !t.Suspect() {
 			continue
 		}
 		t.Crashes++
@@ -108,58 +107,58 @@
 
 func (s *State) isLasting(k TaskKey) bool { return s.jobs[k.Job].Spec.Steps[k.Step].Lasting }
 
-// updateSuspicion renews what the tasks of the runs at a crash on a VM are suspected of: for each
-// the probability that it was the cause, against the others and against a crash that no
-// task caused, whose probability it returns in thousandths.
-func (s *State) updateSuspicion(vm *VM, list []RunAge) (ordinaryMille int64) {
-	ordinary := vm.Crashes.weight(s.base.weight(), s.clock.NowMS)
-	total := ordinary
+// updateSuspicion updates the suspicion against the tasks of the runs at a crash on a VM: the
+// probability that each was the cause, against the other tasks and against a spontaneous crash. It
+// returns the probability of a spontaneous crash, in thousandths.
+func (s *State) updateSuspicion(vm *VM, list []RunAge) (spontaneousMilli int64) {
+	spontaneous := vm.Crashes.weight(s.base.weight(), s.clock.NowMS)
+	total := spontaneous
 	weights := make([]int64, len(list))
 	for i, r := range list {
 		t := s.openTask(r.Task)
 		if t == nil {
 			continue
 		}
-		late := max(0, r.AgeMS) + crashDelayMS
+		delay := max(0, r.AgeMS) + crashDelayMS
 		p := t.prior()
-		weights[i] = p * weightScale / (1000 - p) / late * crashDelayMS / late
+		weights[i] = p * weightScale / (1000 - p) / delay * crashDelayMS / delay
 		total += weights[i]
 	}
-	ordinaryMille = 1000 * ordinary / total
-	s.base.addCrash(ordinaryMille)
+	spontaneousMilli = 1000 * spontaneous / total
+	s.base.addCrash(spontaneousMilli)
 	for i, r := range list {
 		t := s.openTask(r.Task)
 		if t == nil {
 			continue
 		}
-		// Where another one was the cause, this one has at least lived so long.
-		lived := t.prior() * crashDelayMS / (max(0, r.AgeMS) + crashDelayMS)
-		t.Suspicion = int(min(maxMilli, max(1000*weights[i]/total, lived)))
+		// If another task was the cause, this one has at least run for so long without a crash.
+		survived := t.prior() * crashDelayMS / (max(0, r.AgeMS) + crashDelayMS)
+		t.Suspicion = int(min(maxMilli, max(1000*weights[i]/total, survived)))
 	}
-	return ordinaryMille
+	return spontaneousMilli
 }
 
-// weightScale is the unit of weights: one a millisecond.
+// weightScale is the unit of weights: weightScale stands for one crash per ms.
 const weightScale = 1_000_000_000_000
 
-// BaseRate is how often executors crash that no task is to blame for.
+// BaseRate is the rate of spontaneous crashes over all VMs.
 type BaseRate struct {
-	CrashesMilli int64 `cbor:"1,keyasint,omitempty"` // crashes, in thousandths, as far as no task was their likely cause
-	ObservedMS   int64 `cbor:"2,keyasint,omitempty"` // for how long VMs were watched, ms, summed up over them
+	CrashesMilli int64 `cbor:"1,keyasint,omitempty"` // expected number of spontaneous crashes, in thousandths
+	ObservedMS   int64 `cbor:"2,keyasint,omitempty"` // observed time, ms, summed over the VMs
 }
 
-// weight is the rate at which one executor crashes, and never 0.
+// weight returns the crash rate of one executor, in units of 1/weightScale per ms. It is never 0.
 func (b *BaseRate) weight() int64 {
 	return max(1, (1000+b.CrashesMilli)*(weightScale/1000)/(spontaneousCrashMS+b.ObservedMS))
 }
 
-// addCrash counts a crash that no task caused, with a probability in thousandths.
-func (b *BaseRate) addCrash(mille int64) { b.CrashesMilli += mille }
+// addCrash counts a crash that was spontaneous with a probability of milli thousandths.
+func (b *BaseRate) addCrash(milli int64) { b.CrashesMilli += milli }
 
-// addObserved counts time, ms, for which VMs were watched.
+// addObserved adds ms of observed time for each of a number of VMs.
 func (b *BaseRate) addObserved(ms int64, vms int) { b.ObservedMS += ms * int64(vms) }
 
-// openTask returns a task that may still run, or nil.
+// openTask returns a task that is not done and whose job is not final, or nil.
 func (s *State) openTask(k TaskKey) *Task {
 	j := s.jobs[k.Job]
 	if j == nil || j.Status.Final() {
@@ -172,8 +171,8 @@
 	return t
 }
 
-// failPoisonTasks fails the jobs of the poison tasks among the tasks of runs, and tells what all of
-// them are suspected of.
+// failPoisonTasks fails the jobs of the poison tasks among the tasks of runs. It returns the
+// suspicion against all of these tasks, the most suspected first.
 func (s *State) failPoisonTasks(list []RunAge, at int64) (found []Assessment) {
 	for _, r := range list {
 		t := s.openTask(r.Task)
@@ -193,38 +192,39 @@
 	return found
 }
 
-// markVMsChanged notes a change at the VMs of a task's runs, which are read with what it is
-// suspected of.
+// markVMsChanged marks the VMs of a task's runs as changed, since readers of a VM also read the
+// suspicion against its tasks.
 func (s *State) markVMsChanged(t *Task) {
 	for _, r := range t.Runs {
 		s.vms[r.VM].changes++
 	}
 }
 
-// recordEnd draws on an end that an executor has listed: it lives.
-func (t *Task) recordEnd(how Outcome, tookMS int64) {
-	if how == OutcomeDone || how == OutcomeFailed || tookMS >= provenRunMS {
-		t.clearSuspicion()
+// recordEnd clears the task if a run that an executor has listed as ended shows that it does not
+// crash its executor.
+func (t *Task) recordEnd(outcome Outcome, tookMS int64) {
+	if outcome == OutcomeDone || outcome == OutcomeFailed || tookMS >= provenRunMS {
+		t.clear()
 	}
 }
 
-// Assessment is what a task is suspected of after a crash.
+// Assessment is the suspicion against a task after a crash.
 type Assessment struct {
 	Task      TaskKey
 	Run       uint32
-	AgeMS     int64 // of the run, when the executor was found silent
+	AgeMS     int64 // of the run when the executor was found silent
 	Crashes   int
 	Suspicion int  // thousandths
-	GivenUp   bool // its job has failed for it
+	GivenUp   bool // its job has failed because of it
 }
 
-// atCrashLimit reports whether one more run of the task might be one too many, should
-// those that are active crash their executors too, and those in doubt have done so. A task
-// that lasts waits only for what agents have told: its users are without it meanwhile.
+// atCrashLimit reports whether one more run could exceed MaxCrashes if all active runs and all
+// unresolved losses turn out to be crashes. For a lasting task only those losses count whose
+// executor an agent has reported as silent, since its users are without the task while it waits.
 func (t *Task) atCrashLimit(lasting bool) bool {
-	doubts := t.UnresolvedLosses
+	losses := t.UnresolvedLosses
 	if lasting {
-		doubts = t.UnresolvedSilent
+		losses = t.UnresolvedSilent
 	}
-	return t.Crashes+doubts+len(t.Runs) >= MaxCrashes
+	return t.Crashes+losses+len(t.Runs) >= MaxCrashes
 }
--- a/queue/blame_test.go
+++ b/queue/blame_test.go
@@ -8,19 +8,19 @@
 	"rudderfork.example/rudderfork"
 )
 
-// oldLife is the life that newWorld's VMs begin with.
-const oldLife = "life-1"
+// firstIncarnation is the incarnation in which newWorld registers its VMs.
+const firstIncarnation = "life-1"
 
-// aged is what an agent knows of a run that it saw begin.
+// aged returns the report of an agent on a confirmed run.
 func aged(k TaskKey, run uint32, ageMS int64) RunAge {
 	return RunAge{Task: k, Run: run, AgeMS: ageMS, Confirmed: true}
 }
 
-// crash has a VM's executor come back under another life; its agent knows of the runs.
-func (w *world) crash(vm rudderfork.VMID, life string, runs ...RunAge) Result {
+// crash registers another incarnation of a VM's executor, with a crash report that lists runs.
+func (w *world) crash(vm rudderfork.VMID, inc string, runs ...RunAge) Result {
 	w.n += 3_000
 	old := w.s.VM(vm)
-	v := VM{ID: vm, Incarnation: life, Domain: old.Domain, Rack: old.Rack, Service: old.Service, Capacity: old.Capacity, Labels: old.Labels}
+	v := VM{ID: vm, Incarnation: inc, Domain: old.Domain, Rack: old.Rack, Service: old.Service, Capacity: old.Capacity, Labels: old.Labels}
 	return w.apply(Command{Register: &v, Crash: &Crash{Incarnation: old.Incarnation, Runs: runs}})
 }
 
@@ -32,10 +32,10 @@
 
 func (w *world) task(k TaskKey) *Task { return w.s.Job(k.Job).Task(k) }
 
-func checkCounts(t *testing.T, task *Task, crashes, doubts int) {
+func checkCounts(t *testing.T, task *Task, crashes, losses int) {
 	t.Helper()
 	assert.Equal(t, task.Crashes, crashes, "crashes")
-	assert.Equal(t, task.UnresolvedLosses, doubts, "doubts")
+	assert.Equal(t, task.UnresolvedLosses, losses, "unresolved losses")
 }
 
 // two starts two tasks of two jobs on the first VM.
@@ -61,7 +61,7 @@
 		assert.Equal(t, len(res.Assessments), 1)
 		assert.Assert(t, res.Assessments[0].GivenUp)
 	})
-	t.Run("tasks that began together are told apart by where they run next", func(t *testing.T) {
+	t.Run("tasks that began together are distinguished by their next VMs", func(t *testing.T) {
 		w, bad, good := two(t, one)
 		w.crash("vm1", "life-2", aged(bad, 1, 0), aged(good, 1, 0))
 		assert.Assert(t, w.task(bad).Suspect() && w.task(good).Suspect())
@@ -72,7 +72,7 @@
 		assert.Equal(t, w.status("bad"), Failed)
 		assert.Equal(t, w.status("good"), Completed)
 	})
-	t.Run("one that has run for long is cleared", func(t *testing.T) {
+	t.Run("a task that has run for long is cleared", func(t *testing.T) {
 		lasting := one
 		lasting.Lasting = true
 		w, bad, good := two(t, lasting)
@@ -84,13 +84,13 @@
 		}
 		assert.Equal(t, w.status("good"), Running)
 	})
-	t.Run("a start that never arrived is not charged", func(t *testing.T) {
+	t.Run("a run that never began is not counted", func(t *testing.T) {
 		w, bad, good := two(t, one)
 		w.crash("vm1", "life-2", aged(bad, 1, 0))
 		checkCounts(t, w.task(bad), 1, 0)
 		checkCounts(t, w.task(good), 0, 0)
 	})
-	t.Run("a start that may have been lost does not convict", func(t *testing.T) {
+	t.Run("an unconfirmed start does not make a poison task", func(t *testing.T) {
 		w, bad, _ := two(t, one)
 		w.crash("vm1", "life-2", RunAge{Task: bad, Run: 1})
 		run := w.start(bad, "vm2")
@@ -104,7 +104,7 @@
 		w, bad, _ := two(t, copied)
 		w.crash("vm1", "life-2", aged(bad, 1, 0))
 		w.start(bad, "vm2")
-		assert.Equal(t, w.apply(Command{Starts: []Start{{Task: bad, VM: "vm3", Incarnation: oldLife, Copy: true}}}).Numbers[0], uint32(0))
+		assert.Equal(t, w.apply(Command{Starts: []Start{{Task: bad, VM: "vm3", Incarnation: firstIncarnation, Copy: true}}}).Numbers[0], uint32(0))
 	})
 	t.Run("an operator clears a suspect", func(t *testing.T) {
 		w, bad, good := two(t, one)
@@ -115,35 +115,35 @@
 		checkCounts(t, w.task(bad), 0, 0)
 		assert.Equal(t, w.apply(Command{Clear: &TaskKey{Job: "none"}}).Code, NoJob)
 	})
-	t.Run("executors that crash often clear the tasks that run there", func(t *testing.T) {
+	t.Run("crashes of idle executors raise the rate of spontaneous crashes", func(t *testing.T) {
 		w := newWorld(t, 4)
-		life := 1
-		for range 20 { // with nothing at work that began lately
-			life++
-			w.crash("vm4", string(rune('a'+life)))
+		inc := 1
+		for range 20 { // without runs that began recently
+			inc++
+			w.crash("vm4", string(rune('a'+inc)))
 		}
-		calm, stormy := newWorld(t, 4).s.base, w.s.base
-		assert.Assert(t, stormy.weight() > calm.weight())
+		quiet, unstable := newWorld(t, 4).s.base, w.s.base
+		assert.Assert(t, unstable.weight() > quiet.weight())
 	})
 }
 
 func TestNotCharged(t *testing.T) {
-	t.Run("a farewell", func(t *testing.T) {
+	t.Run("a shutdown notice", func(t *testing.T) {
 		w, bad, _ := two(t, one)
 		w.lose("vm1", VMLoss{Departed: true})
 		checkCounts(t, w.task(bad), 0, 0)
 	})
-	t.Run("an executor that was about to leave", func(t *testing.T) {
+	t.Run("an announced end", func(t *testing.T) {
 		w, bad, _ := two(t, one)
 		old := *w.s.VM("vm1")
 		old.Incarnation = "life-2"
-		w.apply(Command{Register: &old, Crash: &Crash{Incarnation: oldLife, Draining: true, Runs: []RunAge{aged(bad, 1, 0)}}})
+		w.apply(Command{Register: &old, Crash: &Crash{Incarnation: firstIncarnation, Draining: true, Runs: []RunAge{aged(bad, 1, 0)}}})
 		checkCounts(t, w.task(bad), 0, 0)
 	})
 	t.Run("upkeep", func(t *testing.T) {
 		w, bad, _ := two(t, one)
 		w.apply(Command{Wave: &Wave{ID: 1, Machines: []string{"m1"}, MaxDown: 1}})
-		w.apply(Command{Upkeep: &UpkeepReport{Wave: 1, Machine: "m1", Incarnation: oldLife}})
+		w.apply(Command{Upkeep: &UpkeepReport{Wave: 1, Machine: "m1", Incarnation: firstIncarnation}})
 		w.crash("vm1", "life-2", aged(bad, 1, 0))
 		checkCounts(t, w.task(bad), 0, 0)
 		assert.Assert(t, !w.s.VM("vm1").Leaving)
@@ -152,18 +152,19 @@
 		w, bad, _ := two(t, one)
 		w.lose("vm1", VMLoss{})
 		checkCounts(t, w.task(bad), 0, 1)
-		w.register("vm1", oldLife)
+		w.register("vm1", firstIncarnation)
 		checkCounts(t, w.task(bad), 0, 0)
 	})
 }
 
-// TestCrashFoundLate has the VM's lease run out before its executor is back.
+// TestCrashFoundLate checks that a crash is blamed on the tasks if the VM's lease runs out before
+// its executor is back.
 func TestCrashFoundLate(t *testing.T) {
 	w, bad, good := two(t, one)
-	w.lose("vm1", VMLoss{Crash: &Crash{Incarnation: oldLife, Runs: []RunAge{aged(bad, 1, 0), aged(good, 1, 900)}}})
+	w.lose("vm1", VMLoss{Crash: &Crash{Incarnation: firstIncarnation, Runs: []RunAge{aged(bad, 1, 0), aged(good, 1, 900)}}})
 	checkCounts(t, w.task(bad), 0, 1)
 	run := w.start(bad, "vm2")
-	t.Run("what is open outlives a snapshot", func(t *testing.T) {
+	t.Run("unresolved losses survive a snapshot", func(t *testing.T) {
 		w.restore()
 		checkCounts(t, w.task(bad), 0, 1)
 	})
@@ -174,9 +175,9 @@
 	assert.Equal(t, w.status("good"), Running)
 }
 
-// TestOpenCrashesBoundStarts has VMs fall silent one after the other: what may have
-// crashed them counts until they are back.
-func TestOpenCrashesBoundStarts(t *testing.T) {
+// TestUnresolvedLossesBoundStarts checks that losses that may have been crashes count until the VMs are
+// back.
+func TestUnresolvedLossesBoundStarts(t *testing.T) {
 	w := newWorld(t, 8)
 	w.submit("j1", one)
 	k := key("j1", 0, 0)
@@ -187,12 +188,13 @@
 	}
 	assert.Equal(t, starts, MaxCrashes)
 	assert.Equal(t, w.status("j1"), Running)
-	w.register("vm1", oldLife)
+	w.register("vm1", firstIncarnation)
 	_, ok := w.startAnywhere(k)
-	assert.Assert(t, ok, "one of them had not crashed")
+	assert.Assert(t, ok, "vm1 is back and had not crashed")
 }
 
-// TestTaskOfVMsLostForGoodRunsAgain guards against doubt that only the return of a VM settles.
+// TestTaskOfVMsLostForGoodRunsAgain guards against unresolved losses that are only resolved if the
+// VM returns.
 func TestTaskOfVMsLostForGoodRunsAgain(t *testing.T) {
 	w := newWorld(t, 8)
 	w.submit("j1", one)
@@ -205,11 +207,11 @@
 	checkCounts(t, w.task(k), 0, 0)
 	vm, ok := w.startAnywhere(k)
 	assert.Assert(t, ok)
-	t.Run("one that comes back under another life is blamed all the same", func(t *testing.T) {
+	t.Run("a return with another incarnation still counts as a crash", func(t *testing.T) {
 		w.register("vm1", "life-2")
 		checkCounts(t, w.task(k), 1, 0)
 	})
-	t.Run("a restored state settles as the first one does", func(t *testing.T) {
+	t.Run("a restored state resolves losses too", func(t *testing.T) {
 		w.lose(vm, VMLoss{})
 		checkCounts(t, w.task(k), 1, 1)
 		w.restore()
@@ -219,8 +221,8 @@
 	})
 }
 
-// TestRunThatHadWorkedForLongLeavesNoDoubt holds that a loss counts no worse than a crash would.
-func TestRunThatHadWorkedForLongLeavesNoDoubt(t *testing.T) {
+// TestLongRunLeavesNoUnresolvedLoss checks that a loss counts no more than a crash would.
+func TestLongRunLeavesNoUnresolvedLoss(t *testing.T) {
 	w := newWorld(t, 1)
 	w.submit("j1", one)
 	k := key("j1", 0, 0)
@@ -228,6 +230,6 @@
 	w.n += provenRunMS + unknownAgeMarginMS
 	w.lose("vm1", VMLoss{})
 	checkCounts(t, w.task(k), 0, 0)
-	w.register("vm1", oldLife)
+	w.register("vm1", firstIncarnation)
 	checkCounts(t, w.task(k), 0, 0)
 }
--- a/queue/room_test.go
+++ b/queue/capacity_test.go
@@ -8,15 +8,15 @@
 	"rudderfork.example/rudderfork"
 )
 
-// resize has a VM's executor say another room, in the same life.
+// resize registers another capacity of a VM, with the same incarnation.
 func (w *world) resize(id rudderfork.VMID, cpu int64) {
 	vm := *w.s.VM(id)
 	vm.Capacity.CPUMilli = cpu
 	w.apply(Command{Register: &vm})
 }
 
-// TestRoomChanges shrinks and grows the room of a VM that runs tasks.
-func TestRoomChanges(t *testing.T) {
+// TestCapacityChanges checks that a VM that runs tasks may shrink and grow.
+func TestCapacityChanges(t *testing.T) {
 	four := one
 	four.Count = 6
 	w := newWorld(t, 1)
@@ -26,18 +26,18 @@
 	}
 	epoch := w.s.VM("vm1").Epoch
 	w.resize("vm1", 2000)
-	t.Run("what runs goes on, in the same epoch", func(t *testing.T) {
+	t.Run("active runs go on in the same epoch", func(t *testing.T) {
 		assert.Equal(t, len(w.s.VM("vm1").Runs()), 3)
 		assert.Equal(t, w.s.VM("vm1").Epoch, epoch)
 	})
-	t.Run("nothing is started over the room that is left", func(t *testing.T) {
+	t.Run("nothing is started beyond the capacity", func(t *testing.T) {
 		assert.Equal(t, w.start(key("j1", 0, 3), "vm1"), uint32(0))
 		w.end(key("j1", 0, 0), "vm1", 1, OutcomeDone)
 		assert.Equal(t, w.start(key("j1", 0, 3), "vm1"), uint32(0))
 		w.end(key("j1", 0, 1), "vm1", 1, OutcomeDone)
 		assert.Assert(t, w.start(key("j1", 0, 3), "vm1") > 0)
 	})
-	t.Run("room that has grown is used at once", func(t *testing.T) {
+	t.Run("added capacity is used at once", func(t *testing.T) {
 		assert.Equal(t, w.start(key("j1", 0, 4), "vm1"), uint32(0))
 		w.resize("vm1", 4000)
 		assert.Assert(t, w.start(key("j1", 0, 4), "vm1") > 0)
--- a/queue/clock.go
+++ b/queue/clock.go
@@ -1,21 +1,21 @@
 package queue
 
-// maxTickMS is the most that one command moves the state's clock. Leaders propose
-// commands many times a second; a clock that is minutes ahead of the one before it
-// moves the state's by no more than this, which the users' margin for the status of
-// finished jobs, 30 s, bears six times in two minutes.
+// maxTickMS is the most that one command advances the state clock, ms. Leaders propose commands
+// many times a second, so that a new leader whose clock is minutes ahead advances the state clock
+// by no more than this. The users' margin for the status of finished jobs, 30 s in two minutes,
+// covers six such jumps.
 const maxTickMS = 5_000
 
-// Clock is the state's own time, which follows the clocks of the leaders that propose
-// commands but does not jump with them: what has aged by it has aged as much by any
-// steady clock, or more. It stands still while nothing is proposed.
+// Clock is the time of the replicated state. It follows the clocks of the proposing leaders without
+// their jumps, and stands still while nothing is proposed. An age by this clock is at most the age
+// by a steady clock.
 type Clock struct {
-	NowMS      int64 `cbor:"1,keyasint,omitempty"` // since the first command
+	NowMS      int64 `cbor:"1,keyasint,omitempty"` // ms since the first command
 	ProposedMS int64 `cbor:"2,keyasint,omitempty"` // newest proposer's clock, Unix ms
 }
 
-// tick takes the proposer's clock at a command, Unix ms, and returns by how much, in
-// ms, the state's has moved.
+// tick advances the clock to a command with the proposer's clock at, Unix ms. It returns by how
+// much the state clock moved, ms.
 func (c *Clock) tick(at int64) (ms int64) {
 	if c.ProposedMS != 0 {
 		ms = min(maxTickMS, max(0, at-c.ProposedMS))
--- a/queue/clock_test.go
+++ b/queue/clock_test.go
@@ -6,11 +6,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestForgetByTheStatesClock holds that a finished job is kept for as long as it was
-// asked for, whatever the clocks of the leaders say.
-func TestForgetByTheStatesClock(t *testing.T) {
+// TestJobKeptByStateClock checks that a finished job is kept for KeepMS whatever the clocks of
+// the leaders show.
+func TestJobKeptByStateClock(t *testing.T) {
 	const keep, step = 120_000, 500
-	// ended has a job that was cancelled at a time of its leader's clock.
+	// ended returns a state with a job that was cancelled at a time of the leader's clock.
 	ended := func(t *testing.T, at int64) *State {
 		s := New()
 		assert.Equal(t, s.Apply(Command{Document: &Document{
@@ -20,7 +20,7 @@
 		assert.Equal(t, s.Apply(Command{Cancel: &Cancel{Host: testHost, Path: "/q/old"}}, at).Code, OK)
 		return s
 	}
-	// work has a leader commit for a while by its clock.
+	// work lets a leader commit commands for a span of its clock.
 	work := func(t *testing.T, s *State, from, span int64) {
 		for at := from; at <= from+span; at += step {
 			submitKept(t, s, "new", keep, at)
@@ -31,7 +31,7 @@
 		work(t, s, 1_000+10*keep, keep/2)
 		assert.Assert(t, s.Job("old") != nil)
 	})
-	t.Run("not early where the clock jumps forth and back", func(t *testing.T) {
+	t.Run("not early where the clock jumps back and forth", func(t *testing.T) {
 		s := ended(t, 1_000)
 		for range 5 {
 			submitKept(t, s, "new", keep, 1_000+10*keep)
@@ -39,12 +39,12 @@
 		}
 		assert.Assert(t, s.Job("old") != nil)
 	})
-	t.Run("in the end also where the next leader's clock is behind", func(t *testing.T) {
+	t.Run("at last also where the next leader's clock is behind", func(t *testing.T) {
 		s := ended(t, 20*keep)
 		work(t, s, 1_000, 2*keep)
 		assert.Assert(t, s.Job("old") == nil)
 	})
-	t.Run("by the same time after a snapshot", func(t *testing.T) {
+	t.Run("at the same time after a snapshot", func(t *testing.T) {
 		s := ended(t, 1_000)
 		work(t, s, 1_000, keep-10_000)
 		s = Restore(s.Image())
@@ -54,7 +54,7 @@
 	})
 }
 
-// submitKept hands in a job, or the same again.
+// submitKept submits a job, possibly again.
 func submitKept(t *testing.T, s *State, id string, keep, at int64) {
 	t.Helper()
 	spec := Spec{Steps: []Step{{Count: 1}}}
--- a/queue/command.go
+++ b/queue/command.go
@@ -2,8 +2,8 @@
 
 import "rudderfork.example/rudderfork"
 
-// Command is one change of the queues. Exactly one of the fields is set, but for Crash and
-// Begun.
+// Command is one change of the state. Exactly one field is set, except that Crash accompanies
+// Register and Begun accompanies Starts.
 type Command struct {
 	Document *Document `cbor:"1,keyasint,omitempty"`
 	Submit   *Submit   `cbor:"2,keyasint,omitempty"`
@@ -16,41 +16,41 @@
 	Wave   *Wave         `cbor:"8,keyasint,omitempty"`
 	Upkeep *UpkeepReport `cbor:"9,keyasint,omitempty"`
 
-	// Crash goes with Register: what the VM's agent saw of the life before, if it did.
+	// Crash accompanies Register: what the VM's agent knows of the end of the previous incarnation,
+	// if it saw it.
 	Crash *Crash `cbor:"10,keyasint,omitempty"`
 
-	// Clear takes back what a task is suspected of.
+	// Clear resets the suspicion against a task.
 	Clear *TaskKey `cbor:"11,keyasint,omitempty"`
 
 	Evacuate *Evacuate `cbor:"12,keyasint,omitempty"`
 
-	// Begun goes with Starts: jobs of which VMs have told since that a task is at work.
+	// Begun accompanies Starts: jobs of which VMs have reported since then that a task has begun.
 	Begun []rudderfork.JobID `cbor:"13,keyasint,omitempty"`
 }
 
-// Submit hands in a job at a host and path, whose last part is the job's ID.
+// Submit submits a job to the queue at a host and path. The last element of the path is the job ID.
 type Submit struct {
 	Host string `cbor:"1,keyasint"`
 	Path string `cbor:"2,keyasint"`
 	Spec Spec   `cbor:"3,keyasint"`
 
-	// KeepMS is how long the status of a finished job is kept.
+	// KeepMS is how long the status of a finished job is kept, ms.
 	KeepMS int64 `cbor:"4,keyasint"`
 
-	// BodyBytes and HeaderBytes are the sizes of the client's call.
+	// BodyBytes and HeaderBytes are the sizes of the client's request.
 	BodyBytes   int64 `cbor:"5,keyasint,omitempty"`
 	HeaderBytes int64 `cbor:"6,keyasint,omitempty"`
 }
 
-// Cancel cancels the job whose ID ends the path.
+// Cancel cancels a job. The last element of the path is the job ID.
 type Cancel struct {
 	Host string `cbor:"1,keyasint"`
 	Path string `cbor:"2,keyasint"`
 }
 
-// Start asks for a run of a task on a VM. Tasks of a gang that share Group
-// start together, or not at all. Copy allows a second run beside one that is
-// active.
+// Start starts a run of a task on a VM. Tasks of a gang that share Group start together or not at
+// all. Copy allows a second run beside an active one.
 type Start struct {
 	Task        TaskKey         `cbor:"1,keyasint"`
 	VM          rudderfork.VMID `cbor:"2,keyasint"`
@@ -58,11 +58,11 @@
 	Copy        bool            `cbor:"4,keyasint,omitempty"`
 	Group       int             `cbor:"5,keyasint,omitempty"` // 0 means none
 
-	// Ticket is the adviser's leave, where the queue has an adviser.
+	// Ticket is the adviser's permission to run the step on the VM, if the queue has an adviser.
 	Ticket string `cbor:"6,keyasint,omitempty"`
 }
 
-// End tells how a run on the VM of the Ends ended.
+// End reports how a run on the VM of the enclosing Ends ended.
 type End struct {
 	Task       TaskKey `cbor:"1,keyasint"`
 	Run        uint32  `cbor:"2,keyasint"`
@@ -71,38 +71,38 @@
 	Reason     string  `cbor:"5,keyasint,omitempty"`
 }
 
-// Ends is what one life of a VM reports as ended.
+// Ends lists the runs that one incarnation reports as ended.
 type Ends struct {
 	VM          rudderfork.VMID `cbor:"1,keyasint"`
 	Incarnation string          `cbor:"2,keyasint"`
 	List        []End           `cbor:"3,keyasint"`
 }
 
-// VMLoss says that whatever ran on this life of a VM runs no more, since its
-// lease has run out. Checkpoints are the newest known.
+// VMLoss says that an incarnation of a VM's executor runs nothing any more, because the VM's lease
+// has run out or the executor has shut down. Checkpoints are the newest known ones of its runs.
 type VMLoss struct {
 	VM          rudderfork.VMID    `cbor:"1,keyasint"`
 	Incarnation string             `cbor:"2,keyasint"`
 	Checkpoints map[TaskKey]string `cbor:"3,keyasint,omitempty"`
 
-	// Departed says that the life has said farewell, Crash what the VM's agent has seen of
-	// one that does not answer.
+	// Departed means that the executor has given notice of its shutdown. Crash is what the VM's
+	// agent knows of an executor that does not answer.
 	Departed bool   `cbor:"4,keyasint,omitempty"`
 	Crash    *Crash `cbor:"5,keyasint,omitempty"`
 
-	// Epoch is the VM's when its lease ran out; it may have registered again since. 0 means
-	// any.
+	// Epoch is the VM's epoch when its lease ran out. The VM may have registered again since, in
+	// which case the command is stale. 0 matches any epoch.
 	Epoch uint64 `cbor:"6,keyasint,omitempty"`
 }
 
-// Code says how a command ended.
+// Code is the result code of a command.
 type Code string
 
 // The codes of a Result.
 const (
 	OK         Code = "ok"
-	Stale      Code = "stale"       // a version that is not above the one held
-	NoDocument Code = "no-document" // nothing can be handed in yet
+	Stale      Code = "stale"       // not newer than the state, or about an earlier incarnation
+	NoDocument Code = "no-document" // no document has been accepted yet
 	NoQueue    Code = "no-queue"
 	NoJob      Code = "no-job"
 	NoDomain   Code = "no-domain"
@@ -112,22 +112,22 @@
 	HeaderTooLarge Code = "header-too-large"
 )
 
-// Result is what Apply returns. It is the same on every replica.
+// Result is the result of Apply. It is the same on every replica.
 type Result struct {
 	Code     Code
 	Text     string
 	Job      rudderfork.JobID
 	Queue    string
-	Numbers  []uint32  // per start asked for: its run number, or 0 if it was refused
+	Numbers  []uint32  // per start: its run number, or 0 if it was refused
 	Accepted []bool    // per end: whether its run was active
-	LostRuns []LostRun // runs that ended with the life of their executor
+	LostRuns []LostRun // runs that ended with the incarnation of their executor
 
-	// Assessments are on the tasks of these, the most suspected first; none if the life
-	// ended as planned.
+	// Assessments holds one entry for each task of LostRuns that may have caused the crash, the
+	// most suspected first. It is empty if the incarnation ended as planned.
 	Assessments []Assessment
 }
 
-// LostRun is a run that ended with the life of its executor.
+// LostRun is a run that ended with the incarnation of its executor.
 type LostRun struct {
 	Task TaskKey
 	Run  uint32
--- a/queue/crash.go
+++ b/queue/crash.go
@@ -4,39 +4,39 @@
 	"slices"
 )
 
-// Crash is what a VM's agent knows of a life of the executor that answers no more, or
-// that another has followed without a farewell.
+// Crash is what a VM's agent knows of the end of an incarnation: the executor stopped answering, or
+// another incarnation followed without a shutdown notice.
 type Crash struct {
 	Incarnation string `cbor:"1,keyasint"`
-	// Runs are those that were at work when the executor was first found silent, or that
-	// may have been. A run of the VM that is not among them never began.
+	// Runs are the runs that were or may have been at work when the executor was first found
+	// silent. A run of the VM that is not listed never began.
 	Runs []RunAge `cbor:"2,keyasint,omitempty"`
-	// Draining says that it was about to leave: its end was announced.
+	// Draining means that the executor had announced its end.
 	Draining bool `cbor:"3,keyasint,omitempty"`
 }
 
-// RunAge is how long a run had been at work when its executor was found silent.
+// RunAge is a run at the time its executor was found silent.
 type RunAge struct {
 	Task  TaskKey `cbor:"1,keyasint"`
 	Run   uint32  `cbor:"2,keyasint"`
-	AgeMS int64   `cbor:"3,keyasint,omitempty"`
-	// Confirmed says that the executor confirmed the run; the start of another may have been
-	// lost on its way.
+	AgeMS int64   `cbor:"3,keyasint,omitempty"` // since the run began
+	// Confirmed means that the executor confirmed the start of the run. The start of an unconfirmed
+	// run may have been lost on the way.
 	Confirmed bool `cbor:"4,keyasint,omitempty"`
 }
 
-// ForIncarnation returns the crash if it is of a life, else nil.
-func (c *Crash) ForIncarnation(life string) *Crash {
-	if c == nil || c.Incarnation != life {
+// ForIncarnation returns c if it is about the given incarnation, else nil. c may be nil.
+func (c *Crash) ForIncarnation(inc string) *Crash {
+	if c == nil || c.Incarnation != inc {
 		return nil
 	}
 	return c
 }
 
-// announced reports whether the life was about to leave.
+// announced reports whether the executor had announced its end. c may be nil.
 func (c *Crash) announced() bool { return c != nil && c.Draining }
 
-// find returns what is known of a run; ok is false for one that never began.
+// find returns the entry of a run; ok is false for a run that never began.
 func (c *Crash) find(k TaskKey, run uint32) (r RunAge, ok bool) {
 	i := slices.IndexFunc(c.Runs, func(r RunAge) bool { return r.Task == k && r.Run == run })
 	if i < 0 {
@@ -45,7 +45,7 @@
 	return c.Runs[i], true
 }
 
-// filterBegun returns what is known of the runs of a list that had begun.
+// filterBegun returns the entries of those runs in list that had begun.
 func (c *Crash) filterBegun(list []RunAge) (known []RunAge) {
 	for _, r := range list {
 		if k, began := c.find(r.Task, r.Run); began {
--- a/queue/crash_test.go
+++ b/queue/crash_test.go
@@ -10,11 +10,11 @@
 	"rudderfork.example/rudderfork"
 )
 
-// mostCrashes is how many executors a task may take down: once three have crashed
-// under it, it is started twice more at most.
+// mostCrashes is how many executors a task may crash: once three have crashed under it, it is
+// started at most twice more.
 const mostCrashes = 5
 
-// startAnywhere starts a task on the first VM that takes it.
+// startAnywhere starts a task on the first VM that accepts it.
 func (w *world) startAnywhere(k TaskKey) (on rudderfork.VMID, ok bool) {
 	for _, vm := range w.s.VMs() {
 		if vm.Live && w.start(k, vm.ID) != 0 {
@@ -24,17 +24,10 @@
 	return "", false
 }
 
-// TestCrashingTask has a task take down every executor that starts it.
-//
-// Users saw all VMs of a deployment crash again and again, most short jobs failed or
-// late, and single tasks started 70 times in two minutes. The order of events: the
-// leader starts a task, the executor crashes milliseconds later and takes along all
-// that runs there, comes back under a new life after seconds, the VM registers, the
-// task is free again and is started on another VM. The cause: the state counted a run
-// that ended with its executor as no attempt, so nothing ever ended such a task. The
-// evidence: run numbers that rose to 73 while the same leader led, each start followed
-// by a registration of its VM under a new life, and no command but starts and
-// registrations for these tasks in between.
+// TestCrashingTask guards against a poison task that is restarted without bound: its executor
+// crashes at once, all runs there end, the VM registers with a new incarnation, and the task is
+// started on the next VM. A run that ended with its executor counted as no attempt, so that single
+// tasks were started 70 times in two minutes and all VMs crashed again and again.
 func TestCrashingTask(t *testing.T) {
 	lasting := one
 	lasting.Lasting = true
@@ -59,26 +52,27 @@
 	}
 }
 
-// TestLossToldTwice guards against doubt in a task that nothing settles: the loss of a VM is proposed again while its commit is slow.
-func TestLossToldTwice(t *testing.T) {
-	for name, second := range map[string]VMLoss{"lost again": {}, "told to have left": {Departed: true}} {
+// TestLossReportedTwice guards against an unresolved loss that is never resolved because the loss
+// of a VM is proposed again while its commit is slow.
+func TestLossReportedTwice(t *testing.T) {
+	for name, second := range map[string]VMLoss{"lost again": {}, "lost with a shutdown notice": {Departed: true}} {
 		t.Run(name, func(t *testing.T) {
 			w, bad, good := two(t, one)
 			w.lose("vm1", VMLoss{})
 			w.lose("vm1", second)
-			w.register("vm1", oldLife)
+			w.register("vm1", firstIncarnation)
 			checkCounts(t, w.task(bad), 0, 0)
 			checkCounts(t, w.task(good), 0, 0)
 		})
 	}
 }
 
-// TestCrashingTaskOfSlowExecutors guards against a lasting task that takes down executors
-// without bound while those it took down before have not come back yet.
+// TestCrashingTaskOfSlowExecutors guards against a lasting task that crashes executors without
+// bound because those it crashed before are not back yet.
 func TestCrashingTaskOfSlowExecutors(t *testing.T) {
 	lasting := one
 	lasting.Lasting = true
-	const away = 4 // VMs that crash until the first one is back
+	const away = 4 // VMs that are down before the first one is back
 	w := newWorld(t, 12)
 	w.submit("j1", lasting)
 	k := key("j1", 0, 0)
@@ -107,18 +101,20 @@
 	assert.Equal(t, w.status("j1"), Failed)
 }
 
-// TestLateLossOfEarlierEpoch guards against the loss of a VM that has registered again since.
+// TestLateLossOfEarlierEpoch guards against a loss command that arrives after the VM has registered
+// again.
 func TestLateLossOfEarlierEpoch(t *testing.T) {
 	w, _, _ := two(t, one)
 	epoch := w.s.VM("vm1").Epoch
 	w.lose("vm1", VMLoss{Epoch: epoch})
-	w.register("vm1", oldLife)
+	w.register("vm1", firstIncarnation)
 	assert.Equal(t, w.lose("vm1", VMLoss{Epoch: epoch}).Code, Stale)
 	assert.Assert(t, w.s.VM("vm1").Live)
 }
 
-// TestTaskOnExecutorsThatCrashAnywayGoesOn guards against a lasting job that is given up for crashes which nothing suspects it of.
-func TestTaskOnExecutorsThatCrashAnywayGoesOn(t *testing.T) {
+// TestSpontaneousCrashesDoNotFailLastingJob guards against failing a lasting job for spontaneous
+// crashes.
+func TestSpontaneousCrashesDoNotFailLastingJob(t *testing.T) {
 	lasting := one
 	lasting.Lasting = true
 	w := newWorld(t, 4)
@@ -129,7 +125,7 @@
 			w.crash(idle, fmt.Sprintf("idle-%d", i))
 		}
 		run := w.start(k, "vm1")
-		assert.Assert(t, run > 0, "it is not started after %d crashes: %+v", i, *w.task(k))
+		assert.Assert(t, run > 0, "not started after %d crashes: %+v", i, *w.task(k))
 		w.crash("vm1", fmt.Sprintf("life-%d", i+2), aged(k, run, 5_000))
 	}
 	assert.Equal(t, w.status("feed"), Running)
@@ -149,7 +145,7 @@
 	for name, outage := range map[string]func(w *world){
 		"a crash": func(w *world) { w.crash("vm1", "life-2") },
 		"a crash that was a loss first": func(w *world) {
-			w.lose("vm1", VMLoss{Crash: &Crash{Incarnation: oldLife}})
+			w.lose("vm1", VMLoss{Crash: &Crash{Incarnation: firstIncarnation}})
 			w.crash("vm1", "life-2")
 		},
 	} {
@@ -161,8 +157,9 @@
 	}
 }
 
-// TestTaskOnUnstableExecutorsGoesOn guards against an innocent job given up for executors that crash by themselves.
-func TestTaskOnUnstableExecutorsGoesOn(t *testing.T) {
+// TestUnstableExecutorsDoNotFailJob guards against failing an innocent job because its executors
+// crash by themselves.
+func TestUnstableExecutorsDoNotFailJob(t *testing.T) {
 	type crash struct {
 		vm     rudderfork.VMID
 		ageMS  int64
@@ -187,7 +184,7 @@
 	}
 }
 
-// TestCrashHistory holds how a VM's crashes weigh, and for how long.
+// TestCrashHistory checks how much the crashes of a VM count, and for how long.
 func TestCrashHistory(t *testing.T) {
 	base := (&BaseRate{}).weight()
 	h := CrashHistory{}
@@ -199,8 +196,8 @@
 	assert.Equal(t, h.crashesMilli(10_000), int64(750))
 	assert.Equal(t, h.weight(base, 200_000), base)
 	h.addCrash(1000, 6_500)
-	assert.Assert(t, h.weight(base, 7_500) > soon, "it crashes again and again")
-	assert.Assert(t, h.weight(weightScale, 5_000) >= weightScale, "all crash all the time")
+	assert.Assert(t, h.weight(base, 7_500) > soon, "repeated crashes count more")
+	assert.Assert(t, h.weight(weightScale, 5_000) >= weightScale, "not below the base rate")
 	h.addCrash(1000, 200_000)
-	assert.Equal(t, h.SinceMS, int64(200_000), "what was long ago counts no more")
+	assert.Equal(t, h.SinceMS, int64(200_000), "old crashes no longer count")
 }
--- a/queue/document.go
+++ b/queue/document.go
@@ -8,41 +8,41 @@
 	"rudderfork.example/rudderfork"
 )
 
-// Queue is one row of the operator's document: where jobs are handed in, which
-// service's VMs run them, and how much they matter.
+// Queue is one row of the operator's document: where clients submit jobs, which service's VMs run
+// them, and their priority and objectives.
 type Queue struct {
 	Name        string             `cbor:"1,keyasint" json:"name"`
 	Host        string             `cbor:"2,keyasint" json:"host"`
-	Prefix      string             `cbor:"3,keyasint" json:"prefix"` // of the path
+	Prefix      string             `cbor:"3,keyasint" json:"prefix"` // of the URL path
 	Service     rudderfork.Service `cbor:"4,keyasint" json:"service"`
-	Priority    int                `cbor:"5,keyasint,omitempty" json:"priority"`   // 0 goes first
-	MaxAttempts int                `cbor:"6,keyasint" json:"attempts"`             // failures a task may have
-	Stretch     float64            `cbor:"7,keyasint,omitempty" json:"stretch"`    // objective, as a multiple of the longest chain of work
-	LatencyMS   int64              `cbor:"8,keyasint,omitempty" json:"latency_ms"` // objective, added to that
+	Priority    int                `cbor:"5,keyasint,omitempty" json:"priority"`   // 0 is the most important
+	MaxAttempts int                `cbor:"6,keyasint" json:"attempts"`             // failed attempts a task may have
+	Stretch     float64            `cbor:"7,keyasint,omitempty" json:"stretch"`    // objective for the completion time, as a multiple of the critical path
+	LatencyMS   int64              `cbor:"8,keyasint,omitempty" json:"latency_ms"` // objective, added to the stretched critical path
 	Advice      *Advice            `cbor:"9,keyasint,omitempty" json:"advice,omitempty"`
 }
 
-// Advice says that an adviser decides which VMs may run a step, and its speed.
+// Advice means that an adviser decides which VMs may run a step. The fields describe its timing.
 type Advice struct {
 	DecideMS int64 `cbor:"1,keyasint,omitempty" json:"decide_ms"`
 	EachMS   int64 `cbor:"2,keyasint,omitempty" json:"each_ms"`
 	ValidMS  int64 `cbor:"3,keyasint,omitempty" json:"valid_ms"`
 }
 
-// Pool is what the document says of a service's VMs.
+// Pool describes the VMs of a service.
 type Pool struct {
 	Service rudderfork.Service `cbor:"1,keyasint" json:"service"`
-	Guarded bool               `cbor:"2,keyasint,omitempty" json:"guarded"` // its VMs refuse what does not fit
-	Spare   bool               `cbor:"3,keyasint,omitempty" json:"spare"`   // its VMs are off
+	Guarded bool               `cbor:"2,keyasint,omitempty" json:"guarded"` // its VMs refuse runs that do not fit
+	Spare   bool               `cbor:"3,keyasint,omitempty" json:"spare"`   // its VMs are switched off
 }
 
-// Limits bounds what clients hand in; 0 means no bound of the operator's.
+// Limits bounds the requests of clients, in bytes; 0 means no limit.
 type Limits struct {
 	BodyBytes   int64 `cbor:"1,keyasint,omitempty" json:"body_bytes"`
 	HeaderBytes int64 `cbor:"2,keyasint,omitempty" json:"header_bytes"`
 }
 
-// exceeded says which bound a call passes, or "".
+// exceeded returns the code of the limit that a request exceeds, or "".
 func (l Limits) exceeded(bodyBytes, headerBytes int64) Code {
 	switch {
 	case l.HeaderBytes > 0 && headerBytes > l.HeaderBytes:
@@ -53,8 +53,8 @@
 	return ""
 }
 
-// Document is the operator's whole document. A newer version replaces an older
-// one as a whole. Text is what the operator sent, to be read back unchanged.
+// Document is the operator's definition of the queues. A newer version replaces an older one as a
+// whole. Text is the document as the operator sent it, returned unchanged on request.
 type Document struct {
 	Version uint64  `cbor:"1,keyasint" json:"version"`
 	Text    []byte  `cbor:"2,keyasint" json:"-"`
@@ -63,10 +63,10 @@
 	Limits  Limits  `cbor:"5,keyasint,omitempty" json:"limits"`
 }
 
-// maxQueues bounds a document; letter 1's largest table has 1,100 rows.
+// maxQueues bounds the size of a document. The users' largest has 1,100 queues.
 const maxQueues = 10_000
 
-// Check reports the first thing wrong with the document.
+// Check returns an error for the first invalid part of the document.
 func (d Document) Check() error {
 	if d.Version == 0 {
 		return errors.New("version: missing or 0")
@@ -80,7 +80,7 @@
 	pools := map[rudderfork.Service]bool{}
 	for _, p := range d.Pools {
 		if p.Service == "" || pools[p.Service] {
-			return fmt.Errorf("service %q: missing or doubled name", p.Service)
+			return fmt.Errorf("service %q: missing or duplicate name", p.Service)
 		}
 		pools[p.Service] = true
 	}
@@ -89,7 +89,7 @@
 		place := q.Host + " " + q.Prefix
 		switch {
 		case q.Name == "" || names[q.Name]:
-			return fmt.Errorf("queue %q: missing or doubled name", q.Name)
+			return fmt.Errorf("queue %q: missing or duplicate name", q.Name)
 		case !strings.HasPrefix(q.Prefix, "/"):
 			return fmt.Errorf("queue %s: prefix %q; want a path", q.Name, q.Prefix)
 		case places[place]:
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// Find returns the queue of a host and path, by the longest prefix, and what
-// follows the prefix.
+// Find returns the queue with the longest prefix that matches a host and path, and the rest of the
+// path after the prefix.
 func (d *Document) Find(host, path string) (q Queue, rest string, ok bool) {
 	if d == nil {
 		return q, "", false
@@ -117,7 +117,7 @@
 	return q, strings.TrimPrefix(path, q.Prefix), ok
 }
 
-// Queue returns the row with the given name.
+// Queue returns the queue with the given name.
 func (d *Document) Queue(name string) (q Queue, ok bool) {
 	if d == nil {
 		return q, false
--- a/queue/image.go
+++ b/queue/image.go
@@ -7,8 +7,7 @@
 	"rudderfork.example/rudderfork"
 )
 
-// Image is the form of the state in a snapshot. What follows from the records
-// is left out and made anew.
+// Image is the content of a snapshot. Restore rebuilds what can be derived from the records.
 type Image struct {
 	Document *Document          `cbor:"1,keyasint,omitempty"`
 	Jobs     []*Job             `cbor:"2,keyasint,omitempty"`
@@ -30,7 +29,7 @@
 	return im
 }
 
-// Restore returns the state that an image stands for.
+// Restore returns the state of an image.
 func Restore(im Image) *State {
 	s := New()
 	if im.Document != nil {
@@ -55,11 +54,11 @@
 }
 
 func (s *State) restoreRuns(j *Job) {
-	for time, o := range j.Occurrences {
+	for occ, o := range j.Occurrences {
 		for step, tasks := range o.Steps {
 			for index := range tasks {
 				for _, r := range tasks[index].Runs {
-					s.indexRun(j, TaskKey{j.ID, time, step, index}, r)
+					s.indexRun(j, TaskKey{j.ID, occ, step, index}, r)
 				}
 			}
 		}
--- a/queue/second_start_test.go
+++ b/queue/incarnation_test.go
@@ -8,9 +8,9 @@
 	"rudderfork.example/rudderfork"
 )
 
-// TestSecondStart has an executor start again under its id. What the replicated state
-// keeps of the start before says nothing of the one after it.
-func TestSecondStart(t *testing.T) {
+// TestRestartUnderSameID checks that nothing recorded of an incarnation applies to the next one
+// with the same executor ID.
+func TestRestartUnderSameID(t *testing.T) {
 	first, second := rudderfork.IncarnationName("i-1", 1000), rudderfork.IncarnationName("i-1", 2000)
 	s := New()
 	apply := func(c Command) Result { return s.Apply(c, 1) }
@@ -19,8 +19,8 @@
 	}})
 	apply(Command{Submit: &Submit{Host: "h", Path: "/q/j", Spec: Spec{Steps: []Step{{Count: 1}}}}})
 	k := TaskKey{Job: "j"}
-	start := func(life string) uint32 {
-		return apply(Command{Starts: []Start{{Task: k, VM: "vm1", Incarnation: life}}}).Numbers[0]
+	start := func(inc string) uint32 {
+		return apply(Command{Starts: []Start{{Task: k, VM: "vm1", Incarnation: inc}}}).Numbers[0]
 	}
 	apply(Command{Register: &VM{ID: "vm1", Incarnation: first, Service: "desk"}})
 	assert.Equal(t, start(first), uint32(1))
@@ -28,16 +28,16 @@
 
 	seen := &Crash{Incarnation: first, Runs: []RunAge{{Task: k, Run: 1, AgeMS: 5, Confirmed: true}}}
 	res := apply(Command{Register: &VM{ID: "vm1", Incarnation: second, Service: "desk"}, Crash: seen})
-	t.Run("what ran there is over, and the crash is counted", func(t *testing.T) {
+	t.Run("the run ended, and the crash is counted", func(t *testing.T) {
 		assert.Equal(t, len(res.LostRuns), 1)
 		assert.Equal(t, s.Job("j").Task(k).PromptCrashes, 1)
 	})
-	t.Run("its orders are of another epoch", func(t *testing.T) { assert.Assert(t, s.VM("vm1").Epoch > epoch) })
-	t.Run("a start that was planned for the start before is refused", func(t *testing.T) {
+	t.Run("the epoch rises", func(t *testing.T) { assert.Assert(t, s.VM("vm1").Epoch > epoch) })
+	t.Run("a start for the previous incarnation is refused", func(t *testing.T) {
 		assert.Equal(t, start(first), uint32(0))
 		assert.Equal(t, start(second), uint32(2))
 	})
-	t.Run("late words of the start before change nothing", func(t *testing.T) {
+	t.Run("late messages of the previous incarnation change nothing", func(t *testing.T) {
 		late := apply(Command{Ends: &Ends{VM: "vm1", Incarnation: first, List: []End{{Task: k, Run: 2, Outcome: OutcomeDone}}}})
 		assert.Assert(t, !late.Accepted[0])
 		assert.Equal(t, apply(Command{Lost: &VMLoss{VM: "vm1", Incarnation: first, Departed: true}}).Code, Stale)
@@ -47,14 +47,14 @@
 	})
 }
 
-// TestLifeGetsBegin has an agent name a life by id and begin that one of an earlier
-// release has registered by its id. It may be the same start, whose runs go on; and were
-// it the next one, the orders of the runs would begin them there.
-func TestLifeGetsBegin(t *testing.T) {
+// TestIncarnationNameGainsStartTime checks an agent that adds the start time to the name of an
+// incarnation that an agent of an earlier release registered by its ID alone. It may be the same
+// incarnation, whose runs must go on; if it is the next one, the orders start the runs again.
+func TestIncarnationNameGainsStartTime(t *testing.T) {
 	named := rudderfork.IncarnationName("i-1", 1000)
 	for _, x := range []struct {
 		before, after string
-		goesOn        bool
+		same          bool
 	}{{"i-1", named, true}, {named, "i-1", false}, {"i-2", named, false}} {
 		s := New()
 		apply := func(c Command) Result { return s.Apply(c, 1) }
@@ -67,14 +67,14 @@
 		epoch := s.VM("vm1").Epoch
 		res := apply(Command{Register: &VM{ID: "vm1", Incarnation: x.after, Service: "desk"}})
 		assert.Equal(t, s.VM("vm1").Incarnation, x.after)
-		assert.Equal(t, len(res.LostRuns) == 0, x.goesOn, "%v", x)
-		assert.Equal(t, s.VM("vm1").Epoch == epoch, x.goesOn, "%v", x)
+		assert.Equal(t, len(res.LostRuns) == 0, x.same, "%v", x)
+		assert.Equal(t, s.VM("vm1").Epoch == epoch, x.same, "%v", x)
 	}
 }
 
-// TestOpenCaseOfStart has the lease of a start run out, under which a task had begun. The
-// next start under the id shows that it was a crash, the same one that it was none.
-func TestOpenCaseOfStart(t *testing.T) {
+// TestUnresolvedLossOfIncarnation checks a lease that runs out under a run: the next incarnation
+// shows that the executor had crashed, the same one that it had not.
+func TestUnresolvedLossOfIncarnation(t *testing.T) {
 	first, second := rudderfork.IncarnationName("i-1", 1000), rudderfork.IncarnationName("i-1", 2000)
 	k := TaskKey{Job: "j"}
 	for back, crashes := range map[string]int{first: 0, second: 1} {
--- a/queue/model.go
+++ b/queue/model.go
@@ -1,19 +1,24 @@
-// Package queue is the replicated state of queues: the jobs that were handed
-// in, the steps and tasks they are made of, the runs of those tasks on VMs, and
-// the operator's document that says which queues there are.
+// Package queue is the replicated state of the job queues: submitted jobs, their steps and tasks,
+// the runs of those tasks on VMs, and the operator's document that defines the queues.
 //
-// A job is a list of steps; a step is a number of equal tasks that may wait for
-// earlier steps. A task is run on a VM under a run number that rises with each
-// start, until one run ends as done. State changes only by Apply, which every
-// replica calls with the same commands in the same order; it reads no clock and
-// no randomness. A decision made on an older state is checked again there:
+// A job is a list of steps. A step is a number of equal tasks and may wait for earlier steps. A
+// task runs on a VM under a run number that rises with each start, until one run ends with
+// OutcomeDone. State changes only in Apply, which every replica calls with the same commands in the
+// same order; it reads no clock and no randomness. A command that was decided on an older state is
+// checked again there:
 //
 //   - a task has at most one active run, or two where its step allows copies;
 //   - no run starts after its task is done, or its job has ended or failed;
 //   - the sizes of a VM's active runs never exceed the VM's capacity, and a run
 //     that is being stopped counts until its end is known;
-//   - a run is over only by an end that its own VM reports, by a new life of
-//     that VM, or once the VM's lease has surely run out (Lost).
+//   - a run ends only by an end that its own VM reports, by a new incarnation of
+//     that VM's executor, or once the VM's lease has run out (VMLoss).
+//
+// Three kinds of task recur in the code. A lasting task (Step.Lasting) is restarted until its job
+// is cancelled. A serving task is a lasting task with a tail latency objective (Step.TailMS). A
+// filler (Step.Filler) reserves no processors and uses only idle ones.
+//
+// A run is started when the leader has ordered it, and has begun when an executor has confirmed it.
 package queue
 
 import (
@@ -31,46 +36,46 @@
 	Count int                  `cbor:"1,keyasint" json:"count,omitempty"`
 	Size  rudderfork.Resources `cbor:"2,keyasint" json:"size,omitempty"`
 
-	// ExpectedMS is the submitter's rough guess of one task's run time.
+	// ExpectedMS is the submitter's rough estimate of the run time of one task.
 	ExpectedMS  int64  `cbor:"3,keyasint,omitempty" json:"expected_ms,omitempty"`
 	DependsOn   []int  `cbor:"4,keyasint,omitempty" json:"after,omitempty"`       // earlier steps, all of whose tasks must be done
 	Checkpoints bool   `cbor:"5,keyasint,omitempty" json:"checkpoints,omitempty"` // progress survives a stop
 	Gang        bool   `cbor:"6,keyasint,omitempty" json:"gang,omitempty"`        // all tasks run together or not at all
-	SameRack    bool   `cbor:"7,keyasint,omitempty" json:"one_rack,omitempty"`    // a gang that is slow over several racks
-	Label       string `cbor:"8,keyasint,omitempty" json:"label,omitempty"`       // that the VM must carry
-	DataRack    string `cbor:"9,keyasint,omitempty" json:"data_rack,omitempty"`   // where the data is near
+	SameRack    bool   `cbor:"7,keyasint,omitempty" json:"one_rack,omitempty"`    // a gang that is slow when spread over several racks
+	Label       string `cbor:"8,keyasint,omitempty" json:"label,omitempty"`       // label that the VM must carry
+	DataRack    string `cbor:"9,keyasint,omitempty" json:"data_rack,omitempty"`   // rack that is close to the input data
 	MaxPerVM    int    `cbor:"10,keyasint,omitempty" json:"max_per_vm,omitempty"`
 	Speculative bool   `cbor:"11,keyasint,omitempty" json:"copies,omitempty"`   // two copies of a task may run
 	Lasting     bool   `cbor:"12,keyasint,omitempty" json:"lasting,omitempty"`  // runs until the job is cancelled
 	Image       string `cbor:"13,keyasint,omitempty" json:"image,omitempty"`    // tasks of one image behave alike
-	TailMS      int64  `cbor:"14,keyasint,omitempty" json:"tail_ms,omitempty"`  // objective of a lasting task's own answers
-	Filler      bool   `cbor:"15,keyasint,omitempty" json:"filler,omitempty"`   // takes no counted processors, only what is idle
-	MaxAway     int    `cbor:"16,keyasint,omitempty" json:"max_away,omitempty"` // disruption budget of a lasting step
+	TailMS      int64  `cbor:"14,keyasint,omitempty" json:"tail_ms,omitempty"`  // tail latency objective of a lasting task's own responses
+	Filler      bool   `cbor:"15,keyasint,omitempty" json:"filler,omitempty"`   // reserves no processors, uses only idle ones
+	MaxAway     int    `cbor:"16,keyasint,omitempty" json:"max_away,omitempty"` // disruption budget of a lasting step: tasks that may be down at once
 }
 
-// Repeat starts a job's steps again and again, at given times.
+// Repeat runs all steps of a job Count times, at fixed times.
 type Repeat struct {
 	Count   int   `cbor:"1,keyasint" json:"count,omitempty"`
 	FirstMS int64 `cbor:"2,keyasint" json:"first_ms,omitempty"` // Unix ms
 	EveryMS int64 `cbor:"3,keyasint" json:"every_ms,omitempty"`
 }
 
-// Spec is what a client hands in.
+// Spec is a job as its client submits it.
 type Spec struct {
-	Payload string  `cbor:"1,keyasint,omitempty" json:"payload,omitempty"` // given to every task as it is
+	Payload string  `cbor:"1,keyasint,omitempty" json:"payload,omitempty"` // passed unchanged to every task
 	Steps   []Step  `cbor:"2,keyasint" json:"steps,omitempty"`
 	Repeat  *Repeat `cbor:"3,keyasint,omitempty" json:"repeat,omitempty"`
 }
 
-// Bounds of a spec, far above what users send; they keep the state small.
+// Limits of a spec. They keep the replicated state small.
 const (
-	MaxPayload = 4_000 // bytes, the users' own limit
+	MaxPayload = 4_000 // bytes
 	maxSteps   = 64
-	maxTasks   = 10_000 // over all steps and times
+	maxTasks   = 10_000 // over all steps and occurrences
 	maxRepeats = 1_000
 )
 
-// Check reports the first thing wrong with the spec.
+// Check returns an error for the first invalid part of the spec.
 func (s Spec) Check() error {
 	if len(s.Payload) > MaxPayload {
 		return fmt.Errorf("payload: %d bytes; want at most %d", len(s.Payload), MaxPayload)
@@ -85,15 +90,15 @@
 		}
 		total += st.Count
 	}
-	times := 1
+	repeats := 1
 	if s.Repeat != nil {
-		times = s.Repeat.Count
-		if times < 1 || times > maxRepeats || s.Repeat.EveryMS < 0 {
-			return fmt.Errorf("repeat: %d times every %d ms; want 1 to %d times", times, s.Repeat.EveryMS, maxRepeats)
+		repeats = s.Repeat.Count
+		if repeats < 1 || repeats > maxRepeats || s.Repeat.EveryMS < 0 {
+			return fmt.Errorf("repeat: %d times every %d ms; want 1 to %d times", repeats, s.Repeat.EveryMS, maxRepeats)
 		}
 	}
-	if total*times > maxTasks {
-		return fmt.Errorf("%d tasks; want at most %d", total*times, maxTasks)
+	if total*repeats > maxTasks {
+		return fmt.Errorf("%d tasks; want at most %d", total*repeats, maxTasks)
 	}
 	return nil
 }
@@ -115,7 +120,7 @@
 	return nil
 }
 
-// TaskKey names a task of a job. Time counts the repeats, from 0.
+// TaskKey identifies a task of a job. Occurrence counts the repeats of the job, from 0.
 type TaskKey struct {
 	Job        rudderfork.JobID `cbor:"1,keyasint"`
 	Occurrence int              `cbor:"2,keyasint,omitempty"`
@@ -123,12 +128,12 @@
 	Index      int              `cbor:"4,keyasint,omitempty"`
 }
 
-// String gives the key as job.time.step.index.
+// String returns the key as job.occurrence.step.index.
 func (k TaskKey) String() string {
 	return string(k.Job) + "." + strconv.Itoa(k.Occurrence) + "." + strconv.Itoa(k.Step) + "." + strconv.Itoa(k.Index)
 }
 
-// Compare orders keys by job, time, step and index.
+// Compare orders keys by job, occurrence, step and index.
 func (k TaskKey) Compare(o TaskKey) int {
 	return cmp.Or(cmp.Compare(k.Job, o.Job), cmp.Compare(k.Occurrence, o.Occurrence), cmp.Compare(k.Step, o.Step), cmp.Compare(k.Index, o.Index))
 }
@@ -136,7 +141,7 @@
 // StepKey returns the key of the task's step.
 func (k TaskKey) StepKey() StepKey { return StepKey{k.Job, k.Occurrence, k.Step} }
 
-// Ref names a run of the task, as executors know it.
+// Ref returns the name of a run of the task, as executors use it.
 func (k TaskKey) Ref(run uint32) rudderfork.RunRef {
 	return rudderfork.RunRef{Task: rudderfork.TaskID(k.String()), Run: run}
 }
@@ -144,18 +149,18 @@
 // Run returns the key of a run of the task.
 func (k TaskKey) Run(number uint32) RunKey { return RunKey{k, number} }
 
-// RunKey names a run of a task.
+// RunKey identifies a run of a task.
 type RunKey struct {
 	TaskKey
 	Number uint32
 }
 
-// String gives the key as job.time.step.index#run.
+// String returns the key as job.occurrence.step.index#run.
 func (k RunKey) String() string {
 	return k.TaskKey.String() + "#" + strconv.FormatUint(uint64(k.Number), 10)
 }
 
-// ParseTaskKey is the inverse of String.
+// ParseTaskKey is the inverse of TaskKey.String.
 func ParseTaskKey(s string) (k TaskKey, err error) {
 	parts := strings.Split(s, ".")
 	if len(parts) != 4 {
@@ -170,7 +175,7 @@
 	return k, nil
 }
 
-// Status is where a job stands.
+// Status is the state of a job.
 type Status string
 
 // The statuses. The last three are final.
@@ -185,25 +190,26 @@
 // Final reports whether a job in this status will never run again.
 func (s Status) Final() bool { return s == Completed || s == Failed || s == Cancelled }
 
-// Outcome says how a run ended.
+// Outcome is the way a run ended.
 type Outcome string
 
-// The endings. Only OutcomeFailed counts as an attempt.
+// The outcomes. Only OutcomeFailed counts as an attempt.
 const (
 	OutcomeDone           Outcome = "done"
 	OutcomeFailed         Outcome = "failed"
 	OutcomeStopped        Outcome = "stopped"
 	OutcomeLeaseExpired   Outcome = "lapsed"  // the VM's lease ran out
 	OutcomeGangBroken     Outcome = "broken"  // another member of its gang ended
-	OutcomeGangIncomplete Outcome = "alone"   // the other members of its gang did not come
-	OutcomeRefused        Outcome = "refused" // the VM did not start it
-	OutcomeLost           Outcome = "gone"    // the VM knows nothing of it and never will
+	OutcomeGangIncomplete Outcome = "alone"   // the other members of its gang did not start
+	OutcomeRefused        Outcome = "refused" // the VM refused to start it
+	OutcomeLost           Outcome = "gone"    // the VM does not have it and will never start it
 )
 
-// hasBegun reports whether a run that ended so had begun: an executor has listed the end.
+// hasBegun reports whether an executor had begun the run, which is so if the executor has listed
+// its end.
 func (e Outcome) hasBegun() bool { return e != OutcomeRefused && e != OutcomeLost }
 
-// Run is one run of a task on a VM, from its start until its end is known.
+// Run is an active run of a task on a VM: it has been started, and its end is not known yet.
 type Run struct {
 	Number    uint32          `cbor:"1,keyasint"`
 	VM        rudderfork.VMID `cbor:"2,keyasint"`
@@ -211,14 +217,14 @@
 	Ticket    string          `cbor:"4,keyasint,omitempty"`
 }
 
-// StepKey names a step of a job, of one time.
+// StepKey identifies a step of one occurrence of a job.
 type StepKey struct {
 	Job        rudderfork.JobID
 	Occurrence int
 	Step       int
 }
 
-// String gives the key as job.time.step.
+// String returns the key as job.occurrence.step.
 func (k StepKey) String() string {
 	return string(k.Job) + "." + strconv.Itoa(k.Occurrence) + "." + strconv.Itoa(k.Step)
 }
@@ -230,19 +236,20 @@
 	LastRun    uint32 `cbor:"3,keyasint,omitempty"`
 	Runs       []Run  `cbor:"4,keyasint,omitempty"`
 	Checkpoint string `cbor:"5,keyasint,omitempty"`
-	EndedAt    int64  `cbor:"6,keyasint,omitempty"` // of the last run, Unix ms
-	TookMS     int64  `cbor:"7,keyasint,omitempty"` // from the start of the run that was done
-
-	// What follows says whether the task crashes its executors; blame.go.
-	Crashes          int `cbor:"8,keyasint,omitempty"`  // of executors, under it
-	PromptCrashes    int `cbor:"11,keyasint,omitempty"` // of these, on which its run was seen to begin
-	UnresolvedLosses int `cbor:"10,keyasint,omitempty"` // runs that ended lately with leases of VMs that are not back
-	Suspicion        int `cbor:"9,keyasint,omitempty"`  // thousandths
-	// UnresolvedSilent are the doubts of VMs whose agents have told that their executors are silent.
+	EndedAt    int64  `cbor:"6,keyasint,omitempty"` // end of the last run, Unix ms
+	TookMS     int64  `cbor:"7,keyasint,omitempty"` // duration of the run that was done, from its start
+
+	// The counts below estimate whether the task crashes its executors; see blame.go.
+	Crashes          int `cbor:"8,keyasint,omitempty"`  // executors that crashed while it ran
+	PromptCrashes    int `cbor:"11,keyasint,omitempty"` // of these, crashes soon after its run was confirmed to have begun
+	UnresolvedLosses int `cbor:"10,keyasint,omitempty"` // recent runs that ended with the lease of a VM that is not back
+	Suspicion        int `cbor:"9,keyasint,omitempty"`  // probability that it crashes its executors, in thousandths
+	// UnresolvedSilent counts those of UnresolvedLosses whose VM's agent has reported that the
+	// executor does not answer.
 	UnresolvedSilent int `cbor:"12,keyasint,omitempty"`
 }
 
-// Run returns the active run of a number; ok is false if there is none.
+// Run returns the active run with the given number; ok is false if there is none.
 func (t *Task) Run(number uint32) (r Run, ok bool) {
 	i := slices.IndexFunc(t.Runs, func(r Run) bool { return r.Number == number })
 	if i < 0 {
@@ -256,14 +263,14 @@
 	return slices.ContainsFunc(t.Runs, func(r Run) bool { return r.VM == vm })
 }
 
-// Occurrence is the tasks of one time of a job, by step and index.
+// Occurrence holds the tasks of one repeat of a job, by step and index.
 type Occurrence struct {
-	DueMS     int64    `cbor:"1,keyasint,omitempty"` // Unix ms; 0 means at once
+	DueMS     int64    `cbor:"1,keyasint,omitempty"` // earliest start, Unix ms; 0 means at once
 	Steps     [][]Task `cbor:"2,keyasint"`
-	Remaining []int    `cbor:"3,keyasint"` // tasks of each step that are not done
+	Remaining []int    `cbor:"3,keyasint"` // number of tasks of each step that are not done
 }
 
-// StepReady reports whether all steps that step i waits for are done.
+// StepReady reports whether all steps that st depends on are done.
 func (o *Occurrence) StepReady(st Step) bool {
 	for _, d := range st.DependsOn {
 		if o.Remaining[d] > 0 {
@@ -283,7 +290,7 @@
 	return true
 }
 
-// Job is one job. Queue is its row of the document when it was handed in.
+// Job is a submitted job. Queue is the document's entry for its queue at the time of submission.
 type Job struct {
 	ID          rudderfork.JobID `cbor:"1,keyasint"`
 	Queue       Queue            `cbor:"2,keyasint"`
@@ -292,15 +299,15 @@
 	SubmittedAt int64            `cbor:"5,keyasint"`           // leader's clock, Unix ms
 	EndedAt     int64            `cbor:"6,keyasint,omitempty"` // leader's clock, Unix ms
 	Occurrences []*Occurrence    `cbor:"7,keyasint"`
-	Begun       bool             `cbor:"8,keyasint,omitempty"` // an executor has begun some task
+	Begun       bool             `cbor:"8,keyasint,omitempty"` // an executor has begun one of its tasks
 	ActiveRuns  int              `cbor:"9,keyasint,omitempty"`
-	EndedClock  int64            `cbor:"10,keyasint,omitempty"` // Clock when it ended, ms
+	EndedClock  int64            `cbor:"10,keyasint,omitempty"` // State clock when it ended, ms
 
 	changes uint64
 }
 
-// Changes rises with each change of the job in this process. It is not replicated:
-// it tells a reader whether what it has worked out of the job still holds.
+// Changes rises with each change of the job in this process, so that readers can cache what they
+// derive from the job. It is not replicated.
 func (j *Job) Changes() uint64 { return j.changes }
 
 // Task returns the task with the given key, or nil.
@@ -315,59 +322,61 @@
 	return &steps[k.Step][k.Index]
 }
 
-// VM is a machine that runs tasks, as it last described itself.
+// VM is a VM that runs tasks, as it last registered.
 type VM struct {
 	ID          rudderfork.VMID      `cbor:"1,keyasint"`
-	Incarnation string               `cbor:"2,keyasint"` // new with each start of what runs the tasks
+	Incarnation string               `cbor:"2,keyasint"` // of its executor; see rudderfork.IncarnationName
 	Domain      rudderfork.Domain    `cbor:"3,keyasint"`
 	Rack        string               `cbor:"4,keyasint,omitempty"`
 	Service     rudderfork.Service   `cbor:"5,keyasint"`
 	Capacity    rudderfork.Resources `cbor:"6,keyasint"`
 	Labels      []string             `cbor:"7,keyasint,omitempty"`
-	Live        bool                 `cbor:"8,keyasint"` // may hold runs
+	Live        bool                 `cbor:"8,keyasint"` // registered and not lost: it may hold runs
 
-	// Epoch rises with each registration that starts with no runs.
+	// Epoch rises with each registration that starts without runs.
 	Epoch uint64 `cbor:"9,keyasint,omitempty"`
 
-	// UnresolvedRuns are the runs that ended with the VM's lease: whether its executor had
-	// crashed shows when it is back.
+	// UnresolvedRuns are the runs that ended when the VM's lease ran out. Whether its executor had
+	// crashed is known once the VM registers again.
 	UnresolvedRuns []RunAge `cbor:"10,keyasint,omitempty"`
-	// LeaseExpiredAt is when the lease ran out, by the state's clock, ms; Settled says that the
-	// runs are no longer held against their tasks.
+	// LeaseExpiredAt is when the lease ran out, by the state clock, ms. Resolved means that
+	// UnresolvedRuns no longer count against their tasks.
 	LeaseExpiredAt int64 `cbor:"12,keyasint,omitempty"`
 	Resolved       bool  `cbor:"13,keyasint,omitempty"`
-	// ExecutorSilent says that the VM's agent has told that its executor is silent.
+	// ExecutorSilent means that the VM's agent has reported that the executor does not answer.
 	ExecutorSilent bool `cbor:"14,keyasint,omitempty"`
-	// Leaving says that the life ends as planned, and that nobody is to blame for it.
+	// Leaving means that the incarnation ends as planned, so that no task is blamed for its end.
 	Leaving bool `cbor:"11,keyasint,omitempty"`
-	// Crashes are those of the VM's executors, whatever their lives.
+	// Crashes is the crash history of the VM's executor over all its incarnations.
 	Crashes CrashHistory `cbor:"15,keyasint"`
 
 	used    rudderfork.Resources
-	runs    map[TaskKey]uint32 // run numbers of active runs
+	runs    map[TaskKey]uint32 // run numbers of the active runs
 	changes uint64
 }
 
-// Changes rises with each change of the VM's runs in this process, and is not
-// replicated. Where the VM describes itself anew or is lost, it becomes another VM.
+// Changes rises with each change of the runs on the VM in this process. It is not replicated. A VM
+// that registers anew is represented by a new VM value.
 func (v *VM) Changes() uint64 { return v.changes }
 
-// Used returns what the VM's active runs hold.
+// Used returns the resources that the VM's active runs take.
 func (v *VM) Used() rudderfork.Resources { return v.used }
 
-// Runs returns the active runs of the VM, by task. It must not be changed.
+// Runs returns the run numbers of the active runs of the VM, by task. The caller must not change
+// the map.
 func (v *VM) Runs() map[TaskKey]uint32 { return v.runs }
 
-// SameRegistration reports whether o describes the same life in the same way.
+// SameRegistration reports whether o is the same incarnation with the same properties.
 func (v *VM) SameRegistration(o VM) bool {
 	return v.Incarnation == o.Incarnation && v.Domain == o.Domain && v.Rack == o.Rack && v.Service == o.Service &&
 		v.Capacity == o.Capacity && slices.Equal(v.Labels, o.Labels)
 }
 
-// RegisteredAs reports whether the VM is known, and live, as o describes it.
+// RegisteredAs reports whether the VM is known, live and registered with the properties of o. v may
+// be nil.
 func (v *VM) RegisteredAs(o VM) bool { return v != nil && v.Live && v.SameRegistration(o) }
 
-// HasLabel reports whether the VM carries a label; every VM has the empty one.
+// HasLabel reports whether the VM carries a label. The empty label matches every VM.
 func (v *VM) HasLabel(label string) bool {
 	if label == "" {
 		return true
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -16,7 +16,7 @@
 	hour     = 3_600_000 // ms
 )
 
-// world is a state with a document of one queue and some VMs.
+// world is a state with a document of two queues, and some VMs.
 type world struct {
 	t *testing.T
 	s *State
@@ -47,12 +47,12 @@
 	w.n++
 	before := usedOf(w.s)
 	res := w.s.Apply(c, w.n)
-	checkLedger(w.t, w.s)
-	checkRoom(w.t, w.s, before)
+	checkInvariants(w.t, w.s)
+	checkCapacity(w.t, w.s, before)
 	return res
 }
 
-// restore has the state go on from its snapshot, as it stands on disk.
+// restore replaces the state by one restored from its encoded snapshot.
 func (w *world) restore() {
 	w.t.Helper()
 	data, err := cbor.Marshal(w.s.Image())
@@ -70,18 +70,18 @@
 	return used
 }
 
-// checkRoom holds that no command brings a VM over its capacity: what it holds fits, or
-// its room has shrunk, and it holds no more than before.
-func checkRoom(t *testing.T, s *State, before map[rudderfork.VMID]rudderfork.Resources) {
+// checkCapacity checks that a command does not fill a VM beyond its capacity. A VM whose capacity
+// has shrunk may hold more, but no more than before.
+func checkCapacity(t *testing.T, s *State, before map[rudderfork.VMID]rudderfork.Resources) {
 	t.Helper()
 	for id, vm := range s.vms {
 		assert.Assert(t, vm.used.Fits(vm.Capacity) || vm.used.Fits(before[id]), "%s holds %v of %v, and held %v", id, vm.used, vm.Capacity, before[id])
 	}
 }
 
-func (w *world) register(id rudderfork.VMID, life string) {
+func (w *world) register(id rudderfork.VMID, inc string) {
 	w.apply(Command{Register: &VM{
-		ID: id, Incarnation: life, Domain: "hall", Rack: "r-" + string(id), Service: "desk",
+		ID: id, Incarnation: inc, Domain: "hall", Rack: "r-" + string(id), Service: "desk",
 		Capacity: rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}, Labels: []string{"a"},
 	}})
 }
@@ -94,8 +94,8 @@
 	return w.apply(Command{Starts: []Start{{Task: k, VM: vm, Incarnation: w.s.VM(vm).Incarnation}}}).Numbers[0]
 }
 
-func (w *world) end(k TaskKey, vm rudderfork.VMID, run uint32, how Outcome) bool {
-	return w.apply(Command{Ends: &Ends{VM: vm, Incarnation: w.s.VM(vm).Incarnation, List: []End{{Task: k, Run: run, Outcome: how}}}}).Accepted[0]
+func (w *world) end(k TaskKey, vm rudderfork.VMID, run uint32, outcome Outcome) bool {
+	return w.apply(Command{Ends: &Ends{VM: vm, Incarnation: w.s.VM(vm).Incarnation, List: []End{{Task: k, Run: run, Outcome: outcome}}}}).Accepted[0]
 }
 
 func (w *world) status(id rudderfork.JobID) Status { return w.s.Job(id).Status }
@@ -104,17 +104,17 @@
 	return TaskKey{Job: job, Step: step, Index: index}
 }
 
-// checkLedger holds what must always be true of a state.
-func checkLedger(t *testing.T, s *State) {
+// checkInvariants checks the invariants of a state.
+func checkInvariants(t *testing.T, s *State) {
 	t.Helper()
 	used := map[rudderfork.VMID]rudderfork.Resources{}
 	for _, j := range s.jobs {
 		active := 0
-		for time, o := range j.Occurrences {
+		for occ, o := range j.Occurrences {
 			for step, tasks := range o.Steps {
 				left := 0
 				for index, task := range tasks {
-					k := TaskKey{j.ID, time, step, index}
+					k := TaskKey{j.ID, occ, step, index}
 					active += len(task.Runs)
 					if !task.Done {
 						left++
@@ -123,7 +123,7 @@
 					for _, r := range task.Runs {
 						used[r.VM] = used[r.VM].Add(j.Spec.Steps[step].Need())
 						assert.Equal(t, s.vms[r.VM].runs[k], r.Number)
-						assert.Assert(t, s.vms[r.VM].Live, "%v runs on a VM that is lost", k)
+						assert.Assert(t, s.vms[r.VM].Live, "%v runs on a lost VM", k)
 					}
 				}
 				assert.Equal(t, o.Remaining[step], left)
@@ -134,7 +134,7 @@
 		assert.Equal(t, live, !j.Status.Final() || active > 0, "%s is %s", j.ID, j.Status)
 	}
 	for id, vm := range s.vms {
-		assert.Equal(t, vm.used, used[id], "what %s holds", id) // whether it fits, checkRoom holds
+		assert.Equal(t, vm.used, used[id], "resources used on %s", id)
 	}
 }
 
@@ -143,16 +143,16 @@
 func TestSubmit(t *testing.T) {
 	w := newWorld(t, 1)
 	assert.Equal(t, w.submit("j1", one).Code, OK)
-	t.Run("the same ID again stays one job", func(t *testing.T) {
+	t.Run("the same ID again is the same job", func(t *testing.T) {
 		two := one
 		two.Count = 2
 		assert.Equal(t, w.submit("j1", two).Code, OK)
 		assert.Equal(t, len(w.s.Job("j1").Occurrences[0].Steps[0]), 1)
 	})
-	t.Run("the longest prefix names the queue", func(t *testing.T) {
+	t.Run("the longest prefix selects the queue", func(t *testing.T) {
 		assert.Equal(t, w.submit("rosters/j2", one).Queue, "rosters")
 	})
-	t.Run("what cannot be read is refused", func(t *testing.T) {
+	t.Run("an invalid spec is refused", func(t *testing.T) {
 		for _, spec := range []Spec{
 			{},
 			{Steps: []Step{{Count: 0}}},
@@ -168,11 +168,11 @@
 		}
 		assert.Assert(t, w.s.Job("bad") == nil)
 	})
-	t.Run("an unknown place is no queue", func(t *testing.T) {
+	t.Run("an unknown host has no queue", func(t *testing.T) {
 		res := w.apply(Command{Submit: &Submit{Host: "other.example", Path: "/holds/j3", Spec: Spec{Steps: []Step{one}}}})
 		assert.Equal(t, res.Code, NoQueue)
 	})
-	t.Run("an accepted job stays accepted when its queue is gone", func(t *testing.T) {
+	t.Run("a job stays accepted when its queue is removed", func(t *testing.T) {
 		d := document(2)
 		d.Queues = d.Queues[1:]
 		w.apply(Command{Document: d})
@@ -190,7 +190,7 @@
 func TestDocument(t *testing.T) {
 	w := newWorld(t, 0)
 	assert.Equal(t, w.apply(Command{Document: document(5)}).Code, OK)
-	t.Run("a version that is not above the held one changes nothing", func(t *testing.T) {
+	t.Run("a version that is not newer changes nothing", func(t *testing.T) {
 		other := document(5)
 		other.Text = []byte("other")
 		for _, d := range []*Document{other, document(4)} {
@@ -198,7 +198,7 @@
 		}
 		assert.Equal(t, string(w.s.Document().Text), "document 5")
 	})
-	t.Run("an invalid one is never in force", func(t *testing.T) {
+	t.Run("an invalid document is refused", func(t *testing.T) {
 		for name, spoil := range map[string]func(d *Document){
 			"no version":       func(d *Document) { d.Version = 0 },
 			"unknown service":  func(d *Document) { d.Queues[0].Service = "nobody" },
@@ -225,7 +225,7 @@
 	for name, st := range map[string]Start{
 		"it has a run":                {Task: key("j", 0, 0), VM: "vm2", Incarnation: "life-1"},
 		"the VM is full":              {Task: key("j", 0, 1), VM: "vm1", Incarnation: "life-1"},
-		"the VM has another life":     {Task: key("j", 0, 1), VM: "vm2", Incarnation: "life-0"},
+		"the incarnation is another":  {Task: key("j", 0, 1), VM: "vm2", Incarnation: "life-0"},
 		"the VM is unknown":           {Task: key("j", 0, 1), VM: "vm9", Incarnation: "life-1"},
 		"an earlier step is not done": {Task: key("j", 1, 0), VM: "vm2", Incarnation: "life-1"},
 		"the VM lacks a label":        {Task: key("j", 2, 0), VM: "vm2", Incarnation: "life-1"},
@@ -237,15 +237,15 @@
 			assert.Equal(t, w.apply(Command{Starts: []Start{st}}).Numbers[0], uint32(0))
 		})
 	}
-	t.Run("a VM holds as many tasks of a step as it may", func(t *testing.T) {
+	t.Run("a VM runs at most MaxPerVM tasks of a step", func(t *testing.T) {
 		assert.Equal(t, w.start(key("j", 3, 0), "vm1"), uint32(1))
 		assert.Equal(t, w.start(key("j", 3, 1), "vm1"), uint32(0))
 		assert.Equal(t, w.start(key("j", 3, 1), "vm2"), uint32(1))
 	})
-	t.Run("a filler counts no processors", func(t *testing.T) {
+	t.Run("a filler reserves no processors", func(t *testing.T) {
 		assert.Equal(t, w.start(key("j", 4, 0), "vm1"), uint32(1))
 	})
-	t.Run("what is being stopped counts until its end is known", func(t *testing.T) {
+	t.Run("a run that is being stopped takes capacity until its end is known", func(t *testing.T) {
 		w.apply(Command{Cancel: &Cancel{Host: testHost, Path: "/holds/j"}})
 		w.submit("k", big)
 		assert.Equal(t, w.start(key("k", 0, 0), "vm1"), uint32(0))
@@ -270,7 +270,7 @@
 		assert.Equal(t, w.s.Job("g").ActiveRuns, 0)
 		assert.DeepEqual(t, together("vm1", "vm1", "vm2"), []uint32{1, 1, 1})
 	})
-	t.Run("a checkpoint of one serves all", func(t *testing.T) {
+	t.Run("a checkpoint of one member applies to all", func(t *testing.T) {
 		w.apply(Command{Ends: &Ends{VM: "vm1", Incarnation: "life-1", List: []End{
 			{Task: key("g", 0, 0), Run: 1, Outcome: OutcomeFailed, Checkpoint: "half"}, {Task: key("g", 0, 1), Run: 1, Outcome: OutcomeGangBroken},
 		}}})
@@ -279,7 +279,7 @@
 			assert.Equal(t, w.s.Job("g").Task(key("g", 0, i)).Checkpoint, "half")
 		}
 	})
-	t.Run("one member that is done stands for all", func(t *testing.T) {
+	t.Run("one member that is done completes all", func(t *testing.T) {
 		assert.DeepEqual(t, together("vm1", "vm1", "vm2"), []uint32{2, 2, 2})
 		w.end(key("g", 0, 1), "vm1", 2, OutcomeDone)
 		assert.Equal(t, w.status("g"), Completed)
@@ -287,7 +287,7 @@
 }
 
 func TestEnds(t *testing.T) {
-	t.Run("done once is done for good", func(t *testing.T) {
+	t.Run("a task that is done stays done", func(t *testing.T) {
 		w := newWorld(t, 1)
 		w.submit("j", one)
 		w.start(key("j", 0, 0), "vm1")
@@ -299,15 +299,15 @@
 	t.Run("only failures count as attempts", func(t *testing.T) {
 		w := newWorld(t, 1)
 		w.submit("j", one)
-		for run, how := range []Outcome{OutcomeRefused, OutcomeLeaseExpired, OutcomeStopped, OutcomeLost, OutcomeFailed, OutcomeGangIncomplete, OutcomeFailed} {
+		for run, outcome := range []Outcome{OutcomeRefused, OutcomeLeaseExpired, OutcomeStopped, OutcomeLost, OutcomeFailed, OutcomeGangIncomplete, OutcomeFailed} {
 			assert.Equal(t, w.status("j") == Failed, false)
 			assert.Equal(t, w.start(key("j", 0, 0), "vm1"), uint32(run+1))
-			w.end(key("j", 0, 0), "vm1", uint32(run+1), how)
+			w.end(key("j", 0, 0), "vm1", uint32(run+1), outcome)
 		}
 		assert.Equal(t, w.status("j"), Failed)
 		assert.Equal(t, w.start(key("j", 0, 0), "vm1"), uint32(0))
 	})
-	t.Run("a lasting task starts again however it ended", func(t *testing.T) {
+	t.Run("a lasting task starts again whatever its outcome", func(t *testing.T) {
 		w := newWorld(t, 1)
 		lasting := one
 		lasting.Lasting = true
@@ -318,7 +318,7 @@
 		}
 		assert.Equal(t, w.status("j"), Running)
 	})
-	t.Run("an end of another run or life is not taken", func(t *testing.T) {
+	t.Run("an end of another run or incarnation is not accepted", func(t *testing.T) {
 		w := newWorld(t, 2)
 		w.submit("j", one)
 		w.start(key("j", 0, 0), "vm1")
@@ -327,7 +327,7 @@
 		res := w.apply(Command{Ends: &Ends{VM: "vm1", Incarnation: "life-0", List: []End{{Task: key("j", 0, 0), Run: 1, Outcome: OutcomeDone}}}})
 		assert.Assert(t, !res.Accepted[0])
 	})
-	t.Run("checkpoints are kept where the step has them", func(t *testing.T) {
+	t.Run("checkpoints are kept if the step has them", func(t *testing.T) {
 		w := newWorld(t, 1)
 		saving := one
 		saving.Checkpoints = true
@@ -351,7 +351,7 @@
 	assert.Equal(t, w.status("j"), Cancelled)
 	assert.Equal(t, cancel("unknown"), NoJob)
 	assert.Equal(t, w.start(key("j", 0, 0), "vm1"), uint32(0))
-	t.Run("what is completed stays so", func(t *testing.T) {
+	t.Run("a completed job stays completed", func(t *testing.T) {
 		w.submit("k", one)
 		w.start(key("k", 0, 0), "vm1")
 		w.end(key("k", 0, 0), "vm1", 1, OutcomeDone)
@@ -360,19 +360,19 @@
 	})
 }
 
-func TestVMLives(t *testing.T) {
+func TestVMIncarnations(t *testing.T) {
 	w := newWorld(t, 1)
 	saving := one
 	saving.Checkpoints = true
 	w.submit("j", saving)
 	w.start(key("j", 0, 0), "vm1")
 	epoch := w.s.VM("vm1").Epoch
-	t.Run("the same life again changes nothing", func(t *testing.T) {
+	t.Run("the same incarnation again changes nothing", func(t *testing.T) {
 		w.register("vm1", "life-1")
 		assert.Equal(t, w.s.VM("vm1").Epoch, epoch)
 		assert.Equal(t, w.s.Job("j").ActiveRuns, 1)
 	})
-	t.Run("a lost VM runs nothing, and takes nothing until it registers", func(t *testing.T) {
+	t.Run("a lost VM runs nothing and accepts nothing until it registers", func(t *testing.T) {
 		w.apply(Command{Lost: &VMLoss{VM: "vm1", Incarnation: "life-1", Checkpoints: map[TaskKey]string{key("j", 0, 0): "c"}}})
 		assert.Equal(t, w.s.Job("j").Task(key("j", 0, 0)).Checkpoint, "c")
 		assert.Equal(t, w.start(key("j", 0, 0), "vm1"), uint32(0))
@@ -380,11 +380,11 @@
 		assert.Equal(t, w.s.VM("vm1").Epoch, epoch+1)
 		assert.Equal(t, w.start(key("j", 0, 0), "vm1"), uint32(2))
 	})
-	t.Run("a loss of an earlier life is not taken", func(t *testing.T) {
+	t.Run("a loss of an earlier incarnation is not accepted", func(t *testing.T) {
 		assert.Equal(t, w.apply(Command{Lost: &VMLoss{VM: "vm1", Incarnation: "life-0"}}).Code, Stale)
 		assert.Equal(t, w.s.Job("j").ActiveRuns, 1)
 	})
-	t.Run("a new life runs nothing", func(t *testing.T) {
+	t.Run("a new incarnation runs nothing", func(t *testing.T) {
 		w.register("vm1", "life-2")
 		assert.Equal(t, w.s.Job("j").ActiveRuns, 0)
 		assert.Equal(t, w.s.VM("vm1").Epoch, epoch+2)
@@ -407,7 +407,7 @@
 	assert.Equal(t, w.status("r"), Completed)
 }
 
-// pass lets time go by while leaders propose something now and then.
+// pass advances the clock by ms while a leader proposes commands at intervals of at most maxTickMS.
 func (w *world) pass(ms int64) {
 	for end := w.n + ms; w.n < end; {
 		w.n += min(maxTickMS-1, end-w.n-1)
@@ -441,13 +441,13 @@
 	}
 	assert.Equal(t, count(), [3]int{2, 1, 1})
 	assert.Equal(t, count("a"), [3]int{1, 0, 1})
-	w.apply(Command{Starts: []Start{{Task: key("b", 0, 0), VM: "vm1", Incarnation: oldLife}}, Begun: []rudderfork.JobID{"a", "none"}})
+	w.apply(Command{Starts: []Start{{Task: key("b", 0, 0), VM: "vm1", Incarnation: firstIncarnation}}, Begun: []rudderfork.JobID{"a", "none"}})
 	assert.Equal(t, count(), [3]int{1, 1, 1})
 	w.end(key("b", 0, 0), "vm1", 1, OutcomeFailed)
 	assert.Equal(t, count(), [3]int{0, 0, 1})
 }
 
-// TestImage has a state go on from its snapshot as if nothing had been.
+// TestImage checks that a restored state continues like the original.
 func TestImage(t *testing.T) {
 	w := newWorld(t, 2)
 	w.submit("j", Step{Count: 2, Size: rudderfork.Resources{CPUMilli: 1000}}, Step{Count: 1, DependsOn: []int{0}})
@@ -456,7 +456,7 @@
 	w.end(key("done", 0, 0), "vm2", 1, OutcomeDone)
 	w.start(key("j", 0, 0), "vm1")
 	w.restore()
-	checkLedger(t, w.s)
+	checkInvariants(t, w.s)
 	assert.Equal(t, w.status("done"), Completed)
 	assert.Assert(t, w.end(key("j", 0, 0), "vm1", 1, OutcomeDone))
 	assert.Equal(t, w.start(key("j", 0, 1), "vm2"), uint32(1))
--- a/queue/state.go
+++ b/queue/state.go
@@ -11,16 +11,16 @@
 // use.
 type State struct {
 	doc          *Document
-	queuesByName map[string]*Queue // rows of doc by name
+	queuesByName map[string]*Queue // rows of doc
 	jobs         map[rudderfork.JobID]*Job
-	ended        []rudderfork.JobID // oldest first
-	live         map[rudderfork.JobID]*Job
+	ended        []rudderfork.JobID        // oldest first
+	live         map[rudderfork.JobID]*Job // jobs that may run or have active runs
 	vms          map[rudderfork.VMID]*VM
-	vmsByID      []*VM   // all of vms, by their names
+	vmsByID      []*VM   // all of vms, sorted by ID
 	waves        []*Wave // oldest first
 	clock        Clock
 	base         BaseRate
-	losses       []unresolvedLoss // that may be settled yet, the oldest first
+	losses       []unresolvedLoss // unresolved losses, oldest first; may hold resolved ones
 
 	evacuations map[rudderfork.Domain]Evacuation
 }
@@ -37,7 +37,7 @@
 	}
 }
 
-// Document returns the operator's document, or nil if none was ever taken.
+// Document returns the operator's document, or nil if none was accepted yet.
 func (s *State) Document() *Document { return s.doc }
 
 // Job returns a job, or nil.
@@ -49,8 +49,7 @@
 // VM returns a VM, or nil.
 func (s *State) VM(id rudderfork.VMID) *VM { return s.vms[id] }
 
-// VMs returns all VMs in the order of their names. The list must not be changed, nor kept
-// over the next command.
+// VMs returns all VMs sorted by ID. The list must not be changed, nor used after the next command.
 func (s *State) VMs() []*VM { return s.vmsByID }
 
 // setVM adds a VM or replaces it.
@@ -64,8 +63,8 @@
 	s.vms[vm.ID] = vm
 }
 
-// CurrentQueue returns the present row of a job's queue: the document's, or the one the
-// job was handed in under if the document has it no more.
+// CurrentQueue returns the definition of a job's queue in the current document, or the one at the
+// time of submission if the document no longer has the queue.
 func (s *State) CurrentQueue(j *Job) Queue {
 	if q := s.queuesByName[j.Queue.Name]; q != nil {
 		return *q
@@ -73,8 +72,8 @@
 	return j.Queue
 }
 
-// Waiting counts the queue's accepted jobs of which no task has begun, and those of them
-// that are ordered to begin. begun reports what is known of a job beside the state.
+// Waiting returns how many accepted jobs of a queue have not begun, and for how many of these a run
+// is started. begun reports jobs that have begun and are not marked so in the state yet.
 func (s *State) Waiting(name string, begun func(rudderfork.JobID) bool) (waiting, ordered int) {
 	for _, j := range s.live {
 		if j.Queue.Name != name || j.Status.Final() || j.Begun || begun(j.ID) {
@@ -88,8 +87,8 @@
 	return waiting, ordered
 }
 
-// Runnable reports whether a task may start now, but for room and rules of
-// place. copies is how many runs it may have.
+// Runnable reports whether a task may start at now (Unix ms), apart from capacity and placement
+// rules.
 func (s *State) Runnable(j *Job, k TaskKey, now int64) bool {
 	t := j.Task(k)
 	if t == nil || t.Done || j.Status.Final() {
@@ -99,7 +98,7 @@
 	return o.DueMS <= now && o.StepReady(j.Spec.Steps[k.Step])
 }
 
-// Need is what a run of the step takes from a VM's room.
+// Need returns the resources that a run of the step takes from a VM's capacity.
 func (st Step) Need() rudderfork.Resources {
 	need := st.Size
 	if st.Filler {
@@ -108,7 +107,7 @@
 	return need
 }
 
-// CountRuns counts the active runs of one step, of one time, on a VM.
+// CountRuns returns the number of active runs on a VM of the step and occurrence of k.
 func (s *State) CountRuns(vm *VM, k TaskKey) (n int) {
 	for o := range vm.runs {
 		if o.Job == k.Job && o.Occurrence == k.Occurrence && o.Step == k.Step {
@@ -118,7 +117,7 @@
 	return n
 }
 
-// RejectReason says why a VM cannot take a run of the step, or "" if it can.
+// RejectReason returns why a VM cannot take a run of the task, or "" if it can.
 func (s *State) RejectReason(j *Job, k TaskKey, vm *VM) string {
 	st := j.Spec.Steps[k.Step]
 	_, there := vm.runs[k]
@@ -171,7 +170,7 @@
 	s.retire(j)
 }
 
-// retire takes a finished job that runs nothing off the live ones.
+// retire removes a finished job without active runs from the live jobs.
 func (s *State) retire(j *Job) {
 	if j.Status.Final() && j.ActiveRuns == 0 {
 		delete(s.live, j.ID)
--- a/queue/suspects.go
+++ b/queue/suspects.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// CrashedTask is a task under which executors have crashed.
+// CrashedTask is a task under which executors have crashed or may have crashed.
 type CrashedTask struct {
 	Key  TaskKey
 	Task *Task
 }
 
-// CrashedTasks returns the tasks that may still run and under which executors have crashed,
-// or may have, the most suspected first. It reads all live jobs.
+// CrashedTasks returns the tasks that may still run and have crashes, unresolved losses or
+// suspicion, the most suspected first. It scans all live jobs.
 func (s *State) CrashedTasks() (list []CrashedTask) {
 	for _, j := range s.live {
-		for time, o := range j.Occurrences {
+		for occ, o := range j.Occurrences {
 			for step, tasks := range o.Steps {
 				for index := range tasks {
-					k := TaskKey{j.ID, time, step, index}
+					k := TaskKey{j.ID, occ, step, index}
 					if t := s.openTask(k); t != nil && t.Crashes+t.UnresolvedLosses+t.Suspicion > 0 {
 						list = append(list, CrashedTask{k, t})
 					}
@@ -32,13 +32,13 @@
 	return list
 }
 
-// clearTask takes back what a task is suspected of, by an operator's word.
+// clearTask resets the suspicion against a task on an operator's order.
 func (s *State) clearTask(k TaskKey) Result {
 	t := s.openTask(k)
 	if t == nil {
-		return Result{Code: NoJob, Text: "there is no such task that may still run"}
+		return Result{Code: NoJob, Text: "no unfinished task has this key"}
 	}
-	t.clearSuspicion()
+	t.clear()
 	s.jobs[k.Job].changes++
 	s.markVMsChanged(t)
 	return Result{Code: OK, Job: k.Job}
--- a/queue/doubt.go
+++ b/queue/unresolved.go
@@ -7,24 +7,26 @@
 	"rudderfork.example/rudderfork"
 )
 
-// unresolvedLossMS is how long a run that ended with its VM's lease is held against its task, ms:
-// many times what an executor that has crashed takes to start again.
+// unresolvedLossMS is how long a run that ended with its VM's lease counts against its task while
+// the VM is not back, ms. It is many times what a crashed executor takes to start again.
 const unresolvedLossMS = 30_000
 
-// unresolvedLoss is a VM whose lease ran out: whether its executor had crashed is open.
+// unresolvedLoss is a VM whose lease ran out and of whose executor it is not known yet whether it
+// had crashed.
 type unresolvedLoss struct {
 	vm rudderfork.VMID
 	at int64 // VM.DoubtfulAt
 }
 
-// recordLoss notes the runs that ended with a VM's lease, and doubts their tasks.
+// recordLoss records the runs that ended with a VM's lease and counts an unresolved loss against
+// their tasks.
 func (s *State) recordLoss(vm *VM, list []RunAge, silent bool) {
 	vm.UnresolvedRuns, vm.LeaseExpiredAt, vm.Resolved, vm.ExecutorSilent = list, s.clock.NowMS, false, silent
 	s.losses = append(s.losses, unresolvedLoss{vm.ID, vm.LeaseExpiredAt})
 	s.addUnresolved(vm, 1)
 }
 
-// resolveLoss takes back the doubt in the tasks of a VM's open case.
+// resolveLoss removes a VM's unresolved loss from the counts of its tasks.
 func (s *State) resolveLoss(vm *VM) {
 	if !vm.Resolved {
 		s.addUnresolved(vm, -1)
@@ -32,8 +34,8 @@
 	vm.Resolved = true
 }
 
-// resolveOldLosses takes back the doubts of VMs that have not come back for long. What ran
-// there is blamed all the same should the VM be back under another life.
+// resolveOldLosses resolves the losses of VMs that have not been back for unresolvedLossMS. A crash
+// is still counted against their tasks if the VM returns later with another incarnation.
 func (s *State) resolveOldLosses() {
 	for len(s.losses) > 0 && s.clock.NowMS >= s.losses[0].at+unresolvedLossMS {
 		c := s.losses[0]
@@ -44,8 +46,8 @@
 	}
 }
 
-// restoreLosses finds the open cases of a state that was restored, and counts the doubts
-// anew: those of an earlier release were never taken back.
+// restoreLosses rebuilds the list of unresolved losses of a restored state and the counts of the
+// tasks. The stored counts are not used because earlier releases never decremented them.
 func (s *State) restoreLosses() {
 	for _, j := range s.jobs {
 		j.clearUnresolved()
@@ -59,9 +61,8 @@
 	slices.SortStableFunc(s.losses, func(a, b unresolvedLoss) int { return cmp.Compare(a.at, b.at) })
 }
 
-// addUnresolved counts the runs of a VM's open case: it is open whether their executor has crashed
-// (step 1), or no longer (step -1). A run that had been at work for long would clear its
-// task.
+// addUnresolved adds step (1 or -1) to the unresolved losses of the tasks of vm.UnresolvedRuns.
+// Runs older than provenRunMS are skipped, since a crash under them would clear their task.
 func (s *State) addUnresolved(vm *VM, step int) {
 	for _, r := range vm.UnresolvedRuns {
 		t := s.openTask(r.Task)
--- a/queue/vms_test.go
+++ b/queue/vms_test.go
@@ -8,14 +8,14 @@
 	"rudderfork.example/rudderfork"
 )
 
-// TestVMs holds that VMs are listed by their names, each as it last described itself, in
-// whatever order they come, and after a snapshot too.
+// TestVMs checks that VMs are listed by ID, each as it last registered, whatever the order of
+// registration and after a snapshot.
 func TestVMs(t *testing.T) {
 	s := New()
 	for i, id := range []rudderfork.VMID{"c", "a", "b", "a", "c"} {
 		s.Apply(Command{Register: &VM{ID: id, Incarnation: string(id) + string(rune('0'+i))}}, 1)
 	}
-	lives := func(s *State) (list []string) {
+	incarnations := func(s *State) (list []string) {
 		for _, vm := range s.VMs() {
 			assert.Equal(t, s.VM(vm.ID), vm)
 			list = append(list, vm.Incarnation)
@@ -23,7 +23,7 @@
 		return list
 	}
 	want := []string{"a3", "b2", "c4"}
-	assert.DeepEqual(t, lives(s), want)
+	assert.DeepEqual(t, incarnations(s), want)
 	restored := Restore(s.Image())
-	assert.DeepEqual(t, lives(restored), want)
+	assert.DeepEqual(t, incarnations(restored), want)
 }
--- a/queue/waiting_test.go
+++ b/queue/waiting_test.go
@@ -8,21 +8,22 @@
 	"rudderfork.example/rudderfork"
 )
 
-// waiting counts a queue's jobs that wait, by what the state knows alone.
+// waiting returns the number of waiting jobs of a queue according to the state alone.
 func (w *world) waiting(name string) int {
 	n, _ := w.s.Waiting(name, func(rudderfork.JobID) bool { return false })
 	return n
 }
 
-// TestJobWhoseStartsFailedWaits guards against counting a job as begun by a start that no executor carried out.
+// TestJobWhoseStartsFailedWaits guards against counting a job as begun when no executor has begun
+// its run.
 func TestJobWhoseStartsFailedWaits(t *testing.T) {
 	k := key("j", 0, 0)
 	for name, undo := range map[string]func(w *world, run uint32){
-		"refused":            func(w *world, run uint32) { w.end(k, "vm1", run, OutcomeRefused) },
-		"unknown there":      func(w *world, run uint32) { w.end(k, "vm1", run, OutcomeLost) },
-		"its VM is lost":     func(w *world, _ uint32) { w.lose("vm1", VMLoss{}) },
-		"its VM has left":    func(w *world, _ uint32) { w.lose("vm1", VMLoss{Departed: true}) },
-		"another life began": func(w *world, _ uint32) { w.crash("vm1", "life-2") },
+		"refused":          func(w *world, run uint32) { w.end(k, "vm1", run, OutcomeRefused) },
+		"unknown there":    func(w *world, run uint32) { w.end(k, "vm1", run, OutcomeLost) },
+		"its VM is lost":   func(w *world, _ uint32) { w.lose("vm1", VMLoss{}) },
+		"its VM shut down": func(w *world, _ uint32) { w.lose("vm1", VMLoss{Departed: true}) },
+		"new incarnation":  func(w *world, _ uint32) { w.crash("vm1", "life-2") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, 1)
@@ -33,14 +34,14 @@
 	}
 }
 
-// TestJobThatBeganWaitsNoMore holds that a job whose task an executor has begun stays begun.
-func TestJobThatBeganWaitsNoMore(t *testing.T) {
+// TestBegunJobDoesNotWait checks that a job stays begun once an executor has begun a task.
+func TestBegunJobDoesNotWait(t *testing.T) {
 	k := key("j", 0, 0)
-	for _, how := range []Outcome{OutcomeFailed, OutcomeStopped, OutcomeLeaseExpired, OutcomeGangBroken, OutcomeGangIncomplete} {
-		t.Run(string(how), func(t *testing.T) {
+	for _, outcome := range []Outcome{OutcomeFailed, OutcomeStopped, OutcomeLeaseExpired, OutcomeGangBroken, OutcomeGangIncomplete} {
+		t.Run(string(outcome), func(t *testing.T) {
 			w := newWorld(t, 1)
 			w.submit("j", one)
-			w.end(k, "vm1", w.start(k, "vm1"), how)
+			w.end(k, "vm1", w.start(k, "vm1"), outcome)
 			assert.Equal(t, w.waiting("holds"), 0)
 		})
 	}
--- a/queue/wave.go
+++ b/queue/wave.go
@@ -2,33 +2,33 @@
 
 import "slices"
 
-// Wave is an operator's order that each of some machines has its upkeep, at most
-// MaxDown of them at once. Upkeep ends all that runs on a machine.
+// Wave is an operator's order for the upkeep of a list of the provider's machines, at most MaxDown
+// of them at once. Upkeep ends everything that runs on a machine.
 type Wave struct {
 	ID       uint64   `cbor:"1,keyasint" json:"wave"`
-	Machines []string `cbor:"2,keyasint" json:"machines"` // by the provider's names
+	Machines []string `cbor:"2,keyasint" json:"machines"` // the provider's names
 	DueMS    int64    `cbor:"3,keyasint" json:"due"`      // Unix ms
 	MaxDown  int      `cbor:"4,keyasint" json:"max_down"`
 
-	// Begun are the machines whose upkeep has surely begun, and Gone those that
-	// the provider does not know any more.
+	// Begun lists the machines whose upkeep is confirmed to have begun, and Gone those that the
+	// provider no longer knows.
 	Begun []string `cbor:"5,keyasint,omitempty" json:"begun,omitempty"`
 	Gone  []string `cbor:"6,keyasint,omitempty" json:"gone,omitempty"`
 }
 
-// maxWaves bounds the waves that are remembered.
+// maxWaves bounds the number of waves kept.
 const maxWaves = 1000
 
-// UpkeepReport notes that a machine's upkeep in a wave has begun, or that the
-// machine is gone.
+// UpkeepReport reports that a machine's upkeep in a wave has begun, or that the provider no longer
+// knows the machine.
 type UpkeepReport struct {
 	Wave        uint64 `cbor:"1,keyasint"`
 	Machine     string `cbor:"2,keyasint"`
 	Gone        bool   `cbor:"3,keyasint,omitempty"`
-	Incarnation string `cbor:"4,keyasint,omitempty"` // of the executor that ends with it; "" if none is known
+	Incarnation string `cbor:"4,keyasint,omitempty"` // of the executor on the machine; "" if unknown
 }
 
-// Remaining returns the machines whose upkeep is still to begin.
+// Remaining returns the machines whose upkeep has not begun.
 func (w *Wave) Remaining() (left []string) {
 	for _, m := range w.Machines {
 		if !slices.Contains(w.Begun, m) && !slices.Contains(w.Gone, m) {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// Waves returns the waves that have machines left, in the order they came.
+// Waves returns the waves that have remaining machines, oldest first.
 func (s *State) Waves() (open []*Wave) {
 	for _, w := range s.waves {
 		if len(w.Remaining()) > 0 {
@@ -60,10 +60,10 @@
 
 func (s *State) acceptWave(w Wave) Result {
 	if w.MaxDown < 1 || len(w.Machines) == 0 {
-		return Result{Code: Invalid, Text: "a wave needs machines, and room for one of them to be down"}
+		return Result{Code: Invalid, Text: "a wave needs at least one machine and max_down of at least 1"}
 	}
 	if s.Wave(w.ID) != nil {
-		return Result{Code: OK, Text: "taken before"}
+		return Result{Code: OK, Text: "already accepted"}
 	}
 	if len(s.waves) >= maxWaves {
 		s.waves = s.waves[1:]
--- a/resources.go
+++ b/resources.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Resources is an amount of what a VM has and a task takes.
+// Resources is the capacity of a VM or the demand of a task.
 type Resources struct {
 	CPUMilli     int64 `cbor:"1,keyasint,omitempty" json:"cpu_milli"`    // thousandths of a core
 	MemoryMB     int64 `cbor:"2,keyasint,omitempty" json:"memory_mb"`    // 10^6 bytes
@@ -14,25 +14,25 @@
 	return Resources{r.CPUMilli + o.CPUMilli, r.MemoryMB + o.MemoryMB, r.Accelerators + o.Accelerators}
 }
 
-// Sub returns r less o. Parts may become negative.
+// Sub returns r minus o. Parts may be negative.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{r.CPUMilli - o.CPUMilli, r.MemoryMB - o.MemoryMB, r.Accelerators - o.Accelerators}
 }
 
-// Min returns the lesser of r and o in every part.
+// Min returns the part-wise minimum of r and o.
 func (r Resources) Min(o Resources) Resources {
 	return Resources{min(r.CPUMilli, o.CPUMilli), min(r.MemoryMB, o.MemoryMB), min(r.Accelerators, o.Accelerators)}
 }
 
-// Max returns the greater of r and o in every part.
+// Max returns the part-wise maximum of r and o.
 func (r Resources) Max(o Resources) Resources {
 	return Resources{max(r.CPUMilli, o.CPUMilli), max(r.MemoryMB, o.MemoryMB), max(r.Accelerators, o.Accelerators)}
 }
 
-// Fits reports whether r is at most room in every part.
+// Fits reports whether no part of r exceeds room.
 func (r Resources) Fits(room Resources) bool { return r.Lacking(room) == "" }
 
-// Lacking names the first part in which r exceeds room, or is empty if none.
+// Lacking returns the first part in which r exceeds room, or "" if r fits.
 func (r Resources) Lacking(room Resources) string {
 	switch {
 	case r.CPUMilli > room.CPUMilli:
@@ -45,7 +45,7 @@
 	return ""
 }
 
-// String gives the amount in operators' units.
+// String formats the resources for operators.
 func (r Resources) String() string {
 	return fmt.Sprintf("%.2f cores, %d MB, %d accelerators", float64(r.CPUMilli)/1000, r.MemoryMB, r.Accelerators)
 }
--- a/table.go
+++ b/table.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// RowKind is what a row of the table stands for.
+// RowKind is the kind of a row of the table.
 type RowKind string
 
 // The kinds of row.
@@ -15,7 +15,7 @@
 	RowTeam    RowKind = "team"
 )
 
-// The columns that decisions read. Columns lists units and ranges.
+// The columns. Columns returns their units and ranges.
 const (
 	ColWeight       = "weight"
 	ColPriority     = "priority"
@@ -31,14 +31,14 @@
 	ColDeadline     = "deadline_ms"
 )
 
-// CellKey addresses one cell.
+// CellKey identifies a cell.
 type CellKey struct {
 	Kind   RowKind `cbor:"1,keyasint" json:"kind"`
 	Row    string  `cbor:"2,keyasint" json:"row"`
 	Column string  `cbor:"3,keyasint" json:"column"`
 }
 
-// String gives the key as operators write it: kind/row/column.
+// String formats the key as operators write it: kind/row/column.
 func (k CellKey) String() string { return string(k.Kind) + "/" + k.Row + "/" + k.Column }
 
 // ParseCellKey is the inverse of CellKey.String.
@@ -50,8 +50,8 @@
 	return CellKey{RowKind(parts[0]), parts[1], parts[2]}, nil
 }
 
-// Cell is one number of the table and the revision that last changed it.
-// A removed cell keeps its revision, so that removals travel like changes.
+// Cell is a number of the table and the revision that last changed it. A removed cell keeps its
+// revision, so that removals are replicated like changes.
 type Cell struct {
 	Key      CellKey  `cbor:"1,keyasint" json:"key"`
 	Value    int64    `cbor:"2,keyasint" json:"value"`
@@ -59,7 +59,7 @@
 	Removed  bool     `cbor:"4,keyasint,omitempty" json:"removed,omitempty"`
 }
 
-// Column describes one column of a kind of row.
+// Column describes a column of a kind of row.
 type Column struct {
 	Name    string
 	Unit    string
@@ -97,10 +97,10 @@
 	},
 }
 
-// Columns lists the columns of a kind of row; nil for an unknown kind.
+// Columns returns the columns of a kind of row; nil for an unknown kind.
 func Columns(kind RowKind) []Column { return columns[kind] }
 
-// Default returns the value of a cell that nobody has set.
+// Default returns the value of an unset cell.
 func (k CellKey) Default() int64 {
 	for _, c := range columns[k.Kind] {
 		if c.Name == k.Column {
@@ -110,7 +110,7 @@
 	return 0
 }
 
-// CheckCell reports why value may not stand at k, naming row, cell and range.
+// CheckCell returns an error that names row, cell and range if value is not valid for k.
 func CheckCell(k CellKey, value int64) error {
 	cols, ok := columns[k.Kind]
 	if !ok {
@@ -133,10 +133,10 @@
 	return fmt.Errorf("cell %s: a %s has no column %q; want one of %s", k, k.Kind, k.Column, strings.Join(names, ", "))
 }
 
-// maxName bounds the names of rows, jobs, teams and VMs, in bytes.
+// maxName is the maximum length of the names of rows, jobs, teams and VMs, in bytes.
 const maxName = 64
 
-// CheckName reports why s may not name a row, job, team or VM.
+// CheckName returns an error if s is not a valid name of a row, job, team or VM.
 func CheckName(s string) error {
 	if s == "" || len(s) > maxName {
 		return fmt.Errorf("name %q: want 1 to %d characters", s, maxName)
@@ -150,10 +150,10 @@
 	return nil
 }
 
-// Table reads cells. The zero revision of a missing cell is 0.
+// Table provides read access to cells.
 type Table interface {
 	// Value returns the cell's number, or its column's default if unset.
 	Value(k CellKey) int64
-	// Revision is that of the newest change the table holds.
+	// Revision returns the revision of the newest change in the table.
 	Revision() Revision
 }
--- a/upstream.go
+++ b/upstream.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Load is what an agent reports about its upstream, on answers and probes.
+// Load is the load of an upstream that its agent reports, with responses and probe responses.
 type Load struct {
-	InFlight int           `cbor:"1,keyasint,omitempty"` // requests holding a slot
+	InFlight int           `cbor:"1,keyasint,omitempty"` // requests that hold a slot
 	Queued   int           `cbor:"2,keyasint,omitempty"`
 	Slots    int           `cbor:"3,keyasint,omitempty"`
 	Latency  time.Duration `cbor:"4,keyasint,omitempty"` // recent median at the present load
@@ -12,25 +12,25 @@
 	Down     bool          `cbor:"6,keyasint,omitempty"`
 }
 
-// Upstream is one back end as a Picker sees it.
+// Upstream is an upstream as a Picker sees it.
 type Upstream struct {
 	Place Place
 	Addr  string // the agent's address for requests, host:port
 }
 
-// Picker chooses an upstream. It is driven by events and given times, holds no
-// sockets, and is not safe for concurrent use; callers lock round it.
+// Picker chooses an upstream. It is driven by events with given times, uses no sockets, and is not
+// safe for concurrent use.
 type Picker interface {
-	// SetUpstreams replaces the list. What is known of those that stay is kept.
+	// SetUpstreams replaces the list of upstreams. The records of those that stay are kept.
 	SetUpstreams(us []Upstream, now time.Time)
-	// Pick returns a VM to send a request to; ok is false when none is usable.
-	// VMs in tried are avoided.
+	// Pick returns the VM to send a request to, and avoids the VMs in tried. ok is false if no VM
+	// is usable.
 	Pick(now time.Time, tried []VMID) (vm VMID, why string, ok bool)
-	// Sent notes that a request went to vm.
+	// Sent records that a request was sent to vm.
 	Sent(vm VMID, now time.Time)
-	// Done notes that the request ended; failed is for broken ones. took is 0
-	// if it says nothing about the latency, as for a refusal or a feed.
+	// Done records that a request ended; failed is true for broken ones. took is 0 if it is no
+	// measure of the latency, as for a refusal or a feed.
 	Done(vm VMID, took time.Duration, failed bool, now time.Time)
-	// Observe takes a load that an agent reported.
+	// Observe records a load that an agent reported.
 	Observe(vm VMID, l Load, now time.Time)
 }
--- a/wire/calls.go
+++ b/wire/calls.go
@@ -2,8 +2,7 @@
 
 import "sync"
 
-// Calls matches answers of type A to what was asked in a session. It is safe for
-// concurrent use.
+// Calls matches responses of type A to the requests of a session. It is safe for concurrent use.
 type Calls[A any] struct {
 	mu      sync.Mutex
 	lastID  uint64
@@ -13,8 +12,8 @@
 // NewCalls returns an empty Calls.
 func NewCalls[A any]() *Calls[A] { return &Calls[A]{waiting: map[uint64]chan A{}} }
 
-// Open returns the ID of a new call and where its answer comes. The channel is
-// closed without an answer if the session ends first.
+// Open returns the ID of a new call and the channel of its response. The channel is closed without
+// a response if the session ends first.
 func (c *Calls[A]) Open() (id uint64, answer <-chan A) {
 	ch := make(chan A, 1)
 	c.mu.Lock()
@@ -24,7 +23,8 @@
 	return c.lastID, ch
 }
 
-// Answer brings a call its answer; one that nobody waits for any more is dropped.
+// Answer delivers the response of a call. It drops the response if the call is unknown or
+// forgotten.
 func (c *Calls[A]) Answer(id uint64, a A) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -34,15 +34,15 @@
 	}
 }
 
-// Forget drops a call that is not waited for any more.
+// Forget drops a call whose response is no longer needed.
 func (c *Calls[A]) Forget(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.waiting, id)
 }
 
-// End closes all calls of a session that has ended. Its Outbox is closed before,
-// so that no call is opened and sent in between.
+// End closes all calls at the end of a session. The Outbox must be closed before, so that no call
+// is opened and sent in between.
 func (c *Calls[A]) End() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -1,11 +1,11 @@
 // Package wire carries messages between the project's own processes: CBOR
 // (RFC 8949) in binary WebSocket messages (RFC 6455).
 //
-// A message is a struct of pointers of which one is set, so that a reader that
-// does not know a newer kind sees an empty message and can pass over it. Field
-// keys are small integers and never change their meaning.
+// A message is a struct of pointers of which one is set, so that a reader that does not know a
+// newer kind sees an empty message and can ignore it. Field keys are small integers and never
+// change their meaning.
 //
-// Every connection bounds the silence of its other end (Liveness).
+// Each end of a connection closes it if the other end is silent for too long (Liveness).
 package wire
 
 import (
@@ -25,11 +25,11 @@
 )
 
 const (
-	// MaxMessage bounds a message, in bytes. The largest is a snapshot.
+	// MaxMessage is the maximum size of a message, in bytes. The largest messages are snapshots.
 	MaxMessage = 64 << 20
 	// sendTimeout bounds one write to a peer that does not read.
 	sendTimeout = 5 * time.Second
-	// DialTimeout bounds setting up a connection.
+	// DialTimeout bounds the setup of a connection.
 	DialTimeout = 2 * time.Second
 )
 
@@ -41,21 +41,20 @@
 	return m
 }()
 
-// Conn is a connection that carries messages of type Out one way and of type
-// In the other. One goroutine may receive while others send. Somebody has to
-// receive all the time, also where no messages are expected: silence is only
-// noticed while the connection is read.
+// Conn is a connection that sends messages of type Out and receives messages of type In. One
+// goroutine may receive while others send. Some goroutine must receive all the time, even if no
+// messages are expected, because silence is only detected while the connection is read.
 type Conn[Out, In any] struct {
 	ws               *websocket.Conn
-	alive            Liveness
+	liveness         Liveness
 	watch            watch
 	ticker           *time.Timer
-	silent           atomic.Bool // it was given up for silence
-	sendingKeepAlive atomic.Bool // a keep-alive is being written
+	silent           atomic.Bool // closed because of silence
+	sendingKeepAlive atomic.Bool // a keep-liveness is being written
 }
 
 // Dial connects to url, which starts with ws://.
-func Dial[Out, In any](ctx context.Context, url string, alive Liveness) (c *Conn[Out, In], err error) {
+func Dial[Out, In any](ctx context.Context, url string, liveness Liveness) (c *Conn[Out, In], err error) {
 	defer errs.Annotate(&err, "dial %s", url)
 	ctx, cancel := context.WithTimeout(ctx, DialTimeout)
 	defer cancel()
@@ -66,38 +65,38 @@
 	if resp.Body != nil {
 		_ = resp.Body.Close()
 	}
-	return newConn[Out, In](ws, alive), nil
+	return newConn[Out, In](ws, liveness), nil
 }
 
-// Accept upgrades a request.
-func Accept[Out, In any](w http.ResponseWriter, r *http.Request, alive Liveness) (c *Conn[Out, In], err error) {
+// Accept upgrades an HTTP request to a connection.
+func Accept[Out, In any](w http.ResponseWriter, r *http.Request, liveness Liveness) (c *Conn[Out, In], err error) {
 	defer errs.Annotate(&err, "accept")
 	ws, err := websocket.Accept(w, r, &websocket.AcceptOptions{CompressionMode: websocket.CompressionDisabled})
 	if err != nil {
 		return nil, err
 	}
-	return newConn[Out, In](ws, alive), nil
+	return newConn[Out, In](ws, liveness), nil
 }
 
-func newConn[Out, In any](ws *websocket.Conn, alive Liveness) *Conn[Out, In] {
+func newConn[Out, In any](ws *websocket.Conn, liveness Liveness) *Conn[Out, In] {
 	ws.SetReadLimit(MaxMessage)
-	c := &Conn[Out, In]{ws: ws, alive: alive}
-	// The timer starts once it stands in its field, where tick looks for it.
+	c := &Conn[Out, In]{ws: ws, liveness: liveness}
+	// The timer is started only after the field is set, since tick reads the field.
 	c.ticker = time.AfterFunc(math.MaxInt64, c.tick)
-	c.ticker.Reset(alive.tick())
+	c.ticker.Reset(liveness.tick())
 	return c
 }
 
-// tick gives the connection up if it has been silent, and keeps it alive.
+// tick closes a silent connection, and sends a keep-alive on an idle one.
 func (c *Conn[Out, In]) tick() {
 	silent, idle := c.watch.tick()
 	if silent {
 		c.silent.Store(true)
-		silentTotal.WithLabelValues(c.alive.kind).Inc()
+		silentTotal.WithLabelValues(c.liveness.kind).Inc()
 		c.Close()
 		return
 	}
-	c.ticker.Reset(c.alive.tick()) // before the write, which may wait for the peer
+	c.ticker.Reset(c.liveness.tick()) // before the write, which may block
 	if idle && c.sendingKeepAlive.CompareAndSwap(false, true) {
 		defer c.sendingKeepAlive.Store(false)
 		if c.write(context.Background(), keepAlive) != nil {
@@ -123,8 +122,8 @@
 	return c.ws.Write(ctx, websocket.MessageBinary, data)
 }
 
-// Receive reads one message. After an error the connection is closed; ErrSilent
-// says why where the other end sent nothing any more.
+// Receive reads one message. After an error the connection is closed; the error is ErrSilent if
+// that was because of silence.
 func (c *Conn[Out, In]) Receive(ctx context.Context) (m In, err error) {
 	defer errs.Annotate(&err, "receive")
 	c.watch.setReading(true)
@@ -132,7 +131,7 @@
 	data, err := c.read(ctx)
 	switch {
 	case c.silent.Load():
-		return m, fmt.Errorf("%w for %s", ErrSilent, c.alive.Limit())
+		return m, fmt.Errorf("%w for %s", ErrSilent, c.liveness.Limit())
 	case err != nil:
 		return m, err
 	}
@@ -143,7 +142,7 @@
 	return m, nil
 }
 
-// read returns the next message that is no keep-alive.
+// read returns the next message that is not a keep-alive.
 func (c *Conn[Out, In]) read(ctx context.Context) ([]byte, error) {
 	for {
 		_, r, err := c.ws.Reader(ctx)
@@ -161,13 +160,13 @@
 	}
 }
 
-// maxReadBytes is the most that is read at a time, in bytes: a reader fills what it is
-// given, so that megabytes would be one sign of life. A message of 5 MB at 2 MB/s was
-// taken for silence of 500 ms; pieces of 16 KiB pass at 33 KB/s.
+// maxReadBytes bounds one read, in bytes. A reader fills the whole buffer before it returns, so
+// that with a large buffer megabytes would count as one sign of activity: a message of 5 MB at 2
+// MB/s was taken for silence of 500 ms. Pieces of 16 KiB need 33 KB/s.
 const maxReadBytes = 16 << 10
 
-// activityReader notes each piece of a long message as a sign of life: on a slow link a
-// snapshot takes longer than the silence limit.
+// activityReader records each piece of a long message as activity. On a slow link a snapshot takes
+// longer than the silence limit.
 type activityReader struct {
 	r io.Reader
 	w *watch
@@ -182,14 +181,14 @@
 	return n, err
 }
 
-// ReceiveWithin reads one message, and fails if none comes in time.
+// ReceiveWithin reads one message, and fails if none arrives within d.
 func (c *Conn[Out, In]) ReceiveWithin(ctx context.Context, d time.Duration) (m In, err error) {
 	ctx, cancel := context.WithTimeout(ctx, d)
 	defer cancel()
 	return c.Receive(ctx)
 }
 
-// Close ends the connection at once.
+// Close closes the connection at once.
 func (c *Conn[Out, In]) Close() {
 	c.ticker.Stop()
 	_ = c.ws.CloseNow()
--- a/wire/liveness_test.go
+++ b/wire/liveness_test.go
@@ -15,23 +15,23 @@
 	"rudderfork.example/rudderfork/internal/faultlink"
 )
 
-// testAlive is a liveness short enough for tests.
-var testAlive = NewLiveness("test", 90*time.Millisecond)
+// testLiveness is short enough for tests.
+var testLiveness = NewLiveness("test", 90*time.Millisecond)
 
-// note is a message of the tests.
-type note struct {
+// message is the message type of the tests.
+type message struct {
 	Text string `cbor:"1,keyasint,omitempty"`
 }
 
-type noteConn = Conn[note, note]
+type messageConn = Conn[message, message]
 
 // connect returns the two ends of a connection through a proxy.
-func connect(t *testing.T) (dialled, accepted *noteConn, p *faultlink.Proxy) {
+func connect(t *testing.T) (dialled, accepted *messageConn, p *faultlink.Proxy) {
 	t.Helper()
-	ends := make(chan *noteConn, 1)
+	ends := make(chan *messageConn, 1)
 	done := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		c, err := Accept[note, note](w, r, testAlive)
+		c, err := Accept[message, message](w, r, testLiveness)
 		if err != nil {
 			t.Error(err)
 			return
@@ -45,49 +45,49 @@
 	t.Cleanup(srv.Close)
 	t.Cleanup(func() { close(done) })
 	t.Cleanup(p.Close)
-	dialled, err = Dial[note, note](t.Context(), "ws://"+p.Addr(), testAlive)
+	dialled, err = Dial[message, message](t.Context(), "ws://"+p.Addr(), testLiveness)
 	assert.NilError(t, err)
 	t.Cleanup(dialled.Close)
 	return dialled, <-ends, p
 }
 
-// outcome is what a Receive returned.
-type outcome struct {
-	m   note
+// received is the result of a Receive.
+type received struct {
+	m   message
 	err error
 }
 
 // receive reads one message in the background.
-func receive(c *noteConn) <-chan outcome {
-	out := make(chan outcome, 1)
+func receive(c *messageConn) <-chan received {
+	out := make(chan received, 1)
 	go func() {
 		m, err := c.Receive(context.Background())
-		out <- outcome{m, err}
+		out <- received{m, err}
 	}()
 	return out
 }
 
-func assertSilent(t *testing.T, out <-chan outcome) {
+func assertSilent(t *testing.T, out <-chan received) {
 	t.Helper()
 	assert.ErrorIs(t, (<-out).err, ErrSilent)
 }
 
-// assertEnded asserts that an end heard of the other's giving up.
-func assertEnded(t *testing.T, out <-chan outcome) {
+// assertEnded asserts that the other end closed the connection.
+func assertEnded(t *testing.T, out <-chan received) {
 	t.Helper()
 	err := (<-out).err
 	assert.Assert(t, err != nil && !errors.Is(err, ErrSilent), "%v", err)
 }
 
 func TestSilentConnection(t *testing.T) {
-	t.Run("both ways", func(t *testing.T) {
+	t.Run("both directions", func(t *testing.T) {
 		dialled, accepted, p := connect(t)
 		p.Silence(faultlink.Forth, faultlink.Back)
 		a, b := receive(dialled), receive(accepted)
 		assertSilent(t, a)
 		assertSilent(t, b)
 	})
-	t.Run("to the one that accepted", func(t *testing.T) {
+	t.Run("towards the accepting end", func(t *testing.T) {
 		dialled, accepted, p := connect(t)
 		p.Silence(faultlink.Forth)
 		a, b := receive(dialled), receive(accepted)
@@ -95,7 +95,7 @@
 		accepted.Close()
 		assertEnded(t, a)
 	})
-	t.Run("to the one that dialled", func(t *testing.T) {
+	t.Run("towards the dialling end", func(t *testing.T) {
 		dialled, accepted, p := connect(t)
 		p.Silence(faultlink.Back)
 		a, b := receive(dialled), receive(accepted)
@@ -103,21 +103,21 @@
 		dialled.Close()
 		assertEnded(t, b)
 	})
-	t.Run("an idle one lives on", func(t *testing.T) {
+	t.Run("an idle connection stays open", func(t *testing.T) {
 		dialled, accepted, _ := connect(t)
 		a, b := receive(dialled), receive(accepted)
 		silent, other, p := connect(t)
 		p.Silence(faultlink.Forth, faultlink.Back)
-		assertSilent(t, receive(silent)) // so long has the other one been idle
+		assertSilent(t, receive(silent)) // the first connection has been idle for as long
 		other.Close()
-		assert.NilError(t, dialled.Send(t.Context(), note{"forth"}))
-		assert.NilError(t, accepted.Send(t.Context(), note{"back"}))
-		assert.Equal(t, <-b, outcome{m: note{"forth"}})
-		assert.Equal(t, <-a, outcome{m: note{"back"}})
+		assert.NilError(t, dialled.Send(t.Context(), message{"forth"}))
+		assert.NilError(t, accepted.Send(t.Context(), message{"back"}))
+		assert.Equal(t, <-b, received{m: message{"forth"}})
+		assert.Equal(t, <-a, received{m: message{"back"}})
 	})
 }
 
-// TestWatch holds what a connection counts as silence, tick by tick.
+// TestWatch checks what counts as silence, tick by tick.
 func TestWatch(t *testing.T) {
 	ticks := func(w *watch, n int) (silent bool) {
 		for range n {
@@ -132,7 +132,7 @@
 		assert.Assert(t, !ticks(&w, missedTicks-1))
 		assert.Assert(t, ticks(&w, 1))
 	})
-	t.Run("a byte a tick is enough", func(t *testing.T) {
+	t.Run("one byte is enough", func(t *testing.T) {
 		var w watch
 		w.setReading(true)
 		for range 3 * missedTicks {
@@ -140,13 +140,13 @@
 			assert.Assert(t, !ticks(&w, missedTicks))
 		}
 	})
-	t.Run("not counted while nobody reads", func(t *testing.T) {
+	t.Run("silence is not counted while nobody reads", func(t *testing.T) {
 		var w watch
 		assert.Assert(t, !ticks(&w, 10*missedTicks))
 		w.setReading(true)
 		assert.Assert(t, !ticks(&w, missedTicks-1))
 	})
-	t.Run("a keep-alive is due where nothing was sent", func(t *testing.T) {
+	t.Run("a keep-alive is due if nothing was sent", func(t *testing.T) {
 		var w watch
 		_, idle := w.tick()
 		assert.Assert(t, idle)
@@ -158,8 +158,8 @@
 	})
 }
 
-// fullReader fills whatever it is given, as the reader of a long frame does, and lets
-// a tick pass for each piece of that size.
+// fullReader fills the whole buffer on each read, like the reader of a long frame, and ends one
+// tick for each piece bytes.
 type fullReader struct {
 	t     *testing.T
 	w     *watch
@@ -172,7 +172,7 @@
 	n = min(len(p), r.left)
 	for range n / r.piece {
 		silent, _ := r.w.tick()
-		assert.Assert(r.t, !silent, "with %d bytes to come", r.left)
+		assert.Assert(r.t, !silent, "with %d bytes left", r.left)
 	}
 	r.left -= n
 	if n == 0 {
@@ -181,9 +181,8 @@
 	return n, err
 }
 
-// TestLongMessage reads a message of megabytes that comes slowly: it is no silence,
-// although no whole message comes. (The slice that it is read into grows with it, and
-// was filled before anything counted as heard.)
+// TestLongMessage guards against taking a slow message of megabytes for silence, because a read
+// that fills a large buffer counts as one sign of activity.
 func TestLongMessage(t *testing.T) {
 	var w watch
 	w.setReading(true)
@@ -193,8 +192,8 @@
 	assert.Equal(t, len(data), size)
 }
 
-// TestKeepAliveIsEmptyMessage holds that a reader that knows no keep-alives sees
-// an empty message.
+// TestKeepAliveIsEmptyMessage checks that a reader that does not know keep-alives reads an empty
+// message.
 func TestKeepAliveIsEmptyMessage(t *testing.T) {
 	var m Peer
 	assert.NilError(t, decoder.Unmarshal(keepAlive, &m))
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -8,26 +8,26 @@
 	"rudderfork.example/rudderfork/state"
 )
 
-// Version is the version of the messages. A process refuses another.
+// Version is the version of the messages. A process refuses peers with another version.
 const Version = 1
 
-// CheckVersion refuses a process that speaks another version.
+// CheckVersion returns an error if a process uses another version.
 func CheckVersion(process string, version int) error {
 	if version != Version {
-		return fmt.Errorf("%s speaks version %d; want %d", process, version, Version)
+		return fmt.Errorf("%s uses message version %d; want %d", process, version, Version)
 	}
 	return nil
 }
 
-// Peer passes between control processes, from the one that dialled.
+// Peer is a message between control processes. It is sent by the process that dialled.
 type Peer struct {
 	Quorum    *quorum.Message `cbor:"1,keyasint,omitempty"`
-	Join      *quorum.Member  `cbor:"2,keyasint,omitempty"` // asks to be added
-	Self      *quorum.Member  `cbor:"3,keyasint,omitempty"` // the sender, once at the start
-	Forwarded bool            `cbor:"4,keyasint,omitempty"` // Join was passed on by a follower
+	Join      *quorum.Member  `cbor:"2,keyasint,omitempty"` // asks to add a member
+	Self      *quorum.Member  `cbor:"3,keyasint,omitempty"` // the sender; sent once, first
+	Forwarded bool            `cbor:"4,keyasint,omitempty"` // Join was forwarded by a follower
 }
 
-// NodeKind tells the two kinds of process that hold a session with control.
+// NodeKind is the kind of a process that holds a session with control.
 type NodeKind string
 
 // The kinds of node.
@@ -36,7 +36,7 @@
 	KindAgent NodeKind = "agent"
 )
 
-// ToControl is sent by entries and agents.
+// ToControl is a message from an entry or agent to control.
 type ToControl struct {
 	Hello     *Hello         `cbor:"1,keyasint,omitempty"`
 	Heartbeat *Heartbeat     `cbor:"2,keyasint,omitempty"`
@@ -46,7 +46,7 @@
 	Notes     []DecisionNote `cbor:"6,keyasint,omitempty"`
 }
 
-// ToNode is sent by control.
+// ToNode is a message from control to an entry or agent.
 type ToNode struct {
 	Redirect   *Redirect      `cbor:"1,keyasint,omitempty"`
 	Welcome    *Welcome       `cbor:"2,keyasint,omitempty"`
@@ -58,8 +58,7 @@
 	Result     *CommandResult `cbor:"8,keyasint,omitempty"`
 }
 
-// Hello opens a session. Region, failure domain and group of the sender stand
-// in its place, so that a regional relay can later stand between.
+// Hello opens a session. The failure domain and region of the sender are in Place.
 type Hello struct {
 	Version       int                 `cbor:"1,keyasint"`
 	Kind          NodeKind            `cbor:"2,keyasint"`
@@ -67,28 +66,28 @@
 	Place         rudderfork.Place    `cbor:"4,keyasint"`
 	Boot          string              `cbor:"5,keyasint"` // new with each start of the process
 	Admin         string              `cbor:"6,keyasint"` // host:port of its admin server
-	TableRevision rudderfork.Revision `cbor:"7,keyasint"` // of the table in force there
+	TableRevision rudderfork.Revision `cbor:"7,keyasint"` // of the sender's table
 	Register      *state.Register     `cbor:"8,keyasint,omitempty"`
 }
 
-// Redirect says that another control process leads; Addr may be empty.
+// Redirect says that another control process leads. Addr is empty if the leader is unknown.
 type Redirect struct {
 	Addr string `cbor:"1,keyasint,omitempty"`
 }
 
-// Welcome says that the session stands.
+// Welcome accepts a session.
 type Welcome struct {
 	Epoch rudderfork.Token `cbor:"1,keyasint"` // of the VM; agents only
 }
 
-// Update brings the table from one revision to a later one.
+// Update is the difference between two revisions of the table.
 type Update struct {
 	From  rudderfork.Revision `cbor:"1,keyasint"`
 	To    rudderfork.Revision `cbor:"2,keyasint"`
 	Cells []rudderfork.Cell   `cbor:"3,keyasint,omitempty"`
 }
 
-// UpstreamInfo is one VM that serves.
+// UpstreamInfo is a VM that serves requests.
 type UpstreamInfo struct {
 	Place    rudderfork.Place     `cbor:"1,keyasint"`
 	Addr     string               `cbor:"2,keyasint"`
@@ -97,13 +96,13 @@
 	Leaving  bool                 `cbor:"5,keyasint,omitempty"`
 }
 
-// Upstreams is the whole list of live agents with services.
+// Upstreams is the complete list of live agents with services.
 type Upstreams struct {
 	Revision rudderfork.Revision `cbor:"1,keyasint"`
 	List     []UpstreamInfo      `cbor:"2,keyasint"`
 }
 
-// Assign is all that a VM is to run.
+// Assign is the complete list of leases of a VM.
 type Assign struct {
 	Epoch    rudderfork.Token    `cbor:"1,keyasint"`
 	Revision rudderfork.Revision `cbor:"2,keyasint"`
@@ -111,8 +110,8 @@
 	Draining bool                `cbor:"4,keyasint,omitempty"`
 }
 
-// Grant answers a Beat. It extends the VM's lease; with epoch 0 it is a sign of
-// life alone.
+// Grant answers a Heartbeat and extends the lease of the VM. With epoch 0 it only confirms that the
+// leader is alive.
 type Grant struct {
 	Epoch    rudderfork.Token `cbor:"1,keyasint"`
 	Deadline int64            `cbor:"2,keyasint"` // Unix ms
@@ -120,17 +119,18 @@
 
 // Heartbeat is the heartbeat of a node. Control answers an agent's with a Grant.
 type Heartbeat struct {
-	TableRevision rudderfork.Revision `cbor:"1,keyasint"` // of the table in force there
+	TableRevision rudderfork.Revision `cbor:"1,keyasint"` // of the sender's table
 	Epoch         rudderfork.Token    `cbor:"2,keyasint,omitempty"`
 	Services      []ServiceUsage      `cbor:"3,keyasint,omitempty"`
 	Tasks         []TaskUsage         `cbor:"4,keyasint,omitempty"`
 	Leaving       bool                `cbor:"5,keyasint,omitempty"`
 
-	// Exhausted says that throttling all tasks was not enough for the services.
+	// Exhausted means that throttling all tasks was not enough for the services to meet their
+	// targets.
 	Exhausted bool `cbor:"6,keyasint,omitempty"`
 }
 
-// ServiceUsage sums up a service's requests at one upstream since the last beat.
+// ServiceUsage summarizes a service's requests at one upstream since the last heartbeat.
 type ServiceUsage struct {
 	Service  rudderfork.Service `cbor:"1,keyasint"`
 	Requests int                `cbor:"2,keyasint"`
@@ -140,7 +140,7 @@
 	Busy     float64            `cbor:"6,keyasint,omitempty"` // share of slots in use
 }
 
-// TaskUsage is what a task was seen to use.
+// TaskUsage is the measured usage of a task.
 type TaskUsage struct {
 	Task       rudderfork.TaskID    `cbor:"1,keyasint"`
 	Token      rudderfork.Token     `cbor:"2,keyasint"`
@@ -151,18 +151,18 @@
 	At         int64                `cbor:"7,keyasint"` // of the measurement, Unix ms
 }
 
-// ReportBatch says how attempts ended. It is resent until taken.
+// ReportBatch reports how attempts ended. It is resent until it is acknowledged.
 type ReportBatch struct {
 	ID      uint64              `cbor:"1,keyasint"`
 	Reports []rudderfork.Report `cbor:"2,keyasint"`
 }
 
-// ReportsAck answers a ReportBatch once it is committed.
+// ReportsAck acknowledges a ReportBatch once it is committed.
 type ReportsAck struct {
 	ID uint64 `cbor:"1,keyasint"`
 }
 
-// ClaimRequest asks for a claim.
+// ClaimRequest requests a claim.
 type ClaimRequest struct {
 	ID  uint64         `cbor:"1,keyasint"`
 	Ask state.ClaimAsk `cbor:"2,keyasint"`
@@ -178,10 +178,11 @@
 type CommandResult struct {
 	ID     uint64       `cbor:"1,keyasint"`
 	Result state.Result `cbor:"2,keyasint"`
-	Failed string       `cbor:"3,keyasint,omitempty"` // not committed, or not known to be
+	Failed string       `cbor:"3,keyasint,omitempty"` // error text if the command was not, or possibly not, committed
 }
 
-// DecisionNote is a decision that an agent took by itself, for explanations.
+// DecisionNote is a decision that an agent made by itself. It is kept to explain what happened to a
+// task.
 type DecisionNote struct {
 	At     int64             `cbor:"1,keyasint"` // Unix ms
 	Task   rudderfork.TaskID `cbor:"2,keyasint"`
@@ -189,32 +190,32 @@
 	Reason string            `cbor:"4,keyasint"`
 }
 
-// ToAgent is sent by an entry to an agent, beside the requests.
+// ToAgent is a message from an entry to an agent, in the session beside the requests.
 type ToAgent struct {
 	Probe *Probe `cbor:"1,keyasint,omitempty"`
 	Fence *Fence `cbor:"2,keyasint,omitempty"`
 
-	// Drained answers ToEntry.Stopping: no request of this entry is on its way to
-	// the agent, and none will be sent.
+	// Drained answers ToEntry.Stopping: the entry has no request in flight to the agent and sends
+	// no more.
 	Drained bool `cbor:"3,keyasint,omitempty"`
 }
 
-// ToEntry answers it.
+// ToEntry is a message from an agent to an entry.
 type ToEntry struct {
 	Load   *LoadReport `cbor:"1,keyasint,omitempty"`
 	Fenced *Fenced     `cbor:"2,keyasint,omitempty"`
 
-	// Stopping comes unasked: the agent is to end and takes no more requests.
-	// Loads that come after it in the same session may be older.
+	// Stopping is sent unasked when the agent is about to end and accepts no more requests. Loads
+	// received after it in the same session may be older.
 	Stopping bool `cbor:"3,keyasint,omitempty"`
 
-	// InterimAnswers comes unasked, first in a session: the agent gives signs of life while
-	// it has a request that asks for them (relay.GiveSigns). Of an agent that does
-	// not say so, silence says nothing.
+	// InterimAnswers is sent unasked as the first message of a session: the agent sends interim
+	// responses while a request that asks for them is in progress (relay.GiveSigns). Without it,
+	// silence of the agent means nothing.
 	InterimAnswers bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Probe asks for the present load.
+// Probe requests the present load.
 type Probe struct {
 	Service rudderfork.Service `cbor:"1,keyasint"`
 }
@@ -225,23 +226,23 @@
 	Load    rudderfork.Load    `cbor:"2,keyasint"`
 }
 
-// Fence asks what became of a claimed request. If the agent has not seen it, it
-// will refuse it from now on.
+// Fence asks for the state of a claimed request. If the agent has not received the request, it
+// refuses it from then on.
 type Fence struct {
 	ID    uint64           `cbor:"1,keyasint"`
 	Key   state.ClaimKey   `cbor:"2,keyasint"`
 	Token rudderfork.Token `cbor:"3,keyasint"`
-	Boot  string           `cbor:"4,keyasint"` // that the claim names
+	Boot  string           `cbor:"4,keyasint"` // of the agent that the claim names
 }
 
 // RequestState is what an agent knows of a claimed request.
 type RequestState string
 
-// The fates.
+// The states.
 const (
-	RequestNever   RequestState = "never"   // not run, and never will under this token
-	RequestRunning RequestState = "running" // at the upstream now
-	RequestDone    RequestState = "done"    // the answer is known
+	RequestNever   RequestState = "never"   // did not run, and never will under this token
+	RequestRunning RequestState = "running" // in progress at the upstream
+	RequestDone    RequestState = "done"    // the response is known
 	RequestUnknown RequestState = "unknown"
 )
 
--- a/wire/outbox.go
+++ b/wire/outbox.go
@@ -2,31 +2,32 @@
 
 import "sync"
 
-// Outbox takes messages for the session that stands, if one does. The zero value
-// has none. It is safe for concurrent use.
+// Outbox queues messages for the current session, if there is one. The zero value has no session.
+// It is safe for concurrent use.
 type Outbox[M any] struct {
 	mu  sync.Mutex
 	out chan<- M
 }
 
-// Open lets messages go to a session's queue.
+// Open directs messages to a session's queue.
 func (o *Outbox[M]) Open(out chan<- M) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.out = out
 }
 
-// Close notes that no session stands.
+// Close marks that there is no session.
 func (o *Outbox[M]) Close() { o.Open(nil) }
 
-// Connected reports whether a session stands.
+// Connected reports whether there is a session.
 func (o *Outbox[M]) Connected() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.out != nil
 }
 
-// Send queues a message; false means that it was surely not sent.
+// Send queues a message. It returns false if there is no session or its queue is full; the message
+// is then not sent.
 func (o *Outbox[M]) Send(m M) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
