--- a/scheduler/ask.go
+++ b/scheduler/requests.go
@@ -123,6 +123,8 @@
 	return resp
 }
 
+// statusOf returns the status of the job at a path, or, at a queue's own path, the number of its
+// waiting jobs.
 func (s *Scheduler) statusOf(st *queue.State, p wire.HostPath) wire.QueueResponse {
 	doc := st.Document()
 	if doc == nil {
@@ -151,6 +153,7 @@
 	return wire.QueueResponse{Code: queue.OK, IsQueue: true, Waiting: waiting}
 }
 
+// waveOf returns how many machines of a wave are left.
 func waveOf(st *queue.State, id uint64) wire.QueueResponse {
 	w := st.Wave(id)
 	if w == nil {
@@ -159,6 +162,7 @@
 	return wire.QueueResponse{Code: queue.OK, Left: len(w.Remaining())}
 }
 
+// documentOf returns the text of the document of queues.
 func documentOf(st *queue.State) wire.QueueResponse {
 	doc := st.Document()
 	if doc == nil {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -8,7 +8,7 @@
 // such as heartbeats, the progress of runs, failure scores and advisers' tickets.
 //
 // Sessions: a node opens one connection to the leader; other control processes redirect
-// it. A front sends requests (ask.go). An agent sends heartbeats (vm.go): they register
+// it. A front sends requests (requests.go). An agent sends heartbeats (vm.go): they register
 // its VM where that is needed, and the leader answers each with a lease grant. An agent
 // also reports the ends of runs, which are committed and then acknowledged. A session
 // sends its agent orders: the difference between the runs that are committed for the VM
@@ -16,8 +16,8 @@
 //
 // Rounds: every 100 ms, or sooner after a change, the leader expires the leases of silent
 // VMs, makes a plan, commits the starts in it, and wakes the sessions that have new orders.
-// Stops are part of the plan and are sent without a commit, since stopping a run twice does
-// nothing; its end is committed once the agent reports it.
+// Stops are not committed: every plan computes all of them anew, and stopping a run twice does
+// nothing. The end of a run is committed once the agent reports it.
 //
 // Nothing is sent before a quorum has committed it: neither to a front that a job is
 // accepted, nor to an agent that an end is recorded, nor to a VM what to run. Fronts' and
@@ -314,15 +314,17 @@
 	s.logStarts(plan.Starts, res.Numbers)
 }
 
-func (s *Scheduler) logSummary(a *dispatch.FleetSummary, forecasts int) {
-	s.log.Info().Int("vms", a.VMs).Int("serving", a.Serving).Int("serving_images", a.ServingImages).
-		Int("fillers", a.Fillers).Int("waiting_fillers", a.WaitingFillers).Int("waiting_others", a.WaitingOthers).
-		Float64("filler_cores", a.FillerCores).Float64("paced_cores", a.PacedCores).
-		Float64("idle_cores", a.IdleCores).Float64("open_cores", a.TolerableCores).Int("forecasts", forecasts).Msg("fleet_account")
+func (s *Scheduler) logSummary(sum *dispatch.FleetSummary, forecasts int) {
+	s.log.Info().Int("vms", sum.VMs).Int("serving", sum.Serving).Int("serving_images", sum.ServingImages).
+		Int("fillers", sum.Fillers).Int("waiting_fillers", sum.WaitingFillers).Int("waiting_others", sum.WaitingOthers).
+		Float64("filler_cores", sum.FillerCores).Float64("paced_cores", sum.PacedCores).
+		Float64("idle_cores", sum.IdleCores).Float64("open_cores", sum.TolerableCores).Int("forecasts", forecasts).Msg("fleet_account")
 }
 
 const msPerSecond = 1_000
 
+// logStarts logs the starts of a plan with the numbers of their runs. A start with number 0 was
+// not made, since the state had changed between plan and commit.
 func (s *Scheduler) logStarts(starts []dispatch.Start, numbers []uint32) {
 	for i, st := range starts {
 		if numbers[i] == 0 {
@@ -342,12 +344,13 @@
 	}
 }
 
+// logStops logs the stops that earlier plans did not have.
 func (s *Scheduler) logStops(stops []dispatch.Stop) {
 	for _, st := range stops {
 		s.mu.Lock()
-		fresh := s.fleet.markStopLogged(st)
+		isNew := s.fleet.markStopLogged(st)
 		s.mu.Unlock()
-		if !fresh {
+		if !isNew {
 			continue
 		}
 		s.met.stops.Inc()
@@ -357,6 +360,7 @@
 	}
 }
 
+// record adds an event to the process's timeline.
 func (s *Scheduler) record(kind, subject, text string) {
 	s.rec.Record(rudderfork.Event{Kind: kind, Subject: subject, Text: text})
 }
--- a/scheduler/session.go
+++ b/scheduler/session.go
@@ -180,6 +180,7 @@
 	return addrs
 }
 
+// run serves the session until its connection fails, a message is refused or ctx ends.
 func (ses *session) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -230,6 +231,7 @@
 	}
 }
 
+// write sends replies, and orders whenever they are due, until ctx ends or a send fails.
 func (ses *session) write(ctx context.Context) {
 	for {
 		var m wire.ToQueueNode
