--- a/agent/claim.go
+++ b/agent/claim.go
@@ -61,7 +61,7 @@
 		return nil
 	}
 	c.status, c.ctype = resp.StatusCode, resp.Header.Get("Content-Type")
-	c.answer = relay.NewCapture(state.MaxAnswer)
+	c.answer = relay.NewCapture(state.MaxAnswerBytes)
 	return c.answer
 }
 
--- a/agent/tasks.go
+++ b/agent/tasks.go
@@ -44,7 +44,7 @@
 
 	mu       sync.Mutex
 	holder   *lease.Holder
-	ladder   throttle.Ladder
+	ladder   throttle.Controller
 	levels   map[rudderfork.TaskID]int
 	renewed  time.Time // the deadline that the worker was last given
 	seenAt   time.Time // when the worker last answered
@@ -83,7 +83,7 @@
 	t.mu.Lock()
 	switch {
 	case m.Welcome != nil:
-		t.holder.Welcome(m.Welcome.Epoch)
+		t.holder.StartSession(m.Welcome.Epoch)
 	case m.Grant != nil:
 		t.holder.Grant(m.Grant.Epoch, rudderfork.FromMillis(m.Grant.Deadline))
 	case m.Assign != nil:
@@ -132,7 +132,7 @@
 	t.seenAt = steady.Now()
 	t.holder.Observe(boot, list)
 	t.throttle()
-	actions := t.holder.Next(steady.Now())
+	actions := t.holder.NextActions(steady.Now())
 	deadline := t.holder.Deadline()
 	t.mu.Unlock()
 	if !seen {
--- a/bench/colocation.go
+++ b/bench/colocation.go
@@ -76,7 +76,7 @@
 	planner *placement.Planner
 	model   *interference.Model
 	usage   *usage.Model
-	ladders map[rudderfork.VMID]*throttle.Ladder
+	ladders map[rudderfork.VMID]*throttle.Controller
 	tasks   map[rudderfork.TaskID]*coloTask
 	due     map[rudderfork.JobID]time.Time
 	later   []func() // reports on their way, by second
@@ -87,7 +87,7 @@
 func runColo(cfg coloConfig, seed uint64) coloResult {
 	c := &colo{
 		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 21)), now: time.Unix(1_000_000, 0), s: state.New(),
-		model: interference.New(interference.Services()), ladders: map[rudderfork.VMID]*throttle.Ladder{},
+		model: interference.New(interference.Services()), ladders: map[rudderfork.VMID]*throttle.Controller{},
 		tasks: map[rudderfork.TaskID]*coloTask{}, due: map[rudderfork.JobID]time.Time{},
 	}
 	c.start = c.now
@@ -124,7 +124,7 @@
 
 func (c *colo) register(i int) {
 	vm := rudderfork.VMID(fmt.Sprintf("vm%02d", i))
-	c.ladders[vm] = &throttle.Ladder{}
+	c.ladders[vm] = &throttle.Controller{}
 	c.do(state.Command{Register: &state.Register{
 		Place: rudderfork.Place{VM: vm, Domain: rudderfork.Domain(fmt.Sprint("d", i%3))}, Services: []rudderfork.Service{coloService},
 		Capacity: rudderfork.Resources{CPUMilli: coloCPU, MemoryMB: 60_000}, Reserved: rudderfork.Resources{CPUMilli: coloCPU / 4},
@@ -137,7 +137,7 @@
 		c.submitWave()
 	}
 	if t == coloLost {
-		c.do(state.Command{Lost: &state.Lost{VM: "vm03", Epoch: c.s.VM("vm03").Epoch}})
+		c.do(state.Command{Lost: &state.VMLoss{VM: "vm03", Epoch: c.s.VM("vm03").Epoch}})
 	}
 	if t == coloLost+2*time.Minute {
 		c.register(3)
@@ -151,7 +151,7 @@
 			c.stepVM(v, t)
 		}
 	}
-	p := c.planner.Round(c.s, c.now)
+	p := c.planner.PlanRound(c.s, c.now)
 	if len(p.Evict.Evictions) > 0 {
 		c.res.evictions += float64(len(p.Evict.Evictions))
 		c.do(state.Command{Evict: &p.Evict})
--- a/bench/scale.go
+++ b/bench/scale.go
@@ -73,7 +73,7 @@
 		placed, rounds := 0, 0
 		start := time.Now()
 		for {
-			plan := p.Round(s, time.Unix(1000, 0))
+			plan := p.PlanRound(s, time.Unix(1000, 0))
 			if len(plan.Place.Placements) == 0 {
 				break
 			}
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -70,7 +70,7 @@
 // every fate is still known. (20,000 answers of 16 kB would have been 320 MB.)
 func TestBytes(t *testing.T) {
 	m := New()
-	body := make([]byte, state.MaxAnswer)
+	body := make([]byte, state.MaxAnswerBytes)
 	for i := range maxClaims {
 		k := state.ClaimKey{Key: fmt.Sprint(i)}
 		assert.NilError(t, m.Begin(k, 1, exp, t0))
--- a/control/control.go
+++ b/control/control.go
@@ -81,7 +81,7 @@
 func assemble(cfg Settings, log zerolog.Logger, store *disk.Store, rep *replica.Replica, peers *replica.Peers, ring *timeline.Ring, ln, adminLn net.Listener) *Process {
 	learned := &learned{interference: interference.New(interference.Services()), usage: usage.New(steady.Now)}
 	planner := placement.NewPlanner(placement.NewScored(learned), learned, learned, replica.Seed(cfg.Name))
-	grants := lease.NewGrants(cfg.LeaseTerm, cfg.ClockBound)
+	grants := lease.NewLessor(cfg.LeaseTerm, cfg.ClockBound)
 	hub := newHub(cfg, rep, grants, learned, log, ring)
 	lead := newLeader(cfg, rep, hub, planner, log, ring)
 	adm := admin.New(adminLn, ring, func() error { return nil })
--- a/control/explain.go
+++ b/control/explain.go
@@ -91,7 +91,7 @@
 // sayWaiting says why a task does not run now.
 func (a *api) sayWaiting(e *Explanation, s *state.State, t *state.Task, j *state.Job) {
 	size := s.JobSize(t.Job)
-	switch err := s.CheckShare(t, size); {
+	switch err := s.CheckLimits(t, size); {
 	case j.Blocked != "":
 		e.say("It cannot run as things stand: %s.", j.Blocked)
 	case err != nil:
@@ -99,7 +99,7 @@
 	default:
 		free := 0
 		for _, v := range s.VMs() {
-			if v.Live && !v.Draining && size.Fits(v.Room()) {
+			if v.Live && !v.Draining && size.Fits(v.FreeCapacity()) {
 				free++
 			}
 		}
@@ -141,9 +141,9 @@
 		e.say("Its lease ran out at %s; it gets no tasks until its agent registers again.", clock(v.LostAt))
 	case v.Draining:
 		e.say("It is leaving: it gets no new tasks or requests, and its tasks move away.")
-	case v.Aside(rudderfork.Millis(steady.Now())):
-		e.say("It is set aside until %s, because tasks of several jobs failed on it; then it is tried with one task.", clock(v.AsideUntil))
-	case v.Probation():
+	case v.Excluded(rudderfork.Millis(steady.Now())):
+		e.say("It is set aside until %s, because tasks of several jobs failed on it; then it is tried with one task.", clock(v.ExcludedUntil))
+	case v.OnProbation():
 		e.say("It is on probation with one task at a time, after tasks of several jobs failed on it.")
 	}
 	if age, ok := a.learned.ReportAge(vm, steady.Now()); ok {
--- a/control/hub.go
+++ b/control/hub.go
@@ -43,7 +43,7 @@
 
 	mu       sync.Mutex
 	term     uint64 // for which sessions are taken
-	grants   *lease.Grants
+	grants   *lease.Lessor
 	expiring map[rudderfork.VMID]bool
 	sessions map[*session]bool
 	nodes    map[string]Node // by process
@@ -71,7 +71,7 @@
 	BehindSince time.Time `json:"behind_since,omitzero"`
 }
 
-func newHub(cfg Settings, rep *replica.Replica, g *lease.Grants, l *learned, log zerolog.Logger, rec rudderfork.Recorder) *hub {
+func newHub(cfg Settings, rep *replica.Replica, g *lease.Lessor, l *learned, log zerolog.Logger, rec rudderfork.Recorder) *hub {
 	return &hub{
 		cfg: cfg, rep: rep, learned: l, log: log, rec: rec, grants: g,
 		expiring: map[rudderfork.VMID]bool{}, sessions: map[*session]bool{}, nodes: map[string]Node{},
--- a/control/hub_test.go
+++ b/control/hub_test.go
@@ -22,7 +22,7 @@
 func (nobody) Record(rudderfork.Event) {}
 
 func newTestHub() *hub {
-	return newHub(Settings{}, nil, lease.NewGrants(testTerm, testBound), nil, zerolog.Nop(), nobody{})
+	return newHub(Settings{}, nil, lease.NewLessor(testTerm, testBound), nil, zerolog.Nop(), nobody{})
 }
 
 func checkExpire(t *testing.T, h *hub, at time.Time, want bool) {
--- a/control/leader.go
+++ b/control/leader.go
@@ -101,11 +101,11 @@
 
 // expire frees the tasks of VMs whose lease has run out for sure.
 func (l *leader) expire(ctx context.Context) {
-	var lost []state.Lost
+	var lost []state.VMLoss
 	l.rep.View(func(s *state.State) {
 		for _, v := range s.VMs() {
 			if v.Live && l.hub.expire(v.Place.VM, steady.Now()) {
-				lost = append(lost, state.Lost{VM: v.Place.VM, Epoch: v.Epoch})
+				lost = append(lost, state.VMLoss{VM: v.Place.VM, Epoch: v.Epoch})
 			}
 		}
 	})
@@ -121,7 +121,7 @@
 
 func (l *leader) plan(ctx context.Context) {
 	var p placement.Plan
-	l.rep.View(func(s *state.State) { p = l.planner.Round(s, steady.Now()) })
+	l.rep.View(func(s *state.State) { p = l.planner.PlanRound(s, steady.Now()) })
 	if len(p.Evict.Evictions) > 0 {
 		if _, err := l.rep.Do(ctx, state.Command{Evict: &p.Evict}); err == nil {
 			for _, e := range p.Evict.Evictions {
--- a/control/learned.go
+++ b/control/learned.go
@@ -96,11 +96,11 @@
 	return l.usage.Pressure(vm)
 }
 
-// Exhausted implements placement.Usage.
-func (l *learned) Exhausted(vm rudderfork.VMID) bool {
+// TakeExhausted implements placement.Usage.
+func (l *learned) TakeExhausted(vm rudderfork.VMID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.usage.Exhausted(vm)
+	return l.usage.TakeExhausted(vm)
 }
 
 // Size implements placement.Usage.
@@ -110,11 +110,11 @@
 	return l.usage.Size(kind, declared)
 }
 
-// Lost implements placement.Usage.
-func (l *learned) Lost(t rudderfork.TaskID) int64 {
+// UnsavedWork implements placement.Usage.
+func (l *learned) UnsavedWork(t rudderfork.TaskID) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.usage.Lost(t)
+	return l.usage.UnsavedWork(t)
 }
 
 // Slowdown implements rudderfork.Interference.
--- a/control/metrics.go
+++ b/control/metrics.go
@@ -52,7 +52,7 @@
 	gauge(c.sessions, float64(c.hub.count()))
 	c.rep.View(func(s *state.State) {
 		gauge(c.table, float64(s.Revision()))
-		gauge(c.claims, float64(s.Claims()))
+		gauge(c.claims, float64(s.ClaimCount()))
 		live := 0
 		running := 0
 		for _, v := range s.VMs() {
--- a/control/session.go
+++ b/control/session.go
@@ -292,7 +292,7 @@
 		return
 	}
 	for i, r := range b.Reports {
-		if !res.Taken[i] {
+		if !res.Accepted[i] {
 			continue // it came before
 		}
 		s.hub.learned.forget(r.Task)
--- a/control/views.go
+++ b/control/views.go
@@ -133,7 +133,7 @@
 func (a *api) vmView(s *state.State, v *state.VM) VMView {
 	return VMView{
 		VM: v.Place.VM, Domain: v.Place.Domain, Rack: v.Place.Rack, Addr: v.Addr, Live: v.Live, Draining: v.Draining,
-		Aside: v.Aside(rudderfork.Millis(steady.Now())), Epoch: v.Epoch,
+		Aside: v.Excluded(rudderfork.Millis(steady.Now())), Epoch: v.Epoch,
 		Capacity: v.Capacity, Reserved: v.Reserved, Used: v.Used, Tasks: len(s.TasksOn(v.Place.VM)),
 		Services: v.Services, Pressure: a.learned.Pressure(v.Place.VM),
 	}
--- a/entry/claimed.go
+++ b/entry/claimed.go
@@ -90,7 +90,7 @@
 }
 
 // newAsk reads the body whole and prepares the claim.
-func (c *call) newAsk(key string) (*state.ClaimAsk, *rudderfork.Problem) {
+func (c *call) newAsk(key string) (*state.Acquire, *rudderfork.Problem) {
 	if len(key) > maxKey {
 		return nil, problem.New(http.StatusBadRequest, "malformed", fmt.Sprintf("Idempotency-Key is longer than %d bytes", maxKey), rudderfork.RanNo)
 	}
@@ -105,14 +105,14 @@
 	fmt.Fprintf(h, "%s %s\n", c.r.Method, c.url.RequestURI())
 	h.Write(c.body.kept)
 	window := c.h.table.Service(c.service, rudderfork.ColClaimWindow)
-	return &state.ClaimAsk{
+	return &state.Acquire{
 		Key: state.ClaimKey{Service: c.service, Key: key}, Digest: h.Sum(nil),
 		Expires: rudderfork.Millis(steady.Now().Add(time.Duration(window) * time.Second)),
 	}, nil
 }
 
 // obtain gets the claim for a VM. done is true if the caller was answered.
-func (c *call) obtain(ask *state.ClaimAsk, vm rudderfork.VMID) (cl *claimed, done bool) {
+func (c *call) obtain(ask *state.Acquire, vm rudderfork.VMID) (cl *claimed, done bool) {
 	info, ok := c.h.fleet.info(vm)
 	if !ok {
 		c.fail(c.unavailable("no-upstream", "the upstream has left"))
@@ -162,7 +162,7 @@
 // takeOver deals with a claim that someone else obtained. It returns true if
 // the request surely did not run, and ask is ready to take the claim over; else
 // the caller was answered.
-func (c *call) takeOver(ask *state.ClaimAsk, held *state.Claim) bool {
+func (c *call) takeOver(ask *state.Acquire, held *state.Claim) bool {
 	if string(held.Digest) != string(ask.Digest) {
 		c.fail(problem.New(http.StatusUnprocessableEntity, "key-reused", "the key was used for another request", rudderfork.RanNo))
 		return false
@@ -261,7 +261,7 @@
 // came whole; else the agent knows more.
 func (c *call) answerClaimed(a *attempt, cl *claimed) {
 	crash.Point(crash.EntrySent)
-	cp := relay.NewCapture(state.MaxAnswer)
+	cp := relay.NewCapture(state.MaxAnswerBytes)
 	status, ctype := a.resp.StatusCode, a.resp.Header.Get("Content-Type")
 	c.answer(a, cp)
 	crash.Point(crash.EntryAnswered)
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// Welcome starts a session under epoch. Leases of an older epoch are void.
-func (h *Holder) Welcome(epoch rudderfork.Token) {
+// StartSession starts a session under epoch. Leases of an older epoch are void.
+func (h *Holder) StartSession(epoch rudderfork.Token) {
 	if epoch <= h.epoch {
 		return
 	}
@@ -169,11 +169,11 @@
 	return l, ok
 }
 
-// Next returns what to do now, reports first. It returns nothing until an
+// NextActions returns what to do now, reports first. It returns nothing until an
 // assignment came and the worker was observed after it: an agent that has just
 // started must not stop what it does not know yet, and the worker stops by
 // itself when the lease ends.
-func (h *Holder) Next(now time.Time) []Action {
+func (h *Holder) NextActions(now time.Time) []Action {
 	if !h.known || !h.fresh {
 		return nil
 	}
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -23,22 +23,22 @@
 	"rudderfork.example/rudderfork"
 )
 
-// Grants keeps the deadlines that a leader has granted.
-type Grants struct {
+// Lessor keeps the deadlines that a leader has granted.
+type Lessor struct {
 	term      time.Duration
 	bound     time.Duration
 	deadlines map[rudderfork.VMID]time.Time
 }
 
-// NewGrants returns an empty set. term is the length of a lease, bound the
+// NewLessor returns an empty set. term is the length of a lease, bound the
 // largest difference between the clocks of two VMs.
-func NewGrants(term, bound time.Duration) *Grants {
-	return &Grants{term: term, bound: bound, deadlines: map[rudderfork.VMID]time.Time{}}
+func NewLessor(term, bound time.Duration) *Lessor {
+	return &Lessor{term: term, bound: bound, deadlines: map[rudderfork.VMID]time.Time{}}
 }
 
 // Reset starts a term of leadership at now: each of vms may hold a lease that
 // an earlier leader granted just before.
-func (g *Grants) Reset(vms []rudderfork.VMID, now time.Time) {
+func (g *Lessor) Reset(vms []rudderfork.VMID, now time.Time) {
 	clear(g.deadlines)
 	for _, vm := range vms {
 		g.deadlines[vm] = now.Add(g.term)
@@ -47,7 +47,7 @@
 
 // Grant extends a VM's lease and returns its deadline. contact is the time at
 // which a quorum was last known to follow this leader.
-func (g *Grants) Grant(vm rudderfork.VMID, contact time.Time) time.Time {
+func (g *Lessor) Grant(vm rudderfork.VMID, contact time.Time) time.Time {
 	d := contact.Add(g.term)
 	if d.After(g.deadlines[vm]) {
 		g.deadlines[vm] = d
@@ -56,7 +56,7 @@
 }
 
 // Expired reports whether no lease of the VM can be in force anywhere.
-func (g *Grants) Expired(vm rudderfork.VMID, now time.Time) bool {
+func (g *Lessor) Expired(vm rudderfork.VMID, now time.Time) bool {
 	d, ok := g.deadlines[vm]
 	return ok && now.After(d.Add(g.bound))
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -17,7 +17,7 @@
 
 func TestGrants(t *testing.T) {
 	const term, bound = 5 * time.Second, time.Second
-	g := NewGrants(term, bound)
+	g := NewLessor(term, bound)
 	check := func(t *testing.T, d time.Duration, want bool) {
 		t.Helper()
 		assert.Equal(t, g.Expired("vm1", at(d)), want, "after %v", d)
@@ -40,7 +40,7 @@
 
 func newHolder(tasks ...rudderfork.Lease) *Holder {
 	h := NewHolder(rudderfork.Resources{CPUMilli: 2000, MemoryMB: 2000})
-	h.Welcome(1)
+	h.StartSession(1)
 	h.Grant(1, at(5*time.Second))
 	h.Assign(1, 10, tasks)
 	return h
@@ -58,7 +58,7 @@
 func checkNext(t *testing.T, h *Holder, now time.Time, want ...string) {
 	t.Helper()
 	got := []string{}
-	for _, a := range h.Next(now) {
+	for _, a := range h.NextActions(now) {
 		switch {
 		case a.Start != nil:
 			got = append(got, fmt.Sprintf("start %s %d", a.Start.Task, a.Start.Token))
@@ -80,7 +80,7 @@
 	})
 	t.Run("nothing is stopped before an assignment came", func(t *testing.T) {
 		h := NewHolder(rudderfork.Resources{CPUMilli: 2000, MemoryMB: 2000})
-		h.Welcome(1)
+		h.StartSession(1)
 		h.Observe("b1", []WorkerTask{running(a)})
 		checkNext(t, h, t0)
 	})
@@ -147,7 +147,7 @@
 	})
 	t.Run("a new epoch voids what was wanted", func(t *testing.T) {
 		h := newHolder(a)
-		h.Welcome(2)
+		h.StartSession(2)
 		h.Observe("b1", nil)
 		checkNext(t, h, t0)
 		h.Grant(2, at(5*time.Second))
@@ -175,7 +175,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		room := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 4000}
 		h := NewHolder(room)
-		h.Welcome(1)
+		h.StartSession(1)
 		h.Grant(1, at(time.Hour))
 		worker := map[rudderfork.TaskID]WorkerTask{}
 		rev := rudderfork.Revision(1)
@@ -193,7 +193,7 @@
 				list = append(list, w)
 			}
 			h.Observe("b", list)
-			for _, a := range h.Next(t0) {
+			for _, a := range h.NextActions(t0) {
 				switch {
 				case a.Start != nil:
 					worker[a.Start.Task] = running(*a.Start)
--- a/node/client.go
+++ b/node/client.go
@@ -223,7 +223,7 @@
 func (c *Client) Send(m wire.ToControl) bool { return c.out.Send(m) }
 
 // Claim asks for a claim.
-func (c *Client) Claim(ctx context.Context, a state.ClaimAsk) (state.Result, error) {
+func (c *Client) Claim(ctx context.Context, a state.Acquire) (state.Result, error) {
 	return c.ask(ctx, func(id uint64) wire.ToControl {
 		return wire.ToControl{Claim: &wire.ClaimRequest{ID: id, Ask: a}}
 	})
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -40,13 +40,13 @@
 type Usage interface {
 	// Pressure is how near the VM's services are to their target: 1 at it.
 	Pressure(vm rudderfork.VMID) float64
-	// Exhausted reports, once for each report, that throttling all tasks of a
+	// TakeExhausted reports, once for each report, that throttling all tasks of a
 	// VM was not enough for its services.
-	Exhausted(vm rudderfork.VMID) bool
+	TakeExhausted(vm rudderfork.VMID) bool
 	// Size corrects a declared size by what tasks of the kind were seen to use.
 	Size(kind string, declared rudderfork.Resources) rudderfork.Resources
-	// Lost is the work, in units, that stopping a task would lose.
-	Lost(t rudderfork.TaskID) int64
+	// UnsavedWork is the work, in units, that stopping a task would lose.
+	UnsavedWork(t rudderfork.TaskID) int64
 }
 
 // NewPlanner returns a planner.
@@ -86,8 +86,8 @@
 	tasks int
 }
 
-// Round plans one round on s at now.
-func (p *Planner) Round(s *state.State, now time.Time) Plan {
+// PlanRound plans one round on s at now.
+func (p *Planner) PlanRound(s *state.State, now time.Time) Plan {
 	r := &round{
 		s: s, now: now,
 		teams:   map[rudderfork.Team]rudderfork.Resources{},
@@ -122,13 +122,13 @@
 func (p *Planner) views(s *state.State, now time.Time) []*view {
 	var vs []*view
 	for _, v := range s.VMs() {
-		if !v.Live || v.Draining || v.Aside(rudderfork.Millis(now)) {
+		if !v.Live || v.Draining || v.Excluded(rudderfork.Millis(now)) {
 			continue
 		}
 		on := s.TasksOn(v.Place.VM)
 		vw := &view{vm: v, tasks: len(on)}
 		vw.VMView = rudderfork.VMView{
-			Place: v.Place, Capacity: v.Capacity, Free: v.Room(), Services: v.Services,
+			Place: v.Place, Capacity: v.Capacity, Free: v.FreeCapacity(), Services: v.Services,
 			Tasks: map[string]int{}, Pressure: p.usage.Pressure(v.Place.VM),
 		}
 		for _, t := range on {
@@ -229,7 +229,7 @@
 	}
 	for i := range r.vms {
 		v := r.vms[(start+i)%len(r.vms)]
-		if v.vm.Probation() && v.tasks > 0 || !t.Size.Fits(v.Free) || p.crowded(t, v, r.now) {
+		if v.vm.OnProbation() && v.tasks > 0 || !t.Size.Fits(v.Free) || p.crowded(t, v, r.now) {
 			continue
 		}
 		out = append(out, v.VMView)
@@ -325,20 +325,20 @@
 // one whose stop loses least work for its weight.
 func (p *Planner) relieve(r *round) {
 	for _, v := range r.vms {
-		if len(v.Services) == 0 || !p.usage.Exhausted(v.Place.VM) {
+		if len(v.Services) == 0 || !p.usage.TakeExhausted(v.Place.VM) {
 			continue
 		}
 		var best *state.Task
 		least := 0.0
 		for _, t := range r.s.TasksOn(v.Place.VM) {
-			cost := float64(1+p.usage.Lost(t.ID)) * float64(r.s.JobCell(t.Job, rudderfork.ColWeight))
+			cost := float64(1+p.usage.UnsavedWork(t.ID)) * float64(r.s.JobCell(t.Job, rudderfork.ColWeight))
 			if t.Phase == rudderfork.TaskRunning && !r.evicted(t.ID) && (best == nil || cost < least || cost == least && t.ID < best.ID) {
 				best, least = t, cost
 			}
 		}
 		if best != nil {
 			r.evict(best, fmt.Sprintf("throttling all tasks of VM %s was not enough, its services are at %.0f%% of their targets; stopping this one loses least for its weight, %d units",
-				v.Place.VM, 100*v.Pressure, p.usage.Lost(best.ID)))
+				v.Place.VM, 100*v.Pressure, p.usage.UnsavedWork(best.ID)))
 		}
 	}
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -55,7 +55,7 @@
 // round plans and applies one round, and returns what was placed.
 func (w *world) round() Plan {
 	w.t.Helper()
-	p := w.p.Round(w.s, now)
+	p := w.p.PlanRound(w.s, now)
 	if len(p.Evict.Evictions) > 0 {
 		w.do(state.Command{Evict: &p.Evict})
 	}
@@ -125,7 +125,7 @@
 	p := w.round()
 	assert.Equal(t, len(p.Evict.Evictions), 2)
 	t.Run("least work is lost", func(t *testing.T) {
-		lost := w.usage.Lost(p.Evict.Evictions[0].Task) + w.usage.Lost(p.Evict.Evictions[1].Task)
+		lost := w.usage.UnsavedWork(p.Evict.Evictions[0].Task) + w.usage.UnsavedWork(p.Evict.Evictions[1].Task)
 		assert.Equal(t, lost, int64(22), "it evicts %v", p.Evict.Evictions)
 	})
 	t.Run("nothing more is evicted while room is on its way", func(t *testing.T) {
--- a/placement/urgent.go
+++ b/placement/urgent.go
@@ -46,14 +46,14 @@
 		}
 	}
 	slices.SortFunc(lower, func(a, b *state.Task) int {
-		return cmp.Or(cmp.Compare(p.usage.Lost(a.ID), p.usage.Lost(b.ID)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(p.usage.UnsavedWork(a.ID), p.usage.UnsavedWork(b.ID)), cmp.Compare(a.ID, b.ID))
 	})
 	for _, o := range lower {
 		if t.Size.Fits(free) {
 			break
 		}
 		free = free.Add(o.Size)
-		lost += p.usage.Lost(o.ID)
+		lost += p.usage.UnsavedWork(o.ID)
 		ts = append(ts, o)
 	}
 	return ts, lost, t.Size.Fits(free)
--- a/state/claim.go
+++ b/state/claim.go
@@ -41,13 +41,13 @@
 	Partial     bool   `cbor:"4,keyasint,omitempty"` // the body was too large to keep
 }
 
-// MaxAnswer bounds a recorded body, in bytes.
-const MaxAnswer = 16 << 10
+// MaxAnswerBytes bounds a recorded body, in bytes.
+const MaxAnswerBytes = 16 << 10
 
-// ClaimAsk asks for a claim. With After 0 it is granted only if there is none;
+// Acquire asks for a claim. With After 0 it is granted only if there is none;
 // with After set it takes over from that token, which the asker has fenced off
 // at the VM's agent.
-type ClaimAsk struct {
+type Acquire struct {
 	Key     ClaimKey         `cbor:"1,keyasint"`
 	After   rudderfork.Token `cbor:"2,keyasint,omitempty"`
 	Digest  []byte           `cbor:"3,keyasint"`
@@ -70,7 +70,7 @@
 	Expires int64    `cbor:"2,keyasint"`
 }
 
-func (s *State) claim(a ClaimAsk, at int64) Result {
+func (s *State) claim(a Acquire, at int64) Result {
 	s.expireClaims(at)
 	old := s.claims[a.Key]
 	if old != nil && (old.Phase == ClaimDone || a.After != old.Token) {
@@ -122,5 +122,5 @@
 	}
 }
 
-// Claims returns how many claims are remembered.
-func (s *State) Claims() int { return len(s.claims) }
+// ClaimCount returns how many claims are remembered.
+func (s *State) ClaimCount() int { return len(s.claims) }
--- a/state/command.go
+++ b/state/command.go
@@ -14,12 +14,12 @@
 	Submit   *Submit   `cbor:"3,keyasint,omitempty"`
 	Cancel   *Cancel   `cbor:"4,keyasint,omitempty"`
 	Register *Register `cbor:"5,keyasint,omitempty"`
-	Lost     *Lost     `cbor:"6,keyasint,omitempty"`
+	Lost     *VMLoss   `cbor:"6,keyasint,omitempty"`
 	Drain    *Drain    `cbor:"7,keyasint,omitempty"`
 	Place    *Place    `cbor:"8,keyasint,omitempty"`
 	Evict    *Evict    `cbor:"9,keyasint,omitempty"`
 	Reports  *Reports  `cbor:"10,keyasint,omitempty"`
-	Claim    *ClaimAsk `cbor:"11,keyasint,omitempty"`
+	Claim    *Acquire  `cbor:"11,keyasint,omitempty"`
 	Settle   *Settle   `cbor:"12,keyasint,omitempty"`
 
 	Queue *queue.Command `cbor:"13,keyasint,omitempty"`
@@ -45,7 +45,7 @@
 	Repeated bool                `cbor:"5,keyasint,omitempty" json:"repeated,omitempty"`
 	Epoch    rudderfork.Token    `cbor:"6,keyasint,omitempty" json:"epoch,omitempty"`
 	Placed   []bool              `cbor:"7,keyasint,omitempty" json:"-"`  // per placement asked for
-	Taken    []bool              `cbor:"10,keyasint,omitempty" json:"-"` // per report that arrived
+	Accepted []bool              `cbor:"10,keyasint,omitempty" json:"-"` // per report that arrived
 	Claim    *Claim              `cbor:"8,keyasint,omitempty" json:"-"`
 	Granted  bool                `cbor:"9,keyasint,omitempty" json:"-"` // the asker holds the claim
 	Queue    queue.Result        `cbor:"-" json:"-"`                    // of a command on the queues
--- a/state/placement.go
+++ b/state/placement.go
@@ -82,19 +82,19 @@
 		return fmt.Errorf("VM %s is not live at epoch %d", p.VM, p.Epoch)
 	case v.Draining:
 		return fmt.Errorf("VM %s is leaving", p.VM)
-	case v.Aside(at):
+	case v.Excluded(at):
 		return fmt.Errorf("VM %s is set aside", p.VM)
-	case v.Probation() && len(s.onVM[p.VM]) > 0:
+	case v.OnProbation() && len(s.onVM[p.VM]) > 0:
 		return fmt.Errorf("VM %s is on probation with a task", p.VM)
 	}
-	if part := p.Size.Lacking(v.Room()); part != "" {
+	if part := p.Size.Lacking(v.FreeCapacity()); part != "" {
 		return fmt.Errorf("VM %s lacks %s for task %s", p.VM, part, p.Task)
 	}
-	return s.checkShare(t, p.Size)
+	return s.checkLimits(t, p.Size)
 }
 
-// checkShare checks the limits that the table sets on a team and a job.
-func (s *State) checkShare(t *Task, size rudderfork.Resources) error {
+// checkLimits checks the limits that the table sets on a team and a job.
+func (s *State) checkLimits(t *Task, size rudderfork.Resources) error {
 	j := s.jobs[t.Job]
 	if part := s.usage[j.Spec.Team].Add(size).Lacking(s.Quota(j.Spec.Team)); part != "" {
 		return fmt.Errorf("team %s is at its quota of %s", j.Spec.Team, part)
@@ -105,9 +105,9 @@
 	return nil
 }
 
-// CheckShare reports why a pending task of the given size may not start now for
+// CheckLimits reports why a pending task of the given size may not start now for
 // a limit of its team or job, or nil.
-func (s *State) CheckShare(t *Task, size rudderfork.Resources) error { return s.checkShare(t, size) }
+func (s *State) CheckLimits(t *Task, size rudderfork.Resources) error { return s.checkLimits(t, size) }
 
 func (s *State) startAttempt(p Placement, at int64) {
 	t := s.tasks[p.Task]
@@ -141,14 +141,14 @@
 // or the task no longer holds a lease.
 func (s *State) reports(rs Reports, at int64) Result {
 	res := s.ok()
-	res.Taken = make([]bool, len(rs.Reports))
+	res.Accepted = make([]bool, len(rs.Reports))
 	for i, r := range rs.Reports {
 		t := s.tasks[r.Task]
 		if t == nil || !t.Phase.Holds() || t.Token != r.Token || t.VM != rs.VM {
 			continue
 		}
 		s.report(t, r, at)
-		res.Taken[i] = true
+		res.Accepted[i] = true
 	}
 	return res
 }
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -142,7 +142,7 @@
 	case 2:
 		return register(string(vm))
 	case 3:
-		return Command{Lost: &Lost{vm, epoch}}
+		return Command{Lost: &VMLoss{vm, epoch}}
 	case 4:
 		return Command{Evict: &Evict{[]Eviction{{Task: id, Token: token}}}}
 	case 5:
@@ -194,7 +194,7 @@
 }
 
 func claimAsk(after rudderfork.Token, at int64) Command {
-	return Command{Claim: &ClaimAsk{Key: ClaimKey{"s", "k"}, After: after, VM: "vm1", Boot: "b", Expires: at}}
+	return Command{Claim: &Acquire{Key: ClaimKey{"s", "k"}, After: after, VM: "vm1", Boot: "b", Expires: at}}
 }
 
 func TestClaims(t *testing.T) {
@@ -235,8 +235,8 @@
 	})
 	t.Run("claims expire", func(t *testing.T) {
 		m.now = expires + 1
-		m.do(Command{Claim: &ClaimAsk{Key: ClaimKey{"s", "other"}, Expires: expires * 2}})
-		assert.Equal(t, m.s.Claims(), 1)
+		m.do(Command{Claim: &Acquire{Key: ClaimKey{"s", "other"}, Expires: expires * 2}})
+		assert.Equal(t, m.s.ClaimCount(), 1)
 	})
 }
 
@@ -253,23 +253,23 @@
 	}
 	fail("a")
 	fail("b")
-	assert.Assert(t, !m.s.VM("vm0").Aside(m.now))
+	assert.Assert(t, !m.s.VM("vm0").Excluded(m.now))
 	fail("c")
 	v := m.s.VM("vm0")
-	assert.Assert(t, v.Aside(m.now))
-	first := v.AsideUntil - m.now
+	assert.Assert(t, v.Excluded(m.now))
+	first := v.ExcludedUntil - m.now
 	t.Run("on probation one failure is enough, and the time grows", func(t *testing.T) {
-		m.now = v.AsideUntil + 1
+		m.now = v.ExcludedUntil + 1
 		fail("d")
-		assert.Assert(t, v.Aside(m.now))
-		assert.Equal(t, v.AsideUntil-m.now, 2*first)
+		assert.Assert(t, v.Excluded(m.now))
+		assert.Equal(t, v.ExcludedUntil-m.now, 2*first)
 	})
 	t.Run("one job that fails everywhere does not count", func(t *testing.T) {
 		v := &VM{}
 		for range 10 {
 			v.noteFailure("x", 1)
 		}
-		assert.Assert(t, !v.Aside(2))
+		assert.Assert(t, !v.Excluded(2))
 	})
 }
 
--- a/state/vm.go
+++ b/state/vm.go
@@ -21,26 +21,26 @@
 	LostAt   int64                `cbor:"11,keyasint,omitempty"` // Unix ms
 
 	// Failures counts attempts that failed in a row, over different jobs.
-	Failures   int              `cbor:"12,keyasint,omitempty"`
-	FailedJob  rudderfork.JobID `cbor:"13,keyasint,omitempty"`
-	AsideUntil int64            `cbor:"14,keyasint,omitempty"` // Unix ms; no tasks before
-	AsideCount int              `cbor:"15,keyasint,omitempty"` // times set aside in a row
+	Failures      int              `cbor:"12,keyasint,omitempty"`
+	FailedJob     rudderfork.JobID `cbor:"13,keyasint,omitempty"`
+	ExcludedUntil int64            `cbor:"14,keyasint,omitempty"` // Unix ms; no tasks before
+	Exclusions    int              `cbor:"15,keyasint,omitempty"` // times set aside in a row
 
 	// Revision is that of the last change of what the VM is to run.
 	Revision rudderfork.Revision `cbor:"16,keyasint"`
 }
 
-// Room is what tasks may still take.
-func (v *VM) Room() rudderfork.Resources {
+// FreeCapacity is what tasks may still take.
+func (v *VM) FreeCapacity() rudderfork.Resources {
 	return v.Capacity.Sub(v.Reserved).Sub(v.Used)
 }
 
-// Aside reports whether the VM is set aside at the given time. When that ends
+// Excluded reports whether the VM is set aside at the given time. When that ends
 // it is on probation: one task at a time until one succeeds.
-func (v *VM) Aside(now int64) bool { return now < v.AsideUntil }
+func (v *VM) Excluded(now int64) bool { return now < v.ExcludedUntil }
 
-// Probation reports whether the VM may run only one task for now.
-func (v *VM) Probation() bool { return v.AsideCount > 0 }
+// OnProbation reports whether the VM may run only one task for now.
+func (v *VM) OnProbation() bool { return v.Exclusions > 0 }
 
 const (
 	// asideAfter is how many attempts in a row must fail, of at least two jobs,
@@ -63,8 +63,8 @@
 	Boot     string               `cbor:"6,keyasint"`
 }
 
-// Lost says that a VM's lease has run out.
-type Lost struct {
+// VMLoss says that a VM's lease has run out.
+type VMLoss struct {
 	VM    rudderfork.VMID  `cbor:"1,keyasint"`
 	Epoch rudderfork.Token `cbor:"2,keyasint"`
 }
@@ -96,7 +96,7 @@
 
 // lost frees a VM's tasks. The leader proposes it only when no lease of the VM
 // can be in force any more; the epoch makes a doubled proposal harmless.
-func (s *State) lost(l Lost, at int64) Result {
+func (s *State) lost(l VMLoss, at int64) Result {
 	v := s.vms[l.VM]
 	if v == nil || !v.Live || v.Epoch != l.Epoch {
 		return s.reject(CodeConflict, "VM %s is not live at epoch %d", l.VM, l.Epoch)
@@ -130,19 +130,19 @@
 	}
 	v.FailedJob = job
 	limit := asideAfter
-	if v.Probation() {
+	if v.OnProbation() {
 		limit = 1
 	}
 	if v.Failures < limit {
 		return
 	}
-	wait := min(asideBase<<min(v.AsideCount, 16), asideMax)
-	v.AsideUntil = at + wait.Milliseconds()
-	v.AsideCount++
+	wait := min(asideBase<<min(v.Exclusions, 16), asideMax)
+	v.ExcludedUntil = at + wait.Milliseconds()
+	v.Exclusions++
 	v.Failures = 0
 	v.FailedJob = ""
 }
 
 func (v *VM) noteSuccess() {
-	v.Failures, v.FailedJob, v.AsideCount, v.AsideUntil = 0, "", 0, 0
+	v.Failures, v.FailedJob, v.Exclusions, v.ExcludedUntil = 0, "", 0, 0
 }
--- a/throttle/throttle.go
+++ b/throttle/throttle.go
@@ -59,9 +59,9 @@
 	return max(t.Slowdown-1, leastSlowdown) / float64(max(1, t.Weight))
 }
 
-// Ladder holds the state. It is not safe for concurrent use. The zero value is
+// Controller holds the state. It is not safe for concurrent use. The zero value is
 // ready to use.
-type Ladder struct {
+type Controller struct {
 	steps     int // over all tasks, MaxLevel for each
 	raiseFrom time.Time
 	calmUntil time.Time // a step down is allowed from here on
@@ -74,7 +74,7 @@
 }
 
 // Observe takes the pressure over the newest window and the tasks that run.
-func (l *Ladder) Observe(pressure float64, tasks int, now time.Time) {
+func (l *Controller) Observe(pressure float64, tasks int, now time.Time) {
 	top := MaxLevel * tasks
 	if tasks < l.tasks {
 		l.topSince = time.Time{} // what was moved away must show its effect first
@@ -110,7 +110,7 @@
 }
 
 // judge ends the trial of the last step down.
-func (l *Ladder) judge(pressure float64, now time.Time) {
+func (l *Controller) judge(pressure float64, now time.Time) {
 	switch {
 	case l.trialUntil.IsZero():
 	case pressure > raiseAt:
@@ -122,7 +122,7 @@
 	}
 }
 
-func (l *Ladder) noteTop(top int, now time.Time) {
+func (l *Controller) noteTop(top int, now time.Time) {
 	if top == 0 || l.steps < top || l.pressure <= raiseAt {
 		l.topSince = time.Time{}
 	} else if l.topSince.IsZero() {
@@ -131,12 +131,12 @@
 }
 
 // Exhausted reports whether throttling has not been enough for a while.
-func (l *Ladder) Exhausted(now time.Time) bool {
+func (l *Controller) Exhausted(now time.Time) bool {
 	return !l.topSince.IsZero() && now.Sub(l.topSince) >= exhaustAfter
 }
 
 // Levels spreads the steps over tasks, those of greatest nuisance first.
-func (l *Ladder) Levels(tasks []Task) map[rudderfork.TaskID]int {
+func (l *Controller) Levels(tasks []Task) map[rudderfork.TaskID]int {
 	ts := slices.Clone(tasks)
 	slices.SortFunc(ts, func(a, b Task) int {
 		return cmp.Or(cmp.Compare(b.nuisance(), a.nuisance()), cmp.Compare(a.ID, b.ID))
--- a/throttle/throttle_test.go
+++ b/throttle/throttle_test.go
@@ -12,7 +12,7 @@
 var t0 = time.Unix(1000, 0)
 
 // run observes one pressure each 250 ms for a while and returns the end.
-func run(l *Ladder, pressure float64, from time.Time, d time.Duration) time.Time {
+func run(l *Controller, pressure float64, from time.Time, d time.Duration) time.Time {
 	for now := from; ; now = now.Add(250 * time.Millisecond) {
 		if now.After(from.Add(d)) {
 			return now
@@ -21,13 +21,13 @@
 	}
 }
 
-func levels(l *Ladder) [2]int {
+func levels(l *Controller) [2]int {
 	m := l.Levels([]Task{{"heavy/0", 300, 1}, {"light/0", 100, 1}})
 	return [2]int{m[rudderfork.TaskID("light/0")], m[rudderfork.TaskID("heavy/0")]}
 }
 
 func TestLadder(t *testing.T) {
-	var l Ladder
+	var l Controller
 	now := run(&l, 0.5, t0, time.Minute)
 	assert.Equal(t, levels(&l), [2]int{0, 0})
 	t.Run("one step at a time just above the target, on the lightest first", func(t *testing.T) {
@@ -56,7 +56,7 @@
 
 // TestNoFlapping has the pressure jump to and fro faster than the calm spell.
 func TestNoFlapping(t *testing.T) {
-	var l Ladder
+	var l Controller
 	changes, last := 0, [2]int{}
 	for i := range 400 {
 		p := 0.3
@@ -73,7 +73,7 @@
 
 // TestGrowsCautious has each step down prove too much: the next waits longer.
 func TestGrowsCautious(t *testing.T) {
-	var l Ladder
+	var l Controller
 	now := run(&l, 1.2, t0, 20*time.Second)
 	top := levels(&l)
 	waits := []time.Duration{}
@@ -93,7 +93,7 @@
 
 // TestWorstFirst has the kind that slows the services most throttled first.
 func TestWorstFirst(t *testing.T) {
-	var l Ladder
+	var l Controller
 	l.Observe(1.05, 2, t0)
 	got := l.Levels([]Task{{"quiet/0", 100, 1.05}, {"noisy/0", 100, 1.6}})
 	assert.Equal(t, got["noisy/0"], 1)
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -83,9 +83,9 @@
 	m.pressure[vm] = pressure{level, exhausted, m.now()}
 }
 
-// Exhausted reports whether throttling is not enough on a VM, once for each
+// TakeExhausted reports whether throttling is not enough on a VM, once for each
 // report, so that one report moves one task.
-func (m *Model) Exhausted(vm rudderfork.VMID) bool {
+func (m *Model) TakeExhausted(vm rudderfork.VMID) bool {
 	p := m.pressure[vm]
 	if !p.exhausted || m.now().Sub(p.at) > maxAge {
 		return false
@@ -104,8 +104,8 @@
 	return p.level
 }
 
-// Lost returns the work that stopping a task would lose, in units.
-func (m *Model) Lost(t rudderfork.TaskID) int64 { return m.lost[t] }
+// UnsavedWork returns the work that stopping a task would lose, in units.
+func (m *Model) UnsavedWork(t rudderfork.TaskID) int64 { return m.lost[t] }
 
 // Size corrects a declared size. Accelerators are taken as declared. Memory is
 // never corrected below half, since running out of it kills.
