--- a/runner/calls.go
+++ b/runner/calls.go
@@ -11,80 +11,80 @@
 	"rudderfork.example/rudderfork/runs"
 )
 
-// callLoop sends starts and stops as they fall due.
+// callLoop sends starts and stops when they are due.
 func (a *Agent) callLoop(ctx context.Context) error {
-	timer := time.NewTimer(beatEvery)
+	timer := time.NewTimer(heartbeatInterval)
 	defer timer.Stop()
 	for {
 		timer.Reset(a.sendDue(ctx))
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-a.kicked:
+		case <-a.callSignal:
 		case <-timer.C:
 		}
 	}
 }
 
-// sendDue sends the calls that are due, and returns when to look again.
+// sendDue sends the calls that are due, and returns how long to wait before the next time.
 func (a *Agent) sendDue(ctx context.Context) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := steady.Now()
-	calls, ends := a.keeper.NextCalls(now)
+	calls, ends := a.reconciler.NextCalls(now)
 	a.report(ends, 0)
-	life, fence := a.keeper.Incarnation(), a.keeper.FencingToken()
+	inc, fence := a.reconciler.Incarnation(), a.reconciler.FencingToken()
 	for _, c := range calls {
-		go a.call(ctx, life, fence, c)
+		go a.call(ctx, inc, fence, c)
 	}
-	wait := beatEvery
-	if at, ok := a.keeper.NextRetry(); ok {
+	wait := heartbeatInterval
+	if at, ok := a.reconciler.NextRetry(); ok {
 		wait = min(wait, max(time.Millisecond, at.Sub(now)))
 	}
 	return wait
 }
 
-// call makes one call and hands its answer to the keeper.
-func (a *Agent) call(ctx context.Context, life string, fence uint64, c runs.Call) {
+// call makes one call and passes its result to the reconciler.
+func (a *Agent) call(ctx context.Context, inc string, fence uint64, c runs.Call) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var out rudderfork.StartOutcome
 	var err error
 	began := steady.Now()
 	if c.Start != nil {
-		out, err = a.exec.Start(ctx, life, *c.Start)
+		out, err = a.exec.Start(ctx, inc, *c.Start)
 	} else {
-		err = a.exec.Stop(ctx, life, c.Ref, fence)
+		err = a.exec.Stop(ctx, inc, c.Ref, fence)
 	}
 	now := steady.Now()
-	a.noteCall(c, out, err, now.Sub(began))
+	a.logCall(c, out, err, now.Sub(began))
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.keeper.Incarnation() != life {
-		return // it concerned a life that is over
+	if a.reconciler.Incarnation() != inc {
+		return // the call was for an incarnation that has ended
 	}
 	if errors.Is(err, rudderfork.ErrStaleIncarnation) {
-		a.replaced()
+		a.incarnationReplaced()
 		return
 	}
 	if c.Start == nil {
 		if err == nil {
-			delete(a.unsure, c.Ref) // a run that was stopped never starts afterwards
+			delete(a.unansweredStarts, c.Ref) // by the contract a run never starts after it was stopped
 		}
-		a.keeper.HandleStopResult(c.Ref, err, now)
-	} else if end := a.keeper.HandleStartResult(c.Ref, out, err, now); end != nil {
+		a.reconciler.HandleStopResult(c.Ref, err, now)
+	} else if end := a.reconciler.HandleStartResult(c.Ref, out, err, now); end != nil {
 		a.report([]queue.End{*end}, 0)
 	}
 	if c.Start != nil {
-		a.noteStart(c.Ref, out, err, now)
+		a.recordStart(c.Ref, out, err, now)
 	}
 	if err == nil && c.Start != nil && out == rudderfork.Started {
 		a.adjustPace(ctx)
 	}
-	a.kicked.Set()
+	a.callSignal.Set()
 }
 
-func (a *Agent) noteCall(c runs.Call, out rudderfork.StartOutcome, err error, took time.Duration) {
+func (a *Agent) logCall(c runs.Call, out rudderfork.StartOutcome, err error, took time.Duration) {
 	kind, outcome := "stop", "ok"
 	if c.Start != nil {
 		kind, outcome = "start", out.String()
--- a/runner/clock_test.go
+++ b/runner/clock_test.go
@@ -13,18 +13,18 @@
 // TestAccountBehindClock guards against a run that is taken for gone by an account from before it.
 func TestAccountBehindClock(t *testing.T) {
 	run := rudderfork.RunRef{Task: "5c0e7a21d94b36f8.0.0.0", Run: 1}
-	a := newAgentAlone()
-	describe(a, firstStart, false, 0)
-	a.keeper.ApplyOrders(wire.Orders{Incarnation: firstStart, Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: run}}})
+	a := newTestAgent()
+	describe(a, firstInc, false, 0)
+	a.reconciler.ApplyOrders(wire.Orders{Incarnation: firstInc, Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: run}}})
 	look := func(clockMS int64, running ...rudderfork.RunStatus) {
-		a.looked(t.Context(), firstStart, rudderfork.ExecutorStatus{ClockMS: clockMS, Running: running}, time.Now())
+		a.handleStatus(t.Context(), firstInc, rudderfork.ExecutorStatus{ClockMS: clockMS, Running: running}, time.Now())
 	}
 	look(80_000)
-	a.keeper.HandleStartResult(run, rudderfork.Started, nil, time.Now())
+	a.reconciler.HandleStartResult(run, rudderfork.Started, nil, time.Now())
 	look(90_000, rudderfork.RunStatus{RunRef: run})
-	seen := a.seenAt
+	seen := a.lastStatusAt
 	look(80_000)
-	assert.Equal(t, a.seenAt, seen, "it is no sign of life")
+	assert.Equal(t, a.lastStatusAt, seen, "it is no sign of life")
 	assert.Equal(t, len(a.reports), 0)
 	assert.Equal(t, len(a.rows), 1)
 	look(90_001)
--- a/runner/crash.go
+++ b/runner/crash.go
@@ -9,44 +9,43 @@
 	"rudderfork.example/rudderfork/queue"
 )
 
-// noteStart notes what is known of a run after a call to start it: whether it may be
-// at work. The caller holds mu.
-func (a *Agent) noteStart(ref rudderfork.RunRef, out rudderfork.StartOutcome, err error, now time.Time) {
+// recordStart records after a start whether the run may be at work. The caller holds mu.
+func (a *Agent) recordStart(ref rudderfork.RunRef, out rudderfork.StartOutcome, err error, now time.Time) {
 	switch {
 	case errors.Is(err, rudderfork.ErrNotReached):
-		a.noteSilent(now) // nothing listens: this call has begun nothing
+		a.recordSilence(now) // nothing listens, so this call has started nothing
 	case err != nil:
-		a.noteSilent(now)
-		if _, known := a.unsure[ref]; !known {
-			a.unsure[ref] = now
+		a.recordSilence(now)
+		if _, known := a.unansweredStarts[ref]; !known {
+			a.unansweredStarts[ref] = now
 		}
 	default:
-		delete(a.unsure, ref)
-		a.silentAt = time.Time{}
+		delete(a.unansweredStarts, ref)
+		a.silentSince = time.Time{}
 		if out == rudderfork.Started {
-			a.begun[ref] = now
+			a.startedAt[ref] = now
 		}
 	}
 }
 
-// noteSilent notes a call that was left without an answer. The caller holds mu.
-func (a *Agent) noteSilent(now time.Time) {
-	if a.silentAt.IsZero() {
-		a.silentAt = now
+// recordSilence records that a call was not answered. The caller holds mu.
+func (a *Agent) recordSilence(now time.Time) {
+	if a.silentSince.IsZero() {
+		a.silentSince = now
 	}
 }
 
-// crash returns what is known of the present life of the executor, for the case that
-// it has crashed: what was at work when it was first found silent, and for how long. A
-// crash breaks off the look that is always under way, so that this is milliseconds after
-// it; where nothing tells sooner, ages are too high rather than too low, and a run that
-// may have ended well before is laid little to. The caller holds mu.
-func (a *Agent) crash() *queue.Crash {
-	at := a.silentAt
+// crashReport returns the runs of the present incarnation, for the case that it has crashed:
+// which runs were at work when a call was first left unanswered, and for how long. A poll is
+// always under way, and a crash breaks it off, so this time is usually milliseconds after
+// the crash. Where a crash is noticed later, the ages are too high rather than too low, so
+// that a run which may have ended well before is hardly suspected. The caller holds mu.
+func (a *Agent) crashReport() *queue.Crash {
+	at := a.silentSince
 	if at.IsZero() {
 		at = steady.Now()
 	}
-	c := &queue.Crash{Incarnation: a.keeper.Incarnation(), Draining: a.draining}
+	c := &queue.Crash{Incarnation: a.reconciler.Incarnation(), Draining: a.draining}
 	known := map[rudderfork.RunRef]bool{}
 	add := func(ref rudderfork.RunRef, ageMS int64, seen bool) {
 		if k, err := queue.ParseTaskKey(string(ref.Task)); err == nil && !known[ref] {
@@ -54,49 +53,49 @@
 			c.Runs = append(c.Runs, queue.RunAge{Task: k, Run: ref.Run, AgeMS: max(0, ageMS), Confirmed: seen})
 		}
 	}
-	for ref, begun := range a.begun {
-		add(ref, at.Sub(begun).Milliseconds(), true)
+	for ref, startedAt := range a.startedAt {
+		add(ref, at.Sub(startedAt).Milliseconds(), true)
 	}
-	for ref := range a.rows { // begun by an agent before this one
-		add(ref, at.Sub(a.lifeAt).Milliseconds(), true)
+	for ref := range a.rows { // started by an earlier agent
+		add(ref, at.Sub(a.incarnationSince).Milliseconds(), true)
 	}
-	for ref, called := range a.unsure {
+	for ref, called := range a.unansweredStarts {
 		add(ref, at.Sub(called).Milliseconds(), false)
 	}
 	return c
 }
 
-// takeRegistered forgets the life before: the leader has taken note of its end. The
-// caller holds mu.
-func (a *Agent) takeRegistered(life string) {
-	if life == a.keeper.Incarnation() {
-		a.crashed = nil
+// handleRegistered drops the report about the previous incarnation once the leader has registered
+// the present one. The caller holds mu.
+func (a *Agent) handleRegistered(inc string) {
+	if inc == a.reconciler.Incarnation() {
+		a.lastCrash = nil
 	}
 }
 
-// noteCrash keeps what is known of the present life, which is over, for the
-// heartbeats that register the next one. The caller holds mu.
-func (a *Agent) noteCrash() {
-	if a.keeper.Incarnation() != "" {
-		a.crashed = a.crash()
+// recordCrash keeps the report about the present incarnation, which has ended, for the heartbeats
+// that register the next one. The caller holds mu.
+func (a *Agent) recordCrash() {
+	if a.reconciler.Incarnation() != "" {
+		a.lastCrash = a.crashReport()
 	}
 }
 
-// noteReached notes whether anything listened at the executor's address, after a look
-// that failed. The caller holds mu.
-func (a *Agent) noteReached(err error) {
+// recordReachable records, after a failed poll, whether anything listened at the executor's
+// address. The caller holds mu.
+func (a *Agent) recordReachable(err error) {
 	if !errors.Is(err, rudderfork.ErrNotReached) {
-		a.notReached = 0
+		a.unreachablePolls = 0
 		return
 	}
-	a.notReached++
-	if a.notReached == absentAfter {
-		a.beatUp.Set()
+	a.unreachablePolls++
+	if a.unreachablePolls == unreachableAfter {
+		a.heartbeatSignal.Set()
 	}
 }
 
-// mute reports whether the executor has left looks unanswered for so long that it
-// should be given nothing. The caller holds mu.
-func (a *Agent) mute(now time.Time) bool {
-	return a.notReached >= absentAfter || now.Sub(a.seenAt) > muteAfter
+// unresponsive reports whether the executor has failed to answer polls for so long that it should
+// get no new runs. The caller holds mu.
+func (a *Agent) unresponsive(now time.Time) bool {
+	return a.unreachablePolls >= unreachableAfter || now.Sub(a.lastStatusAt) > unresponsiveAfter
 }
--- a/runner/crash_test.go
+++ b/runner/crash_test.go
@@ -29,11 +29,11 @@
 	begin := steady.Now()
 	at := func(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
 	silent := func() *Agent {
-		a := newAgentAlone(old, fresh, lost, refused)
-		a.noteStart(old, rudderfork.Started, nil, at(0))
-		a.noteStart(fresh, rudderfork.Started, nil, at(700))
-		a.noteStart(lost, 0, executor.ErrNoAnswer, at(900))
-		a.noteStart(refused, 0, fmt.Errorf("start: %w", rudderfork.ErrNotReached), at(950))
+		a := newTestAgent(old, fresh, lost, refused)
+		a.recordStart(old, rudderfork.Started, nil, at(0))
+		a.recordStart(fresh, rudderfork.Started, nil, at(700))
+		a.recordStart(lost, 0, executor.ErrNoAnswer, at(900))
+		a.recordStart(refused, 0, fmt.Errorf("start: %w", rudderfork.ErrNotReached), at(950))
 		return a
 	}
 	want := map[string]queue.RunAge{
@@ -41,35 +41,35 @@
 	}
 	t.Run("while it is silent, heartbeats tell what ran there", func(t *testing.T) {
 		a := silent()
-		a.seenAt = steady.Now().Add(-2 * muteAfter)
-		b, ok := a.beat()
+		a.lastStatusAt = steady.Now().Add(-2 * unresponsiveAfter)
+		b, ok := a.nextHeartbeat()
 		assert.Assert(t, ok && b.Unresponsive)
 		assert.Equal(t, b.Crash.Incarnation, "life-1")
 		checkKnown(t, b.Crash, want)
 	})
 	t.Run("once it is back, until the new life is registered", func(t *testing.T) {
 		a := silent()
-		a.lookFailed("life-1", rudderfork.ErrStaleIncarnation)
-		a.take(description{vm: queue.VM{ID: "vm1", Incarnation: "life-2"}})
-		b, _ := a.beat()
+		a.handlePollError("life-1", rudderfork.ErrStaleIncarnation)
+		a.applyDescription(description{vm: queue.VM{ID: "vm1", Incarnation: "life-2"}})
+		b, _ := a.nextHeartbeat()
 		assert.Equal(t, b.Crash.Incarnation, "life-1")
 		checkKnown(t, b.Crash, want)
-		a.takeRegistered("life-2")
-		b, _ = a.beat()
+		a.handleRegistered("life-2")
+		b, _ = a.nextHeartbeat()
 		assert.Assert(t, b.Crash == nil)
 	})
 	t.Run("a start that is answered after all is known from then", func(t *testing.T) {
 		a := silent()
-		a.noteStart(lost, rudderfork.Started, nil, at(1000))
-		a.noteSilent(at(1010))
-		checkKnown(t, a.crash(), map[string]queue.RunAge{
+		a.recordStart(lost, rudderfork.Started, nil, at(1000))
+		a.recordSilence(at(1010))
+		checkKnown(t, a.crashReport(), map[string]queue.RunAge{
 			"old.0.0.0": {AgeMS: 1010, Confirmed: true}, "fresh.0.0.0": {AgeMS: 310, Confirmed: true}, "lost.0.0.0": {AgeMS: 10, Confirmed: true},
 		})
 	})
 	t.Run("an account tells that it was not silent", func(t *testing.T) {
 		a := silent()
-		a.looked(t.Context(), "life-1", rudderfork.ExecutorStatus{ClockMS: 1, Running: []rudderfork.RunStatus{{RunRef: old}}}, at(1990))
-		assert.Assert(t, a.silentAt.IsZero())
+		a.handleStatus(t.Context(), "life-1", rudderfork.ExecutorStatus{ClockMS: 1, Running: []rudderfork.RunStatus{{RunRef: old}}}, at(1990))
+		assert.Assert(t, a.silentSince.IsZero())
 	})
 }
 
@@ -82,11 +82,11 @@
 // the leader placed tasks there, a second's worth for each crash.
 func TestNobodyListens(t *testing.T) {
 	mute := func(errs ...error) bool {
-		a := newAgentAlone(ref("old"))
+		a := newTestAgent(ref("old"))
 		for _, err := range errs {
-			a.lookFailed("life-1", err)
+			a.handlePollError("life-1", err)
 		}
-		b, _ := a.beat()
+		b, _ := a.nextHeartbeat()
 		return b.Unresponsive
 	}
 	gone := fmt.Errorf("look: %w", rudderfork.ErrNotReached)
@@ -95,11 +95,11 @@
 	assert.Assert(t, !mute(gone, executor.ErrNoAnswer))
 	assert.Assert(t, !mute(executor.ErrNoAnswer, executor.ErrNoAnswer))
 	t.Run("until it answers", func(t *testing.T) {
-		a := newAgentAlone(ref("old"))
-		a.lookFailed("life-1", gone)
-		a.lookFailed("life-1", gone)
-		a.looked(t.Context(), "life-1", rudderfork.ExecutorStatus{ClockMS: 1}, steady.Now())
-		b, _ := a.beat()
+		a := newTestAgent(ref("old"))
+		a.handlePollError("life-1", gone)
+		a.handlePollError("life-1", gone)
+		a.handleStatus(t.Context(), "life-1", rudderfork.ExecutorStatus{ClockMS: 1}, steady.Now())
+		b, _ := a.nextHeartbeat()
 		assert.Assert(t, !b.Unresponsive)
 	})
 }
--- a/runner/filler_speed.go
+++ b/runner/filler_speed.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// window is the time that the executor's figure of a tail covers.
-	window = 500 * time.Millisecond
-	// paceDelay is how long a new pace takes to hold.
+	// tailWindow is the time that the executor's figure of a tail latency covers.
+	tailWindow = 500 * time.Millisecond
+	// paceDelay is how long a new pace takes to have effect.
 	paceDelay = 100 * time.Millisecond
 )
 
-// exposure is how fast a filler worked lately, so that a tail is set against
-// what ran while it was measured.
-type exposure struct {
+// fillerSpeed records how fast a filler worked recently, so that a tail latency is compared with
+// the fillers that worked while it was measured.
+type fillerSpeed struct {
 	image   string
 	share   float64 // of the VM's processors at full speed
 	changes []speedChange
@@ -28,17 +28,17 @@
 	speed float64
 }
 
-// set notes a speed from a time on, and drops what is older than the window.
-func (e *exposure) set(speed float64, from time.Time) {
-	for len(e.changes) > 1 && from.Sub(e.changes[1].from) > window+paceDelay {
+// set records the speed from a time on, and drops changes that are older than the window.
+func (e *fillerSpeed) set(speed float64, from time.Time) {
+	for len(e.changes) > 1 && from.Sub(e.changes[1].from) > tailWindow+paceDelay {
 		e.changes = e.changes[1:]
 	}
 	e.changes = append(e.changes, speedChange{from, speed})
 }
 
-// mean is the mean speed over the window that ends now.
-func (e *exposure) mean(now time.Time) float64 {
-	begin, end := now.Add(-window), now
+// mean returns the mean speed, 0 to 1, over the window that ends now.
+func (e *fillerSpeed) mean(now time.Time) float64 {
+	begin, end := now.Add(-tailWindow), now
 	if !e.ended.IsZero() && e.ended.Before(end) {
 		end = e.ended
 	}
@@ -58,45 +58,45 @@
 			sum += c.speed * to.Sub(from).Seconds()
 		}
 	}
-	return sum / window.Seconds()
+	return sum / tailWindow.Seconds()
 }
 
-// expose follows the fillers that run. The caller holds mu.
-func (a *Agent) expose(now time.Time) {
+// trackFillers updates the records of the fillers that run. The caller holds mu.
+func (a *Agent) trackFillers(now time.Time) {
 	whole := float64(max(1, a.vm.Capacity.CPUMilli))
-	for id, o := range a.keeper.DesiredRuns() {
+	for id, o := range a.reconciler.DesiredRuns() {
 		ref := rudderfork.RunRef{Task: id, Run: o.Run}
-		if _, there := a.rows[ref]; !there || !o.Filler || a.exposures[ref] != nil {
+		if _, there := a.rows[ref]; !there || !o.Filler || a.fillerSpeeds[ref] != nil {
 			continue
 		}
-		e := &exposure{image: o.Image, share: max(leastShare, float64(o.CPUMilli)/whole)}
-		begun := a.begun[ref]
-		if begun.IsZero() {
-			begun = now
+		e := &fillerSpeed{image: o.Image, share: max(minShare, float64(o.CPUMilli)/whole)}
+		startedAt := a.startedAt[ref]
+		if startedAt.IsZero() {
+			startedAt = now
 		}
-		e.set(1, begun)
-		a.exposures[ref] = e
+		e.set(1, startedAt)
+		a.fillerSpeeds[ref] = e
 	}
-	for ref, e := range a.exposures {
+	for ref, e := range a.fillerSpeeds {
 		if _, there := a.rows[ref]; !there && e.ended.IsZero() {
 			e.ended = now
 		}
-		if !e.ended.IsZero() && now.Sub(e.ended) > window {
-			delete(a.exposures, ref)
+		if !e.ended.IsZero() && now.Sub(e.ended) > tailWindow {
+			delete(a.fillerSpeeds, ref)
 		}
 	}
-	for ref := range a.begun {
-		if _, there := a.rows[ref]; !there && now.Sub(a.begun[ref]) > window {
-			delete(a.begun, ref)
+	for ref := range a.startedAt {
+		if _, there := a.rows[ref]; !there && now.Sub(a.startedAt[ref]) > tailWindow {
+			delete(a.startedAt, ref)
 		}
 	}
 }
 
-// exposed returns the shares of the VM's processors at which fillers worked over
-// the window that ends now, by image. The caller holds mu.
-func (a *Agent) exposed(now time.Time) map[string]float64 {
+// measureFillerUsage returns the shares of the VM's processors at which fillers worked over the
+// window that ends now, by image. The caller holds mu.
+func (a *Agent) measureFillerUsage(now time.Time) map[string]float64 {
 	shares := map[string]float64{}
-	for _, e := range a.exposures {
+	for _, e := range a.fillerSpeeds {
 		shares[e.image] += e.share * e.mean(now)
 	}
 	return shares
--- a/runner/incarnation.go
+++ b/runner/incarnation.go
@@ -13,107 +13,108 @@
 )
 
 const (
-	// askSpan is how long after a description the executor is asked whether it is
-	// of its present life: a few of its heartbeats, each of which renews it.
-	askSpan = 3 * time.Second
-	// overSpan is how long a life counts as over before the executor is asked about
-	// it again, should it still describe itself: long enough that late descriptions
-	// of lives that are over cost few calls, and short beside what a VM costs that
-	// is lost for an answer that was wrong.
-	overSpan = 3 * time.Second
-	// farewellSlack is how much sooner than it had said an executor may leave: its
-	// last description may have been under way for so long.
-	farewellSlack = 500 * time.Millisecond
-	// maxLives bounds the lives that wait to be confirmed, and those remembered as
-	// over: far above how many can have a heartbeat under way.
-	maxLives = 64
+	// confirmTimeout is how long after a description the agent tries to confirm that it is
+	// of the executor's present incarnation: a few of the executor's heartbeats, each of which
+	// restarts this time.
+	confirmTimeout = 3 * time.Second
+	// endedTTL is how long an incarnation counts as ended before the executor is polled for it
+	// again, if it still sends descriptions. It is long enough that late descriptions of ended
+	// incarnations cost few calls, and short compared to the cost of a VM that is lost because
+	// of a wrong answer.
+	endedTTL = 3 * time.Second
+	// shutdownSlack is how much earlier than announced an executor may leave, since its last
+	// description may have been under way for so long.
+	shutdownSlack = 500 * time.Millisecond
+	// maxIncarnations bounds the incarnations that wait to be confirmed, and those recorded as
+	// ended. It is far above how many can have a heartbeat under way.
+	maxIncarnations = 64
 )
 
-// description is what a life of the executor says of itself.
+// description is what an incarnation of the executor reports about itself.
 type description struct {
-	vm       queue.VM
-	draining bool
-	leaveAt  time.Time // while it drains: not before
-	askUntil time.Time
-	farewell bool // came before the life was confirmed
+	vm             queue.VM
+	draining       bool
+	leaveNotBefore time.Time // while it drains: the earliest time at which it leaves
+	confirmUntil   time.Time
+	shutdownNotice bool // a shutdown notice came before the incarnation was confirmed
 }
 
-// endedLife is a life that is not asked about for a time.
-type endedLife struct {
-	life  string
+// endedIncarnation is an incarnation that is not polled until a time.
+type endedIncarnation struct {
+	inc   string
 	until time.Time
 }
 
-// HandleDescription takes the executor's description of itself. leave is the time that
-// is left at least while it drains.
+// HandleDescription takes an executor's description of itself. leave is the least time until
+// the executor leaves if it is draining. It returns false if it rejects the description, as
+// one that contradicts those before.
 //
-// A description may arrive late, when its life is over and another has begun, and
-// names of lives have no order. So one of a life that is not the known one counts
-// only once the executor has answered a call that is meant for that life. One that is
-// not believed is not taken.
+// A description may arrive late, when its incarnation has ended and another has started, and
+// the names of incarnations have no order. So a description of an incarnation other than the
+// recognized one counts only once the executor has answered a poll that is addressed to that
+// incarnation.
 func (a *Agent) HandleDescription(vm queue.VM, draining bool, leave time.Duration) (taken bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := steady.Now()
-	d := description{vm: vm, draining: draining, leaveAt: now.Add(leave), askUntil: now.Add(askSpan)}
+	d := description{vm: vm, draining: draining, leaveNotBefore: now.Add(leave), confirmUntil: now.Add(confirmTimeout)}
 	switch {
-	case a.isOver(vm.Incarnation, now):
-	case a.known && a.keeper.Incarnation() == vm.Incarnation:
+	case a.recentlyEnded(vm.Incarnation, now):
+	case a.hasExecutor && a.reconciler.Incarnation() == vm.Incarnation:
 		if !a.consistent(vm) {
 			return false
 		}
-		a.take(d)
-	case len(a.described) < maxLives || a.described[vm.Incarnation] != nil:
-		if old := a.described[vm.Incarnation]; old != nil {
-			d.farewell = old.farewell
+		a.applyDescription(d)
+	case len(a.descriptions) < maxIncarnations || a.descriptions[vm.Incarnation] != nil:
+		if old := a.descriptions[vm.Incarnation]; old != nil {
+			d.shutdownNotice = old.shutdownNotice
 		}
-		a.described[vm.Incarnation] = &d
-		a.askUp.Set()
+		a.descriptions[vm.Incarnation] = &d
+		a.confirmSignal.Set()
 	}
 	return true
 }
 
-// alteredAfter is how many descriptions in succession must say the same of the present
-// life before it counts as another service's, or as having other labels: a life has the
-// ones it began with, and what says otherwise is the odd one out, unless it goes on.
-const alteredAfter = 3
+// minConflicts is how many descriptions in succession must agree with each other and
+// contradict the accepted one before they are accepted. An incarnation keeps the service
+// and labels with which it started, so a single description that differs is an error.
+const minConflicts = 3
 
-// consistent reports whether a description of the present life agrees with the one
-// before, but for its room and whether it drains, or was repeated. The caller holds mu.
+// consistent reports whether a description of the present incarnation agrees with the
+// accepted one in all but the capacity, or was repeated minConflicts times. The caller holds mu.
 func (a *Agent) consistent(vm queue.VM) bool {
 	known := a.vm
 	known.Capacity = vm.Capacity
 	if known.SameRegistration(vm) {
-		a.altered, a.alteredSeen = queue.VM{}, 0
+		a.conflicting, a.conflictCount = queue.VM{}, 0
 		return true
 	}
-	if !a.altered.SameRegistration(vm) {
-		a.altered, a.alteredSeen = vm, 0
+	if !a.conflicting.SameRegistration(vm) {
+		a.conflicting, a.conflictCount = vm, 0
 	}
-	a.alteredSeen++
+	a.conflictCount++
 	a.log.Warn().Str("life", vm.Incarnation).Str("service", string(vm.Service)).Strs("labels", vm.Labels).
-		Int("seen", a.alteredSeen).Msg("executor_altered")
-	return a.alteredSeen >= alteredAfter
+		Int("seen", a.conflictCount).Msg("executor_altered")
+	return a.conflictCount >= minConflicts
 }
 
-// Description returns the VM as its executor has described it, and whether that drains.
+// Description returns the VM as its executor has described it, and whether the executor is draining.
 func (a *Agent) Description() (vm queue.VM, draining bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.vm, a.draining
 }
 
-// confirmLoop asks the executor about the lives that have described themselves.
-// It asks about one after the other, so that the life confirmed last is the
-// newest.
+// confirmLoop polls the executor for the incarnations that have sent descriptions. It polls
+// for one after the other, so that the last one confirmed is the newest.
 func (a *Agent) confirmLoop(ctx context.Context) error {
-	timer := time.NewTimer(failPause)
+	timer := time.NewTimer(retryDelay)
 	defer timer.Stop()
 	for {
-		for _, life := range a.unconfirmed() {
-			a.confirm(ctx, life)
+		for _, inc := range a.unconfirmed() {
+			a.confirm(ctx, inc)
 		}
-		timer.Reset(failPause)
+		timer.Reset(retryDelay)
 		var again <-chan time.Time
 		if len(a.unconfirmed()) > 0 {
 			again = timer.C
@@ -121,159 +122,159 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-a.askUp:
+		case <-a.confirmSignal:
 		case <-again:
 		}
 	}
 }
 
-// unconfirmed returns the lives to ask about, and drops those that have not
-// described themselves for long.
+// unconfirmed returns the incarnations to poll for, and drops those that have sent no
+// description for confirmTimeout.
 func (a *Agent) unconfirmed() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := steady.Now()
-	maps.DeleteFunc(a.described, func(_ string, d *description) bool { return now.After(d.askUntil) })
-	return slices.Sorted(maps.Keys(a.described))
+	maps.DeleteFunc(a.descriptions, func(_ string, d *description) bool { return now.After(d.confirmUntil) })
+	return slices.Sorted(maps.Keys(a.descriptions))
 }
 
-// confirm asks the executor for its account as one life. Any other life says so.
-// Without an account the life is neither taken nor given up, also if there is some
-// other answer: by the contract that could only be the life's own, but it brings no
-// clock, so no lease could be kept nor anything started, and there is nothing to
-// gain from a word that may be another's.
-func (a *Agent) confirm(ctx context.Context, life string) {
-	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+// confirm polls the executor for one incarnation. Any other incarnation answers with
+// ErrStaleIncarnation. Without a status the incarnation is neither recognized nor given up.
+// This also holds for other answers: by the contract only the incarnation itself may give
+// them, but they carry no clock, so that the agent could neither extend a lease nor start
+// runs. It has nothing to gain from trusting an answer that may be another incarnation's.
+func (a *Agent) confirm(ctx context.Context, inc string) {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	_, err := a.exec.Poll(ctx, life, rudderfork.PollRequest{Fence: a.fence()})
+	_, err := a.exec.Poll(ctx, inc, rudderfork.PollRequest{Fence: a.fence()})
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	d := a.described[life]
+	d := a.descriptions[inc]
 	switch {
-	case d == nil: // it has left meanwhile
+	case d == nil: // it has ended or timed out meanwhile
 	case errors.Is(err, rudderfork.ErrStaleIncarnation):
-		a.log.Info().Str("life", life).Msg("executor_life_over")
-		a.noteOver(life)
+		a.log.Info().Str("life", inc).Msg("executor_life_over")
+		a.recordEnded(inc)
 	case err != nil:
-		a.log.Info().Str("life", life).Err(err).Msg("executor_life_unconfirmed")
+		a.log.Info().Str("life", inc).Err(err).Msg("executor_life_unconfirmed")
 	default:
-		delete(a.described, life)
-		a.take(*d)
-		a.leaving = d.farewell
+		delete(a.descriptions, inc)
+		a.applyDescription(*d)
+		a.shuttingDown = d.shutdownNotice
 	}
 }
 
 func (a *Agent) fence() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.keeper.FencingToken()
+	return a.reconciler.FencingToken()
 }
 
-// noteOver remembers that a life is over: by the executor's word, or since it left
-// looks unanswered after its farewell. That only spares calls. It is not kept for
-// good, since the word may have been wrong: an executor may describe itself before it
-// answers under its new name, and a process of before may still answer. The caller holds mu.
-func (a *Agent) noteOver(life string) {
-	delete(a.described, life)
-	if life == "" {
+// recordEnded records that an incarnation has ended, as the executor has answered or because it
+// left polls unanswered after its shutdown notice. This only saves calls. It expires, since the
+// answer may be wrong: an executor may send a description before it answers under its new name,
+// and an earlier process may still answer. The caller holds mu.
+func (a *Agent) recordEnded(inc string) {
+	delete(a.descriptions, inc)
+	if inc == "" {
 		return
 	}
-	a.over = slices.DeleteFunc(a.over, func(e endedLife) bool { return e.life == life })
-	a.over = append(a.over, endedLife{life, steady.Now().Add(overSpan)})
-	a.over = a.over[max(0, len(a.over)-maxLives):]
+	a.ended = slices.DeleteFunc(a.ended, func(e endedIncarnation) bool { return e.inc == inc })
+	a.ended = append(a.ended, endedIncarnation{inc, steady.Now().Add(endedTTL)})
+	a.ended = a.ended[max(0, len(a.ended)-maxIncarnations):]
 }
 
-// isOver reports whether a life was found over lately. The caller holds mu.
-func (a *Agent) isOver(life string, now time.Time) bool {
-	a.over = slices.DeleteFunc(a.over, func(e endedLife) bool { return !now.Before(e.until) })
-	return slices.ContainsFunc(a.over, func(e endedLife) bool { return e.life == life })
+// recentlyEnded reports whether an incarnation was recorded as ended within endedTTL. The caller
+// holds mu.
+func (a *Agent) recentlyEnded(inc string, now time.Time) bool {
+	a.ended = slices.DeleteFunc(a.ended, func(e endedIncarnation) bool { return !now.Before(e.until) })
+	return slices.ContainsFunc(a.ended, func(e endedIncarnation) bool { return e.inc == inc })
 }
 
-// take takes what the present life says of itself. The caller holds mu.
-func (a *Agent) take(d description) {
-	changed := !a.known || !a.vm.SameRegistration(d.vm) || a.draining != d.draining
-	if before := a.keeper.Incarnation(); before != d.vm.Incarnation {
+// applyDescription applies a description of the executor's present incarnation. The caller holds mu.
+func (a *Agent) applyDescription(d description) {
+	changed := !a.hasExecutor || !a.vm.SameRegistration(d.vm) || a.draining != d.draining
+	if before := a.reconciler.Incarnation(); before != d.vm.Incarnation {
 		a.log.Info().Str("life", d.vm.Incarnation).Str("before", before).Stringer("capacity", d.vm.Capacity).
 			Strs("labels", d.vm.Labels).Msg("executor_life")
-		a.noteOver(before)
-		a.noteCrash()
-		a.keeper.Reset(d.vm.Incarnation)
-		a.forget()
+		a.recordEnded(before)
+		a.recordCrash()
+		a.reconciler.Reset(d.vm.Incarnation)
+		a.resetIncarnation()
 	}
 	if a.draining != d.draining {
-		a.log.Info().Bool("draining", d.draining).Time("leave", d.leaveAt).Msg("executor_draining")
+		a.log.Info().Bool("draining", d.draining).Time("leave", d.leaveNotBefore).Msg("executor_draining")
 	}
-	a.vm, a.known, a.draining, a.leaveAt = d.vm, true, d.draining, d.leaveAt
-	a.keeper.SetDraining(d.draining)
-	a.keeper.SetCapacity(d.vm.Capacity)
+	a.vm, a.hasExecutor, a.draining, a.leaveNotBefore = d.vm, true, d.draining, d.leaveNotBefore
+	a.reconciler.SetDraining(d.draining)
+	a.reconciler.SetCapacity(d.vm.Capacity)
 	if changed {
-		a.beatUp.Set()
-		a.kicked.Set()
+		a.heartbeatSignal.Set()
+		a.callSignal.Set()
 	}
 }
 
-// Incarnation returns the executor's life that the agent knows, or "".
+// Incarnation returns the recognized incarnation of the executor, or "".
 func (a *Agent) Incarnation() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.keeper.Incarnation()
+	return a.reconciler.Incarnation()
 }
 
-// HandleShutdownNotice notes the executor's farewell. It ends now, but has perhaps ends to list
-// that nobody has seen: they are looked for until it answers no more. One of
-// another life than the known one changes nothing of that.
-func (a *Agent) HandleShutdownNotice(life string) {
+// HandleShutdownNotice takes the executor's notice that it shuts down now. The executor is
+// polled until it no longer answers, since it may still list ends that the agent has not seen.
+// A notice of an incarnation other than the recognized one does not change that.
+func (a *Agent) HandleShutdownNotice(inc string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := steady.Now()
-	for _, d := range a.described {
-		d.farewell = d.farewell || d.leaves(life, now)
+	for _, d := range a.descriptions {
+		d.shutdownNotice = d.shutdownNotice || d.matchesShutdown(inc, now)
 	}
-	present := description{vm: a.vm, draining: a.draining, leaveAt: a.leaveAt}
-	if !a.known || a.leaving || !present.leaves(life, now) {
+	present := description{vm: a.vm, draining: a.draining, leaveNotBefore: a.leaveNotBefore}
+	if !a.hasExecutor || a.shuttingDown || !present.matchesShutdown(inc, now) {
 		return
 	}
-	a.log.Info().Str("life", a.vm.Incarnation).Str("farewell", life).Msg("executor_leaving")
-	a.leaving = true
+	a.log.Info().Str("life", a.vm.Incarnation).Str("farewell", inc).Msg("executor_leaving")
+	a.shuttingDown = true
 }
 
-// leaves reports whether a farewell is the life's. One that names the executor's id alone
-// may come late, from a start before: it counts for a life that has said that it would
-// leave about now.
-func (d *description) leaves(farewell string, now time.Time) bool {
-	if farewell == d.vm.Incarnation {
+// matchesShutdown reports whether a shutdown notice is from the incarnation described. A notice
+// that only names the executor's id may be a late one of an earlier incarnation. It counts if
+// the incarnation has announced that it leaves about now.
+func (d *description) matchesShutdown(shutdownNotice string, now time.Time) bool {
+	if shutdownNotice == d.vm.Incarnation {
 		return true
 	}
 	id, _ := rudderfork.SplitIncarnation(d.vm.Incarnation)
-	return farewell == id && d.draining && !now.Before(d.leaveAt.Add(-farewellSlack))
+	return shutdownNotice == id && d.draining && !now.Before(d.leaveNotBefore.Add(-shutdownSlack))
 }
 
-// depart tells the leader that the life has left, so that its work begins
-// elsewhere without waiting for the lease. The caller holds mu.
-func (a *Agent) depart() {
-	life := a.keeper.Incarnation()
-	a.log.Info().Str("life", life).Msg("executor_gone")
-	a.send(report{ends: queue.Ends{VM: a.vm.ID, Incarnation: life}, left: true})
-	a.lost()
+// reportLeft reports to the leader that the incarnation has left, so that its tasks start
+// elsewhere before its lease expires. The caller holds mu.
+func (a *Agent) reportLeft() {
+	inc := a.reconciler.Incarnation()
+	a.log.Info().Str("life", inc).Msg("executor_gone")
+	a.send(report{ends: queue.Ends{VM: a.vm.ID, Incarnation: inc}, left: true})
+	a.dropIncarnation()
 }
 
-// replaced notes that the life is over and another has begun. The caller holds
-// mu.
-func (a *Agent) replaced() {
-	a.log.Info().Str("life", a.keeper.Incarnation()).Msg("executor_replaced")
-	if a.leaving {
-		a.depart()
+// incarnationReplaced handles that the incarnation has ended and another has started. The caller
+// holds mu.
+func (a *Agent) incarnationReplaced() {
+	a.log.Info().Str("life", a.reconciler.Incarnation()).Msg("executor_replaced")
+	if a.shuttingDown {
+		a.reportLeft()
 		return
 	}
-	a.lost()
+	a.dropIncarnation()
 }
 
-// lost forgets the executor, whose life is over, until another describes itself.
-// The caller holds mu.
-func (a *Agent) lost() {
-	a.noteOver(a.keeper.Incarnation())
-	a.noteCrash()
-	a.keeper.Reset("")
-	a.forget()
-	a.known = false
+// dropIncarnation drops the state of the incarnation, which has ended. The caller holds mu.
+func (a *Agent) dropIncarnation() {
+	a.recordEnded(a.reconciler.Incarnation())
+	a.recordCrash()
+	a.reconciler.Reset("")
+	a.resetIncarnation()
+	a.hasExecutor = false
 }
--- a/runner/metrics.go
+++ b/runner/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are the agent's own.
+// metrics holds the agent's metrics.
 type metrics struct {
 	calls, ends, overdue *prometheus.CounterVec
 	took                 *prometheus.HistogramVec
--- a/runner/pace.go
+++ b/runner/pace.go
@@ -11,41 +11,41 @@
 )
 
 const (
-	// fullPace is the share at which a run begins, in percent.
+	// fullPace is the full speed of a run, in percent; runs start with it.
 	fullPace = 100
-	// paceStep is the least change of a share that is worth a call, in percent,
-	// unless it is to or from a standstill or full speed.
+	// paceStep is the least change of a speed that is worth a call, in percent. Changes to a
+	// standstill or to full speed are always sent.
 	paceStep = 10
-	// leastShare stands for a filler that declares no processors.
-	leastShare = 0.001
-	// maxPressures bounds the pairs of images that are remembered.
+	// minShare is the CPU share that is assumed for a filler that declares none.
+	minShare = 0.001
+	// maxPressures bounds the pairs of images whose pressure is kept.
 	maxPressures = 10_000
-	// maxLearned bounds those that a new leader is told of: 30 images of each kind.
-	maxLearned = 900
+	// maxSentPressures bounds the pairs that are sent to a new leader: 30 images of each kind.
+	maxSentPressures = 900
 )
 
-// takePressures notes what the leader has learned. The caller holds mu.
-func (a *Agent) takePressures(list []wire.PairPressure) {
+// setPressures takes pressures that the leader has measured. The caller holds mu.
+func (a *Agent) setPressures(list []wire.PairPressure) {
 	if len(a.pressures) > maxPressures {
-		clear(a.pressures) // the leader sends what matters with the next session
+		clear(a.pressures) // the leader sends those that matter in the next session
 	}
 	for _, e := range list {
 		a.pressures[interference.Pair{Serving: e.Serving, Filler: e.Filler}] = float64(e.Pressure)
 	}
 }
 
-// takeLast notes the runs that the rest of their steps wait for. The caller holds mu.
-func (a *Agent) takeLast(list []rudderfork.RunRef) {
-	a.last = make(map[rudderfork.RunRef]bool, len(list))
+// setLastOfStep sets the runs that the rest of their steps wait for. The caller holds mu.
+func (a *Agent) setLastOfStep(list []rudderfork.RunRef) {
+	a.lastOfStep = make(map[rudderfork.RunRef]bool, len(list))
 	for _, ref := range list {
-		a.last[ref] = true
+		a.lastOfStep[ref] = true
 	}
 }
 
-// learned returns the pressures that the agent was told of. The caller holds mu.
-func (a *Agent) learned() (list []wire.PairPressure) {
+// knownPressures returns the pressures that the agent has received. The caller holds mu.
+func (a *Agent) knownPressures() (list []wire.PairPressure) {
 	for p, pressure := range a.pressures {
-		if len(list) == maxLearned {
+		if len(list) == maxSentPressures {
 			break
 		}
 		list = append(list, wire.PairPressure{Serving: p.Serving, Filler: p.Filler, Pressure: float32(pressure)})
@@ -53,7 +53,7 @@
 	return list
 }
 
-// pressure is what is known or assumed of a pair. The caller holds mu.
+// pressure returns the known or assumed pressure of a pair of images. The caller holds mu.
 func (a *Agent) pressure(serving, filler string) float64 {
 	if p, ok := a.pressures[interference.Pair{Serving: serving, Filler: filler}]; ok {
 		return p
@@ -61,7 +61,7 @@
 	return interference.Unknown()
 }
 
-// paceOf is the share last asked for. The caller holds mu.
+// paceOf returns the speed of a run that was last requested, in percent. The caller holds mu.
 func (a *Agent) paceOf(ref rudderfork.RunRef) int {
 	if p, ok := a.paces[ref]; ok {
 		return p
@@ -69,12 +69,12 @@
 	return fullPace
 }
 
-// company returns the serving tasks that are at work, the fillers, and the part
-// of the processors that is idle without these. The caller holds mu.
-func (a *Agent) company() (serving []pace.ServingTask, fillers []pace.Filler, idle float64) {
+// colocatedTasks returns the serving tasks that are at work, the fillers, and the part of the VM's
+// processors that all tasks but the fillers leave idle. The caller holds mu.
+func (a *Agent) colocatedTasks() (serving []pace.ServingTask, fillers []pace.Filler, idle float64) {
 	idle = pace.MaxUtilization
 	whole := float64(max(1, a.vm.Capacity.CPUMilli))
-	for id, o := range a.keeper.DesiredRuns() {
+	for id, o := range a.reconciler.DesiredRuns() {
 		ref := rudderfork.RunRef{Task: id, Run: o.Run}
 		row, there := a.rows[ref]
 		share := float64(o.CPUMilli) / whole
@@ -90,19 +90,19 @@
 			serving = append(serving, pace.ServingTask{Image: o.Image, Headroom: pace.Headroom(o.TailMS, row.Load)})
 		case o.Filler && there:
 			fillers = append(fillers, pace.Filler{
-				Run: ref, Image: o.Image, CPUShare: max(leastShare, share),
-				Speed: float64(a.paceOf(ref)) / fullPace, MeasuredSpeed: a.seen(ref), LastOfStep: a.last[ref],
+				Run: ref, Image: o.Image, CPUShare: max(minShare, share),
+				Speed: float64(a.paceOf(ref)) / fullPace, MeasuredSpeed: a.meanSpeed(ref), LastOfStep: a.lastOfStep[ref],
 			})
 		}
 	}
 	return serving, fillers, idle
 }
 
-// colocated reports whether a serving task at work has a filler beside it. The
-// caller holds mu.
+// colocated reports whether a serving task that is at work shares the VM with a filler. The caller
+// holds mu.
 func (a *Agent) colocated() bool {
 	serving, filler := false, false
-	for id, o := range a.keeper.DesiredRuns() {
+	for id, o := range a.reconciler.DesiredRuns() {
 		row, there := a.rows[rudderfork.RunRef{Task: id, Run: o.Run}]
 		switch {
 		case there && serves(o, row):
@@ -119,24 +119,24 @@
 	return o.TailMS > 0 && row.Percent == fullPace
 }
 
-// seen is the mean speed of a filler while the headrooms were measured. The caller
-// holds mu.
-func (a *Agent) seen(ref rudderfork.RunRef) float64 {
-	if e := a.exposures[ref]; e != nil {
-		return e.mean(a.seenAt)
+// meanSpeed returns the mean speed of a filler, 0 to 1, over the time in which the headrooms were
+// measured. The caller holds mu.
+func (a *Agent) meanSpeed(ref rudderfork.RunRef) float64 {
+	if e := a.fillerSpeeds[ref]; e != nil {
+		return e.mean(a.lastStatusAt)
 	}
 	return 0
 }
 
-// adjustPace sets the fillers to what the serving tasks leave them. The caller
-// holds mu.
+// adjustPace sets the speeds of the fillers so that the serving tasks keep their headroom. The
+// caller holds mu.
 func (a *Agent) adjustPace(ctx context.Context) {
 	for ref := range a.paces {
 		if _, there := a.rows[ref]; !there {
 			delete(a.paces, ref)
 		}
 	}
-	serving, fillers, idle := a.company()
+	serving, fillers, idle := a.colocatedTasks()
 	least := pace.MaxHeadroom
 	for _, s := range serving {
 		least = min(least, s.Headroom)
@@ -150,28 +150,28 @@
 	}
 }
 
-// setPace asks for a share unless it is about the one last asked for. The caller
+// setPace requests a speed, in percent, unless it is close to the one last requested. The caller
 // holds mu.
-func (a *Agent) setPace(ctx context.Context, ref rudderfork.RunRef, share int, least float64) {
+func (a *Agent) setPace(ctx context.Context, ref rudderfork.RunRef, percent int, least float64) {
 	old := a.paceOf(ref)
-	if old == share || abs(old-share) < paceStep && share != 0 && share != fullPace {
+	if old == percent || abs(old-percent) < paceStep && percent != 0 && percent != fullPace {
 		return
 	}
-	a.paces[ref] = share
-	if e := a.exposures[ref]; e != nil {
-		e.set(float64(share)/fullPace, steady.Now().Add(paceDelay))
+	a.paces[ref] = percent
+	if e := a.fillerSpeeds[ref]; e != nil {
+		e.set(float64(percent)/fullPace, steady.Now().Add(paceDelay))
 	}
-	life, fence := a.keeper.Incarnation(), a.keeper.FencingToken()
+	inc, fence := a.reconciler.Incarnation(), a.reconciler.FencingToken()
 	go func() {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 		defer cancel()
-		err := a.exec.Pace(ctx, life, ref, share, fence)
-		a.log.Info().Str("task", string(ref.Task)).Uint32("run", ref.Run).Int("percent", share).Int("before", old).
+		err := a.exec.Pace(ctx, inc, ref, percent, fence)
+		a.log.Info().Str("task", string(ref.Task)).Uint32("run", ref.Run).Int("percent", percent).Int("before", old).
 			Float64("least_headroom", least).AnErr("error", err).Msg("filler_paced")
 		if err != nil {
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			delete(a.paces, ref) // asked for again with the next look
+			delete(a.paces, ref) // requested again after the next poll
 		}
 	}()
 }
--- a/runner/poll.go
+++ b/runner/poll.go
@@ -13,35 +13,35 @@
 	"rudderfork.example/rudderfork/runs"
 )
 
-// errBehind is an account whose clock is behind what the life has shown.
-var errBehind = fmt.Errorf("%w of now", rudderfork.ErrNoStatus)
+// errStaleClock means that the clock of a status is behind an earlier reading of the incarnation.
+var errStaleClock = fmt.Errorf("%w: the clock is behind an earlier reading", rudderfork.ErrNoStatus)
 
-// lookLoop asks the executor for its account again and again. Each look extends
-// the lease of all that runs, as far as the leader's grant reaches.
-func (a *Agent) lookLoop(ctx context.Context) error {
+// pollLoop polls the executor's status again and again. Each poll extends the lease of all runs to
+// the end of the leader's grant.
+func (a *Agent) pollLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
-		req, life, ok := a.nextLook()
+		req, inc, ok := a.nextPoll()
 		if !ok {
-			steady.Pause(ctx, failPause)
+			steady.Pause(ctx, retryDelay)
 			continue
 		}
-		asked := steady.Now()
-		look, err := a.look(ctx, life, req)
+		polled := steady.Now()
+		status, err := a.poll(ctx, inc, req)
 		if ctx.Err() != nil {
-			return ctx.Err() // the agent ends, which says nothing of the executor
+			return ctx.Err() // the agent shuts down, which does not concern the executor
 		}
-		var noted <-chan struct{}
+		var reportAcked <-chan struct{}
 		listed, taken := false, false
 		if err == nil {
-			noted, listed, taken = a.looked(ctx, life, look, asked)
+			reportAcked, listed, taken = a.handleStatus(ctx, inc, status, polled)
 		}
 		if !taken {
-			a.lookFailed(life, cmp.Or(err, errBehind))
-			steady.Pause(ctx, failPause)
+			a.handlePollError(inc, cmp.Or(err, errStaleClock))
+			steady.Pause(ctx, retryDelay)
 			continue
 		}
 		if listed || req.UntilMS == 0 {
-			await(ctx, noted, notedTimeout)
+			await(ctx, reportAcked, ackTimeout)
 		}
 	}
 	return ctx.Err()
@@ -57,112 +57,113 @@
 	}
 }
 
-// nextLook returns the next request; ok is false while no life is known.
-func (a *Agent) nextLook() (req rudderfork.PollRequest, life string, ok bool) {
+// nextPoll returns the next request and the incarnation that it is for. ok is false while no
+// incarnation is recognized.
+func (a *Agent) nextPoll() (req rudderfork.PollRequest, inc string, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.known {
+	if !a.hasExecutor {
 		return req, "", false
 	}
-	req = rudderfork.PollRequest{Fence: a.keeper.FencingToken(), AckedUpTo: a.acked, WaitMS: lookWait.Milliseconds()}
-	req.UntilMS, _ = a.keeper.ExecutorLeaseEnd(steady.Now())
+	req = rudderfork.PollRequest{Fence: a.reconciler.FencingToken(), AckedUpTo: a.ackedSeq, WaitMS: pollWait.Milliseconds()}
+	req.UntilMS, _ = a.reconciler.ExecutorLeaseEnd(steady.Now())
 	if a.colocated() {
-		req.WaitMS = pacedWait.Milliseconds()
+		req.WaitMS = colocatedPollWait.Milliseconds()
 	}
 	if req.UntilMS == 0 {
-		req.WaitMS = 0 // without a clock or a lease there is nothing to wait for
+		req.WaitMS = 0 // without a clock or a lease the answer is needed at once
 	}
-	return req, a.keeper.Incarnation(), true
+	return req, a.reconciler.Incarnation(), true
 }
 
-func (a *Agent) look(ctx context.Context, life string, req rudderfork.PollRequest) (rudderfork.ExecutorStatus, error) {
+func (a *Agent) poll(ctx context.Context, inc string, req rudderfork.PollRequest) (rudderfork.ExecutorStatus, error) {
 	wait := time.Duration(req.WaitMS) * time.Millisecond
-	ctx, cancel := context.WithTimeout(ctx, wait+lookTimeout)
+	ctx, cancel := context.WithTimeout(ctx, wait+pollTimeout)
 	defer cancel()
-	return a.exec.Poll(ctx, life, req)
+	return a.exec.Poll(ctx, inc, req)
 }
 
-// lookFailed takes a look that brought no account. Only one without any answer
-// tells that the executor may have left.
-func (a *Agent) lookFailed(life string, err error) {
+// handlePollError handles a poll that returned no status. Only if the poll was not answered at all
+// may the executor have left.
+func (a *Agent) handlePollError(inc string, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.keeper.Incarnation() != life {
+	if a.reconciler.Incarnation() != inc {
 		return
 	}
 	if errors.Is(err, rudderfork.ErrStaleIncarnation) {
-		a.replaced()
+		a.incarnationReplaced()
 		return
 	}
 	outcome := "no account"
-	a.unanswered++
+	a.unansweredPolls++
 	if errors.Is(err, rudderfork.ErrNoStatus) {
-		a.unanswered = 0
+		a.unansweredPolls = 0
 	} else {
 		outcome = "unanswered"
 	}
-	a.noteReached(err)
-	a.noteSilent(steady.Now())
-	if a.leaving && a.unanswered >= leftAfter {
-		a.depart()
+	a.recordReachable(err)
+	a.recordSilence(steady.Now())
+	if a.shuttingDown && a.unansweredPolls >= leftAfter {
+		a.reportLeft()
 		return
 	}
 	a.met.calls.WithLabelValues("look", outcome).Inc()
-	a.log.Info().Err(err).Dur("silent", steady.Now().Sub(a.seenAt)).Msg("look_failed")
+	a.log.Info().Err(err).Dur("silent", steady.Now().Sub(a.lastStatusAt)).Msg("look_failed")
 }
 
-// looked takes an account. listed says that it holds ends that the leader has
-// not taken note of: until noted, the executor would list them again at once. An account
-// whose clock is behind what the life has shown is from before that, and not taken.
-func (a *Agent) looked(ctx context.Context, life string, look rudderfork.ExecutorStatus, asked time.Time) (noted <-chan struct{}, listed, taken bool) {
+// handleStatus takes a status. It returns taken false if the executor's clock is behind an earlier
+// reading, since the status is older than that. listed reports whether the status lists ends that
+// the leader has not acknowledged: until it has, the executor answers the next poll at once with
+// the same ends.
+func (a *Agent) handleStatus(ctx context.Context, inc string, status rudderfork.ExecutorStatus, polled time.Time) (reportAcked <-chan struct{}, listed, taken bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.keeper.Incarnation() != life {
-		a.reportOf(life, runs.ParseEnds(look.Ended), 0) // what an earlier life listed stands
+	if a.reconciler.Incarnation() != inc {
+		a.reportFor(inc, runs.ParseEnds(status.Ended), 0) // ends that an earlier incarnation listed stay valid
 		return nil, false, true
 	}
 	now := steady.Now()
-	if !a.keeper.SetClock(look.ClockMS, now) {
+	if !a.reconciler.SetClock(status.ClockMS, now) {
 		return nil, false, false
 	}
-	a.seenAt, a.silentAt, a.unanswered, a.notReached = now, time.Time{}, 0, 0
-	a.noteAccount(life, look)
-	upTo := a.acked
-	for _, e := range look.Ended {
+	a.lastStatusAt, a.silentSince, a.unansweredPolls, a.unreachablePolls = now, time.Time{}, 0, 0
+	a.logEnds(inc, status)
+	upTo := a.ackedSeq
+	for _, e := range status.Ended {
 		upTo = max(upTo, e.Seq)
 	}
-	noted = a.noted
-	ends := a.keeper.HandleStatus(look, asked)
-	a.noteVanished(ends, look)
-	a.reportLooked(ends, upTo)
+	reportAcked = a.reportAcked
+	ends := a.reconciler.HandleStatus(status, polled)
+	a.logLostRuns(ends, status)
+	a.reportListed(ends, upTo)
 	clear(a.rows)
-	for _, r := range look.Running {
+	for _, r := range status.Running {
 		a.rows[r.RunRef] = r
 	}
-	a.expose(now)
-	a.worked = a.exposed(now)
+	a.trackFillers(now)
+	a.fillerUsage = a.measureFillerUsage(now)
 	a.adjustPace(ctx)
-	a.kicked.Set()
-	return noted, upTo > a.acked, true
+	a.callSignal.Set()
+	return reportAcked, upTo > a.ackedSeq, true
 }
 
-// noteAccount logs what an account lists as ended, against what was acknowledged. The
-// caller holds mu.
-func (a *Agent) noteAccount(life string, look rudderfork.ExecutorStatus) {
-	if len(look.Ended) == 0 {
+// logEnds logs which ends a status lists and up to which they were acknowledged. The caller holds
+// mu.
+func (a *Agent) logEnds(inc string, status rudderfork.ExecutorStatus) {
+	if len(status.Ended) == 0 {
 		return
 	}
-	a.log.Info().Str("life", life).Int64("clock_ms", look.ClockMS).Uint64("acked", a.acked).Int("ends", len(look.Ended)).
-		Uint64("first", look.Ended[0].Seq).Uint64("last", look.Ended[len(look.Ended)-1].Seq).Msg("ends_listed")
+	a.log.Info().Str("life", inc).Int64("clock_ms", status.ClockMS).Uint64("acked", a.ackedSeq).Int("ends", len(status.Ended)).
+		Uint64("first", status.Ended[0].Seq).Uint64("last", status.Ended[len(status.Ended)-1].Seq).Msg("ends_listed")
 }
 
-// noteVanished logs the runs that an account should list and does not. The caller
-// holds mu.
-func (a *Agent) noteVanished(ends []queue.End, look rudderfork.ExecutorStatus) {
+// logLostRuns logs the runs that a status should list and does not. The caller holds mu.
+func (a *Agent) logLostRuns(ends []queue.End, status rudderfork.ExecutorStatus) {
 	for _, e := range ends {
 		if e.Outcome == queue.OutcomeLost {
-			a.log.Warn().Str("task", e.Task.String()).Uint32("run", e.Run).Int64("clock_ms", look.ClockMS).
-				Uint64("acked", a.acked).Msg("run_vanished")
+			a.log.Warn().Str("task", e.Task.String()).Uint32("run", e.Run).Int64("clock_ms", status.ClockMS).
+				Uint64("acked", a.ackedSeq).Msg("run_vanished")
 		}
 	}
 }
--- a/runner/report.go
+++ b/runner/report.go
@@ -7,46 +7,46 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// report is ends on their way to the leader.
+// report is a report of ends to the leader.
 type report struct {
 	ends queue.Ends
-	left bool   // the life has left: whatever else ran there is over
-	upTo uint64 // row of the executor's list that they reach
+	left bool   // the incarnation has left, and all its other runs have ended
+	upTo uint64 // highest Seq of the executor's ends that are covered
 }
 
 func (r report) message(id uint64) wire.FromNode {
 	return wire.FromNode{Ends: &wire.EndsReport{Seq: id, Ends: r.ends, Departed: r.left}}
 }
 
-// takeNoted forgets ends that are committed. The caller holds mu.
-func (a *Agent) takeNoted(id uint64) {
+// handleAck drops a report whose ends the leader has committed. The caller holds mu.
+func (a *Agent) handleAck(id uint64) {
 	r, ok := a.reports[id]
 	if !ok {
 		return
 	}
 	delete(a.reports, id)
-	if r.ends.Incarnation != a.keeper.Incarnation() {
+	if r.ends.Incarnation != a.reconciler.Incarnation() {
 		return
 	}
-	a.keeper.ForgetEnded(r.ends.List)
-	a.acked = max(a.acked, r.upTo)
-	close(a.noted)
-	a.noted = make(chan struct{})
+	a.reconciler.ForgetEnded(r.ends.List)
+	a.ackedSeq = max(a.ackedSeq, r.upTo)
+	close(a.reportAcked)
+	a.reportAcked = make(chan struct{})
 }
 
-// report sends ends of the present life to the leader. The caller holds mu.
+// report sends ends of the present incarnation to the leader. The caller holds mu.
 func (a *Agent) report(ends []queue.End, upTo uint64) {
-	a.reportOf(a.keeper.Incarnation(), ends, upTo)
+	a.reportFor(a.reconciler.Incarnation(), ends, upTo)
 }
 
-// maxReports bounds the reports that wait for a leader: the executor lists its
-// ends again until they are noted, a few times a second.
+// maxReports bounds the reports that wait for a leader. Without it they would grow by a few per
+// second while there is no leader, since the executor lists its ends again until they are
+// acknowledged.
 const maxReports = 32
 
-// reportLooked sends the ends of an account. While many reports wait, it leaves
-// those to the next account that the executor will list again. The caller holds
-// mu.
-func (a *Agent) reportLooked(ends []queue.End, upTo uint64) {
+// reportListed reports the ends that follow from a poll. While maxReports reports wait, it leaves
+// out ends that the executor lists again. The caller holds mu.
+func (a *Agent) reportListed(ends []queue.End, upTo uint64) {
 	if len(a.reports) >= maxReports {
 		ends = slices.DeleteFunc(ends, func(e queue.End) bool { return e.Outcome != queue.OutcomeLost })
 		upTo = 0
@@ -54,18 +54,18 @@
 	a.report(ends, upTo)
 }
 
-// reportOf sends ends of a life to the leader. The caller holds mu.
-func (a *Agent) reportOf(life string, ends []queue.End, upTo uint64) {
+// reportFor sends ends of an incarnation to the leader. The caller holds mu.
+func (a *Agent) reportFor(inc string, ends []queue.End, upTo uint64) {
 	if len(ends) == 0 {
 		return
 	}
 	for _, e := range ends {
 		a.met.ends.WithLabelValues(string(e.Outcome)).Inc()
 	}
-	a.send(report{ends: queue.Ends{VM: a.vm.ID, Incarnation: life, List: ends}, upTo: upTo})
+	a.send(report{ends: queue.Ends{VM: a.vm.ID, Incarnation: inc, List: ends}, upTo: upTo})
 }
 
-// send sends a report, and keeps it until it is noted. The caller holds mu.
+// send sends a report and keeps it until it is acknowledged. The caller holds mu.
 func (a *Agent) send(r report) {
 	a.reportID++
 	a.reports[a.reportID] = r
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -1,15 +1,17 @@
-// Package runner is the process beside a VM's executor: it carries out what
-// package runs decides, tells the leader how the VM is, and paces fillers.
+// Package runner implements the agent that runs beside a VM's executor. The agent makes
+// the calls that package runs decides on, reports the VM's state to the leader, and paces
+// fillers.
 //
-// Four loops share one Keeper. The confirm loop finds out which life the executor
-// is in; the look loop asks it for its account and waits there for ends; the call
-// loop sends starts and stops; the beat loop sends heartbeats, each of which brings
-// a lease back.
+// Four loops share one Reconciler. The confirm loop finds out which incarnation the
+// executor has. The poll loop polls its status with long polls, which return early when a
+// run ends. The call loop sends starts and stops. The heartbeat loop sends heartbeats to
+// the leader, which answers each with a lease.
 //
-// A life of the executor goes through these steps: it describes itself (described),
-// answers a look that is meant for it and is taken up (known), says farewell (leaving),
-// answers no more looks and is reported as left. Where another life answers instead it
-// is over, and is asked about again after a while if it still describes itself.
+// An incarnation of the executor goes through these states. It sends a description of
+// itself. It is recognized once it answers a poll that is addressed to it. It may send a
+// shutdown notice. Once it no longer answers polls after that, it is reported as left. If
+// another incarnation answers a poll instead, it has ended. The executor is polled again
+// for an ended incarnation after a while if that still sends descriptions.
 package runner
 
 import (
@@ -34,33 +36,34 @@
 )
 
 const (
-	// beatEvery is between two heartbeats. A lease of seconds survives several
-	// lost ones, and the leader hears of changes of load in time.
-	beatEvery = 500 * time.Millisecond
-	// lookWait is how long the executor holds an answer back while there is no
-	// end to tell; pacedWait is the same while serving tasks have fillers beside
-	// them: as often as executors renew their figures (seen in trials).
-	lookWait  = 1000 * time.Millisecond
-	pacedWait = 250 * time.Millisecond
-	// lookTimeout is added to the wait before a look is given up.
-	lookTimeout = 700 * time.Millisecond
-	// callTimeout bounds one start, stop or pace.
+	// heartbeatInterval is the time between two heartbeats. It is short enough that a lease
+	// of seconds survives several lost ones, and that the leader learns of changes of load
+	// in time.
+	heartbeatInterval = 500 * time.Millisecond
+	// pollWait is how long the executor may delay its answer to a poll while no run has
+	// ended. colocatedPollWait is the same while serving tasks share the VM with fillers: as
+	// often as executors renew their figures.
+	pollWait          = 1000 * time.Millisecond
+	colocatedPollWait = 250 * time.Millisecond
+	// pollTimeout is how much longer than that the agent waits for the answer.
+	pollTimeout = 700 * time.Millisecond
+	// callTimeout bounds a start, stop or change of pace.
 	callTimeout = 500 * time.Millisecond
-	// notedTimeout bounds the wait for the leader to take note of ends before
-	// the executor is looked at again.
-	notedTimeout = 300 * time.Millisecond
-	// failPause is between looks that fail.
-	failPause = 150 * time.Millisecond
-	// muteAfter is how long the executor may leave looks unanswered before the
-	// VM counts as mute and asks for no lease.
-	muteAfter = 1200 * time.Millisecond
-	// absentAfter is how many looks in succession must find that nothing listens at the
-	// executor's address before the VM counts as mute. (A crash was known to the leader
-	// after 1.2 to 1.7 s, in which it placed up to ten tasks there; two looks take 0.15 s.)
-	absentAfter = 2
-	// leftAfter is how many looks in succession, without an answer, tell that an
-	// executor has ended after its farewell. A single answer may have been lost, and
-	// a run that is taken for over is stopped by nobody.
+	// ackTimeout bounds the wait for the leader to acknowledge ends before the next poll.
+	ackTimeout = 300 * time.Millisecond
+	// retryDelay is the time between polls that fail.
+	retryDelay = 150 * time.Millisecond
+	// unresponsiveAfter is how long the executor may leave polls unanswered before the VM
+	// counts as unresponsive and asks for no lease.
+	unresponsiveAfter = 1200 * time.Millisecond
+	// unreachableAfter is how many polls in succession must find that nothing listens at
+	// the executor's address before the VM counts as unresponsive. Two polls take 0.15 s.
+	// Without this rule the leader learns of a crash after 1.2 to 1.7 s, and until then
+	// places up to ten tasks there.
+	unreachableAfter = 2
+	// leftAfter is how many polls in succession must be unanswered before an executor that
+	// has sent a shutdown notice counts as ended. A single answer may be lost, and nobody
+	// stops a run that wrongly counts as ended.
 	leftAfter = 2
 )
 
@@ -71,79 +74,79 @@
 	log     zerolog.Logger
 	met     *metrics
 
-	kicked wakeup.Signal // the call loop has something to do
-	beatUp wakeup.Signal // a heartbeat is due at once
-	askUp  wakeup.Signal // a life has described itself that is not confirmed
-
-	mu        sync.Mutex
-	keeper    *runs.Reconciler
-	vm        queue.VM
-	known     bool                    // vm describes a life of the executor
-	leaving   bool                    // the executor has said farewell, and ends
-	described map[string]*description // lives that the executor has not confirmed yet
-	over      []endedLife             // lives that were found over lately, the newest last
-	altered   queue.VM                // a description that contradicts the one before
-	draining  bool
-	leaveAt   time.Time
-	seenAt    time.Time // when the executor last answered a look
-	rows      map[rudderfork.RunRef]rudderfork.RunStatus
-	told      map[rudderfork.RunRef]rudderfork.RunStatus // rows that the leader has
-	paces     map[rudderfork.RunRef]int                  // speeds of fillers in percent, as last asked for
-	pressures map[interference.Pair]float64
-	guard     pace.Guard
-	last      map[rudderfork.RunRef]bool // the other tasks of their steps wait for them
-
-	alteredSeen int // how often altered came in succession
-
-	unanswered int // looks in succession
-	notReached int // looks in succession at whose address nothing listened
-
-	exposures map[rudderfork.RunRef]*exposure
-	begun     map[rudderfork.RunRef]time.Time // when starts were confirmed
-	unsure    map[rudderfork.RunRef]time.Time // when starts first were left without an answer
-	silentAt  time.Time                       // first look or start without an answer since the last one with; zero if none
-	lifeAt    time.Time                       // when its life was taken up
-	crashed   *queue.Crash                    // the life before, until the present one is registered
-	worked    map[string]float64              // shares of fillers by image, at the last look
-
-	reports  map[uint64]report // not noted yet
-	reportID uint64
-	acked    uint64        // ends of the executor's list that were noted
-	noted    chan struct{} // closed at the next Noted
+	callSignal      wakeup.Signal // wakes the call loop
+	heartbeatSignal wakeup.Signal // requests a heartbeat at once
+	confirmSignal   wakeup.Signal // wakes the confirm loop
+
+	mu             sync.Mutex
+	reconciler     *runs.Reconciler
+	vm             queue.VM
+	hasExecutor    bool                    // an incarnation is recognized, and vm describes it
+	shuttingDown   bool                    // the executor has sent a shutdown notice
+	descriptions   map[string]*description // of incarnations that are not confirmed yet
+	ended          []endedIncarnation      // incarnations that recently proved to have ended, the newest last
+	conflicting    queue.VM                // a description of the present incarnation that contradicts the accepted one
+	draining       bool
+	leaveNotBefore time.Time
+	lastStatusAt   time.Time // when the executor last answered a poll
+	rows           map[rudderfork.RunRef]rudderfork.RunStatus
+	reportedRows   map[rudderfork.RunRef]rudderfork.RunStatus // rows that were sent to the leader
+	paces          map[rudderfork.RunRef]int                  // speeds of fillers in percent, as last requested
+	pressures      map[interference.Pair]float64
+	guard          pace.Guard
+	lastOfStep     map[rudderfork.RunRef]bool // runs that the rest of their steps wait for
+
+	conflictCount int // how often conflicting came in succession
+
+	unansweredPolls  int // polls in succession without an answer
+	unreachablePolls int // polls in succession that found nothing listening
+
+	fillerSpeeds     map[rudderfork.RunRef]*fillerSpeed
+	startedAt        map[rudderfork.RunRef]time.Time // when starts were confirmed, by run
+	unansweredStarts map[rudderfork.RunRef]time.Time // when starts were first left unanswered, by run
+	silentSince      time.Time                       // first unanswered poll or start since the last answer; zero if none
+	incarnationSince time.Time                       // when the present incarnation was recognized
+	lastCrash        *queue.Crash                    // report about the previous incarnation, until the present one is registered
+	fillerUsage      map[string]float64              // CPU shares of fillers by image, as of the last poll; nil once sent
+
+	reports     map[uint64]report // not acknowledged yet
+	reportID    uint64
+	ackedSeq    uint64        // highest Seq of the executor's ends that the leader has committed
+	reportAcked chan struct{} // closed at the leader's next acknowledgement
 }
 
-// New returns an agent that drives exec.
+// New returns an agent for the executor exec.
 func New(process string, seeds func() []string, exec rudderfork.Executor, log zerolog.Logger) *Agent {
 	a := &Agent{
-		exec: exec, log: log, met: newMetrics(), kicked: wakeup.New(), beatUp: wakeup.New(), askUp: wakeup.New(),
-		described: map[string]*description{}, keeper: runs.New(), pressures: map[interference.Pair]float64{}, reports: map[uint64]report{},
+		exec: exec, log: log, met: newMetrics(), callSignal: wakeup.New(), heartbeatSignal: wakeup.New(), confirmSignal: wakeup.New(),
+		descriptions: map[string]*description{}, reconciler: runs.New(), pressures: map[interference.Pair]float64{}, reports: map[uint64]report{},
 	}
 	a.session = session.New(process, seeds, a, log)
-	a.forget()
+	a.resetIncarnation()
 	return a
 }
 
-// forget drops what concerned a life of the executor, but for reports of its
-// ends, which stay true. The caller holds mu.
-func (a *Agent) forget() {
+// resetIncarnation drops the state of the present incarnation, except reports of its ends, which
+// stay valid. The caller holds mu.
+func (a *Agent) resetIncarnation() {
 	a.rows = map[rudderfork.RunRef]rudderfork.RunStatus{}
-	a.told = map[rudderfork.RunRef]rudderfork.RunStatus{}
+	a.reportedRows = map[rudderfork.RunRef]rudderfork.RunStatus{}
 	a.paces = map[rudderfork.RunRef]int{}
-	a.exposures = map[rudderfork.RunRef]*exposure{}
-	a.begun = map[rudderfork.RunRef]time.Time{}
-	a.unsure = map[rudderfork.RunRef]time.Time{}
-	a.worked = nil
+	a.fillerSpeeds = map[rudderfork.RunRef]*fillerSpeed{}
+	a.startedAt = map[rudderfork.RunRef]time.Time{}
+	a.unansweredStarts = map[rudderfork.RunRef]time.Time{}
+	a.fillerUsage = nil
 	a.guard = pace.Guard{}
-	a.acked = 0
-	a.leaving = false
-	a.noted = make(chan struct{})
-	a.seenAt, a.unanswered, a.notReached = steady.Now(), 0, 0
-	a.silentAt, a.lifeAt = time.Time{}, a.seenAt
+	a.ackedSeq = 0
+	a.shuttingDown = false
+	a.reportAcked = make(chan struct{})
+	a.lastStatusAt, a.unansweredPolls, a.unreachablePolls = steady.Now(), 0, 0
+	a.silentSince, a.incarnationSince = time.Time{}, a.lastStatusAt
 }
 
-// Services returns the agent's loops, for a supervisor.
+// Services returns the agent's session and loops, for a supervisor.
 func (a *Agent) Services() []suture.Service {
-	return []suture.Service{a.session, loop{"confirm", a.confirmLoop}, loop{"look", a.lookLoop}, loop{"calls", a.callLoop}, loop{"beat", a.beatLoop}}
+	return []suture.Service{a.session, loop{"confirm", a.confirmLoop}, loop{"look", a.pollLoop}, loop{"calls", a.callLoop}, loop{"beat", a.heartbeatLoop}}
 }
 
 // loop is a supervised loop.
@@ -158,20 +161,20 @@
 // String names the service in the supervisor's log.
 func (l loop) String() string { return l.name }
 
-// Opened implements session.Handler. Ends go before the first heartbeat: with a
-// new life, the leader counts what the old one ran as lost.
+// Opened implements session.Handler. It sends ends before the first heartbeat: once the leader
+// receives one of a new incarnation, it counts the runs of the old one as lost.
 func (a *Agent) Opened(w wire.QueueWelcome) {
 	a.mu.Lock()
-	a.keeper.SetTerm(w.Term)
-	a.told = map[rudderfork.RunRef]rudderfork.RunStatus{}
+	a.reconciler.SetTerm(w.Term)
+	a.reportedRows = map[rudderfork.RunRef]rudderfork.RunStatus{}
 	for _, id := range slices.Sorted(maps.Keys(a.reports)) {
-		a.session.Send(a.reports[id].message(id)) // if it fails, the next session sends it again
+		a.session.Send(a.reports[id].message(id)) // if it fails, the next session resends it
 	}
-	if learned := a.learned(); len(learned) > 0 {
-		a.session.Send(wire.FromNode{KnownPressures: learned}) // if it fails, the leader learns anew
+	if learned := a.knownPressures(); len(learned) > 0 {
+		a.session.Send(wire.FromNode{KnownPressures: learned}) // if it fails, the leader measures them again
 	}
 	a.mu.Unlock()
-	a.beatUp.Set()
+	a.heartbeatSignal.Set()
 }
 
 // Closed implements session.Handler.
@@ -183,26 +186,26 @@
 	defer a.mu.Unlock()
 	switch {
 	case m.Grant != nil:
-		a.takePressures(m.Grant.Pressures)
-		a.takeLast(m.Grant.LastOfStep)
+		a.setPressures(m.Grant.Pressures)
+		a.setLastOfStep(m.Grant.LastOfStep)
 		if m.Grant.LeaseMS > 0 {
-			a.takeRegistered(m.Grant.Incarnation)
-			a.keeper.Grant(m.Grant.Incarnation, m.Grant.Epoch, leaseOf(m.Grant))
+			a.handleRegistered(m.Grant.Incarnation)
+			a.reconciler.Grant(m.Grant.Incarnation, m.Grant.Epoch, leaseOf(m.Grant))
 		}
 	case m.Orders != nil:
-		a.takePressures(m.Orders.Pressures)
-		a.keeper.ApplyOrders(*m.Orders)
+		a.setPressures(m.Orders.Pressures)
+		a.reconciler.ApplyOrders(*m.Orders)
 		a.log.Debug().Uint64("epoch", m.Orders.Epoch).Bool("full", m.Orders.Full).
 			Int("start", len(m.Orders.Start)).Int("stop", len(m.Orders.Stop)).Msg("orders")
 	case m.EndsAck != nil:
-		a.takeNoted(m.EndsAck.Seq)
+		a.handleAck(m.EndsAck.Seq)
 	default:
 		return
 	}
-	a.kicked.Set()
+	a.callSignal.Set()
 }
 
-// leaseOf is what a grant allows, by this process's clock.
+// leaseOf converts a grant to a lease by this process's clock.
 func leaseOf(g *wire.VMGrant) runs.Lease {
 	sent := time.Unix(0, g.Sent)
 	l := runs.Lease{Until: sent.Add(time.Duration(g.LeaseMS) * time.Millisecond), Cordoned: g.Cordoned}
--- a/runner/runner_test.go
+++ b/runner/runner_test.go
@@ -100,7 +100,7 @@
 // close ends the session, as a leader that is lost does.
 func (s *leaderSession) close() { close(s.done) }
 
-func isBeat(m wire.FromNode) bool { return m.Heartbeat != nil }
+func isHeartbeat(m wire.FromNode) bool { return m.Heartbeat != nil }
 
 // startAgent runs an agent whose executor is the stand-in.
 func startAgent(t *testing.T, l *leader) *Agent {
@@ -119,7 +119,7 @@
 	l := newLeader(t)
 	a := startAgent(t, l)
 	first := l.next()
-	first.until(isBeat)
+	first.until(isHeartbeat)
 	learned := []wire.PairPressure{{Serving: "audio", Filler: "loud", Pressure: 9}}
 	first.send(wire.ToQueueNode{Grant: &wire.VMGrant{Incarnation: "life-1", Pressures: learned}})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -139,81 +139,81 @@
 
 // newAgentAlone returns an agent without loops, leader and executor, whose executor
 // has described itself and was ordered to run the given runs.
-func newAgentAlone(running ...rudderfork.RunRef) *Agent {
+func newTestAgent(running ...rudderfork.RunRef) *Agent {
 	a := New("vm1", func() []string { return nil }, nil, zerolog.Nop())
-	a.take(description{vm: queue.VM{ID: "vm1", Incarnation: "life-1"}})
+	a.applyDescription(description{vm: queue.VM{ID: "vm1", Incarnation: "life-1"}})
 	o := wire.Orders{Full: true, Incarnation: "life-1"}
 	for _, r := range running {
 		o.Start = append(o.Start, wire.RunOrder{RunRef: r})
 	}
-	a.keeper.ApplyOrders(o)
+	a.reconciler.ApplyOrders(o)
 	return a
 }
 
 // TestFarewell has an executor say farewell, and leave looks without an answer.
 func TestFarewell(t *testing.T) {
 	run := rudderfork.RunRef{Task: "j.0.0.1", Run: 1}
-	leftOf := func(a *Agent) (life string) {
+	leftOf := func(a *Agent) (inc string) {
 		for _, r := range a.reports {
 			if r.left {
-				life = r.ends.Incarnation
+				inc = r.ends.Incarnation
 			}
 		}
-		return life
+		return inc
 	}
 	t.Run("one look without an answer does not tell that it has left", func(t *testing.T) {
-		a := newAgentAlone(run)
+		a := newTestAgent(run)
 		a.HandleShutdownNotice("life-1")
-		a.lookFailed("life-1", executor.ErrNoAnswer)
+		a.handlePollError("life-1", executor.ErrNoAnswer)
 		assert.Equal(t, a.Incarnation(), "life-1")
-		a.looked(t.Context(), "life-1", rudderfork.ExecutorStatus{ClockMS: 1, Running: []rudderfork.RunStatus{{RunRef: run}}}, steady.Now())
-		a.lookFailed("life-1", executor.ErrNoAnswer)
+		a.handleStatus(t.Context(), "life-1", rudderfork.ExecutorStatus{ClockMS: 1, Running: []rudderfork.RunStatus{{RunRef: run}}}, steady.Now())
+		a.handlePollError("life-1", executor.ErrNoAnswer)
 		assert.Equal(t, a.Incarnation(), "life-1")
 		assert.Equal(t, leftOf(a), "")
 	})
 	t.Run("two in succession do", func(t *testing.T) {
-		a := newAgentAlone(run)
+		a := newTestAgent(run)
 		a.HandleShutdownNotice("life-1")
-		a.lookFailed("life-1", executor.ErrNoAnswer)
-		a.lookFailed("life-1", executor.ErrNoAnswer)
+		a.handlePollError("life-1", executor.ErrNoAnswer)
+		a.handlePollError("life-1", executor.ErrNoAnswer)
 		assert.Equal(t, a.Incarnation(), "")
 		assert.Equal(t, leftOf(a), "life-1")
 	})
 	t.Run("and one that was before the farewell counts", func(t *testing.T) {
-		a := newAgentAlone(run)
-		a.lookFailed("life-1", executor.ErrNoAnswer)
+		a := newTestAgent(run)
+		a.handlePollError("life-1", executor.ErrNoAnswer)
 		a.HandleShutdownNotice("life-1")
-		a.lookFailed("life-1", executor.ErrNoAnswer)
+		a.handlePollError("life-1", executor.ErrNoAnswer)
 		assert.Equal(t, leftOf(a), "life-1")
 	})
 	t.Run("an answer that is no account does not, and neither does one without an answer beside it", func(t *testing.T) {
-		a := newAgentAlone(run)
+		a := newTestAgent(run)
 		a.HandleShutdownNotice("life-1")
 		for range 3 {
-			a.lookFailed("life-1", fmt.Errorf("look: status 503: %w", rudderfork.ErrNoStatus))
-			a.lookFailed("life-1", executor.ErrNoAnswer)
+			a.handlePollError("life-1", fmt.Errorf("look: status 503: %w", rudderfork.ErrNoStatus))
+			a.handlePollError("life-1", executor.ErrNoAnswer)
 		}
 		assert.Equal(t, a.Incarnation(), "life-1")
 		assert.Equal(t, leftOf(a), "")
 	})
 	t.Run("nor does a look that the agent's own end breaks off", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		a := newAgentAlone(run)
-		a.exec = &script{look: func(ctx context.Context, _ int) error {
+		a := newTestAgent(run)
+		a.exec = &scriptedExecutor{look: func(ctx context.Context, _ int) error {
 			cancel()
 			<-ctx.Done()
 			return ctx.Err()
 		}}
 		a.HandleShutdownNotice("life-1")
-		a.lookFailed("life-1", executor.ErrNoAnswer)
-		assert.ErrorIs(t, a.lookLoop(ctx), context.Canceled)
+		a.handlePollError("life-1", executor.ErrNoAnswer)
+		assert.ErrorIs(t, a.pollLoop(ctx), context.Canceled)
 		assert.Equal(t, a.Incarnation(), "life-1")
 		assert.Equal(t, leftOf(a), "")
 	})
 	t.Run("without a farewell none does", func(t *testing.T) {
-		a := newAgentAlone(run)
+		a := newTestAgent(run)
 		for range 5 {
-			a.lookFailed("life-1", executor.ErrNoAnswer)
+			a.handlePollError("life-1", executor.ErrNoAnswer)
 		}
 		assert.Equal(t, a.Incarnation(), "life-1")
 	})
@@ -223,18 +223,18 @@
 // takes note of anything.
 func TestReportsAreBounded(t *testing.T) {
 	lost := rudderfork.RunRef{Task: "j.0.0.1", Run: 1}
-	a := newAgentAlone(lost)
+	a := newTestAgent(lost)
 	account := rudderfork.ExecutorStatus{
 		ClockMS: 1, Running: []rudderfork.RunStatus{{RunRef: lost}},
 		Ended: []rudderfork.EndedRun{{Seq: 1, RunRef: rudderfork.RunRef{Task: "j.0.0.0", Run: 1}, Outcome: "done"}},
 	}
-	look := func() { a.looked(t.Context(), "life-1", account, steady.Now()) }
+	look := func() { a.handleStatus(t.Context(), "life-1", account, steady.Now()) }
 	for range 3 * maxReports {
 		look()
 	}
 	assert.Equal(t, len(a.reports), maxReports)
 	t.Run("what is told but once is told all the same", func(t *testing.T) {
-		a.keeper.HandleStartResult(lost, rudderfork.Started, nil, steady.Now())
+		a.reconciler.HandleStartResult(lost, rudderfork.Started, nil, steady.Now())
 		account.Running = nil
 		look()
 		last := a.reports[a.reportID].ends.List
--- a/runner/stale_model_test.go
+++ b/runner/stale_model_test.go
@@ -37,29 +37,29 @@
 // lateModel is an executor that crashes and leaves, the agent beside it, and what
 // the leader has committed, with all that is on its way between them. The leader
 // takes heartbeats as package scheduler does: from the agent's latest session only.
-type lateModel struct {
-	t    *rapid.T
-	name func(life int) string
-	exec *executor.Executor
-	life int  // of the executor, counted from 0
-	mute bool // it leaves looks unanswered
-	dies bool // it crashes as soon as it has answered a look
-	air  []executorCall
+type staleModel struct {
+	t         *rapid.T
+	name      func(inc int) string
+	exec      *executor.Executor
+	inc       int  // of the executor, counted from 0
+	mute      bool // it leaves looks unanswered
+	crashNext bool // it crashes as soon as it has answered a look
+	inFlight  []executorCall
 
 	a        *Agent
 	known    int // newest life that this agent has known, or -1
 	sessions []agentSession
 
-	spoken     int // latest session with a heartbeat
-	state      *queue.State
-	registered int // life that is committed, or -1
+	lastSession int // latest session with a heartbeat
+	state       *queue.State
+	registered  int // life that is committed, or -1
 }
 
 // executorCall is a heartbeat or a farewell of a life.
 type executorCall struct {
-	life     int
-	draining bool // it says that it leaves in a while
-	farewell bool
+	inc            int
+	draining       bool // it says that it leaves in a while
+	shutdownNotice bool
 }
 
 // agentSession is what was sent in one session and has not arrived.
@@ -76,8 +76,8 @@
 // later one say that it began sooner.
 func sameID(i int) string { return rudderfork.IncarnationName("i-1", int64((i+1)*619%1000)) }
 
-func newLateModel(t *rapid.T, name func(life int) string) *lateModel {
-	m := &lateModel{t: t, name: name, state: queue.New(), registered: -1}
+func newStaleModel(t *rapid.T, name func(inc int) string) *staleModel {
+	m := &staleModel{t: t, name: name, state: queue.New(), registered: -1}
 	m.exec = executor.New(name(0), executor.Config{
 		Now: func() time.Time { return time.Unix(1000, 0) },
 		Fate: func(string) executor.Fate {
@@ -98,106 +98,106 @@
 	return m
 }
 
-func (m *lateModel) apply(c queue.Command) { m.state.Apply(c, 1) }
+func (m *staleModel) apply(c queue.Command) { m.state.Apply(c, 1) }
 
 // Poll implements rudderfork.Executor for the agent.
-func (m *lateModel) Poll(ctx context.Context, life string, req rudderfork.PollRequest) (rudderfork.ExecutorStatus, error) {
-	look, err := m.exec.Poll(ctx, life, req)
-	if m.dies {
-		m.dies = false
+func (m *staleModel) Poll(ctx context.Context, inc string, req rudderfork.PollRequest) (rudderfork.ExecutorStatus, error) {
+	look, err := m.exec.Poll(ctx, inc, req)
+	if m.crashNext {
+		m.crashNext = false
 		m.crash(m.t)
 	}
 	return look, err
 }
 
 // Start implements rudderfork.Executor.
-func (m *lateModel) Start(ctx context.Context, life string, s rudderfork.RunStart) (rudderfork.StartOutcome, error) {
-	return m.exec.Start(ctx, life, s)
+func (m *staleModel) Start(ctx context.Context, inc string, s rudderfork.RunStart) (rudderfork.StartOutcome, error) {
+	return m.exec.Start(ctx, inc, s)
 }
 
 // Stop implements rudderfork.Executor.
-func (m *lateModel) Stop(ctx context.Context, life string, r rudderfork.RunRef, fence uint64) error {
-	return m.exec.Stop(ctx, life, r, fence)
+func (m *staleModel) Stop(ctx context.Context, inc string, r rudderfork.RunRef, fence uint64) error {
+	return m.exec.Stop(ctx, inc, r, fence)
 }
 
 // Pace implements rudderfork.Executor.
-func (m *lateModel) Pace(ctx context.Context, life string, r rudderfork.RunRef, percent int, fence uint64) error {
-	return m.exec.Pace(ctx, life, r, percent, fence)
+func (m *staleModel) Pace(ctx context.Context, inc string, r rudderfork.RunRef, percent int, fence uint64) error {
+	return m.exec.Pace(ctx, inc, r, percent, fence)
 }
 
-func (m *lateModel) crash(*rapid.T) {
-	m.life++
-	m.exec.Restart(m.name(m.life))
+func (m *staleModel) crash(*rapid.T) {
+	m.inc++
+	m.exec.Restart(m.name(m.inc))
 }
 
-func (m *lateModel) leave(t *rapid.T) {
-	m.air = append(m.air, executorCall{life: m.life, farewell: true})
+func (m *staleModel) leave(t *rapid.T) {
+	m.inFlight = append(m.inFlight, executorCall{inc: m.inc, shutdownNotice: true})
 	m.crash(t)
 }
 
-func (m *lateModel) heartbeat(*rapid.T) { m.air = append(m.air, executorCall{life: m.life}) }
+func (m *staleModel) heartbeat(*rapid.T) { m.inFlight = append(m.inFlight, executorCall{inc: m.inc}) }
 
-func (m *lateModel) drain(*rapid.T) {
-	m.air = append(m.air, executorCall{life: m.life, draining: true})
+func (m *staleModel) drain(*rapid.T) {
+	m.inFlight = append(m.inFlight, executorCall{inc: m.inc, draining: true})
 }
 
 // arrive has any of the executor's calls reach the agent, perhaps not for the last
 // time.
-func (m *lateModel) arrive(t *rapid.T) {
-	if len(m.air) == 0 {
+func (m *staleModel) arrive(t *rapid.T) {
+	if len(m.inFlight) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(m.air)-1).Draw(t, "call")
-	c := m.air[i]
+	i := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "call")
+	c := m.inFlight[i]
 	if !rapid.Bool().Draw(t, "again") {
-		m.air = slices.Delete(m.air, i, i+1)
+		m.inFlight = slices.Delete(m.inFlight, i, i+1)
 	}
-	if c.farewell {
-		id, _ := rudderfork.SplitIncarnation(m.name(c.life))
+	if c.shutdownNotice {
+		id, _ := rudderfork.SplitIncarnation(m.name(c.inc))
 		m.a.HandleShutdownNotice(id)
 		return
 	}
-	m.a.HandleDescription(queue.VM{ID: modelVM, Incarnation: m.name(c.life), Service: "desk"}, c.draining, time.Minute)
+	m.a.HandleDescription(queue.VM{ID: modelVM, Incarnation: m.name(c.inc), Service: "desk"}, c.draining, time.Minute)
 }
 
 // confirm has the agent ask about one of the lives that it heard of.
-func (m *lateModel) confirm(t *rapid.T) {
+func (m *staleModel) confirm(t *rapid.T) {
 	if lives := m.a.unconfirmed(); len(lives) > 0 {
 		m.a.confirm(context.Background(), rapid.SampledFrom(lives).Draw(t, "life"))
 	}
 }
 
 // forget has the agent forget the lives that it found over.
-func (m *lateModel) forget(*rapid.T) { m.a.over = nil }
+func (m *staleModel) forget(*rapid.T) { m.a.ended = nil }
 
-func (m *lateModel) look(*rapid.T) {
-	req, life, ok := m.a.nextLook()
+func (m *staleModel) look(*rapid.T) {
+	req, inc, ok := m.a.nextPoll()
 	if !ok {
 		return
 	}
-	look, err := m.a.look(context.Background(), life, req)
+	look, err := m.a.poll(context.Background(), inc, req)
 	if err != nil {
-		m.a.lookFailed(life, err)
+		m.a.handlePollError(inc, err)
 		return
 	}
-	m.a.looked(context.Background(), life, look, time.Unix(1000, 0))
+	m.a.handleStatus(context.Background(), inc, look, time.Unix(1000, 0))
 }
 
 // restartAgent puts an agent without memory in place. What it has sent is on its
 // way yet.
-func (m *lateModel) restartAgent(t *rapid.T) {
+func (m *staleModel) restartAgent(t *rapid.T) {
 	m.a = New(string(modelVM), func() []string { return nil }, m, zerolog.Nop())
 	m.known = -1
 	m.reopen(t)
 }
 
 // reopen begins another session.
-func (m *lateModel) reopen(*rapid.T) {
+func (m *staleModel) reopen(*rapid.T) {
 	m.sessions = append(m.sessions, agentSession{agent: m.a, sent: map[uint64]bool{}})
 }
 
 // send sends the agent's reports and a heartbeat.
-func (m *lateModel) send(*rapid.T) {
+func (m *staleModel) send(*rapid.T) {
 	ses := &m.sessions[len(m.sessions)-1]
 	for _, id := range slices.Sorted(maps.Keys(m.a.reports)) {
 		if !ses.sent[id] {
@@ -205,17 +205,17 @@
 			ses.box = append(ses.box, m.a.reports[id].message(id))
 		}
 	}
-	if b, ok := m.a.beat(); ok {
+	if b, ok := m.a.nextHeartbeat(); ok {
 		ses.box = append(ses.box, wire.FromNode{Heartbeat: &b})
 	}
 }
 
 // deliver brings the leader the next message of any session.
-func (m *lateModel) deliver(t *rapid.T) {
+func (m *staleModel) deliver(t *rapid.T) {
 	m.take(rapid.IntRange(0, len(m.sessions)-1).Draw(t, "session"))
 }
 
-func (m *lateModel) take(i int) {
+func (m *staleModel) take(i int) {
 	ses := &m.sessions[i]
 	if len(ses.box) == 0 {
 		return
@@ -231,16 +231,16 @@
 		if i == len(m.sessions)-1 {
 			ses.agent.Handle(wire.ToQueueNode{EndsAck: &wire.EndsAck{Seq: msg.Ends.Seq}})
 		}
-	case i < m.spoken:
+	case i < m.lastSession:
 		ses.box = nil // the leader ends the session
 	default:
-		m.spoken = i
+		m.lastSession = i
 		m.register(msg.Heartbeat.VM)
 	}
 }
 
 // register commits a life that is new and starts the feed there.
-func (m *lateModel) register(vm queue.VM) {
+func (m *staleModel) register(vm queue.VM) {
 	if known := m.state.VM(modelVM); known != nil && known.Live && known.SameRegistration(vm) {
 		return
 	}
@@ -249,9 +249,9 @@
 }
 
 // index returns the place of a life among all, or -1 for none.
-func (m *lateModel) index(life string) int {
-	for i := range m.life + 1 {
-		if m.name(i) == life {
+func (m *staleModel) index(inc string) int {
+	for i := range m.inc + 1 {
+		if m.name(i) == inc {
 			return i
 		}
 	}
@@ -260,7 +260,7 @@
 
 // check holds that neither agent nor leader goes back to an earlier life, and that
 // nothing but a later life ends what runs in the present one.
-func (m *lateModel) check(t *rapid.T) {
+func (m *staleModel) check(t *rapid.T) {
 	known := m.index(m.a.Incarnation())
 	if known >= 0 {
 		assert.Assert(t, known >= m.known, "the agent went from life %d back to %d", m.known, known)
@@ -273,18 +273,18 @@
 	registered := m.index(vm.Incarnation)
 	assert.Assert(t, registered >= m.registered, "the leader went from life %d back to %d", m.registered, registered)
 	m.registered = registered
-	if registered == m.life {
+	if registered == m.inc {
 		assert.Assert(t, vm.Live, "the present life counts as lost")
 		assert.Equal(t, len(vm.Runs()), 1, "the present life's run was ended")
 	}
 }
 
 // calm lets what the present life says arrive, and then all that is late.
-func (m *lateModel) calm(t *rapid.T) {
-	m.mute, m.dies = false, false
-	m.a.HandleDescription(queue.VM{ID: modelVM, Incarnation: m.name(m.life), Service: "desk"}, false, 0)
-	for _, life := range m.a.unconfirmed() {
-		m.a.confirm(context.Background(), life)
+func (m *staleModel) calm(t *rapid.T) {
+	m.mute, m.crashNext = false, false
+	m.a.HandleDescription(queue.VM{ID: modelVM, Incarnation: m.name(m.inc), Service: "desk"}, false, 0)
+	for _, inc := range m.a.unconfirmed() {
+		m.a.confirm(context.Background(), inc)
 	}
 	m.look(t)
 	m.send(t)
@@ -295,34 +295,34 @@
 		}
 	}
 	m.forget(t)
-	for _, c := range m.air {
-		m.a.HandleDescription(queue.VM{ID: modelVM, Incarnation: m.name(c.life), Service: "desk"}, false, 0)
+	for _, c := range m.inFlight {
+		m.a.HandleDescription(queue.VM{ID: modelVM, Incarnation: m.name(c.inc), Service: "desk"}, false, 0)
 	}
-	for _, life := range m.a.unconfirmed() {
-		m.a.confirm(context.Background(), life)
+	for _, inc := range m.a.unconfirmed() {
+		m.a.confirm(context.Background(), inc)
 	}
 	m.check(t)
-	assert.Equal(t, m.known, m.life)
-	assert.Equal(t, m.registered, m.life)
+	assert.Equal(t, m.known, m.inc)
+	assert.Equal(t, m.registered, m.inc)
 }
 
 // TestLateModel delays, reorders and repeats what an executor's lives tell their
 // agent, and delays what the agent tells the leader, over crashes and farewells of
 // the executor and restarts of the agent.
-func TestLateModel(t *testing.T) { checkLate(t, otherID) }
+func TestLateModel(t *testing.T) { checkStale(t, otherID) }
 
 // TestLateModelSecondStarts does so with lives under one id, which alone farewells name.
-func TestLateModelSecondStarts(t *testing.T) { checkLate(t, sameID) }
+func TestLateModelSecondStarts(t *testing.T) { checkStale(t, sameID) }
 
-func checkLate(t *testing.T, name func(life int) string) {
+func checkStale(t *testing.T, name func(inc int) string) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newLateModel(t, name)
+		m := newStaleModel(t, name)
 		t.Repeat(map[string]func(*rapid.T){
 			"": m.check, "crash": m.crash, "leave": m.leave, "heartbeat": m.heartbeat, "drain": m.drain,
 			"arrive": m.arrive, "arrive too": m.arrive, "confirm": m.confirm, "confirm too": m.confirm, "look": m.look,
 			"restart the agent": m.restartAgent, "reopen": m.reopen, "send": m.send,
 			"deliver": m.deliver, "deliver too": m.deliver,
-			"mute": func(*rapid.T) { m.mute = !m.mute }, "dies": func(*rapid.T) { m.dies = true },
+			"mute": func(*rapid.T) { m.mute = !m.mute }, "dies": func(*rapid.T) { m.crashNext = true },
 			"forget": m.forget,
 		})
 		m.calm(t)
--- a/runner/stale_test.go
+++ b/runner/stale_test.go
@@ -20,44 +20,44 @@
 
 // The two lives of the tests' executor. Their names do not tell which is older.
 const (
-	oldLife = "life-b"
-	newLife = "life-a"
+	oldInc = "life-b"
+	newInc = "life-a"
 )
 
 // askedExecutor remembers as which lives it was asked for its account.
-type askedExecutor struct {
+type pollRecorder struct {
 	*executor.Executor
-	mu    sync.Mutex
-	asked []string
-	mute  bool // it leaves looks unanswered
+	mu     sync.Mutex
+	polled []string
+	mute   bool // it leaves looks unanswered
 }
 
 // Poll implements rudderfork.Executor.
-func (e *askedExecutor) Poll(ctx context.Context, life string, req rudderfork.PollRequest) (rudderfork.ExecutorStatus, error) {
-	look, err := e.Executor.Poll(ctx, life, req)
+func (e *pollRecorder) Poll(ctx context.Context, inc string, req rudderfork.PollRequest) (rudderfork.ExecutorStatus, error) {
+	look, err := e.Executor.Poll(ctx, inc, req)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.asked = append(e.asked, life)
+	e.polled = append(e.polled, inc)
 	if e.mute {
 		return rudderfork.ExecutorStatus{}, errors.New("no answer")
 	}
 	return look, err
 }
 
-func (e *askedExecutor) setMute(mute bool) {
+func (e *pollRecorder) setMute(mute bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.mute = mute
 }
 
 // wasAsked reports whether a call as this life was answered.
-func (e *askedExecutor) wasAsked(life string) bool { return e.timesAsked(life) > 0 }
+func (e *pollRecorder) wasPolled(inc string) bool { return e.pollCount(inc) > 0 }
 
-func (e *askedExecutor) timesAsked(life string) (n int) {
+func (e *pollRecorder) pollCount(inc string) (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, l := range e.asked {
-		if l == life {
+	for _, l := range e.polled {
+		if l == inc {
 			n++
 		}
 	}
@@ -65,27 +65,27 @@
 }
 
 // script is an executor whose answers to looks a test gives.
-type script struct {
+type scriptedExecutor struct {
 	rudderfork.Executor
-	looks int
+	polls int
 	look  func(ctx context.Context, n int) error // n counts from 1
 }
 
 // Poll implements rudderfork.Executor.
-func (s *script) Poll(ctx context.Context, _ string, _ rudderfork.PollRequest) (rudderfork.ExecutorStatus, error) {
-	s.looks++
-	return rudderfork.ExecutorStatus{ClockMS: 1}, s.look(ctx, s.looks)
+func (s *scriptedExecutor) Poll(ctx context.Context, _ string, _ rudderfork.PollRequest) (rudderfork.ExecutorStatus, error) {
+	s.polls++
+	return rudderfork.ExecutorStatus{ClockMS: 1}, s.look(ctx, s.polls)
 }
 
 // scripted returns an agent without loops and leader, and its executor.
-func scripted(look func(ctx context.Context, n int) error) (*Agent, *script) {
-	e := &script{look: look}
+func scripted(look func(ctx context.Context, n int) error) (*Agent, *scriptedExecutor) {
+	e := &scriptedExecutor{look: look}
 	return New("vm1", func() []string { return nil }, e, zerolog.Nop()), e
 }
 
 // hear has the life describe itself, and the agent ask about all that have.
-func (a *Agent) hear(ctx context.Context, life string) {
-	a.HandleDescription(queue.VM{ID: "vm1", Incarnation: life, Service: "desk"}, false, 0)
+func (a *Agent) describeAndConfirm(ctx context.Context, inc string) {
+	a.HandleDescription(queue.VM{ID: "vm1", Incarnation: inc, Service: "desk"}, false, 0)
 	for _, l := range a.unconfirmed() {
 		a.confirm(ctx, l)
 	}
@@ -103,29 +103,29 @@
 	t.Run("it is not asked again at once", func(t *testing.T) {
 		a, e := scripted(wrongOnce)
 		for range 10 {
-			a.hear(t.Context(), newLife)
+			a.describeAndConfirm(t.Context(), newInc)
 		}
-		assert.Equal(t, e.looks, 1)
+		assert.Equal(t, e.polls, 1)
 		assert.Equal(t, a.Incarnation(), "")
 	})
 	t.Run("but once it describes itself later", func(t *testing.T) {
 		a, _ := scripted(wrongOnce)
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
-			a.hear(t.Context(), newLife)
-			if a.Incarnation() == newLife {
+			a.describeAndConfirm(t.Context(), newInc)
+			if a.Incarnation() == newInc {
 				return poll.Success()
 			}
 			return poll.Continue("the life is not taken")
 		}, poll.WithTimeout(waitLimit))
 	})
 	t.Run("nor is a life that is over taken then", func(t *testing.T) {
-		e := &askedExecutor{Executor: executor.New(newLife, executor.Config{Now: steady.Now})}
+		e := &pollRecorder{Executor: executor.New(newInc, executor.Config{Now: steady.Now})}
 		a := New("vm1", func() []string { return nil }, e, zerolog.Nop())
-		a.hear(t.Context(), newLife)
+		a.describeAndConfirm(t.Context(), newInc)
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
-			a.hear(t.Context(), oldLife)
-			assert.Equal(t, a.Incarnation(), newLife)
-			if e.timesAsked(oldLife) >= 2 {
+			a.describeAndConfirm(t.Context(), oldInc)
+			assert.Equal(t, a.Incarnation(), newInc)
+			if e.pollCount(oldInc) >= 2 {
 				return poll.Success()
 			}
 			return poll.Continue("the old life is not asked about again")
@@ -142,9 +142,9 @@
 			return nil
 		})
 		before := time.Now()
-		a.hear(t.Context(), newLife)
-		assert.Equal(t, a.Incarnation(), newLife)
-		assert.Assert(t, end.Sub(before) >= lookTimeout, "a look is given up after %v", end.Sub(before))
+		a.describeAndConfirm(t.Context(), newInc)
+		assert.Equal(t, a.Incarnation(), newInc)
+		assert.Assert(t, end.Sub(before) >= pollTimeout, "a look is given up after %v", end.Sub(before))
 	})
 	for name, err := range map[string]error{"an answer without an account": rudderfork.ErrNoStatus, "no answer": executor.ErrNoAnswer} {
 		t.Run(name+" neither confirms a life nor ends it", func(t *testing.T) {
@@ -155,26 +155,26 @@
 				return nil
 			})
 			for range 2 {
-				a.hear(t.Context(), newLife)
+				a.describeAndConfirm(t.Context(), newInc)
 				assert.Equal(t, a.Incarnation(), "")
 			}
-			a.hear(t.Context(), newLife)
-			assert.Equal(t, a.Incarnation(), newLife)
+			a.describeAndConfirm(t.Context(), newInc)
+			assert.Equal(t, a.Incarnation(), newInc)
 		})
 	}
 }
 
 // lateWorld is an agent without memory, beside an executor in its second life.
-type lateWorld struct {
+type staleWorld struct {
 	t    *testing.T
-	exec *askedExecutor
+	exec *pollRecorder
 	a    *Agent
 	ses  *leaderSession
 }
 
-func newLateWorld(t *testing.T) *lateWorld {
+func newStaleWorld(t *testing.T) *staleWorld {
 	l := newLeader(t)
-	w := &lateWorld{t: t, exec: &askedExecutor{Executor: executor.New(newLife, executor.Config{Now: steady.Now})}}
+	w := &staleWorld{t: t, exec: &pollRecorder{Executor: executor.New(newInc, executor.Config{Now: steady.Now})}}
 	w.a = New("vm1", l.seeds, w.exec, zerolog.Nop())
 	for _, s := range w.a.Services() {
 		go func() { _ = s.Serve(t.Context()) }() // it ends with the test
@@ -184,19 +184,19 @@
 	return w
 }
 
-func (w *lateWorld) describe(life string, draining bool) {
-	w.a.HandleDescription(queue.VM{ID: "vm1", Incarnation: life, Service: "desk"}, draining, 0)
+func (w *staleWorld) describe(inc string, draining bool) {
+	w.a.HandleDescription(queue.VM{ID: "vm1", Incarnation: inc, Service: "desk"}, draining, 0)
 }
 
 // late has a heartbeat of the old life arrive, and waits until the agent has
 // found out about it.
-func (w *lateWorld) late() {
+func (w *staleWorld) late() {
 	w.t.Helper()
-	w.describe(oldLife, true)
-	w.until("the executor is asked as the old life", func() bool { return w.exec.wasAsked(oldLife) })
+	w.describe(oldInc, true)
+	w.until("the executor is asked as the old life", func() bool { return w.exec.wasPolled(oldInc) })
 }
 
-func (w *lateWorld) until(what string, ok func() bool) {
+func (w *staleWorld) until(what string, ok func() bool) {
 	w.t.Helper()
 	poll.WaitOn(w.t, func(poll.LogT) poll.Result {
 		if ok() {
@@ -208,11 +208,11 @@
 
 // checkBeats holds that the leader hears of the new life alone, n times, and that
 // it does not drain.
-func (w *lateWorld) checkBeats(n int) {
+func (w *staleWorld) checkHeartbeats(n int) {
 	w.t.Helper()
 	for range n {
-		b := w.ses.until(isBeat).Heartbeat
-		assert.Equal(w.t, b.VM.Incarnation, newLife)
+		b := w.ses.until(isHeartbeat).Heartbeat
+		assert.Equal(w.t, b.VM.Incarnation, newInc)
 		assert.Assert(w.t, !b.Draining, "the old life drained")
 		w.ses.send(wire.ToQueueNode{Pong: 1}) // an agent leaves a silent leader
 	}
@@ -222,52 +222,52 @@
 // its executor, of which one is over.
 func TestLateDescriptions(t *testing.T) {
 	t.Run("the old life's first", func(t *testing.T) {
-		w := newLateWorld(t)
+		w := newStaleWorld(t)
 		w.late()
-		w.describe(newLife, false)
-		w.checkBeats(2)
+		w.describe(newInc, false)
+		w.checkHeartbeats(2)
 	})
 	t.Run("the new one's first", func(t *testing.T) {
-		w := newLateWorld(t)
-		w.describe(newLife, false)
-		w.checkBeats(1)
-		w.describe(oldLife, true)
-		w.describe(oldLife, true)
-		w.checkBeats(3)
-		assert.Equal(t, w.a.Incarnation(), newLife)
+		w := newStaleWorld(t)
+		w.describe(newInc, false)
+		w.checkHeartbeats(1)
+		w.describe(oldInc, true)
+		w.describe(oldInc, true)
+		w.checkHeartbeats(3)
+		assert.Equal(t, w.a.Incarnation(), newInc)
 	})
 	t.Run("both while the executor does not answer", func(t *testing.T) {
-		w := newLateWorld(t)
+		w := newStaleWorld(t)
 		w.exec.setMute(true)
-		w.describe(newLife, false)
+		w.describe(newInc, false)
 		w.late()
 		w.exec.setMute(false)
-		w.until("the new life is known", func() bool { return w.a.Incarnation() == newLife })
-		w.checkBeats(2)
+		w.until("the new life is known", func() bool { return w.a.Incarnation() == newInc })
+		w.checkHeartbeats(2)
 	})
 	t.Run("a farewell of the old one", func(t *testing.T) {
-		w := newLateWorld(t)
-		w.describe(newLife, false)
-		w.checkBeats(1)
-		w.a.HandleShutdownNotice(oldLife)
+		w := newStaleWorld(t)
+		w.describe(newInc, false)
+		w.checkHeartbeats(1)
+		w.a.HandleShutdownNotice(oldInc)
 		w.late()
-		w.a.HandleShutdownNotice(oldLife)
-		w.checkBeats(2)
+		w.a.HandleShutdownNotice(oldInc)
+		w.checkHeartbeats(2)
 		w.a.mu.Lock()
 		defer w.a.mu.Unlock()
-		assert.Assert(t, !w.a.leaving)
+		assert.Assert(t, !w.a.shuttingDown)
 		assert.Equal(t, len(w.a.reports), 0)
 	})
 	t.Run("a farewell that comes before the life is confirmed", func(t *testing.T) {
-		w := newLateWorld(t)
+		w := newStaleWorld(t)
 		w.exec.setMute(true)
-		w.describe(newLife, false)
-		w.a.HandleShutdownNotice(newLife)
+		w.describe(newInc, false)
+		w.a.HandleShutdownNotice(newInc)
 		w.exec.setMute(false)
-		w.until("the new life is known", func() bool { return w.a.Incarnation() == newLife })
+		w.until("the new life is known", func() bool { return w.a.Incarnation() == newInc })
 		w.exec.Restart("")
 		left := w.ses.until(func(m wire.FromNode) bool { return m.Ends != nil }).Ends
 		assert.Assert(t, left.Departed)
-		assert.Equal(t, left.Ends.Incarnation, newLife)
+		assert.Equal(t, left.Ends.Incarnation, newInc)
 	})
 }
