--- a/agent/tasks.go
+++ b/agent/tasks.go
@@ -49,7 +49,7 @@
 	renewed  time.Time // the deadline that the worker was last given
 	seenAt   time.Time // when the worker last answered
 	reportID uint64
-	notes    []wire.DecisionNote
+	notes    []wire.DecisionRecord
 	reported map[lease.AttemptRef]time.Time // when to report again
 }
 
@@ -227,7 +227,7 @@
 		}
 		text := fmt.Sprintf("level %d to %d of %d: the services here are at %.0f%% of their targets", t.levels[id], level, throttle.MaxLevel, 100*p)
 		t.event("throttled", id, text)
-		t.notes = append(t.notes, wire.DecisionNote{At: rudderfork.Millis(steady.Now()), Task: id, What: "throttled", Reason: text})
+		t.notes = append(t.notes, wire.DecisionRecord{At: rudderfork.Millis(steady.Now()), Task: id, What: "throttled", Reason: text})
 		t.levels[id] = level
 	}
 	if len(ts) == 0 {
@@ -251,7 +251,7 @@
 		})
 	}
 	b.Exhausted = t.ladder.Exhausted(steady.Now())
-	if len(t.notes) > 0 && t.client.Send(wire.ToControl{Notes: t.notes}) {
+	if len(t.notes) > 0 && t.client.Send(wire.ToControl{Decisions: t.notes}) {
 		t.notes = nil
 	}
 	return b
--- a/control/session.go
+++ b/control/session.go
@@ -235,11 +235,11 @@
 	case m.Reports != nil:
 		go s.reports(ctx, *m.Reports)
 	case m.Claim != nil:
-		go s.command(ctx, m.Claim.ID, state.Command{Claim: &m.Claim.Ask})
+		go s.command(ctx, m.Claim.ID, state.Command{Claim: &m.Claim.Claim})
 	case m.Settle != nil:
 		go s.command(ctx, m.Settle.ID, state.Command{Settle: &m.Settle.Settle})
-	case m.Notes != nil:
-		for _, n := range m.Notes {
+	case m.Decisions != nil:
+		for _, n := range m.Decisions {
 			s.hub.rec.Record(rudderfork.Event{Kind: n.What, Subject: string(n.Task), Text: n.Reason})
 		}
 	}
--- a/entry/stop_test.go
+++ b/entry/stop_test.go
@@ -210,14 +210,14 @@
 func (c *control) claim(q wire.ClaimRequest) *wire.CommandResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	held := c.claims[q.Ask.Key]
-	if held != nil && held.Token != q.Ask.After {
+	held := c.claims[q.Claim.Key]
+	if held != nil && held.Token != q.Claim.After {
 		return &wire.CommandResult{ID: q.ID, Result: state.Result{Claim: held}}
 	}
 	c.token++
 	cl := &state.Claim{
-		Key: q.Ask.Key, Token: c.token, Digest: q.Ask.Digest, VM: q.Ask.VM, Boot: q.Ask.Boot,
-		Phase: state.ClaimHeld, Expires: q.Ask.Expires,
+		Key: q.Claim.Key, Token: c.token, Digest: q.Claim.Digest, VM: q.Claim.VM, Boot: q.Claim.Boot,
+		Phase: state.ClaimHeld, Expires: q.Claim.Expires,
 	}
 	c.claims[cl.Key] = cl
 	return &wire.CommandResult{ID: q.ID, Result: state.Result{Claim: cl, Granted: true}}
--- a/executor.go
+++ b/executor.go
@@ -26,14 +26,14 @@
 
 // The outcomes. With all but Started the call has not started the run.
 const (
-	Started      StartOutcome = iota // also if the run had been started before
-	StartFenced                      // a higher fencing token was received before
-	StartEnded                       // the run, or a later run of the task, has ended there
-	StartExpired                     // the lease had expired
-	StartNoRoom                      // the run does not fit
-	StartTicket                      // the ticket is not valid
-	StartInvalid                     // the executor cannot parse the order
-	StartBusy                        // the executor reports that it is overloaded or unavailable
+	Started         StartOutcome = iota // also if the run had been started before
+	StartFenced                         // a higher fencing token was received before
+	StartEnded                          // the run, or a later run of the task, has ended there
+	StartExpired                        // the lease had expired
+	StartNoCapacity                     // the run does not fit
+	StartTicket                         // the ticket is not valid
+	StartInvalid                        // the executor cannot parse the order
+	StartBusy                           // the executor reports that it is overloaded or unavailable
 )
 
 // String returns the name of the outcome, as it is logged.
@@ -95,18 +95,18 @@
 // other. After any error except ErrNotReached the call may have been carried out, or may still be,
 // even after later calls; but a run that was stopped never starts afterwards.
 type Executor interface {
-	Start(ctx context.Context, life string, s RunStart) (StartOutcome, error)
+	Start(ctx context.Context, inc string, s RunStart) (StartOutcome, error)
 	// Stop ends a run. A run that does not exist will never start.
-	Stop(ctx context.Context, life string, r RunRef, fence uint64) error
+	Stop(ctx context.Context, inc string, r RunRef, fence uint64) error
 	// Poll returns the status, or ErrNoStatus if the response is something else.
-	Poll(ctx context.Context, life string, r PollRequest) (ExecutorStatus, error)
+	Poll(ctx context.Context, inc string, r PollRequest) (ExecutorStatus, error)
 	// Pace sets the speed of a run, in percent of its full speed.
-	Pace(ctx context.Context, life string, r RunRef, percent int, fence uint64) error
+	Pace(ctx context.Context, inc string, r RunRef, percent int, fence uint64) error
 }
 
 // Adviser decides which VMs may run a step.
 type Adviser interface {
 	// Advise returns a ticket for each of the given executor incarnations that may run the step, by
 	// incarnation.
-	Advise(ctx context.Context, step string, lives []string) (tickets map[string]string, err error)
+	Advise(ctx context.Context, step string, incs []string) (tickets map[string]string, err error)
 }
--- a/incarnation.go
+++ b/incarnation.go
@@ -15,22 +15,22 @@
 
 // IncarnationName returns the name of the incarnation of an executor that started at a time, Unix
 // ms. The time is 0 for executors that do not report it, and the name is then the ID alone.
-func IncarnationName(id string, bornMS int64) string {
-	if bornMS == 0 {
+func IncarnationName(id string, startMS int64) string {
+	if startMS == 0 {
 		return id
 	}
-	return id + startMark + strconv.FormatInt(bornMS, 10)
+	return id + startMark + strconv.FormatInt(startMS, 10)
 }
 
 // SplitIncarnation is the inverse of IncarnationName.
-func SplitIncarnation(life string) (id string, bornMS int64) {
-	i := strings.LastIndex(life, startMark)
+func SplitIncarnation(name string) (id string, startMS int64) {
+	i := strings.LastIndex(name, startMark)
 	if i < 0 {
-		return life, 0
+		return name, 0
 	}
-	bornMS, err := strconv.ParseInt(life[i+len(startMark):], 10, 64)
-	if err != nil || bornMS == 0 {
-		return life, 0 // the mark is part of the id
+	startMS, err := strconv.ParseInt(name[i+len(startMark):], 10, 64)
+	if err != nil || startMS == 0 {
+		return name, 0 // the mark is part of the id
 	}
-	return life[:i], bornMS
+	return name[:i], startMS
 }
--- a/incarnation_test.go
+++ b/incarnation_test.go
@@ -9,11 +9,11 @@
 // TestIncarnationName checks that names of incarnations are split into the same parts.
 func TestIncarnationName(t *testing.T) {
 	for _, want := range []struct {
-		id     string
-		bornMS int64
+		id      string
+		startMS int64
 	}{{"i-1", 0}, {"i-1", 1_783_502_653_021}, {"i@1", 5}, {"i@", 0}, {"i@x", 0}, {"", 7}, {"i-1", -3}} {
-		id, born := SplitIncarnation(IncarnationName(want.id, want.bornMS))
+		id, start := SplitIncarnation(IncarnationName(want.id, want.startMS))
 		assert.Equal(t, id, want.id)
-		assert.Equal(t, born, want.bornMS)
+		assert.Equal(t, start, want.startMS)
 	}
 }
--- a/node/client.go
+++ b/node/client.go
@@ -225,7 +225,7 @@
 // Claim asks for a claim.
 func (c *Client) Claim(ctx context.Context, a state.Acquire) (state.Result, error) {
 	return c.ask(ctx, func(id uint64) wire.ToControl {
-		return wire.ToControl{Claim: &wire.ClaimRequest{ID: id, Ask: a}}
+		return wire.ToControl{Claim: &wire.ClaimRequest{ID: id, Claim: a}}
 	})
 }
 
--- a/queue/blame.go
+++ b/queue/blame.go
@@ -10,7 +10,8 @@
 // and fails the jobs of tasks that almost certainly are.
 //
 // For each task the state keeps three figures. Crashes counts the executors that crashed under it
-// since its last successful run; it bounds the damage that a task can do, whoever is to blame.
+// since the last of its runs that cleared it; it bounds the damage that a task can do, whoever is to
+// blame.
 // PromptCrashes counts those of them that crashed soon after the run was confirmed to have begun.
 // Suspicion is the probability that the task crashes its executors, by Bayes' rule from the ages of
 // all runs at each crash and from the rate of spontaneous crashes (crashrate.go). A poison task
@@ -48,7 +49,7 @@
 	// more executors, lower ones fail innocent jobs: with 13 VMs and five poison tasks, 950 and 700
 	// cost 2.07 executors for each poison task and one innocent job of 390 a day in 20 days, 995
 	// and 950 cost 2.57 executors and one job in 11 days. With 30 poison tasks it is 2.84 and 3.32
-	// executors.
+	// executors respectively.
 	poisonMilliAfter2 = 950
 	poisonMilliAfter3 = 700
 
--- a/queue/blame_test.go
+++ b/queue/blame_test.go
@@ -11,8 +11,8 @@
 // firstIncarnation is the incarnation in which newWorld registers its VMs.
 const firstIncarnation = "life-1"
 
-// aged returns the report of an agent on a confirmed run.
-func aged(k TaskKey, run uint32, ageMS int64) RunAge {
+// ageOf returns the report of an agent on a confirmed run.
+func ageOf(k TaskKey, run uint32, ageMS int64) RunAge {
 	return RunAge{Task: k, Run: run, AgeMS: ageMS, Confirmed: true}
 }
 
@@ -38,8 +38,8 @@
 	assert.Equal(t, task.UnresolvedLosses, losses, "unresolved losses")
 }
 
-// two starts two tasks of two jobs on the first VM.
-func two(t *testing.T, step Step) (w *world, bad, good TaskKey) {
+// startTwo starts two tasks of two jobs on the first VM.
+func startTwo(t *testing.T, step Step) (w *world, bad, good TaskKey) {
 	w = newWorld(t, 4)
 	w.submit("bad", step)
 	w.submit("good", step)
@@ -51,23 +51,23 @@
 
 func TestBlame(t *testing.T) {
 	t.Run("a task is given up after two crashes right after its starts", func(t *testing.T) {
-		w, bad, good := two(t, one)
-		w.crash("vm1", "life-2", aged(bad, 1, 0), aged(good, 1, 300))
+		w, bad, good := startTwo(t, one)
+		w.crash("vm1", "life-2", ageOf(bad, 1, 0), ageOf(good, 1, 300))
 		assert.Assert(t, w.task(bad).Suspect() && !w.task(good).Suspect())
 		run := w.start(bad, "vm2")
-		res := w.crash("vm2", "life-2", aged(bad, run, 0))
+		res := w.crash("vm2", "life-2", ageOf(bad, run, 0))
 		assert.Equal(t, w.status("bad"), Failed)
 		assert.Equal(t, w.status("good"), Running)
 		assert.Equal(t, len(res.Assessments), 1)
 		assert.Assert(t, res.Assessments[0].GivenUp)
 	})
 	t.Run("tasks that began together are distinguished by their next VMs", func(t *testing.T) {
-		w, bad, good := two(t, one)
-		w.crash("vm1", "life-2", aged(bad, 1, 0), aged(good, 1, 0))
+		w, bad, good := startTwo(t, one)
+		w.crash("vm1", "life-2", ageOf(bad, 1, 0), ageOf(good, 1, 0))
 		assert.Assert(t, w.task(bad).Suspect() && w.task(good).Suspect())
 		w.start(bad, "vm2")
 		w.start(good, "vm3")
-		w.crash("vm2", "life-2", aged(bad, 2, 0))
+		w.crash("vm2", "life-2", ageOf(bad, 2, 0))
 		assert.Assert(t, w.end(good, "vm3", 2, OutcomeDone))
 		assert.Equal(t, w.status("bad"), Failed)
 		assert.Equal(t, w.status("good"), Completed)
@@ -75,23 +75,23 @@
 	t.Run("a task that has run for long is cleared", func(t *testing.T) {
 		lasting := one
 		lasting.Lasting = true
-		w, bad, good := two(t, lasting)
-		w.crash("vm1", "life-2", aged(bad, 1, 0), aged(good, 1, 0))
+		w, bad, good := startTwo(t, lasting)
+		w.crash("vm1", "life-2", ageOf(bad, 1, 0), ageOf(good, 1, 0))
 		for i := range 8 {
 			run := w.start(good, "vm2")
-			w.crash("vm2", string(rune('a'+i)), aged(good, run, 60_000))
+			w.crash("vm2", string(rune('a'+i)), ageOf(good, run, 60_000))
 			checkCounts(t, w.task(good), 0, 0)
 		}
 		assert.Equal(t, w.status("good"), Running)
 	})
 	t.Run("a run that never began is not counted", func(t *testing.T) {
-		w, bad, good := two(t, one)
-		w.crash("vm1", "life-2", aged(bad, 1, 0))
+		w, bad, good := startTwo(t, one)
+		w.crash("vm1", "life-2", ageOf(bad, 1, 0))
 		checkCounts(t, w.task(bad), 1, 0)
 		checkCounts(t, w.task(good), 0, 0)
 	})
 	t.Run("an unconfirmed start does not make a poison task", func(t *testing.T) {
-		w, bad, _ := two(t, one)
+		w, bad, _ := startTwo(t, one)
 		w.crash("vm1", "life-2", RunAge{Task: bad, Run: 1})
 		run := w.start(bad, "vm2")
 		w.crash("vm2", "life-2", RunAge{Task: bad, Run: run})
@@ -101,14 +101,14 @@
 	t.Run("a suspect gets no copy", func(t *testing.T) {
 		copied := one
 		copied.Speculative = true
-		w, bad, _ := two(t, copied)
-		w.crash("vm1", "life-2", aged(bad, 1, 0))
+		w, bad, _ := startTwo(t, copied)
+		w.crash("vm1", "life-2", ageOf(bad, 1, 0))
 		w.start(bad, "vm2")
 		assert.Equal(t, w.apply(Command{Starts: []Start{{Task: bad, VM: "vm3", Incarnation: firstIncarnation, Copy: true}}}).Numbers[0], uint32(0))
 	})
 	t.Run("an operator clears a suspect", func(t *testing.T) {
-		w, bad, good := two(t, one)
-		w.crash("vm1", "life-2", aged(bad, 1, 0), aged(good, 1, 0))
+		w, bad, good := startTwo(t, one)
+		w.crash("vm1", "life-2", ageOf(bad, 1, 0), ageOf(good, 1, 0))
 		assert.Equal(t, len(w.s.CrashedTasks()), 2)
 		assert.Equal(t, w.apply(Command{Clear: &bad}).Code, OK)
 		assert.Equal(t, len(w.s.CrashedTasks()), 1)
@@ -129,27 +129,27 @@
 
 func TestNotCharged(t *testing.T) {
 	t.Run("a shutdown notice", func(t *testing.T) {
-		w, bad, _ := two(t, one)
+		w, bad, _ := startTwo(t, one)
 		w.lose("vm1", VMLoss{Departed: true})
 		checkCounts(t, w.task(bad), 0, 0)
 	})
 	t.Run("an announced end", func(t *testing.T) {
-		w, bad, _ := two(t, one)
+		w, bad, _ := startTwo(t, one)
 		old := *w.s.VM("vm1")
 		old.Incarnation = "life-2"
-		w.apply(Command{Register: &old, Crash: &Crash{Incarnation: firstIncarnation, Draining: true, Runs: []RunAge{aged(bad, 1, 0)}}})
+		w.apply(Command{Register: &old, Crash: &Crash{Incarnation: firstIncarnation, Draining: true, Runs: []RunAge{ageOf(bad, 1, 0)}}})
 		checkCounts(t, w.task(bad), 0, 0)
 	})
 	t.Run("upkeep", func(t *testing.T) {
-		w, bad, _ := two(t, one)
+		w, bad, _ := startTwo(t, one)
 		w.apply(Command{Wave: &Wave{ID: 1, Machines: []string{"m1"}, MaxDown: 1}})
 		w.apply(Command{Upkeep: &UpkeepReport{Wave: 1, Machine: "m1", Incarnation: firstIncarnation}})
-		w.crash("vm1", "life-2", aged(bad, 1, 0))
+		w.crash("vm1", "life-2", ageOf(bad, 1, 0))
 		checkCounts(t, w.task(bad), 0, 0)
 		assert.Assert(t, !w.s.VM("vm1").Leaving)
 	})
 	t.Run("a VM that was cut off", func(t *testing.T) {
-		w, bad, _ := two(t, one)
+		w, bad, _ := startTwo(t, one)
 		w.lose("vm1", VMLoss{})
 		checkCounts(t, w.task(bad), 0, 1)
 		w.register("vm1", firstIncarnation)
@@ -160,17 +160,17 @@
 // TestCrashFoundLate checks that a crash is blamed on the tasks if the VM's lease runs out before
 // its executor is back.
 func TestCrashFoundLate(t *testing.T) {
-	w, bad, good := two(t, one)
-	w.lose("vm1", VMLoss{Crash: &Crash{Incarnation: firstIncarnation, Runs: []RunAge{aged(bad, 1, 0), aged(good, 1, 900)}}})
+	w, bad, good := startTwo(t, one)
+	w.lose("vm1", VMLoss{Crash: &Crash{Incarnation: firstIncarnation, Runs: []RunAge{ageOf(bad, 1, 0), ageOf(good, 1, 900)}}})
 	checkCounts(t, w.task(bad), 0, 1)
 	run := w.start(bad, "vm2")
 	t.Run("unresolved losses survive a snapshot", func(t *testing.T) {
 		w.restore()
 		checkCounts(t, w.task(bad), 0, 1)
 	})
-	w.crash("vm1", "life-2", aged(bad, 1, 0), aged(good, 1, 900))
+	w.crash("vm1", "life-2", ageOf(bad, 1, 0), ageOf(good, 1, 900))
 	checkCounts(t, w.task(bad), 1, 0)
-	w.crash("vm2", "life-2", aged(bad, run, 0))
+	w.crash("vm2", "life-2", ageOf(bad, run, 0))
 	assert.Equal(t, w.status("bad"), Failed)
 	assert.Equal(t, w.status("good"), Running)
 }
--- a/queue/crash_test.go
+++ b/queue/crash_test.go
@@ -57,7 +57,7 @@
 func TestLossReportedTwice(t *testing.T) {
 	for name, second := range map[string]VMLoss{"lost again": {}, "lost with a shutdown notice": {Departed: true}} {
 		t.Run(name, func(t *testing.T) {
-			w, bad, good := two(t, one)
+			w, bad, good := startTwo(t, one)
 			w.lose("vm1", VMLoss{})
 			w.lose("vm1", second)
 			w.register("vm1", firstIncarnation)
@@ -88,7 +88,7 @@
 		}
 		crashes++
 		run := w.task(k).LastRun
-		w.lose(vm, VMLoss{Crash: &Crash{Incarnation: w.s.VM(vm).Incarnation, Runs: []RunAge{aged(k, run, 0)}}})
+		w.lose(vm, VMLoss{Crash: &Crash{Incarnation: w.s.VM(vm).Incarnation, Runs: []RunAge{ageOf(k, run, 0)}}})
 		if down = append(down, vm); len(down) > away {
 			back(down[0])
 			down = down[1:]
@@ -104,7 +104,7 @@
 // TestLateLossOfEarlierEpoch guards against a loss command that arrives after the VM has registered
 // again.
 func TestLateLossOfEarlierEpoch(t *testing.T) {
-	w, _, _ := two(t, one)
+	w, _, _ := startTwo(t, one)
 	epoch := w.s.VM("vm1").Epoch
 	w.lose("vm1", VMLoss{Epoch: epoch})
 	w.register("vm1", firstIncarnation)
@@ -126,17 +126,17 @@
 		}
 		run := w.start(k, "vm1")
 		assert.Assert(t, run > 0, "not started after %d crashes: %+v", i, *w.task(k))
-		w.crash("vm1", fmt.Sprintf("life-%d", i+2), aged(k, run, 5_000))
+		w.crash("vm1", fmt.Sprintf("life-%d", i+2), ageOf(k, run, 5_000))
 	}
 	assert.Equal(t, w.status("feed"), Running)
 }
 
 // TestFirstCrashInDays guards against a state that cannot apply a crash where hardly any was in long.
 func TestFirstCrashInDays(t *testing.T) {
-	w, bad, good := two(t, one)
+	w, bad, good := startTwo(t, one)
 	w.s.base.addObserved((30 * 24 * time.Hour).Milliseconds(), 3_900)
 	w.crash("vm2", "life-2")
-	w.crash("vm1", "life-2", aged(bad, 1, 0), aged(good, 1, 300))
+	w.crash("vm1", "life-2", ageOf(bad, 1, 0), ageOf(good, 1, 300))
 	assert.Assert(t, w.task(bad).Suspicion > w.task(good).Suspicion)
 }
 
@@ -177,7 +177,7 @@
 			k := key("job", 0, 0)
 			for i, c := range crashes {
 				run := w.start(k, c.vm)
-				w.crash(c.vm, fmt.Sprintf("life-%d", i+2), aged(k, run, c.ageMS))
+				w.crash(c.vm, fmt.Sprintf("life-%d", i+2), ageOf(k, run, c.ageMS))
 				assert.Equal(t, w.status("job") == Failed, c.status == Failed, "after crash %d", i+1)
 			}
 		})
--- a/queue/evacuation_test.go
+++ b/queue/evacuation_test.go
@@ -32,7 +32,7 @@
 // TestEvacuation checks that nothing is started in an evacuated failure domain, however the start
 // is requested, until the order is revoked.
 func TestEvacuation(t *testing.T) {
-	begin := func(t *testing.T) *world {
+	setup := func(t *testing.T) *world {
 		w := newWorld(t, 2)
 		w.setDomain("vm1", "north")
 		w.setDomain("vm2", "south")
@@ -40,13 +40,13 @@
 		return w
 	}
 	t.Run("no start there, and others elsewhere", func(t *testing.T) {
-		w := begin(t)
+		w := setup(t)
 		assert.Equal(t, w.evacuate("north", false).Code, OK)
 		assert.Equal(t, w.start(key("j", 0, 0), "vm1"), uint32(0))
 		assert.Equal(t, w.start(key("j", 0, 0), "vm2"), uint32(1))
 	})
 	t.Run("active runs go on, and no copy is started there", func(t *testing.T) {
-		w := begin(t)
+		w := setup(t)
 		assert.Equal(t, w.start(key("j", 0, 0), "vm1"), uint32(1))
 		assert.Equal(t, w.start(key("j", 0, 1), "vm2"), uint32(1))
 		w.evacuate("north", false)
@@ -55,7 +55,7 @@
 		assert.Assert(t, w.end(key("j", 0, 0), "vm1", 1, OutcomeDone))
 	})
 	t.Run("a gang that needs a VM there is not started", func(t *testing.T) {
-		w := begin(t)
+		w := setup(t)
 		w.evacuate("north", false)
 		res := w.apply(Command{Starts: []Start{
 			{Task: key("j", 1, 0), VM: "vm2", Incarnation: w.s.VM("vm2").Incarnation, Group: 1},
@@ -64,13 +64,13 @@
 		assert.DeepEqual(t, res.Numbers, []uint32{0, 0})
 	})
 	t.Run("a start decided before the order is refused", func(t *testing.T) {
-		w := begin(t)
+		w := setup(t)
 		decided := Command{Starts: []Start{{Task: key("j", 0, 0), VM: "vm1", Incarnation: w.s.VM("vm1").Incarnation}}}
 		w.evacuate("north", false)
 		assert.DeepEqual(t, w.apply(decided).Numbers, []uint32{0})
 	})
 	t.Run("a repeated order changes nothing", func(t *testing.T) {
-		w := begin(t)
+		w := setup(t)
 		w.evacuate("north", false)
 		before := w.s.Evacuations()
 		w.pass(1000)
@@ -78,7 +78,7 @@
 		assert.DeepEqual(t, w.s.Evacuations(), before)
 	})
 	t.Run("an order can be revoked, also twice", func(t *testing.T) {
-		w := begin(t)
+		w := setup(t)
 		w.evacuate("north", false)
 		assert.Equal(t, w.evacuate("north", true).Code, OK)
 		assert.Equal(t, w.evacuate("north", true).Code, OK)
@@ -86,7 +86,7 @@
 		assert.Equal(t, w.start(key("j", 0, 0), "vm1"), uint32(1))
 	})
 	t.Run("an order survives a new document, a new VM and a snapshot", func(t *testing.T) {
-		w := begin(t)
+		w := setup(t)
 		w.evacuate("south", false)
 		w.evacuate("north", false)
 		w.apply(Command{Document: document(9)})
@@ -97,7 +97,7 @@
 		assert.Equal(t, w.start(key("j", 0, 0), "vm3"), uint32(0))
 	})
 	t.Run("an empty name is refused", func(t *testing.T) {
-		w := begin(t)
+		w := setup(t)
 		assert.Equal(t, w.evacuate("", false).Code, Invalid)
 		checkEvacuating(t, w.s)
 	})
--- a/resources.go
+++ b/resources.go
@@ -29,17 +29,17 @@
 	return Resources{max(r.CPUMilli, o.CPUMilli), max(r.MemoryMB, o.MemoryMB), max(r.Accelerators, o.Accelerators)}
 }
 
-// Fits reports whether no part of r exceeds room.
-func (r Resources) Fits(room Resources) bool { return r.Lacking(room) == "" }
+// Fits reports whether no part of r exceeds free, the free capacity.
+func (r Resources) Fits(free Resources) bool { return r.Lacking(free) == "" }
 
-// Lacking returns the first part in which r exceeds room, or "" if r fits.
-func (r Resources) Lacking(room Resources) string {
+// Lacking returns the first part in which r exceeds free, or "" if r fits.
+func (r Resources) Lacking(free Resources) string {
 	switch {
-	case r.CPUMilli > room.CPUMilli:
+	case r.CPUMilli > free.CPUMilli:
 		return "processors"
-	case r.MemoryMB > room.MemoryMB:
+	case r.MemoryMB > free.MemoryMB:
 		return "memory"
-	case r.Accelerators > room.Accelerators:
+	case r.Accelerators > free.Accelerators:
 		return "accelerators"
 	}
 	return ""
--- a/runs/capacity.go
+++ b/runs/capacity.go
@@ -29,7 +29,7 @@
 	case o.capacityDeadline.IsZero():
 		o.capacityDeadline = now.Add(capacityTimeout)
 	case !now.Before(o.capacityDeadline):
-		return r.refuse(o, rudderfork.StartNoRoom.String())
+		return r.refuse(o, rudderfork.StartNoCapacity.String())
 	}
 	o.retryAt = now.Add(retryDelay)
 	return nil
--- a/runs/reconciler_test.go
+++ b/runs/reconciler_test.go
@@ -117,7 +117,7 @@
 	t.Run("a run whose first start is refused has ended", func(t *testing.T) {
 		r := newSynced(1)
 		onlyCall(t, r, t0)
-		end := r.HandleStartResult(ref(1), rudderfork.StartNoRoom, nil, t0)
+		end := r.HandleStartResult(ref(1), rudderfork.StartNoCapacity, nil, t0)
 		checkEnds(t, []queue.End{*end}, queue.OutcomeRefused)
 		checkNoCalls(t, r, t0.Add(time.Second))
 	})
@@ -126,7 +126,7 @@
 		onlyCall(t, r, t0)
 		r.HandleStartResult(ref(1), 0, errNoAnswer, t0)
 		onlyCall(t, r, t0.Add(time.Second))
-		assert.Assert(t, r.HandleStartResult(ref(1), rudderfork.StartNoRoom, nil, t0.Add(time.Second)) == nil)
+		assert.Assert(t, r.HandleStartResult(ref(1), rudderfork.StartNoCapacity, nil, t0.Add(time.Second)) == nil)
 		assert.Assert(t, onlyCall(t, r, t0.Add(time.Second)).Start == nil)
 		r.HandleStopResult(ref(1), nil, t0.Add(2*time.Second))
 		checkEnds(t, r.HandleStatus(rudderfork.ExecutorStatus{}, t0.Add(1900*time.Millisecond)))
@@ -307,13 +307,13 @@
 	t.Run("a refused run is stopped before it counts as ended", func(t *testing.T) {
 		r := fullList()
 		onlyCall(t, r, t0)
-		assert.Assert(t, r.HandleStartResult(ref(1), rudderfork.StartNoRoom, nil, t0) == nil)
+		assert.Assert(t, r.HandleStartResult(ref(1), rudderfork.StartNoCapacity, nil, t0) == nil)
 		checkStops(t, r, 1, t0)
 		r.HandleStopResult(ref(1), nil, t0)
 		checkEnds(t, r.HandleStatus(rudderfork.ExecutorStatus{}, t0.Add(time.Second)), queue.OutcomeLost)
 	})
 	again := wire.Orders{Incarnation: "life-1", Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: ref(1)}}}
-	for _, why := range []rudderfork.StartOutcome{rudderfork.StartTicket, rudderfork.StartNoRoom} {
+	for _, why := range []rudderfork.StartOutcome{rudderfork.StartTicket, rudderfork.StartNoCapacity} {
 		t.Run("in a later session with the same leader a refused run has ended at once: "+why.String(), func(t *testing.T) {
 			r := newSynced()
 			r.SetTerm(3)
@@ -330,7 +330,7 @@
 		r.SetTerm(4)
 		r.ApplyOrders(again)
 		onlyCall(t, r, t0)
-		assert.Assert(t, r.HandleStartResult(ref(1), rudderfork.StartNoRoom, nil, t0) == nil)
+		assert.Assert(t, r.HandleStartResult(ref(1), rudderfork.StartNoCapacity, nil, t0) == nil)
 		checkStops(t, r, 1, t0)
 	})
 	t.Run("it is stopped first if the incarnation was given up and recognized again", func(t *testing.T) {
@@ -341,7 +341,7 @@
 		r.ApplyOrders(again)
 		r.Grant("life-1", 1, fullLease(t0.Add(5*time.Second)))
 		onlyCall(t, r, t0)
-		assert.Assert(t, r.HandleStartResult(ref(1), rudderfork.StartNoRoom, nil, t0) == nil)
+		assert.Assert(t, r.HandleStartResult(ref(1), rudderfork.StartNoCapacity, nil, t0) == nil)
 		checkStops(t, r, 1, t0)
 	})
 	t.Run("a run that a draining executor is not sent is stopped", func(t *testing.T) {
--- a/runs/stale_test.go
+++ b/runs/stale_test.go
@@ -79,7 +79,7 @@
 	})
 	t.Run("results of calls for an earlier run", func(t *testing.T) {
 		r := newRestarted(t)
-		assert.Assert(t, r.HandleStartResult(ref(1), rudderfork.StartNoRoom, nil, t0) == nil)
+		assert.Assert(t, r.HandleStartResult(ref(1), rudderfork.StartNoCapacity, nil, t0) == nil)
 		r.HandleStopResult(ref(1), nil, t0)
 		checkUnchanged(t, r)
 	})
--- a/scheduler/refusal_test.go
+++ b/scheduler/refusal_test.go
@@ -139,7 +139,7 @@
 // Start implements rudderfork.Executor.
 func (e *noRoomExecutor) Start(ctx context.Context, inc string, s rudderfork.RunStart) (out rudderfork.StartOutcome, err error) {
 	if e.refusesStart() {
-		return rudderfork.StartNoRoom, nil
+		return rudderfork.StartNoCapacity, nil
 	}
 	return e.Executor.Start(ctx, inc, s)
 }
--- a/standin/executor/executor.go
+++ b/standin/executor/executor.go
@@ -339,7 +339,7 @@
 	e.until = max(e.until, s.UntilMS)
 	size := e.sizes(s.Payload)
 	if !e.used.Add(size).Fits(e.room) {
-		return rudderfork.StartNoRoom
+		return rudderfork.StartNoCapacity
 	}
 	r := &run{ref: s.RunRef, size: size, pacedAt: now, percent: 100}
 	r.read(e.behave(s.RunRef, s.Payload))
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -38,12 +38,12 @@
 
 // ToControl is a message from an entry or agent to control.
 type ToControl struct {
-	Hello     *Hello         `cbor:"1,keyasint,omitempty"`
-	Heartbeat *Heartbeat     `cbor:"2,keyasint,omitempty"`
-	Reports   *ReportBatch   `cbor:"3,keyasint,omitempty"`
-	Claim     *ClaimRequest  `cbor:"4,keyasint,omitempty"`
-	Settle    *SettleRequest `cbor:"5,keyasint,omitempty"`
-	Notes     []DecisionNote `cbor:"6,keyasint,omitempty"`
+	Hello     *Hello           `cbor:"1,keyasint,omitempty"`
+	Heartbeat *Heartbeat       `cbor:"2,keyasint,omitempty"`
+	Reports   *ReportBatch     `cbor:"3,keyasint,omitempty"`
+	Claim     *ClaimRequest    `cbor:"4,keyasint,omitempty"`
+	Settle    *SettleRequest   `cbor:"5,keyasint,omitempty"`
+	Decisions []DecisionRecord `cbor:"6,keyasint,omitempty"`
 }
 
 // ToNode is a message from control to an entry or agent.
@@ -181,9 +181,9 @@
 	Failed string       `cbor:"3,keyasint,omitempty"` // error text if the command was not, or possibly not, committed
 }
 
-// DecisionNote is a decision that an agent made by itself. It is kept to explain what happened to a
-// task.
-type DecisionNote struct {
+// DecisionRecord is a decision that an agent made by itself. It is kept to explain what happened to
+// a task.
+type DecisionRecord struct {
 	At     int64             `cbor:"1,keyasint"` // Unix ms
 	Task   rudderfork.TaskID `cbor:"2,keyasint"`
 	What   string            `cbor:"3,keyasint"`
