--- a/queue/unresolved.go
+++ b/queue/unresolved.go
@@ -15,7 +15,7 @@
 // had crashed.
 type unresolvedLoss struct {
 	vm rudderfork.VMID
-	at int64 // VM.DoubtfulAt
+	at int64 // VM.LeaseExpiredAt
 }
 
 // recordLoss records the runs that ended with a VM's lease and counts an unresolved loss against
--- a/scheduler/crash_test.go
+++ b/scheduler/crash_test.go
@@ -78,7 +78,7 @@
 }
 
 // TestCrashingTasksFailOtherJobs guards against jobs that fail because other jobs crash every
-// executor that starts them. Those jobs fail after MostCrashes starts at most.
+// executor that starts them. Those jobs fail after MaxCrashes starts at most.
 func TestCrashingTasksFailOtherJobs(t *testing.T) {
 	s := newTestCluster(t, nil)
 	s.putDocument(nil)
--- a/scheduler/liveness_test.go
+++ b/scheduler/liveness_test.go
@@ -42,7 +42,7 @@
 }
 
 // TestTaskOfPermanentlyLostVMsIsNotStarted guards against a lasting task that is not started again
-// after as many of its VMs as MostCrashes were lost and never returned.
+// after as many of its VMs as MaxCrashes were lost and never returned.
 func TestTaskOfPermanentlyLostVMsIsNotStarted(t *testing.T) {
 	k := queue.TaskKey{Job: "feed"}
 	for _, c := range []struct {
--- a/scheduler/refusal_test.go
+++ b/scheduler/refusal_test.go
@@ -129,7 +129,7 @@
 	})
 }
 
-// noRoomExecutor answers starts with StartNoRoom while refusesStart returns true, and receives no
+// noRoomExecutor answers starts with StartNoCapacity while refusesStart returns true, and receives no
 // stops.
 type noRoomExecutor struct {
 	*executor.Executor
--- a/standin/executor/executor.go
+++ b/standin/executor/executor.go
@@ -110,7 +110,7 @@
 	OnFinish func(r rudderfork.RunRef, how string)
 }
 
-// New returns an executor with a life, as rudderfork.LifeName names it.
+// New returns an executor with an incarnation, as named by rudderfork.IncarnationName.
 func New(life string, cfg Config) *Executor {
 	e := &Executor{
 		now: cfg.Now, rate: cfg.Rate, room: cfg.Room, fate: cfg.Fate, delay: cfg.Delay, stopTime: cfg.StopTime,
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -164,8 +164,8 @@
 
 // ClaimRequest requests a claim.
 type ClaimRequest struct {
-	ID  uint64        `cbor:"1,keyasint"`
-	Ask state.Acquire `cbor:"2,keyasint"`
+	ID    uint64        `cbor:"1,keyasint"`
+	Claim state.Acquire `cbor:"2,keyasint"`
 }
 
 // SettleRequest settles a claim.
