--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -59,7 +59,7 @@
 	summaryAt      time.Time           // when the fleet is summarized in the log next
 	expiryCheckAt  time.Time           // when leases are checked for expiry next
 	shortDemand    dispatch.ShortDemand
-	worktimes      *worktime.Model
+	workTimes      *worktime.Model
 	swings         *swing.Model
 	// cordonedForUpkeep is the VM that gets no new tasks since its upkeep is next.
 	cordonedForUpkeep rudderfork.VMID
@@ -115,11 +115,12 @@
 	return &fleet{
 		vms: map[rudderfork.VMID]*vmInfo{}, stops: map[rudderfork.RunRef]string{}, stopsOn: map[rudderfork.VMID]bool{}, loggedStops: map[rudderfork.RunRef]bool{},
 		failedOn: map[queue.TaskKey][]rudderfork.VMID{}, backOffUntil: map[queue.TaskKey]time.Time{},
-		pressures: newPressures(), advice: newAdvice(), planner: dispatch.NewPlanner(), worktimes: worktime.New(), swings: swing.New(), runs: map[queue.RunKey]dispatch.RunView{},
+		pressures: newPressures(), advice: newAdvice(), planner: dispatch.NewPlanner(), workTimes: worktime.New(), swings: swing.New(), runs: map[queue.RunKey]dispatch.RunView{},
 		begun: map[rudderfork.JobID]bool{},
 	}
 }
 
+// vm returns the entry of a VM, which it adds if there is none.
 func (f *fleet) vm(id rudderfork.VMID) *vmInfo {
 	v := f.vms[id]
 	if v == nil {
@@ -258,7 +259,7 @@
 		LastRelocation: f.lastRelocation,
 		ShortDemand:    f.shortDemand,
 
-		WorkTime: f.worktimes.Estimate, WorkTimeVersion: f.worktimes.Changes() / workTimesBatch,
+		WorkTime: f.workTimes.Estimate, WorkTimeVersion: f.workTimes.Changes() / workTimesBatch,
 		Pressure: func(serving, filler string) float64 { return f.pressures.estimate(serving, filler, now) },
 	}
 	for _, vm := range s.VMs() {
@@ -292,7 +293,7 @@
 		}
 	}
 	live := func(id rudderfork.JobID) bool { return s.Live()[id] != nil }
-	f.worktimes.Prune(live)
+	f.workTimes.Prune(live)
 	f.swings.Prune(live)
 	for ref := range f.loggedStops {
 		if _, ok := f.stops[ref]; !ok {
--- a/scheduler/liveness_test.go
+++ b/scheduler/liveness_test.go
@@ -333,7 +333,7 @@
 	s := newSimFleet(t, 2)
 	filler := queue.Step{Count: 1, Size: rudderfork.Resources{CPUMilli: 500, MemoryMB: 100}, Filler: true, Image: "f", ExpectedMS: 500}
 	for i := range 2 {
-		s.fleet.worktimes.Observe("q", queue.StepKey{Job: "done"}, &filler, 200, s.now.Add(time.Duration(i-1)*24*time.Hour))
+		s.fleet.workTimes.Observe("q", queue.StepKey{Job: "done"}, &filler, 200, s.now.Add(time.Duration(i-1)*24*time.Hour))
 	}
 	s.submit("filler", filler)
 	s.submit("feed", lastingStep(2))
--- a/scheduler/worktimes.go
+++ b/scheduler/worktimes.go
@@ -41,5 +41,5 @@
 	if worked == 0 {
 		worked = float64(j.Task(e.Task).TookMS)
 	}
-	f.worktimes.Observe(s.CurrentQueue(j).Name, e.Task.StepKey(), &j.Spec.Steps[e.Task.Step], worked, now)
+	f.workTimes.Observe(s.CurrentQueue(j).Name, e.Task.StepKey(), &j.Spec.Steps[e.Task.Step], worked, now)
 }
--- a/scheduler/worktimes_test.go
+++ b/scheduler/worktimes_test.go
@@ -36,9 +36,9 @@
 		qs, f := stateWithRun(t), newFleet()
 		st := &qs.Job("j").Spec.Steps[0]
 		other := queue.StepKey{Job: "other"}
-		before := f.worktimes.Estimate("q", other, st)
+		before := f.workTimes.Estimate("q", other, st)
 		qs.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Incarnation: "life-1", List: []queue.End{done}}}, 2)
 		f.observeWorkTime(qs, done, 4000, at)
-		assert.Assert(t, f.worktimes.Estimate("q", other, st) > before)
+		assert.Assert(t, f.workTimes.Estimate("q", other, st) > before)
 	})
 }
