--- a/admission/admission.go
+++ b/admission/admission.go
@@ -46,8 +46,8 @@
 	Refuse
 )
 
-// Ruling is a verdict on one request, with the reason of a refusal.
-type Ruling struct {
+// Decision is a verdict on one request, with the reason of a refusal.
+type Decision struct {
 	ID      uint64
 	Verdict Verdict
 	Reason  string
@@ -102,23 +102,23 @@
 // Queued returns how many requests wait.
 func (q *Queue) Queued() int { return len(q.waiting) }
 
-// Mean returns the moving average of the time in the upstream.
-func (q *Queue) Mean() time.Duration { return time.Duration(q.mean * float64(time.Second)) }
+// MeanServiceTime returns the moving average of the time in the upstream.
+func (q *Queue) MeanServiceTime() time.Duration { return time.Duration(q.mean * float64(time.Second)) }
 
 // Offer asks for admission. The rulings are on r and, where r displaces one, on
 // the displaced request.
-func (q *Queue) Offer(r Request, now time.Time) []Ruling {
+func (q *Queue) Offer(r Request, now time.Time) []Decision {
 	if len(q.running) < q.limits.Slots && len(q.waiting) == 0 {
 		if late := q.late(r, 0, now); late != "" {
-			return []Ruling{q.refuse(r.ID, late, now)}
+			return []Decision{q.refuse(r.ID, late, now)}
 		}
 		q.start(r.ID, q.tag(r))
-		return []Ruling{{ID: r.ID, Verdict: Start}}
+		return []Decision{{ID: r.ID, Verdict: Start}}
 	}
 	return q.enqueue(r, now)
 }
 
-func (q *Queue) enqueue(r Request, now time.Time) []Ruling {
+func (q *Queue) enqueue(r Request, now time.Time) []Decision {
 	tag := q.tag(r)
 	at, _ := slices.BinarySearchFunc(q.waiting, tag, func(w *waiting, t float64) int {
 		if w.start <= t {
@@ -128,17 +128,17 @@
 	})
 	wait := q.waitAt(at)
 	if wait > q.limits.MaxWait {
-		return []Ruling{q.refuse(r.ID, "the wait would exceed the service's target", now)}
+		return []Decision{q.refuse(r.ID, "the wait would exceed the service's target", now)}
 	}
 	if late := q.late(r, wait, now); late != "" {
-		return []Ruling{q.refuse(r.ID, late, now)}
+		return []Decision{q.refuse(r.ID, late, now)}
 	}
 	if len(q.waiting) >= q.limits.Queue && at == len(q.waiting) {
-		return []Ruling{q.refuse(r.ID, "the queue is full", now)}
+		return []Decision{q.refuse(r.ID, "the queue is full", now)}
 	}
 	q.finish[r.Team] = tag + cost(r)
 	q.waiting = slices.Insert(q.waiting, at, &waiting{r, tag})
-	rulings := []Ruling{{ID: r.ID, Verdict: Wait}}
+	rulings := []Decision{{ID: r.ID, Verdict: Wait}}
 	if len(q.waiting) > q.limits.Queue {
 		last := q.waiting[len(q.waiting)-1]
 		q.waiting = q.waiting[:len(q.waiting)-1]
@@ -170,14 +170,14 @@
 }
 
 func (q *Queue) late(r Request, wait time.Duration, now time.Time) string {
-	if r.Deadline.IsZero() || !now.Add(wait+q.Mean()).After(r.Deadline) {
+	if r.Deadline.IsZero() || !now.Add(wait+q.MeanServiceTime()).After(r.Deadline) {
 		return ""
 	}
 	return "it could not be answered by its deadline"
 }
 
-func (q *Queue) refuse(id uint64, reason string, now time.Time) Ruling {
-	return Ruling{ID: id, Verdict: Refuse, Reason: reason, RetryAt: q.RetryAt(now)}
+func (q *Queue) refuse(id uint64, reason string, now time.Time) Decision {
+	return Decision{ID: id, Verdict: Refuse, Reason: reason, RetryAt: q.RetryAt(now)}
 }
 
 // RetryAt is when to come back: once the queue has drained, spread out.
@@ -188,7 +188,7 @@
 
 // Done notes that a request left its slot after took, and returns the rulings
 // on those that wait. took is 0 if it says nothing about the upstream.
-func (q *Queue) Done(id uint64, took time.Duration, now time.Time) []Ruling {
+func (q *Queue) Done(id uint64, took time.Duration, now time.Time) []Decision {
 	if !q.running[id] {
 		return nil
 	}
@@ -200,8 +200,8 @@
 }
 
 // next starts what has a slot and refuses what has become too late.
-func (q *Queue) next(now time.Time) []Ruling {
-	var rs []Ruling
+func (q *Queue) next(now time.Time) []Decision {
+	var rs []Decision
 	for len(q.waiting) > 0 && len(q.running) < q.limits.Slots {
 		w := q.waiting[0]
 		q.waiting = q.waiting[1:]
@@ -210,14 +210,14 @@
 			continue
 		}
 		q.start(w.ID, w.start)
-		rs = append(rs, Ruling{ID: w.ID, Verdict: Start})
+		rs = append(rs, Decision{ID: w.ID, Verdict: Start})
 	}
 	return rs
 }
 
-// Withdraw removes a request whose caller has gone; ok is false if it does not
+// Cancel removes a request whose caller has gone; ok is false if it does not
 // wait any more.
-func (q *Queue) Withdraw(id uint64) (ok bool) {
+func (q *Queue) Cancel(id uint64) (ok bool) {
 	i := slices.IndexFunc(q.waiting, func(w *waiting) bool { return w.ID == id })
 	if i < 0 {
 		return false
@@ -227,8 +227,8 @@
 }
 
 // Expire refuses those that wait and can no longer make their deadline.
-func (q *Queue) Expire(now time.Time) []Ruling {
-	var rs []Ruling
+func (q *Queue) Expire(now time.Time) []Decision {
+	var rs []Decision
 	q.waiting = slices.DeleteFunc(q.waiting, func(w *waiting) bool {
 		late := q.late(w.Request, 0, now)
 		if late != "" {
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -16,11 +16,11 @@
 	return New(Limits{Slots: slots, Queue: queue, MaxWait: time.Second}, 1)
 }
 
-func offer(q *Queue, id uint64, team string) []Ruling {
+func offer(q *Queue, id uint64, team string) []Decision {
 	return q.Offer(Request{ID: id, Team: rudderfork.Team(team), Weight: 100}, t0)
 }
 
-func checkVerdicts(t *testing.T, rs []Ruling, want ...string) {
+func checkVerdicts(t *testing.T, rs []Decision, want ...string) {
 	t.Helper()
 	got := []string{}
 	for _, r := range rs {
@@ -123,7 +123,7 @@
 	q := newQueue(1, 10)
 	offer(q, 1, "a")
 	offer(q, 2, "a")
-	assert.Assert(t, q.Withdraw(2))
-	assert.Assert(t, !q.Withdraw(2))
+	assert.Assert(t, q.Cancel(2))
+	assert.Assert(t, !q.Cancel(2))
 	checkVerdicts(t, q.Done(1, 0, t0))
 }
--- a/agent/front.go
+++ b/agent/front.go
@@ -32,7 +32,7 @@
 	mu       sync.Mutex
 	stopping string // why; "" if not
 	draining bool
-	claims   *claim.Memory
+	claims   *claim.Store
 	progress int
 }
 
--- a/agent/service.go
+++ b/agent/service.go
@@ -41,7 +41,7 @@
 
 	mu      sync.Mutex
 	queue   *admission.Queue
-	waiters map[uint64]chan admission.Ruling
+	waiters map[uint64]chan admission.Decision
 	nextID  uint64
 	feeds   int
 	feedMax int
@@ -57,7 +57,7 @@
 
 func newService(u UpstreamAddr, t *node.Table) *service {
 	s := &service{
-		name: u.Service, addr: u.Addr, table: t, waiters: map[uint64]chan admission.Ruling{},
+		name: u.Service, addr: u.Addr, table: t, waiters: map[uint64]chan admission.Decision{},
 		queue: admission.New(admission.Limits{}, 1), queued: make(chan struct{}, 1),
 	}
 	s.hc = &http.Transport{
@@ -115,7 +115,7 @@
 		return s.admitFeed()
 	}
 	team := rudderfork.Team(r.Header.Get(relay.HeaderTeam))
-	ch := make(chan admission.Ruling, 1)
+	ch := make(chan admission.Decision, 1)
 	s.mu.Lock()
 	s.nextID++
 	id := s.nextID
@@ -144,7 +144,7 @@
 	return &admitted{s: s}, nil
 }
 
-func (s *service) ruled(id uint64, ru admission.Ruling) (*admitted, *refusal) {
+func (s *service) ruled(id uint64, ru admission.Decision) (*admitted, *refusal) {
 	if ru.Verdict == admission.Start {
 		return &admitted{s: s, id: id}, nil
 	}
@@ -152,11 +152,11 @@
 }
 
 // gaveUp handles a caller that left, or whose deadline passed, while it waited.
-func (s *service) gaveUp(id uint64, ch chan admission.Ruling) (*admitted, *refusal) {
+func (s *service) gaveUp(id uint64, ch chan admission.Decision) (*admitted, *refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.waiters, id)
-	if !s.queue.Withdraw(id) {
+	if !s.queue.Cancel(id) {
 		select {
 		case ru := <-ch:
 			if ru.Verdict == admission.Start {
@@ -169,7 +169,7 @@
 }
 
 // rule passes rulings to those that wait. s.mu is held.
-func (s *service) rule(rs []admission.Ruling) {
+func (s *service) rule(rs []admission.Decision) {
 	for _, ru := range rs {
 		if ru.Verdict == admission.Wait {
 			select {
@@ -267,7 +267,7 @@
 	defer s.mu.Unlock()
 	return rudderfork.Load{
 		InFlight: s.queue.InFlight(), Queued: s.queue.Queued(),
-		Slots: int(s.table.Service(s.name, rudderfork.ColSlots)), Latency: s.queue.Mean(),
+		Slots: int(s.table.Service(s.name, rudderfork.ColSlots)), Latency: s.queue.MeanServiceTime(),
 	}
 }
 
--- a/bench/colocation.go
+++ b/bench/colocation.go
@@ -87,7 +87,7 @@
 func runColo(cfg coloConfig, seed uint64) coloResult {
 	c := &colo{
 		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 21)), now: time.Unix(1_000_000, 0), s: state.New(),
-		model: interference.New(interference.Services()), ladders: map[rudderfork.VMID]*throttle.Controller{},
+		model: interference.New(interference.ServicePrior()), ladders: map[rudderfork.VMID]*throttle.Controller{},
 		tasks: map[rudderfork.TaskID]*coloTask{}, due: map[rudderfork.JobID]time.Time{},
 	}
 	c.start = c.now
--- a/bench/path.go
+++ b/bench/path.go
@@ -34,7 +34,7 @@
 	load    func(t time.Duration) float64 // share of the healthy capacity
 	slow    float64                       // how much slower one upstream is; 0 for none
 	failing bool                          // one upstream answers errors at once
-	retry   func() *routing.Budget        // nil: retries without a budget
+	retry   func() *routing.RetryBudget        // nil: retries without a budget
 	limits  admission.Limits
 	naive   bool // callers resend what was refused or late
 }
@@ -62,14 +62,14 @@
 	vm      rudderfork.VMID
 	place   rudderfork.Place
 	q       *admission.Queue
-	ruling  map[uint64]func(admission.Ruling)
+	ruling  map[uint64]func(admission.Decision)
 	mean    time.Duration
 	failing bool
 }
 
 type simEntry struct {
 	picker rudderfork.Picker
-	budget *routing.Budget
+	budget *routing.RetryBudget
 }
 
 // runPath runs one experiment.
@@ -82,7 +82,7 @@
 		vm := rudderfork.VMID(fmt.Sprintf("vm%02d", i))
 		u := &simUpstream{
 			vm: vm, place: rudderfork.Place{VM: vm, Domain: rudderfork.Domain(fmt.Sprint("d", i%3))},
-			q: admission.New(cfg.limits, seed+uint64(i)), ruling: map[uint64]func(admission.Ruling){}, mean: pathMean,
+			q: admission.New(cfg.limits, seed+uint64(i)), ruling: map[uint64]func(admission.Decision){}, mean: pathMean,
 		}
 		if cfg.slow > 0 && i == 0 {
 			u.mean = time.Duration(float64(pathMean) * cfg.slow)
@@ -134,7 +134,7 @@
 func (s *pathSim) request(at, deadline time.Time) {
 	en := s.ents[s.rng.IntN(len(s.ents))]
 	if en.budget != nil {
-		en.budget.Request(s.c.now)
+		en.budget.AddRequest(s.c.now)
 	}
 	s.try(&simCall{at: at, deadline: deadline, en: en})
 }
@@ -164,7 +164,7 @@
 func (s *pathSim) arriveAt(u *simUpstream, c *simCall, sent time.Time) {
 	s.next++
 	id := s.next
-	u.ruling[id] = func(r admission.Ruling) {
+	u.ruling[id] = func(r admission.Decision) {
 		if r.Verdict == admission.Refuse {
 			s.c.after(pathHop, func() { s.refused(u, c) })
 			return
@@ -174,7 +174,7 @@
 	s.rule(u, u.q.Offer(admission.Request{ID: id, Weight: 100, Deadline: c.deadline}, s.c.now))
 }
 
-func (s *pathSim) rule(u *simUpstream, rs []admission.Ruling) {
+func (s *pathSim) rule(u *simUpstream, rs []admission.Decision) {
 	for _, r := range rs {
 		if f := u.ruling[r.ID]; f != nil && r.Verdict != admission.Wait {
 			delete(u.ruling, r.ID)
@@ -204,7 +204,7 @@
 }
 
 func (s *pathSim) observe(en *simEntry, u *simUpstream) {
-	en.picker.Observe(u.vm, rudderfork.Load{InFlight: u.q.InFlight(), Queued: u.q.Queued(), Slots: pathSlots, Latency: u.q.Mean()}, s.c.now)
+	en.picker.Observe(u.vm, rudderfork.Load{InFlight: u.q.InFlight(), Queued: u.q.Queued(), Slots: pathSlots, Latency: u.q.MeanServiceTime()}, s.c.now)
 }
 
 func (s *pathSim) refused(u *simUpstream, c *simCall) {
@@ -214,7 +214,7 @@
 }
 
 func (s *pathSim) retry(c *simCall) {
-	if len(c.tried) >= pathAttempts || c.en.budget != nil && !c.en.budget.Retry(s.c.now) {
+	if len(c.tried) >= pathAttempts || c.en.budget != nil && !c.en.budget.TryRetry(s.c.now) {
 		s.end(c, false)
 		return
 	}
@@ -276,7 +276,7 @@
 			for seed := range uint64(seeds) {
 				r := runPath(pathConfig{
 					picker: p.make, load: func(time.Duration) float64 { return load }, slow: 5, failing: true,
-					retry: func() *routing.Budget { return routing.NewBudget(0.1) }, limits: pathLimits,
+					retry: func() *routing.RetryBudget { return routing.NewRetryBudget(0.1) }, limits: pathLimits,
 				}, seed)
 				p50 = append(p50, ms(quantile(r.took, 0.5)))
 				p99 = append(p99, ms(quantile(r.took, 0.99)))
@@ -303,13 +303,13 @@
 	unbounded := admission.Limits{Slots: pathSlots, Queue: 4000, MaxWait: time.Hour}
 	for _, v := range []struct {
 		name   string
-		budget func() *routing.Budget
+		budget func() *routing.RetryBudget
 		limits admission.Limits
 	}{
 		{"no budget, unbounded queues", nil, unbounded},
 		{"no budget, bounded queues", nil, pathLimits},
-		{"budget of 10%, unbounded queues", func() *routing.Budget { return routing.NewBudget(0.1) }, unbounded},
-		{"budget of 10%, bounded queues (ours)", func() *routing.Budget { return routing.NewBudget(0.1) }, pathLimits},
+		{"budget of 10%, unbounded queues", func() *routing.RetryBudget { return routing.NewRetryBudget(0.1) }, unbounded},
+		{"budget of 10%, bounded queues (ours)", func() *routing.RetryBudget { return routing.NewRetryBudget(0.1) }, pathLimits},
 	} {
 		var during, after, last, work spread
 		for seed := range uint64(seeds) {
--- a/bench/scale.go
+++ b/bench/scale.go
@@ -69,7 +69,7 @@
 		before := heapBytes()
 		s := filled(vms, tasks)
 		index := uint64(s.Applied())
-		p := placement.NewPlanner(placement.NewScored(interference.New(interference.Services())), interference.New(interference.Services()), usage.New(time.Now), 1)
+		p := placement.NewPlanner(placement.NewScored(interference.New(interference.ServicePrior())), interference.New(interference.ServicePrior()), usage.New(time.Now), 1)
 		placed, rounds := 0, 0
 		start := time.Now()
 		for {
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -34,8 +34,8 @@
 	maxBytes = 8 << 20
 )
 
-// Memory remembers claims until they expire. It is not safe for concurrent use.
-type Memory struct {
+// Store remembers claims until they expire. It is not safe for concurrent use.
+type Store struct {
 	entries map[state.ClaimKey]*entry
 	order   []expiry
 	bytes   int // of all bodies
@@ -56,10 +56,10 @@
 }
 
 // New returns an empty memory.
-func New() *Memory { return &Memory{entries: map[state.ClaimKey]*entry{}} }
+func New() *Store { return &Store{entries: map[state.ClaimKey]*entry{}} }
 
 // Begin notes that the request is about to run under token.
-func (m *Memory) Begin(k state.ClaimKey, token rudderfork.Token, expires, now time.Time) error {
+func (m *Store) Begin(k state.ClaimKey, token rudderfork.Token, expires, now time.Time) error {
 	m.expire(now)
 	if e := m.entries[k]; e != nil && e.token >= token {
 		return ErrSeen
@@ -67,7 +67,7 @@
 	return m.put(k, &entry{token: token, fate: wire.RequestRunning, expires: expires})
 }
 
-func (m *Memory) put(k state.ClaimKey, e *entry) error {
+func (m *Store) put(k state.ClaimKey, e *entry) error {
 	old := m.entries[k]
 	if old == nil {
 		if len(m.entries) >= maxClaims {
@@ -81,19 +81,19 @@
 }
 
 // drop takes an entry's body out of the count.
-func (m *Memory) drop(e *entry) {
+func (m *Store) drop(e *entry) {
 	if e != nil && e.answer != nil {
 		m.bytes -= len(e.answer.Body)
 	}
 }
 
 // NotRun notes that the request was refused before it reached the upstream.
-func (m *Memory) NotRun(k state.ClaimKey, token rudderfork.Token) {
+func (m *Store) NotRun(k state.ClaimKey, token rudderfork.Token) {
 	m.end(k, token, wire.RequestNever, nil)
 }
 
 // Done notes the answer.
-func (m *Memory) Done(k state.ClaimKey, token rudderfork.Token, a *state.Answer) {
+func (m *Store) Done(k state.ClaimKey, token rudderfork.Token, a *state.Answer) {
 	if m.bytes+len(a.Body) > maxBytes {
 		a = &state.Answer{Status: a.Status, ContentType: a.ContentType, Partial: true}
 	}
@@ -101,11 +101,11 @@
 }
 
 // Unknown notes that the request reached the upstream and no answer came.
-func (m *Memory) Unknown(k state.ClaimKey, token rudderfork.Token) {
+func (m *Store) Unknown(k state.ClaimKey, token rudderfork.Token) {
 	m.end(k, token, wire.RequestUnknown, nil)
 }
 
-func (m *Memory) end(k state.ClaimKey, token rudderfork.Token, f wire.RequestState, a *state.Answer) {
+func (m *Store) end(k state.ClaimKey, token rudderfork.Token, f wire.RequestState, a *state.Answer) {
 	if e := m.entries[k]; e != nil && e.token == token {
 		m.drop(e)
 		e.fate, e.answer = f, a
@@ -117,7 +117,7 @@
 
 // Fence returns what became of the request under token, and refuses the token
 // from now on if it was not seen.
-func (m *Memory) Fence(k state.ClaimKey, token rudderfork.Token, expires, now time.Time) (wire.RequestState, *state.Answer) {
+func (m *Store) Fence(k state.ClaimKey, token rudderfork.Token, expires, now time.Time) (wire.RequestState, *state.Answer) {
 	m.expire(now)
 	e := m.entries[k]
 	if e == nil || e.token < token {
@@ -133,7 +133,7 @@
 }
 
 // expire forgets entries past their time, a few at each step.
-func (m *Memory) expire(now time.Time) {
+func (m *Store) expire(now time.Time) {
 	for i := 0; i < 4 && len(m.order) > 0 && now.After(m.order[0].at); i++ {
 		x := m.order[0]
 		m.order = m.order[1:]
@@ -145,4 +145,4 @@
 }
 
 // Len returns how many claims are remembered.
-func (m *Memory) Len() int { return len(m.entries) }
+func (m *Store) Len() int { return len(m.entries) }
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -18,7 +18,7 @@
 	key = state.ClaimKey{Service: "s", Key: "k"}
 )
 
-func checkFate(t *testing.T, m *Memory, token rudderfork.Token, want wire.RequestState) {
+func checkFate(t *testing.T, m *Store, token rudderfork.Token, want wire.RequestState) {
 	t.Helper()
 	got, _ := m.Fence(key, token, exp, t0)
 	assert.Equal(t, got, want)
--- a/cmd/rudderctl/where.go
+++ b/cmd/rudderctl/where.go
@@ -36,13 +36,13 @@
 
 // eventKinds maps the events of logs to those of jobtime.
 var eventKinds = map[string]jobtime.Kind{
-	"task_placed": jobtime.Placed, "task_ended": jobtime.Ended, "task_stopping": jobtime.Stopping, "filler_paced": jobtime.PacedTo,
+	"task_placed": jobtime.Placed, "task_ended": jobtime.Ended, "task_stopping": jobtime.Stopping, "filler_paced": jobtime.PaceChanged,
 }
 
 // of returns the line as an event; ok is false for lines that tell nothing of jobs.
 func (l eventLine) of() (e jobtime.Event, ok bool) {
 	e = jobtime.Event{
-		Kind: eventKinds[l.Event], At: time.UnixMicro(l.TimeUS), Run: l.Run, How: queue.Outcome(l.How), Reason: l.Reason, Percent: l.Percent,
+		Kind: eventKinds[l.Event], At: time.UnixMicro(l.TimeUS), Run: l.Run, Outcome: queue.Outcome(l.How), Reason: l.Reason, Percent: l.Percent,
 	}
 	if l.Event == "ask_answered" && l.Ask == "submit" && l.Result == "ok" {
 		e.Kind, e.Job = jobtime.Submitted, rudderfork.JobID(l.Path[strings.LastIndexByte(l.Path, '/')+1:])
--- a/control/control.go
+++ b/control/control.go
@@ -79,7 +79,7 @@
 
 // assemble wires the parts together under one supervisor.
 func assemble(cfg Settings, log zerolog.Logger, store *disk.Store, rep *replica.Replica, peers *replica.Peers, ring *timeline.Ring, ln, adminLn net.Listener) *Process {
-	learned := &learned{interference: interference.New(interference.Services()), usage: usage.New(steady.Now)}
+	learned := &learned{interference: interference.New(interference.ServicePrior()), usage: usage.New(steady.Now)}
 	planner := placement.NewPlanner(placement.NewScored(learned), learned, learned, replica.Seed(cfg.Name))
 	grants := lease.NewLessor(cfg.LeaseTerm, cfg.ClockBound)
 	hub := newHub(cfg, rep, grants, learned, log, ring)
--- a/control/late_test.go
+++ b/control/late_test.go
@@ -57,7 +57,7 @@
 		_ = rep.Serve(t.Context()) // it ends with the test
 	}()
 	t.Cleanup(func() { <-served })
-	l := &leading{t: t, hub: newHub(Settings{}, rep, lease.NewLessor(testTerm, testBound), &learned{interference: interference.New(interference.Services()), usage: usage.New(steady.Now)}, zerolog.Nop(), nobody{})}
+	l := &leading{t: t, hub: newHub(Settings{}, rep, lease.NewLessor(testTerm, testBound), &learned{interference: interference.New(interference.ServicePrior()), usage: usage.New(steady.Now)}, zerolog.Nop(), nobody{})}
 	l.until("the replica leads", rep.Leads)
 	l.hub.startTerm(rep.Status().Term, nil, steady.Now())
 	srv := httptest.NewServer(http.HandlerFunc(l.hub.accept))
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -73,7 +73,7 @@
 type pool struct {
 	mu     sync.Mutex
 	picker rudderfork.Picker
-	budget *routing.Budget
+	budget *routing.RetryBudget
 	busyAt time.Time // of the newest request
 }
 
@@ -148,7 +148,7 @@
 	p := f.pools[s]
 	if p == nil {
 		seed := uint64(steady.Now().UnixNano())
-		p = &pool{picker: newPicker(f.cfg, seed), budget: routing.NewBudget(retryShare)}
+		p = &pool{picker: newPicker(f.cfg, seed), budget: routing.NewRetryBudget(retryShare)}
 		f.pools[s] = p
 	}
 	return p
@@ -233,14 +233,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.busyAt = steady.Now()
-	p.budget.Request(p.busyAt)
+	p.budget.AddRequest(p.busyAt)
 }
 
 // mayRetry takes a retry from the budget.
 func (p *pool) mayRetry() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.budget.Retry(steady.Now())
+	return p.budget.TryRetry(steady.Now())
 }
 
 func (p *pool) busy(now time.Time) bool {
--- a/interference/interference.go
+++ b/interference/interference.go
@@ -33,10 +33,10 @@
 	NoiseVar    float64       // variance of ln(latency) between windows
 }
 
-// Services is the prior for services beside batch jobs that hold processors of
+// ServicePrior is the prior for services beside batch jobs that hold processors of
 // their own: one that holds all of them slows a service by a fifth, give or
 // take.
-func Services() Prior {
+func ServicePrior() Prior {
 	return Prior{HalfLife: 30 * time.Minute, Effect: 0.18, EffectError: 0.35, NoiseVar: 0.02}
 }
 
--- a/interference/interference_test.go
+++ b/interference/interference_test.go
@@ -34,7 +34,7 @@
 
 func TestLearnsPairs(t *testing.T) {
 	effects := map[string]float64{"noisy": 2, "quiet": 0}
-	m := New(Services())
+	m := New(ServicePrior())
 	now := feed(m, 400, effects, 1)
 	for k, e := range effects {
 		factor, stderr := m.Slowdown("tour", k, now)
@@ -43,12 +43,12 @@
 	}
 	t.Run("a pair never seen keeps the prior", func(t *testing.T) {
 		factor, stderr := m.Slowdown("tour", "new", now)
-		assert.Equal(t, factor, math.Exp(Services().Effect*assumedShare))
+		assert.Equal(t, factor, math.Exp(ServicePrior().Effect*assumedShare))
 		assert.Assert(t, stderr > 0.05)
 	})
 	t.Run("what is old is less sure", func(t *testing.T) {
 		_, fresh := m.Slowdown("tour", "noisy", now)
-		_, old := m.Slowdown("tour", "noisy", now.Add(2*Services().HalfLife))
+		_, old := m.Slowdown("tour", "noisy", now.Add(2*ServicePrior().HalfLife))
 		assert.Assert(t, old > fresh)
 	})
 	t.Run("it follows a change", func(t *testing.T) {
--- a/interference/pressure.go
+++ b/interference/pressure.go
@@ -8,7 +8,7 @@
 	"rudderfork.example/rudderfork/internal/regression"
 )
 
-// Pressures learns what fillers take from serving tasks, by pair of images.
+// PressureModel learns what fillers take from serving tasks, by pair of images.
 //
 // A serving task answers like a queue: its tail is about s/(1-ρ), where ρ is the
 // load on it, its own and what fillers beside it add. So its headroom, the
@@ -24,7 +24,7 @@
 //
 // The task's own part swings with its load over seconds, so the fit is over the
 // differences between two figures of one task, in which it nearly cancels.
-type Pressures struct {
+type PressureModel struct {
 	fits map[string]*pressureFit // by serving image
 }
 
@@ -56,8 +56,8 @@
 	maxFigures = 4_096
 )
 
-// Figure is a serving task's headroom, and what worked beside it meanwhile.
-type Figure struct {
+// HeadroomSample is a serving task's headroom, and what worked beside it meanwhile.
+type HeadroomSample struct {
 	Image    string
 	Run      rudderfork.RunRef
 	At       time.Time
@@ -68,20 +68,20 @@
 // Pair names the image of a serving task and that of a filler.
 type Pair struct{ Serving, Filler string }
 
-// NewPressures returns a model that knows nothing but a prior.
-func NewPressures() *Pressures { return &Pressures{fits: map[string]*pressureFit{}} }
+// NewPressureModel returns a model that knows nothing but a prior.
+func NewPressureModel() *PressureModel { return &PressureModel{fits: map[string]*pressureFit{}} }
 
-// Unknown is the pressure assumed of a pair that was never seen.
-func Unknown() float64 { return priorPressure }
+// DefaultPressure is the pressure assumed of a pair that was never seen.
+func DefaultPressure() float64 { return priorPressure }
 
 // Observe takes a figure. Figures of a run come in the order of their times.
-func (p *Pressures) Observe(f Figure) {
+func (p *PressureModel) Observe(f HeadroomSample) {
 	p.fit(f.Image).observe(f)
 }
 
-// Assume takes a pressure that was learned elsewhere, unless the pair was seen
+// SetPrior takes a pressure that was learned elsewhere, unless the pair was seen
 // here already, and reports whether it did.
-func (p *Pressures) Assume(serving, filler string, pressure float64) bool {
+func (p *PressureModel) SetPrior(serving, filler string, pressure float64) bool {
 	fit := p.fit(serving)
 	if _, known := fit.index[filler]; known {
 		return false
@@ -91,17 +91,17 @@
 }
 
 // fit returns the regression of a serving image.
-func (p *Pressures) fit(serving string) *pressureFit {
+func (p *PressureModel) fit(serving string) *pressureFit {
 	f := p.fits[serving]
 	if f == nil {
-		f = &pressureFit{index: map[string]int{}, last: map[rudderfork.RunRef]Figure{}}
+		f = &pressureFit{index: map[string]int{}, last: map[rudderfork.RunRef]HeadroomSample{}}
 		p.fits[serving] = f
 	}
 	return f
 }
 
-// Of returns the pressure of a pair and its standard error.
-func (p *Pressures) Of(serving, filler string, now time.Time) (pressure, stderr float64) {
+// Estimate returns the pressure of a pair and its standard error.
+func (p *PressureModel) Estimate(serving, filler string, now time.Time) (pressure, stderr float64) {
 	if f := p.fits[serving]; f != nil {
 		return f.of(filler, now)
 	}
@@ -114,10 +114,10 @@
 	index map[string]int
 	reg   regression.Fit
 	at    time.Time
-	last  map[rudderfork.RunRef]Figure
+	last  map[rudderfork.RunRef]HeadroomSample
 }
 
-func (p *pressureFit) observe(f Figure) {
+func (p *pressureFit) observe(f HeadroomSample) {
 	before, ok := p.last[f.Run]
 	if len(p.last) >= maxFigures && !ok {
 		clear(p.last)
--- a/interference/pressure_test.go
+++ b/interference/pressure_test.go
@@ -14,14 +14,14 @@
 // evening plays serving tasks whose own headrooms swing over ten seconds, with
 // fillers beside them that change their speeds now and then.
 type evening struct {
-	p    *Pressures
+	p    *PressureModel
 	rng  *rand.Rand
 	true map[string]float64
 	now  time.Time
 }
 
 func newEvening(pressures map[string]float64) *evening {
-	return &evening{p: NewPressures(), rng: rand.New(rand.NewPCG(3, 9)), true: pressures, now: t0}
+	return &evening{p: NewPressureModel(), rng: rand.New(rand.NewPCG(3, 9)), true: pressures, now: t0}
 }
 
 // play gives the model n figures of each of five tasks, half a second apart.
@@ -41,7 +41,7 @@
 			for image, share := range speeds[task] {
 				headroom -= e.true[image] * share
 			}
-			e.p.Observe(Figure{
+			e.p.Observe(HeadroomSample{
 				Image: "audio", Run: rudderfork.RunRef{Task: rudderfork.TaskID(rune('a' + task)), Run: 1},
 				At: e.now, Headroom: headroom, Shares: speeds[task],
 			})
@@ -52,7 +52,7 @@
 // checkPressure holds that a pressure is known about as well as the model says.
 func (e *evening) checkPressure(t *testing.T, image string) {
 	t.Helper()
-	got, stderr := e.p.Of("audio", image, e.now)
+	got, stderr := e.p.Estimate("audio", image, e.now)
 	assert.Assert(t, math.Abs(got-e.true[image]) < 3*stderr, "%s: %.2f ± %.2f; want %.2f", image, got, stderr, e.true[image])
 }
 
@@ -63,50 +63,50 @@
 		for image := range e.true {
 			e.checkPressure(t, image)
 		}
-		loud, stderr := e.p.Of("audio", "loud", e.now)
+		loud, stderr := e.p.Estimate("audio", "loud", e.now)
 		assert.Assert(t, loud > 7 && stderr < 1, "%.2f ± %.2f", loud, stderr)
 	})
 	t.Run("a pair that was never seen keeps the prior", func(t *testing.T) {
 		for _, serving := range []string{"audio", "video"} {
-			got, stderr := e.p.Of(serving, "new", e.now)
-			assert.Equal(t, got, Unknown())
+			got, stderr := e.p.Estimate(serving, "new", e.now)
+			assert.Equal(t, got, DefaultPressure())
 			assert.Equal(t, stderr, priorError)
 		}
 	})
 	t.Run("fillers speed nobody up", func(t *testing.T) {
-		calm, _ := e.p.Of("audio", "calm", e.now)
+		calm, _ := e.p.Estimate("audio", "calm", e.now)
 		assert.Assert(t, calm >= 0)
 	})
 	t.Run("what is old is less sure", func(t *testing.T) {
-		_, fresh := e.p.Of("audio", "loud", e.now)
-		_, old := e.p.Of("audio", "loud", e.now.Add(2*pressureHalfLife))
+		_, fresh := e.p.Estimate("audio", "loud", e.now)
+		_, old := e.p.Estimate("audio", "loud", e.now.Add(2*pressureHalfLife))
 		assert.Assert(t, old > 1.9*fresh)
 	})
 	t.Run("it follows a change", func(t *testing.T) {
 		e.true["loud"] = 1
 		e.play(240)
-		loud, _ := e.p.Of("audio", "loud", e.now)
+		loud, _ := e.p.Estimate("audio", "loud", e.now)
 		assert.Assert(t, loud < 2.5, "%.2f", loud)
 	})
 	t.Run("what was learned elsewhere is taken for a pair that is new here", func(t *testing.T) {
-		e.p.Assume("audio", "loud", 5)
-		e.p.Assume("audio", "new", 5)
-		loud, _ := e.p.Of("audio", "loud", e.now)
+		e.p.SetPrior("audio", "loud", 5)
+		e.p.SetPrior("audio", "new", 5)
+		loud, _ := e.p.Estimate("audio", "loud", e.now)
 		assert.Assert(t, loud < 2.5, "%.2f", loud)
-		got, stderr := e.p.Of("audio", "new", e.now)
+		got, stderr := e.p.Estimate("audio", "new", e.now)
 		assert.Equal(t, got, 5.0)
 		assert.Assert(t, stderr < priorError)
 	})
 	t.Run("fillers that work on as before tell nothing", func(t *testing.T) {
 		steady := newEvening(nil)
 		for i := range 20 {
-			steady.p.Observe(Figure{
+			steady.p.Observe(HeadroomSample{
 				Image: "audio", Run: rudderfork.RunRef{Task: "a", Run: 1}, At: t0.Add(time.Duration(i) * time.Second / 2),
 				Headroom: 1 + float64(i%4), Shares: map[string]float64{"loud": 0.2},
 			})
 		}
-		got, stderr := steady.p.Of("audio", "loud", t0)
-		assert.Equal(t, got, Unknown())
+		got, stderr := steady.p.Estimate("audio", "loud", t0)
+		assert.Equal(t, got, DefaultPressure())
 		assert.Equal(t, stderr, priorError)
 	})
 }
--- a/jobtime/jobtime.go
+++ b/jobtime/jobtime.go
@@ -24,12 +24,12 @@
 const (
 	// Waiting is from when a task could begin to its first start.
 	Waiting Part = "waiting for a place"
-	// Paced is what a filler was held back by while it ran, by its share.
-	Paced Part = "paced down"
+	// PacedDown is what a filler was held back by while it ran, by its share.
+	PacedDown Part = "paced down"
 	// Working is the rest of the run that did the task.
 	Working Part = "at work"
-	// Between is from the end of a run that did not do its task to the next start.
-	Between Part = "waiting for another start"
+	// WaitingAgain is from the end of a run that did not do its task to the next start.
+	WaitingAgain Part = "waiting for another start"
 	// lost is followed by why a run ended that did not do its task.
 	lost = "in a run that "
 )
@@ -46,7 +46,7 @@
 	Placed    Kind = "placed"
 	Ended     Kind = "ended"
 	Stopping  Kind = "stopping"
-	PacedTo   Kind = "paced"
+	PaceChanged   Kind = "paced"
 )
 
 // Event is what a log line tells of a job or a run.
@@ -56,7 +56,7 @@
 	Job     rudderfork.JobID // of a submission
 	Task    queue.TaskKey
 	Run     uint32
-	How     queue.Outcome // of an end
+	Outcome     queue.Outcome // of an end
 	Reason  string        // of a stop
 	Percent int           // of a pace
 }
@@ -109,10 +109,10 @@
 	case Placed:
 		r.placed = e.At
 	case Ended:
-		r.ended, r.how = e.At, e.How
+		r.ended, r.how = e.At, e.Outcome
 	case Stopping:
 		r.reason = e.Reason
-	case PacedTo:
+	case PaceChanged:
 		r.paces = append(r.paces, pace{e.At, e.Percent})
 	}
 }
@@ -219,12 +219,12 @@
 		parts[wait] += begin.Sub(at)
 		if r == done {
 			held := r.held(begin)
-			parts[Paced] += held
+			parts[PacedDown] += held
 			parts[Working] += r.ended.Sub(begin) - held
 			return
 		}
 		parts[r.lost()] += r.ended.Sub(begin)
-		at, wait = r.ended, Between
+		at, wait = r.ended, WaitingAgain
 	}
 }
 
--- a/jobtime/jobtime_test.go
+++ b/jobtime/jobtime_test.go
@@ -28,7 +28,7 @@
 func runOf(task string, number uint32, placed, ended float64, how queue.Outcome) []Event {
 	return []Event{
 		{Kind: Placed, At: at(placed), Task: key(task), Run: number},
-		{Kind: Ended, At: at(ended), Task: key(task), Run: number, How: how},
+		{Kind: Ended, At: at(ended), Task: key(task), Run: number, Outcome: how},
 	}
 }
 
@@ -73,7 +73,7 @@
 	})
 	t.Run("a run that failed, and the wait after it", func(t *testing.T) {
 		assertParts(t, logOf(runOf("j.0.0.0", 1, 1, 2, "failed"), runOf("j.0.0.0", 2, 3, 5, queue.OutcomeDone)),
-			map[Part]float64{Waiting: 1, lost + "ended failed": 1, Between: 1, Working: 2})
+			map[Part]float64{Waiting: 1, lost + "ended failed": 1, WaitingAgain: 1, Working: 2})
 	})
 	t.Run("a run that was stopped", func(t *testing.T) {
 		stop := []Event{{Kind: Stopping, At: at(1.5), Task: key("j.0.0.0"), Run: 1, Reason: "held back"}}
@@ -87,10 +87,10 @@
 	})
 	t.Run("a filler that was paced down", func(t *testing.T) {
 		paces := []Event{
-			{Kind: PacedTo, At: at(1), Task: key("j.0.0.0"), Run: 1, Percent: 50},
-			{Kind: PacedTo, At: at(3), Task: key("j.0.0.0"), Run: 1, Percent: 100},
+			{Kind: PaceChanged, At: at(1), Task: key("j.0.0.0"), Run: 1, Percent: 50},
+			{Kind: PaceChanged, At: at(3), Task: key("j.0.0.0"), Run: 1, Percent: 100},
 		}
-		assertParts(t, logOf(paces, runOf("j.0.0.0", 1, 0, 4, queue.OutcomeDone)), map[Part]float64{Paced: 1, Working: 3})
+		assertParts(t, logOf(paces, runOf("j.0.0.0", 1, 0, 4, queue.OutcomeDone)), map[Part]float64{PacedDown: 1, Working: 3})
 	})
 	t.Run("a copy beside the run that did it", func(t *testing.T) {
 		assertParts(t, logOf(runOf("j.0.0.0", 1, 0, 4, queue.OutcomeDone), runOf("j.0.0.0", 2, 2, 4.5, "stopped")),
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -26,7 +26,7 @@
 
 func newWorld(t *testing.T, vms int) *world {
 	w := &world{t: t, s: state.New(), usage: usage.New(func() time.Time { return now })}
-	w.p = NewPlanner(NewScored(interference.New(interference.Services())), interference.New(interference.Services()), w.usage, 1)
+	w.p = NewPlanner(NewScored(interference.New(interference.ServicePrior())), interference.New(interference.ServicePrior()), w.usage, 1)
 	for i := range vms {
 		w.do(state.Command{Register: &state.Register{
 			Place:    rudderfork.Place{VM: rudderfork.VMID(fmt.Sprintf("vm%d", i)), Domain: "d1"},
--- a/routing/budget.go
+++ b/routing/budget.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Budget bounds retries to a share of the requests, so that retries cannot
+// RetryBudget bounds retries to a share of the requests, so that retries cannot
 // multiply an overload. It is a token bucket filled by requests, with a small
 // steady flow for entries that see few. It is not safe for concurrent use.
-type Budget struct {
+type RetryBudget struct {
 	share  float64
 	tokens float64
 	at     time.Time
@@ -19,17 +19,17 @@
 	steadyRate = 0.5
 )
 
-// NewBudget returns a budget of share retries for each request.
-func NewBudget(share float64) *Budget { return &Budget{share: share, tokens: maxTokens / 2} }
+// NewRetryBudget returns a budget of share retries for each request.
+func NewRetryBudget(share float64) *RetryBudget { return &RetryBudget{share: share, tokens: maxTokens / 2} }
 
-// Request counts a request.
-func (b *Budget) Request(now time.Time) {
+// AddRequest counts a request.
+func (b *RetryBudget) AddRequest(now time.Time) {
 	b.refill(now)
 	b.tokens = min(maxTokens, b.tokens+b.share)
 }
 
-// Retry reports whether a retry is allowed, and takes it from the budget.
-func (b *Budget) Retry(now time.Time) bool {
+// TryRetry reports whether a retry is allowed, and takes it from the budget.
+func (b *RetryBudget) TryRetry(now time.Time) bool {
 	b.refill(now)
 	if b.tokens < 1 {
 		return false
@@ -38,7 +38,7 @@
 	return true
 }
 
-func (b *Budget) refill(now time.Time) {
+func (b *RetryBudget) refill(now time.Time) {
 	if !b.at.IsZero() && now.After(b.at) {
 		b.tokens = min(maxTokens, b.tokens+steadyRate*now.Sub(b.at).Seconds())
 	}
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -109,11 +109,11 @@
 }
 
 func TestBudget(t *testing.T) {
-	b := NewBudget(0.1)
+	b := NewRetryBudget(0.1)
 	retries := 0
 	for range 1000 {
-		b.Request(t0)
-		if b.Retry(t0) {
+		b.AddRequest(t0)
+		if b.TryRetry(t0) {
 			retries++
 		}
 	}
--- a/runner/pace.go
+++ b/runner/pace.go
@@ -58,7 +58,7 @@
 	if p, ok := a.pressures[interference.Pair{Serving: serving, Filler: filler}]; ok {
 		return p
 	}
-	return interference.Unknown()
+	return interference.DefaultPressure()
 }
 
 // paceOf returns the speed of a run that was last requested, in percent. The caller holds mu.
--- a/scheduler/pressures.go
+++ b/scheduler/pressures.go
@@ -25,16 +25,16 @@
 // pressures estimates from the heartbeats of all VMs what fillers take from the headroom of
 // serving tasks, by pair of images (see package interference).
 type pressures struct {
-	model *interference.Pressures
+	model *interference.PressureModel
 }
 
-func newPressures() *pressures { return &pressures{interference.NewPressures()} }
+func newPressures() *pressures { return &pressures{interference.NewPressureModel()} }
 
 // workload is the serving tasks and fillers that run on a VM.
 type workload struct {
 	serving map[string]bool       // images of serving tasks
 	fillers map[string]bool       // images of fillers, including those paced down to zero
-	figures []interference.Figure // measurements of the serving tasks that work
+	figures []interference.HeadroomSample // measurements of the serving tasks that work
 }
 
 func workloadOf(s *queue.State, vm *queue.VM, v *vmInfo) workload {
@@ -46,7 +46,7 @@
 		st := s.Job(k.Job).Spec.Steps[k.Step]
 		c.add(st)
 		if st.TailMS > 0 && r.status.Percent == fullPercent && r.status.Load > 0 {
-			c.figures = append(c.figures, interference.Figure{
+			c.figures = append(c.figures, interference.HeadroomSample{
 				Image: st.Image, Run: r.status.RunRef, Headroom: pace.Headroom(st.TailMS, r.status.Load),
 			})
 		}
@@ -81,7 +81,7 @@
 	defer s.mu.Unlock()
 	taken := 0
 	for _, p := range list {
-		if s.fleet.pressures.model.Assume(p.Serving, p.Filler, float64(p.Pressure)) {
+		if s.fleet.pressures.model.SetPrior(p.Serving, p.Filler, float64(p.Pressure)) {
 			taken++
 		}
 	}
@@ -90,7 +90,7 @@
 
 // estimate returns the pressure of a pair of images, plus stderrWeight standard errors.
 func (p *pressures) estimate(serving, filler string, now time.Time) float64 {
-	pressure, stderr := p.model.Of(serving, filler, now)
+	pressure, stderr := p.model.Estimate(serving, filler, now)
 	return pressure + stderrWeight*stderr
 }
 
--- a/scheduler/swings.go
+++ b/scheduler/swings.go
@@ -33,7 +33,7 @@
 		}
 		own := fig.Headroom
 		for image, share := range b.FillerUsage {
-			pressure, _ := f.pressures.model.Of(fig.Image, image, now)
+			pressure, _ := f.pressures.model.Estimate(fig.Image, image, now)
 			own += pressure * share
 		}
 		f.swings.Observe(s.CurrentQueue(s.Job(k.Job)).Name, k.StepKey(), own, now.Add(-sampleDelay))
