--- a/runner/clock_test.go
+++ b/runner/clock_test.go
@@ -10,23 +10,24 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// TestAccountBehindClock guards against a run that is taken for gone by an account from before it.
-func TestAccountBehindClock(t *testing.T) {
+// TestStatusBehindClock guards against a run that is reported as lost because a status from before
+// its start does not list it.
+func TestStatusBehindClock(t *testing.T) {
 	run := rudderfork.RunRef{Task: "5c0e7a21d94b36f8.0.0.0", Run: 1}
 	a := newTestAgent()
 	describe(a, firstInc, false, 0)
 	a.reconciler.ApplyOrders(wire.Orders{Incarnation: firstInc, Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: run}}})
-	look := func(clockMS int64, running ...rudderfork.RunStatus) {
+	handle := func(clockMS int64, running ...rudderfork.RunStatus) {
 		a.handleStatus(t.Context(), firstInc, rudderfork.ExecutorStatus{ClockMS: clockMS, Running: running}, time.Now())
 	}
-	look(80_000)
+	handle(80_000)
 	a.reconciler.HandleStartResult(run, rudderfork.Started, nil, time.Now())
-	look(90_000, rudderfork.RunStatus{RunRef: run})
+	handle(90_000, rudderfork.RunStatus{RunRef: run})
 	seen := a.lastStatusAt
-	look(80_000)
-	assert.Equal(t, a.lastStatusAt, seen, "it is no sign of life")
+	handle(80_000)
+	assert.Equal(t, a.lastStatusAt, seen, "a stale status counts as an answer")
 	assert.Equal(t, len(a.reports), 0)
 	assert.Equal(t, len(a.rows), 1)
-	look(90_001)
+	handle(90_001)
 	assert.Equal(t, len(a.reports), 1)
 }
--- a/runner/crash_test.go
+++ b/runner/crash_test.go
@@ -13,7 +13,7 @@
 	"rudderfork.example/rudderfork/standin/executor"
 )
 
-// checkKnown holds what an agent knows of the runs at a crash, by task.
+// checkKnown checks which runs a crash report lists, by task.
 func checkKnown(t *testing.T, c *queue.Crash, want map[string]queue.RunAge) {
 	t.Helper()
 	got := map[string]queue.RunAge{}
@@ -23,7 +23,8 @@
 	assert.DeepEqual(t, got, want)
 }
 
-// TestCrash has an executor fall silent, and another life of it answer.
+// TestCrash checks what an agent reports of an executor that stops answering, and of one that
+// answers as another incarnation.
 func TestCrash(t *testing.T) {
 	old, fresh, lost, refused := ref("old"), ref("fresh"), ref("lost"), ref("refused")
 	begin := steady.Now()
@@ -39,7 +40,7 @@
 	want := map[string]queue.RunAge{
 		"old.0.0.0": {AgeMS: 900, Confirmed: true}, "fresh.0.0.0": {AgeMS: 200, Confirmed: true}, "lost.0.0.0": {},
 	}
-	t.Run("while it is silent, heartbeats tell what ran there", func(t *testing.T) {
+	t.Run("while it does not answer, heartbeats report what ran there", func(t *testing.T) {
 		a := silent()
 		a.lastStatusAt = steady.Now().Add(-2 * unresponsiveAfter)
 		b, ok := a.nextHeartbeat()
@@ -47,7 +48,7 @@
 		assert.Equal(t, b.Crash.Incarnation, "life-1")
 		checkKnown(t, b.Crash, want)
 	})
-	t.Run("once it is back, until the new life is registered", func(t *testing.T) {
+	t.Run("once it is back, heartbeats report it until the new incarnation is registered", func(t *testing.T) {
 		a := silent()
 		a.handlePollError("life-1", rudderfork.ErrStaleIncarnation)
 		a.applyDescription(description{vm: queue.VM{ID: "vm1", Incarnation: "life-2"}})
@@ -58,7 +59,7 @@
 		b, _ = a.nextHeartbeat()
 		assert.Assert(t, b.Crash == nil)
 	})
-	t.Run("a start that is answered after all is known from then", func(t *testing.T) {
+	t.Run("a start that is answered after all counts from then on", func(t *testing.T) {
 		a := silent()
 		a.recordStart(lost, rudderfork.Started, nil, at(1000))
 		a.recordSilence(at(1010))
@@ -66,7 +67,7 @@
 			"old.0.0.0": {AgeMS: 1010, Confirmed: true}, "fresh.0.0.0": {AgeMS: 310, Confirmed: true}, "lost.0.0.0": {AgeMS: 10, Confirmed: true},
 		})
 	})
-	t.Run("an account tells that it was not silent", func(t *testing.T) {
+	t.Run("a status ends the silence", func(t *testing.T) {
 		a := silent()
 		a.handleStatus(t.Context(), "life-1", rudderfork.ExecutorStatus{ClockMS: 1, Running: []rudderfork.RunStatus{{RunRef: old}}}, at(1990))
 		assert.Assert(t, a.silentSince.IsZero())
@@ -77,11 +78,10 @@
 	return rudderfork.RunRef{Task: rudderfork.TaskID(job + ".0.0.0"), Run: 1}
 }
 
-// TestNobodyListens has nothing listen at the executor's address: the VM counts as
-// mute after two looks, long before an executor that is merely silent does. Until then
-// the leader placed tasks there, a second's worth for each crash.
-func TestNobodyListens(t *testing.T) {
-	mute := func(errs ...error) bool {
+// TestUnreachableExecutor guards against a leader that places tasks on a VM for a second after its
+// executor has crashed. Two polls that find nothing listening make the VM unresponsive.
+func TestUnreachableExecutor(t *testing.T) {
+	unresponsive := func(errs ...error) bool {
 		a := newTestAgent(ref("old"))
 		for _, err := range errs {
 			a.handlePollError("life-1", err)
@@ -90,10 +90,10 @@
 		return b.Unresponsive
 	}
 	gone := fmt.Errorf("look: %w", rudderfork.ErrNotReached)
-	assert.Assert(t, mute(gone, gone))
-	assert.Assert(t, !mute(gone))
-	assert.Assert(t, !mute(gone, executor.ErrNoAnswer))
-	assert.Assert(t, !mute(executor.ErrNoAnswer, executor.ErrNoAnswer))
+	assert.Assert(t, unresponsive(gone, gone))
+	assert.Assert(t, !unresponsive(gone))
+	assert.Assert(t, !unresponsive(gone, executor.ErrNoAnswer))
+	assert.Assert(t, !unresponsive(executor.ErrNoAnswer, executor.ErrNoAnswer))
 	t.Run("until it answers", func(t *testing.T) {
 		a := newTestAgent(ref("old"))
 		a.handlePollError("life-1", gone)
--- a/runner/lease_test.go
+++ b/runner/lease_test.go
@@ -9,22 +9,22 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// TestLeaseOf holds until when a grant lets starts be made: that of a leader which does not
-// say so, as long as the lease.
+// TestLeaseOf checks until when a grant allows starts. A grant that does not specify it allows them
+// until the end of the lease.
 func TestLeaseOf(t *testing.T) {
 	sent := time.Unix(1000, 0)
 	starts, none := int64(2000), int64(0)
 	for _, c := range []struct {
-		name string
-		says *int64
-		want time.Duration
+		name    string
+		startMS *int64
+		want    time.Duration
 	}{
-		{"a span of its own", &starts, 2 * time.Second},
-		{"none is left", &none, 0},
-		{"nothing is said", nil, 5 * time.Second},
+		{"shorter than the lease", &starts, 2 * time.Second},
+		{"no time left", &none, 0},
+		{"not specified", nil, 5 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l := leaseOf(&wire.VMGrant{Sent: sent.UnixNano(), LeaseMS: 5000, StartMS: c.says})
+			l := leaseOf(&wire.VMGrant{Sent: sent.UnixNano(), LeaseMS: 5000, StartMS: c.startMS})
 			assert.Equal(t, l.StartBy.Sub(sent), c.want)
 			assert.Equal(t, l.Until.Sub(sent), 5*time.Second)
 		})
--- a/runner/new_incarnation_test.go
+++ b/runner/new_incarnation_test.go
@@ -10,13 +10,13 @@
 	"rudderfork.example/rudderfork/queue"
 )
 
-// The two starts of the tests' executor, under one id.
+// The two incarnations of the tests' executor, under one id.
 var (
 	firstInc  = rudderfork.IncarnationName("i-1", 1000)
 	secondInc = rudderfork.IncarnationName("i-1", 2000)
 )
 
-// describe has the agent take what a start of its executor says.
+// describe applies the description of an incarnation.
 func describe(a *Agent, inc string, draining bool, leave time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -25,42 +25,41 @@
 	a.applyDescription(d)
 }
 
-// TestFarewellOfWhichStart brings an agent farewells, some of which do not say which start
-// of the executor leaves. One that is believed has the leader end all that runs there,
-// once two looks have had no answer.
-func TestFarewellOfWhichStart(t *testing.T) {
+// TestShutdownNoticeOfWhichIncarnation guards against a late shutdown notice of an earlier
+// incarnation that ends the runs of the present one. Some notices name the executor's id alone.
+func TestShutdownNoticeOfWhichIncarnation(t *testing.T) {
 	for _, x := range []struct {
-		name           string
-		draining       bool
-		leave          time.Duration
-		shutdownNotice string
-		believed       bool
+		name     string
+		draining bool
+		leave    time.Duration
+		notice   string
+		accepted bool
 	}{
-		{"its own", false, 0, secondInc, true},
-		{"that of the start before", true, 0, firstInc, false},
-		{"of the id alone, and it has said nothing of leaving", false, 0, "i-1", false},
-		{"of the id alone, and it has said that it stays for long", true, time.Minute, "i-1", false},
-		{"of the id alone, at the time that it has said", true, 0, "i-1", true},
+		{"of the present incarnation", false, 0, secondInc, true},
+		{"of the incarnation before", true, 0, firstInc, false},
+		{"of the id alone, and it has not announced that it leaves", false, 0, "i-1", false},
+		{"of the id alone, and it has announced that it leaves much later", true, time.Minute, "i-1", false},
+		{"of the id alone, at the announced time", true, 0, "i-1", true},
 		{"of another id", true, 0, "i-2", false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			a := newTestAgent()
 			describe(a, secondInc, x.draining, x.leave)
-			a.HandleShutdownNotice(x.shutdownNotice)
-			assert.Equal(t, a.shuttingDown, x.believed)
+			a.HandleShutdownNotice(x.notice)
+			assert.Equal(t, a.shuttingDown, x.accepted)
 		})
-		t.Run(x.name+", before the life is confirmed", func(t *testing.T) {
+		t.Run(x.name+", before the incarnation is confirmed", func(t *testing.T) {
 			a := newTestAgent()
 			a.HandleDescription(queue.VM{ID: "vm1", Incarnation: secondInc, Service: "desk"}, x.draining, x.leave)
-			a.HandleShutdownNotice(x.shutdownNotice)
-			assert.Equal(t, a.descriptions[secondInc].shutdownNotice, x.believed)
+			a.HandleShutdownNotice(x.notice)
+			assert.Equal(t, a.descriptions[secondInc].shutdownNotice, x.accepted)
 		})
 	}
 }
 
-// TestLateAccountOfStart has an answer of the first start come once the second is known:
-// the ends that it lists stand, and acknowledge nothing to the second.
-func TestLateAccountOfStart(t *testing.T) {
+// TestLateStatusOfEarlierIncarnation checks that ends in a late status of the first incarnation are
+// reported, and acknowledge nothing to the second.
+func TestLateStatusOfEarlierIncarnation(t *testing.T) {
 	a := newTestAgent()
 	describe(a, firstInc, false, 0)
 	describe(a, secondInc, false, 0)
@@ -78,9 +77,9 @@
 	assert.Equal(t, req.UntilMS, int64(0))
 }
 
-// TestForgottenOfStart has an agent know much of the first start when the second is
-// confirmed: room, labels and draining are as that says, and all else begins anew.
-func TestForgottenOfStart(t *testing.T) {
+// TestNewIncarnationDropsState guards against state of the first incarnation that is kept for the
+// second: capacity, labels and draining are as that describes them, and all else is empty.
+func TestNewIncarnationDropsState(t *testing.T) {
 	run := rudderfork.RunRef{Task: "j.0.0.0", Run: 1}
 	a := newTestAgent()
 	describe(a, firstInc, true, time.Minute)
@@ -98,8 +97,8 @@
 	assert.DeepEqual(t, vm.Labels, second.Labels)
 	assert.Assert(t, !draining && !a.shuttingDown)
 	for name, n := range map[string]int{
-		"rows": len(a.rows), "figures told": len(a.reportedRows), "paces": len(a.paces), "exposures": len(a.fillerSpeeds),
-		"runs begun": len(a.startedAt), "runs that may have begun": len(a.unansweredStarts), "shares": len(a.fillerUsage),
+		"rows": len(a.rows), "rows reported": len(a.reportedRows), "paces": len(a.paces), "filler speeds": len(a.fillerSpeeds),
+		"starts confirmed": len(a.startedAt), "starts unanswered": len(a.unansweredStarts), "filler usage": len(a.fillerUsage),
 	} {
 		assert.Equal(t, n, 0, name)
 	}
--- a/runner/runner_test.go
+++ b/runner/runner_test.go
@@ -20,17 +20,17 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// waitLimit ends a wait for a message that does not come.
+// waitLimit bounds a wait for a message.
 const waitLimit = 20 * time.Second
 
-// leader is a stand-in for the leader: it takes one session after the other.
+// leader is a fake leader. It serves one session at a time.
 type leader struct {
 	t        *testing.T
 	sessions chan *leaderSession
 	srv      *httptest.Server
 }
 
-// leaderSession is one agent's session.
+// leaderSession is the session of an agent.
 type leaderSession struct {
 	t    *testing.T
 	conn *wire.Conn[wire.ToQueueNode, wire.FromNode]
@@ -66,27 +66,27 @@
 	}
 }
 
-// next waits for a session.
+// next waits for the next session.
 func (l *leader) next() *leaderSession {
 	l.t.Helper()
 	select {
 	case ses := <-l.sessions:
 		return ses
 	case <-time.After(waitLimit):
-		l.t.Fatal("no session comes")
+		l.t.Fatal("no session was opened")
 		return nil
 	}
 }
 
-// until reads messages until one is as wanted.
-func (s *leaderSession) until(wanted func(m wire.FromNode) bool) wire.FromNode {
+// until reads messages until one matches.
+func (s *leaderSession) until(match func(m wire.FromNode) bool) wire.FromNode {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(s.t.Context(), waitLimit)
 	defer cancel()
 	for {
 		m, err := s.conn.Receive(ctx)
 		assert.NilError(s.t, err)
-		if wanted(m) {
+		if match(m) {
 			return m
 		}
 	}
@@ -97,12 +97,12 @@
 	assert.NilError(s.t, s.conn.Send(s.t.Context(), m))
 }
 
-// close ends the session, as a leader that is lost does.
+// close ends the session, like the loss of the leader.
 func (s *leaderSession) close() { close(s.done) }
 
 func isHeartbeat(m wire.FromNode) bool { return m.Heartbeat != nil }
 
-// startAgent runs an agent whose executor is the stand-in.
+// startAgent runs an agent with the stand-in executor.
 func startAgent(t *testing.T, l *leader) *Agent {
 	room := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
 	a := New("vm1", l.seeds, executor.New("life-1", executor.Config{Now: steady.Now, Room: room}), zerolog.Nop())
@@ -113,32 +113,32 @@
 	return a
 }
 
-// TestNewLeader brings an agent a second leader: it is told what the first had
-// learned.
+// TestNewLeader checks that an agent sends a new leader the pressures that it received from the
+// earlier one.
 func TestNewLeader(t *testing.T) {
 	l := newLeader(t)
 	a := startAgent(t, l)
 	first := l.next()
 	first.until(isHeartbeat)
-	learned := []wire.PairPressure{{Serving: "audio", Filler: "loud", Pressure: 9}}
-	first.send(wire.ToQueueNode{Grant: &wire.VMGrant{Incarnation: "life-1", Pressures: learned}})
+	pressures := []wire.PairPressure{{Serving: "audio", Filler: "loud", Pressure: 9}}
+	first.send(wire.ToQueueNode{Grant: &wire.VMGrant{Incarnation: "life-1", Pressures: pressures}})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		if a.pressure("audio", "loud") == 9 {
 			return poll.Success()
 		}
-		return poll.Continue("the grant is not taken yet")
+		return poll.Continue("the grant was not handled yet")
 	}, poll.WithTimeout(waitLimit))
 	first.close()
 	second := l.next()
 	defer second.close()
 	m := second.until(func(m wire.FromNode) bool { return len(m.KnownPressures) > 0 })
-	assert.DeepEqual(t, m.KnownPressures, learned)
+	assert.DeepEqual(t, m.KnownPressures, pressures)
 }
 
-// newAgentAlone returns an agent without loops, leader and executor, whose executor
-// has described itself and was ordered to run the given runs.
+// newTestAgent returns an agent without loops, leader and executor. An incarnation is recognized, and
+// the given runs are ordered.
 func newTestAgent(running ...rudderfork.RunRef) *Agent {
 	a := New("vm1", func() []string { return nil }, nil, zerolog.Nop())
 	a.applyDescription(description{vm: queue.VM{ID: "vm1", Incarnation: "life-1"}})
@@ -150,8 +150,8 @@
 	return a
 }
 
-// TestFarewell has an executor say farewell, and leave looks without an answer.
-func TestFarewell(t *testing.T) {
+// TestShutdownNotice checks when an executor counts as left after its shutdown notice.
+func TestShutdownNotice(t *testing.T) {
 	run := rudderfork.RunRef{Task: "j.0.0.1", Run: 1}
 	leftOf := func(a *Agent) (inc string) {
 		for _, r := range a.reports {
@@ -161,7 +161,7 @@
 		}
 		return inc
 	}
-	t.Run("one look without an answer does not tell that it has left", func(t *testing.T) {
+	t.Run("not after one unanswered poll", func(t *testing.T) {
 		a := newTestAgent(run)
 		a.HandleShutdownNotice("life-1")
 		a.handlePollError("life-1", executor.ErrNoAnswer)
@@ -171,7 +171,7 @@
 		assert.Equal(t, a.Incarnation(), "life-1")
 		assert.Equal(t, leftOf(a), "")
 	})
-	t.Run("two in succession do", func(t *testing.T) {
+	t.Run("after two in succession", func(t *testing.T) {
 		a := newTestAgent(run)
 		a.HandleShutdownNotice("life-1")
 		a.handlePollError("life-1", executor.ErrNoAnswer)
@@ -179,14 +179,14 @@
 		assert.Equal(t, a.Incarnation(), "")
 		assert.Equal(t, leftOf(a), "life-1")
 	})
-	t.Run("and one that was before the farewell counts", func(t *testing.T) {
+	t.Run("an unanswered poll before the notice counts", func(t *testing.T) {
 		a := newTestAgent(run)
 		a.handlePollError("life-1", executor.ErrNoAnswer)
 		a.HandleShutdownNotice("life-1")
 		a.handlePollError("life-1", executor.ErrNoAnswer)
 		assert.Equal(t, leftOf(a), "life-1")
 	})
-	t.Run("an answer that is no account does not, and neither does one without an answer beside it", func(t *testing.T) {
+	t.Run("not if an answer without a status comes between them", func(t *testing.T) {
 		a := newTestAgent(run)
 		a.HandleShutdownNotice("life-1")
 		for range 3 {
@@ -196,10 +196,10 @@
 		assert.Equal(t, a.Incarnation(), "life-1")
 		assert.Equal(t, leftOf(a), "")
 	})
-	t.Run("nor does a look that the agent's own end breaks off", func(t *testing.T) {
+	t.Run("not after a poll that the agent's own shutdown cancels", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		a := newTestAgent(run)
-		a.exec = &scriptedExecutor{look: func(ctx context.Context, _ int) error {
+		a.exec = &scriptedExecutor{answer: func(ctx context.Context, _ int) error {
 			cancel()
 			<-ctx.Done()
 			return ctx.Err()
@@ -210,7 +210,7 @@
 		assert.Equal(t, a.Incarnation(), "life-1")
 		assert.Equal(t, leftOf(a), "")
 	})
-	t.Run("without a farewell none does", func(t *testing.T) {
+	t.Run("not without a notice", func(t *testing.T) {
 		a := newTestAgent(run)
 		for range 5 {
 			a.handlePollError("life-1", executor.ErrNoAnswer)
@@ -219,33 +219,33 @@
 	})
 }
 
-// TestReportsAreBounded looks at an executor again and again while no leader
-// takes note of anything.
+// TestReportsAreBounded guards against reports that grow without bound while no leader acknowledges
+// them.
 func TestReportsAreBounded(t *testing.T) {
 	lost := rudderfork.RunRef{Task: "j.0.0.1", Run: 1}
 	a := newTestAgent(lost)
-	account := rudderfork.ExecutorStatus{
+	status := rudderfork.ExecutorStatus{
 		ClockMS: 1, Running: []rudderfork.RunStatus{{RunRef: lost}},
 		Ended: []rudderfork.EndedRun{{Seq: 1, RunRef: rudderfork.RunRef{Task: "j.0.0.0", Run: 1}, Outcome: "done"}},
 	}
-	look := func() { a.handleStatus(t.Context(), "life-1", account, steady.Now()) }
+	handle := func() { a.handleStatus(t.Context(), "life-1", status, steady.Now()) }
 	for range 3 * maxReports {
-		look()
+		handle()
 	}
 	assert.Equal(t, len(a.reports), maxReports)
-	t.Run("what is told but once is told all the same", func(t *testing.T) {
+	t.Run("an end that the executor does not list again is reported all the same", func(t *testing.T) {
 		a.reconciler.HandleStartResult(lost, rudderfork.Started, nil, steady.Now())
-		account.Running = nil
-		look()
+		status.Running = nil
+		handle()
 		last := a.reports[a.reportID].ends.List
 		assert.Equal(t, len(last), 1)
 		assert.Equal(t, last[0].Outcome, queue.OutcomeLost)
 	})
-	t.Run("once one is noted, the list is told again", func(t *testing.T) {
+	t.Run("once reports are acknowledged, listed ends are reported again", func(t *testing.T) {
 		for id := range a.reports {
 			delete(a.reports, id)
 		}
-		look()
+		handle()
 		assert.Equal(t, len(a.reports), 1)
 	})
 }
--- a/runner/stale_model_test.go
+++ b/runner/stale_model_test.go
@@ -34,46 +34,46 @@
 // modelVM is the VM of the model.
 const modelVM = rudderfork.VMID("vm1")
 
-// lateModel is an executor that crashes and leaves, the agent beside it, and what
-// the leader has committed, with all that is on its way between them. The leader
-// takes heartbeats as package scheduler does: from the agent's latest session only.
+// staleModel models an executor that crashes and leaves, its agent, the leader's committed state,
+// and the messages under way between them. As package scheduler does, the leader accepts heartbeats
+// only from the agent's latest session.
 type staleModel struct {
 	t         *rapid.T
 	name      func(inc int) string
 	exec      *executor.Executor
-	inc       int  // of the executor, counted from 0
-	mute      bool // it leaves looks unanswered
-	crashNext bool // it crashes as soon as it has answered a look
+	inc       int  // number of the executor's present incarnation, from 0
+	mute      bool // it leaves polls unanswered
+	crashNext bool // it crashes as soon as it has answered the next poll
 	inFlight  []executorCall
 
 	a        *Agent
-	known    int // newest life that this agent has known, or -1
+	known    int // newest incarnation that this agent has recognized, or -1
 	sessions []agentSession
 
-	lastSession int // latest session with a heartbeat
+	lastSession int // latest session from which the leader received a heartbeat
 	state       *queue.State
-	registered  int // life that is committed, or -1
+	registered  int // incarnation that is committed, or -1
 }
 
-// executorCall is a heartbeat or a farewell of a life.
+// executorCall is a heartbeat or a shutdown notice of an incarnation.
 type executorCall struct {
 	inc            int
-	draining       bool // it says that it leaves in a while
+	draining       bool // it announces that it leaves in a minute
 	shutdownNotice bool
 }
 
-// agentSession is what was sent in one session and has not arrived.
+// agentSession holds what was sent in one session and has not been delivered.
 type agentSession struct {
 	agent *Agent
 	box   []wire.FromNode
-	sent  map[uint64]bool // reports
+	sent  map[uint64]bool // reports that were sent
 }
 
-// otherID names a life that has an id of its own. The names do not tell the order.
+// otherID names an incarnation with an id of its own. The names have no order.
 func otherID(i int) string { return fmt.Sprintf("i-%03d", (i+1)*619%1000) }
 
-// sameID names a life that has the id of all others. Clocks that are set back may have a
-// later one say that it began sooner.
+// sameID names an incarnation with the same id as all others. The start times have no order either,
+// as if the clock had been set back.
 func sameID(i int) string { return rudderfork.IncarnationName("i-1", int64((i+1)*619%1000)) }
 
 func newStaleModel(t *rapid.T, name func(inc int) string) *staleModel {
@@ -102,12 +102,12 @@
 
 // Poll implements rudderfork.Executor for the agent.
 func (m *staleModel) Poll(ctx context.Context, inc string, req rudderfork.PollRequest) (rudderfork.ExecutorStatus, error) {
-	look, err := m.exec.Poll(ctx, inc, req)
+	status, err := m.exec.Poll(ctx, inc, req)
 	if m.crashNext {
 		m.crashNext = false
 		m.crash(m.t)
 	}
-	return look, err
+	return status, err
 }
 
 // Start implements rudderfork.Executor.
@@ -141,8 +141,7 @@
 	m.inFlight = append(m.inFlight, executorCall{inc: m.inc, draining: true})
 }
 
-// arrive has any of the executor's calls reach the agent, perhaps not for the last
-// time.
+// arrive delivers any of the executor's calls to the agent, and may keep it for another delivery.
 func (m *staleModel) arrive(t *rapid.T) {
 	if len(m.inFlight) == 0 {
 		return
@@ -160,38 +159,37 @@
 	m.a.HandleDescription(queue.VM{ID: modelVM, Incarnation: m.name(c.inc), Service: "desk"}, c.draining, time.Minute)
 }
 
-// confirm has the agent ask about one of the lives that it heard of.
+// confirm makes the agent poll for one of the unconfirmed incarnations.
 func (m *staleModel) confirm(t *rapid.T) {
 	if lives := m.a.unconfirmed(); len(lives) > 0 {
 		m.a.confirm(context.Background(), rapid.SampledFrom(lives).Draw(t, "life"))
 	}
 }
 
-// forget has the agent forget the lives that it found over.
+// forget makes the agent forget which incarnations have ended.
 func (m *staleModel) forget(*rapid.T) { m.a.ended = nil }
 
-func (m *staleModel) look(*rapid.T) {
+func (m *staleModel) poll(*rapid.T) {
 	req, inc, ok := m.a.nextPoll()
 	if !ok {
 		return
 	}
-	look, err := m.a.poll(context.Background(), inc, req)
+	status, err := m.a.poll(context.Background(), inc, req)
 	if err != nil {
 		m.a.handlePollError(inc, err)
 		return
 	}
-	m.a.handleStatus(context.Background(), inc, look, time.Unix(1000, 0))
+	m.a.handleStatus(context.Background(), inc, status, time.Unix(1000, 0))
 }
 
-// restartAgent puts an agent without memory in place. What it has sent is on its
-// way yet.
+// restartAgent replaces the agent by a new one. What the old one has sent may still arrive.
 func (m *staleModel) restartAgent(t *rapid.T) {
 	m.a = New(string(modelVM), func() []string { return nil }, m, zerolog.Nop())
 	m.known = -1
 	m.reopen(t)
 }
 
-// reopen begins another session.
+// reopen opens another session.
 func (m *staleModel) reopen(*rapid.T) {
 	m.sessions = append(m.sessions, agentSession{agent: m.a, sent: map[uint64]bool{}})
 }
@@ -210,7 +208,7 @@
 	}
 }
 
-// deliver brings the leader the next message of any session.
+// deliver delivers the next message of any session to the leader.
 func (m *staleModel) deliver(t *rapid.T) {
 	m.take(rapid.IntRange(0, len(m.sessions)-1).Draw(t, "session"))
 }
@@ -232,14 +230,14 @@
 			ses.agent.Handle(wire.ToQueueNode{EndsAck: &wire.EndsAck{Seq: msg.Ends.Seq}})
 		}
 	case i < m.lastSession:
-		ses.box = nil // the leader ends the session
+		ses.box = nil // the leader closes the session
 	default:
 		m.lastSession = i
 		m.register(msg.Heartbeat.VM)
 	}
 }
 
-// register commits a life that is new and starts the feed there.
+// register commits a new incarnation and starts the job there.
 func (m *staleModel) register(vm queue.VM) {
 	if known := m.state.VM(modelVM); known != nil && known.Live && known.SameRegistration(vm) {
 		return
@@ -248,7 +246,7 @@
 	m.apply(queue.Command{Starts: []queue.Start{{Task: queue.TaskKey{Job: "feed"}, VM: modelVM, Incarnation: vm.Incarnation}}})
 }
 
-// index returns the place of a life among all, or -1 for none.
+// index returns the number of an incarnation, or -1 for "".
 func (m *staleModel) index(inc string) int {
 	for i := range m.inc + 1 {
 		if m.name(i) == inc {
@@ -258,12 +256,12 @@
 	return -1
 }
 
-// check holds that neither agent nor leader goes back to an earlier life, and that
-// nothing but a later life ends what runs in the present one.
+// check checks that neither agent nor leader goes back to an earlier incarnation, and that nothing
+// but a later incarnation ends the run of the present one.
 func (m *staleModel) check(t *rapid.T) {
 	known := m.index(m.a.Incarnation())
 	if known >= 0 {
-		assert.Assert(t, known >= m.known, "the agent went from life %d back to %d", m.known, known)
+		assert.Assert(t, known >= m.known, "the agent went from incarnation %d back to %d", m.known, known)
 		m.known = known
 	}
 	vm := m.state.VM(modelVM)
@@ -271,22 +269,22 @@
 		return
 	}
 	registered := m.index(vm.Incarnation)
-	assert.Assert(t, registered >= m.registered, "the leader went from life %d back to %d", m.registered, registered)
+	assert.Assert(t, registered >= m.registered, "the leader went from incarnation %d back to %d", m.registered, registered)
 	m.registered = registered
 	if registered == m.inc {
-		assert.Assert(t, vm.Live, "the present life counts as lost")
-		assert.Equal(t, len(vm.Runs()), 1, "the present life's run was ended")
+		assert.Assert(t, vm.Live, "the present incarnation counts as lost")
+		assert.Equal(t, len(vm.Runs()), 1, "the run of the present incarnation was ended")
 	}
 }
 
-// calm lets what the present life says arrive, and then all that is late.
+// calm delivers a description of the present incarnation and then all messages that are under way.
 func (m *staleModel) calm(t *rapid.T) {
 	m.mute, m.crashNext = false, false
 	m.a.HandleDescription(queue.VM{ID: modelVM, Incarnation: m.name(m.inc), Service: "desk"}, false, 0)
 	for _, inc := range m.a.unconfirmed() {
 		m.a.confirm(context.Background(), inc)
 	}
-	m.look(t)
+	m.poll(t)
 	m.send(t)
 	for i := len(m.sessions) - 1; i >= 0; i-- {
 		for len(m.sessions[i].box) > 0 {
@@ -306,20 +304,21 @@
 	assert.Equal(t, m.registered, m.inc)
 }
 
-// TestLateModel delays, reorders and repeats what an executor's lives tell their
-// agent, and delays what the agent tells the leader, over crashes and farewells of
-// the executor and restarts of the agent.
-func TestLateModel(t *testing.T) { checkStale(t, otherID) }
+// TestStaleModel guards against agents and leaders that go back to an earlier incarnation because a
+// message was delayed. It delays, reorders and repeats messages of the executor to the agent and
+// delays those of the agent to the leader, while the executor crashes and leaves and the agent
+// restarts.
+func TestStaleModel(t *testing.T) { checkStale(t, otherID) }
 
-// TestLateModelSecondStarts does so with lives under one id, which alone farewells name.
-func TestLateModelSecondStarts(t *testing.T) { checkStale(t, sameID) }
+// TestStaleModelSameID uses incarnations with the same id. Shutdown notices name this id alone.
+func TestStaleModelSameID(t *testing.T) { checkStale(t, sameID) }
 
 func checkStale(t *testing.T, name func(inc int) string) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newStaleModel(t, name)
 		t.Repeat(map[string]func(*rapid.T){
 			"": m.check, "crash": m.crash, "leave": m.leave, "heartbeat": m.heartbeat, "drain": m.drain,
-			"arrive": m.arrive, "arrive too": m.arrive, "confirm": m.confirm, "confirm too": m.confirm, "look": m.look,
+			"arrive": m.arrive, "arrive too": m.arrive, "confirm": m.confirm, "confirm too": m.confirm, "look": m.poll,
 			"restart the agent": m.restartAgent, "reopen": m.reopen, "send": m.send,
 			"deliver": m.deliver, "deliver too": m.deliver,
 			"mute": func(*rapid.T) { m.mute = !m.mute }, "dies": func(*rapid.T) { m.crashNext = true },
--- a/runner/stale_test.go
+++ b/runner/stale_test.go
@@ -18,30 +18,30 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// The two lives of the tests' executor. Their names do not tell which is older.
+// The two incarnations of the tests' executor. Their names do not tell which one is older.
 const (
 	oldInc = "life-b"
 	newInc = "life-a"
 )
 
-// askedExecutor remembers as which lives it was asked for its account.
+// pollRecorder is an executor that records for which incarnations it was polled.
 type pollRecorder struct {
 	*executor.Executor
 	mu     sync.Mutex
 	polled []string
-	mute   bool // it leaves looks unanswered
+	mute   bool // it leaves polls unanswered
 }
 
 // Poll implements rudderfork.Executor.
 func (e *pollRecorder) Poll(ctx context.Context, inc string, req rudderfork.PollRequest) (rudderfork.ExecutorStatus, error) {
-	look, err := e.Executor.Poll(ctx, inc, req)
+	status, err := e.Executor.Poll(ctx, inc, req)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.polled = append(e.polled, inc)
 	if e.mute {
 		return rudderfork.ExecutorStatus{}, errors.New("no answer")
 	}
-	return look, err
+	return status, err
 }
 
 func (e *pollRecorder) setMute(mute bool) {
@@ -50,7 +50,7 @@
 	e.mute = mute
 }
 
-// wasAsked reports whether a call as this life was answered.
+// wasPolled reports whether the executor was polled for the incarnation.
 func (e *pollRecorder) wasPolled(inc string) bool { return e.pollCount(inc) > 0 }
 
 func (e *pollRecorder) pollCount(inc string) (n int) {
@@ -64,26 +64,26 @@
 	return n
 }
 
-// script is an executor whose answers to looks a test gives.
+// scriptedExecutor is an executor whose answers to polls a test provides.
 type scriptedExecutor struct {
 	rudderfork.Executor
-	polls int
-	look  func(ctx context.Context, n int) error // n counts from 1
+	polls  int
+	answer func(ctx context.Context, n int) error // n counts from 1
 }
 
 // Poll implements rudderfork.Executor.
 func (s *scriptedExecutor) Poll(ctx context.Context, _ string, _ rudderfork.PollRequest) (rudderfork.ExecutorStatus, error) {
 	s.polls++
-	return rudderfork.ExecutorStatus{ClockMS: 1}, s.look(ctx, s.polls)
+	return rudderfork.ExecutorStatus{ClockMS: 1}, s.answer(ctx, s.polls)
 }
 
-// scripted returns an agent without loops and leader, and its executor.
-func scripted(look func(ctx context.Context, n int) error) (*Agent, *scriptedExecutor) {
-	e := &scriptedExecutor{look: look}
+// scripted returns an agent without loops and leader, and its scripted executor.
+func scripted(answer func(ctx context.Context, n int) error) (*Agent, *scriptedExecutor) {
+	e := &scriptedExecutor{answer: answer}
 	return New("vm1", func() []string { return nil }, e, zerolog.Nop()), e
 }
 
-// hear has the life describe itself, and the agent ask about all that have.
+// describeAndConfirm takes a description of the incarnation and tries to confirm all that wait.
 func (a *Agent) describeAndConfirm(ctx context.Context, inc string) {
 	a.HandleDescription(queue.VM{ID: "vm1", Incarnation: inc, Service: "desk"}, false, 0)
 	for _, l := range a.unconfirmed() {
@@ -91,8 +91,9 @@
 	}
 }
 
-// TestWrongAnswer has an executor answer a look for its present life as if it were
-// another: it does not know its new name yet, or a process of before answers.
+// TestWrongAnswer guards against a VM that is lost because its executor once answered a poll for the
+// present incarnation with ErrStaleIncarnation: it does not have its new name yet, or an earlier
+// process answers.
 func TestWrongAnswer(t *testing.T) {
 	wrongOnce := func(_ context.Context, n int) error {
 		if n == 1 {
@@ -100,7 +101,7 @@
 		}
 		return nil
 	}
-	t.Run("it is not asked again at once", func(t *testing.T) {
+	t.Run("it is not polled again at once", func(t *testing.T) {
 		a, e := scripted(wrongOnce)
 		for range 10 {
 			a.describeAndConfirm(t.Context(), newInc)
@@ -108,17 +109,17 @@
 		assert.Equal(t, e.polls, 1)
 		assert.Equal(t, a.Incarnation(), "")
 	})
-	t.Run("but once it describes itself later", func(t *testing.T) {
+	t.Run("it is polled again after a later description", func(t *testing.T) {
 		a, _ := scripted(wrongOnce)
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
 			a.describeAndConfirm(t.Context(), newInc)
 			if a.Incarnation() == newInc {
 				return poll.Success()
 			}
-			return poll.Continue("the life is not taken")
+			return poll.Continue("the incarnation is not recognized")
 		}, poll.WithTimeout(waitLimit))
 	})
-	t.Run("nor is a life that is over taken then", func(t *testing.T) {
+	t.Run("an ended incarnation is not recognized then", func(t *testing.T) {
 		e := &pollRecorder{Executor: executor.New(newInc, executor.Config{Now: steady.Now})}
 		a := New("vm1", func() []string { return nil }, e, zerolog.Nop())
 		a.describeAndConfirm(t.Context(), newInc)
@@ -128,14 +129,14 @@
 			if e.pollCount(oldInc) >= 2 {
 				return poll.Success()
 			}
-			return poll.Continue("the old life is not asked about again")
+			return poll.Continue("the executor is not polled again for the old incarnation")
 		}, poll.WithTimeout(waitLimit))
 	})
 }
 
-// TestConfirmed has a life confirmed by what counts as an account, and by nothing else.
+// TestConfirmed checks that an incarnation is confirmed by a status and by nothing else.
 func TestConfirmed(t *testing.T) {
-	t.Run("an account that comes as late as one may is taken", func(t *testing.T) {
+	t.Run("a status that arrives just before the timeout is accepted", func(t *testing.T) {
 		var end time.Time
 		a, _ := scripted(func(ctx context.Context, _ int) error {
 			end, _ = ctx.Deadline()
@@ -144,10 +145,10 @@
 		before := time.Now()
 		a.describeAndConfirm(t.Context(), newInc)
 		assert.Equal(t, a.Incarnation(), newInc)
-		assert.Assert(t, end.Sub(before) >= pollTimeout, "a look is given up after %v", end.Sub(before))
+		assert.Assert(t, end.Sub(before) >= pollTimeout, "a poll times out after %v", end.Sub(before))
 	})
-	for name, err := range map[string]error{"an answer without an account": rudderfork.ErrNoStatus, "no answer": executor.ErrNoAnswer} {
-		t.Run(name+" neither confirms a life nor ends it", func(t *testing.T) {
+	for name, err := range map[string]error{"an answer without a status": rudderfork.ErrNoStatus, "no answer": executor.ErrNoAnswer} {
+		t.Run(name+" neither confirms nor ends an incarnation", func(t *testing.T) {
 			a, _ := scripted(func(_ context.Context, n int) error {
 				if n <= 2 {
 					return err
@@ -164,7 +165,7 @@
 	}
 }
 
-// lateWorld is an agent without memory, beside an executor in its second life.
+// staleWorld is a restarted agent with an executor in its second incarnation.
 type staleWorld struct {
 	t    *testing.T
 	exec *pollRecorder
@@ -188,12 +189,11 @@
 	w.a.HandleDescription(queue.VM{ID: "vm1", Incarnation: inc, Service: "desk"}, draining, 0)
 }
 
-// late has a heartbeat of the old life arrive, and waits until the agent has
-// found out about it.
+// late delivers a heartbeat of the old incarnation and waits until the agent has polled for it.
 func (w *staleWorld) late() {
 	w.t.Helper()
 	w.describe(oldInc, true)
-	w.until("the executor is asked as the old life", func() bool { return w.exec.wasPolled(oldInc) })
+	w.until("the executor is polled for the old incarnation", func() bool { return w.exec.wasPolled(oldInc) })
 }
 
 func (w *staleWorld) until(what string, ok func() bool) {
@@ -206,22 +206,22 @@
 	}, poll.WithTimeout(waitLimit))
 }
 
-// checkBeats holds that the leader hears of the new life alone, n times, and that
-// it does not drain.
+// checkHeartbeats checks that the next n heartbeats to the leader are of the new incarnation, which
+// does not drain.
 func (w *staleWorld) checkHeartbeats(n int) {
 	w.t.Helper()
 	for range n {
 		b := w.ses.until(isHeartbeat).Heartbeat
 		assert.Equal(w.t, b.VM.Incarnation, newInc)
-		assert.Assert(w.t, !b.Draining, "the old life drained")
-		w.ses.send(wire.ToQueueNode{Pong: 1}) // an agent leaves a silent leader
+		assert.Assert(w.t, !b.Draining, "the draining of the old incarnation was reported")
+		w.ses.send(wire.ToQueueNode{Pong: 1}) // an agent closes the session with a silent leader
 	}
 }
 
-// TestLateDescriptions has an agent that remembers nothing hear of two lives of
-// its executor, of which one is over.
+// TestLateDescriptions sends a restarted agent descriptions of two incarnations of its executor, of
+// which one has ended.
 func TestLateDescriptions(t *testing.T) {
-	t.Run("the old life's first", func(t *testing.T) {
+	t.Run("the old one's first", func(t *testing.T) {
 		w := newStaleWorld(t)
 		w.late()
 		w.describe(newInc, false)
@@ -242,10 +242,10 @@
 		w.describe(newInc, false)
 		w.late()
 		w.exec.setMute(false)
-		w.until("the new life is known", func() bool { return w.a.Incarnation() == newInc })
+		w.until("the new incarnation is recognized", func() bool { return w.a.Incarnation() == newInc })
 		w.checkHeartbeats(2)
 	})
-	t.Run("a farewell of the old one", func(t *testing.T) {
+	t.Run("a shutdown notice of the old one", func(t *testing.T) {
 		w := newStaleWorld(t)
 		w.describe(newInc, false)
 		w.checkHeartbeats(1)
@@ -258,13 +258,13 @@
 		assert.Assert(t, !w.a.shuttingDown)
 		assert.Equal(t, len(w.a.reports), 0)
 	})
-	t.Run("a farewell that comes before the life is confirmed", func(t *testing.T) {
+	t.Run("a shutdown notice that arrives before the incarnation is confirmed", func(t *testing.T) {
 		w := newStaleWorld(t)
 		w.exec.setMute(true)
 		w.describe(newInc, false)
 		w.a.HandleShutdownNotice(newInc)
 		w.exec.setMute(false)
-		w.until("the new life is known", func() bool { return w.a.Incarnation() == newInc })
+		w.until("the new incarnation is recognized", func() bool { return w.a.Incarnation() == newInc })
 		w.exec.Restart("")
 		left := w.ses.until(func(m wire.FromNode) bool { return m.Ends != nil }).Ends
 		assert.Assert(t, left.Departed)
