--- a/scheduler/advice.go
+++ b/scheduler/advice.go
@@ -51,10 +51,10 @@
 // recordNoTickets records the VMs that were asked about and got no ticket. Which VMs may run a
 // step does not change, but an answer may be wrong, so these VMs are asked about again after all
 // others. asked and good are keyed by incarnation.
-func (l *stepTickets) recordNoTickets(asked map[string]rudderfork.VMID, good map[string]string, now time.Time) {
+func (st *stepTickets) recordNoTickets(asked map[string]rudderfork.VMID, good map[string]string, now time.Time) {
 	for inc, vm := range asked {
 		if _, ok := good[inc]; !ok {
-			l.noTicketAt[vm] = now
+			st.noTicketAt[vm] = now
 		}
 	}
 }
@@ -62,8 +62,8 @@
 // noTicketTimes returns when the adviser last gave no ticket, by step and VM.
 func (a *advice) noTicketTimes() map[queue.StepKey]map[rudderfork.VMID]time.Time {
 	all := map[queue.StepKey]map[rudderfork.VMID]time.Time{}
-	for k, l := range a.steps {
-		all[k] = l.noTicketAt
+	for k, st := range a.steps {
+		all[k] = st.noTicketAt
 	}
 	return all
 }
@@ -71,13 +71,13 @@
 // view returns the valid tickets by step and VM, and drops those of jobs that have ended.
 func (a *advice) view(s *queue.State, now time.Time) map[queue.StepKey]map[rudderfork.VMID]string {
 	all := map[queue.StepKey]map[rudderfork.VMID]string{}
-	for k, l := range a.steps {
+	for k, st := range a.steps {
 		if s.Live()[k.Job] == nil {
 			delete(a.steps, k)
 			continue
 		}
 		valid := map[rudderfork.VMID]string{}
-		for id, t := range l.tickets {
+		for id, t := range st.tickets {
 			if vm := s.VM(id); vm != nil && vm.Incarnation == t.incarnation && now.Before(t.until) {
 				valid[id] = t.text
 			}
@@ -89,8 +89,8 @@
 
 // dropTicket drops a ticket that an executor did not accept.
 func (a *advice) dropTicket(k queue.StepKey, vm rudderfork.VMID) {
-	if l := a.steps[k]; l != nil {
-		delete(l.tickets, vm)
+	if st := a.steps[k]; st != nil {
+		delete(st.tickets, vm)
 	}
 }
 
@@ -119,8 +119,8 @@
 
 // nextCallAt returns the time before which no call for a step is made; zero if there was none.
 func (a *advice) nextCallAt(k queue.StepKey) time.Time {
-	if l := a.steps[k]; l != nil {
-		return l.nextCallAt
+	if st := a.steps[k]; st != nil {
+		return st.nextCallAt
 	}
 	return time.Time{}
 }
@@ -138,18 +138,18 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a.callRunning = false
-	l := a.steps[req.Step]
-	if l == nil {
+	st := a.steps[req.Step]
+	if st == nil {
 		return // the job has ended
 	}
-	l.nextCallAt = now.Add(adviceBackOff)
+	st.nextCallAt = now.Add(adviceBackOff)
 	if err == nil {
-		l.recordNoTickets(vms, tickets, now)
+		st.recordNoTickets(vms, tickets, now)
 	}
 	for inc, text := range tickets {
 		// A ticket is valid from the answer on. Counting from the start of the call is on
 		// the safe side.
-		l.tickets[vms[inc]] = ticket{text, inc, began.Add(validity)}
+		st.tickets[vms[inc]] = ticket{text, inc, began.Add(validity)}
 	}
 	s.roundDue.Set()
 }
--- a/scheduler/views.go
+++ b/scheduler/views.go
@@ -54,14 +54,15 @@
 	Runs     uint32 `json:"runs"` // number of starts so far
 }
 
-// SuspectView is a task under which executors have crashed, as operators see it.
+// SuspectView is a task under which executors have crashed, as operators see it. An unresolved
+// loss is a run on a VM whose lease expired, and of which it is unknown whether it crashed.
 type SuspectView struct {
 	Task             string   `json:"task"`
 	Queue            string   `json:"queue"`
 	Crashes          int      `json:"crashes"`
-	UnresolvedLosses int      `json:"doubts"`    // runs on VMs whose lease expired and of which it is unknown whether they crashed
+	UnresolvedLosses int      `json:"doubts"`
 	Suspicion        int      `json:"suspicion"` // thousandths
-	Suspect          bool     `json:"suspect"`   // suspected enough to be run apart from other suspects
+	Suspect          bool     `json:"suspect"`   // it runs apart from other suspects
 	VMs              []string `json:"on"`
 }
 
--- a/scheduler/worktimes.go
+++ b/scheduler/worktimes.go
@@ -32,7 +32,8 @@
 }
 
 // observeWorkTime adds the work time of a task that is done to the model, if its first run has
-// done it. Runs too short to appear in heartbeats count with the time since their start.
+// done it. If heartbeats do not show the work time (worked is 0), as with very short runs, the
+// time since the start counts instead.
 func (f *fleet) observeWorkTime(s *queue.State, e queue.End, worked float64, now time.Time) {
 	j := s.Job(e.Task.Job)
 	if e.Outcome != queue.OutcomeDone || e.Run != 1 || j == nil || j.Task(e.Task) == nil {
