--- a/bench/fleetagent.go
+++ b/bench/fleetagent.go
@@ -186,7 +186,7 @@
 		}
 		if a.told[ref] != row {
 			a.told[ref] = row
-			b.Rows = append(b.Rows, row)
+			b.Runs = append(b.Runs, row)
 		}
 	}
 	a.session.Send(wire.FromNode{Heartbeat: &b})
--- a/queue/apply.go
+++ b/queue/apply.go
@@ -359,7 +359,7 @@
 	return res
 }
 
-// terminationOf returns term the incarnation of a VM's executor ended, according to the report of
+// terminationOf returns how the incarnation of a VM's executor ended, according to the report of
 // its agent.
 func terminationOf(vm *VM, crash *Crash) termination {
 	crash = crash.ForIncarnation(vm.Incarnation)
@@ -383,9 +383,9 @@
 	return tasks, true
 }
 
-// mayBeSame reports whether now may name the incarnation that before named. Agents of earlier
-// releases name incarnations by the executor ID alone; their runs must not be taken for ended when
-// the start time is added to the name.
+// mayBeSame reports whether the name now may denote the incarnation that the name before denoted.
+// Agents of earlier releases name incarnations by the executor ID alone. When an agent adds the
+// start time to such a name, the runs of the incarnation must not count as ended.
 func mayBeSame(before, now string) bool {
 	id, _ := rudderfork.SplitIncarnation(now)
 	return before == now || before == id
--- a/queue/model.go
+++ b/queue/model.go
@@ -15,8 +15,8 @@
 //     that VM's executor, or once the VM's lease has run out (VMLoss).
 //
 // Three kinds of task recur in the code. A lasting task (Step.Lasting) is restarted until its job
-// is cancelled. A serving task is a lasting task with a tail latency objective (Step.TailMS). A
-// filler (Step.Filler) reserves no processors and uses only idle ones.
+// is cancelled. A serving task answers requests itself and has a tail latency objective
+// (Step.TailMS). A filler (Step.Filler) reserves no processors and uses only idle ones.
 //
 // A run is started when the leader has ordered it, and has begun when an executor has confirmed it.
 package queue
@@ -67,9 +67,9 @@
 	Repeat  *Repeat `cbor:"3,keyasint,omitempty" json:"repeat,omitempty"`
 }
 
-// Limits of a spec. They keep the replicated state small.
+// Limits of a spec. They are far above what clients send, and keep the replicated state small.
 const (
-	MaxPayload = 4_000 // bytes
+	MaxPayload = 4_000 // bytes; the users' own limit
 	maxSteps   = 64
 	maxTasks   = 10_000 // over all steps and occurrences
 	maxRepeats = 1_000
--- a/queue/state.go
+++ b/queue/state.go
@@ -7,8 +7,7 @@
 	"rudderfork.example/rudderfork"
 )
 
-// State is the replicated state of the queues. It is not safe for concurrent
-// use.
+// State is the replicated state of the queues. It is not safe for concurrent use.
 type State struct {
 	doc          *Document
 	queuesByName map[string]*Queue // rows of doc
--- a/runner/heartbeat.go
+++ b/runner/heartbeat.go
@@ -48,7 +48,7 @@
 		row.PacedDownPercent = fullPace - a.paceOf(ref)
 		if a.reportedRows[ref] != row {
 			a.reportedRows[ref] = row
-			b.Rows = append(b.Rows, row)
+			b.Runs = append(b.Runs, row)
 		}
 	}
 	for ref := range a.reportedRows {
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -151,7 +151,7 @@
 		v.failures = 0
 	}
 	v.heartbeat, v.heartbeatAt = b, now
-	for _, row := range b.Rows {
+	for _, row := range b.Runs {
 		k, err := queue.ParseTaskKey(string(row.Task))
 		if err != nil {
 			continue // not a run of this leader; the agent stops it
@@ -169,7 +169,7 @@
 		f.runs[k.Run(row.Run)] = r.view()
 		v.changes++
 	}
-	v.heartbeat.Rows = nil
+	v.heartbeat.Runs = nil
 }
 
 // dropRun drops what a VM has reported of a task.
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -47,7 +47,7 @@
 func TestRunStatuses(t *testing.T) {
 	key, at := queue.TaskKey{Job: "j"}, steady.Now()
 	sendStatus := func(f *fleet, inc string, run uint32, percent int, checkpoint string) {
-		f.recordHeartbeat(f.vm("vm1"), wire.VMHeartbeat{VM: queue.VM{ID: "vm1", Incarnation: inc}, Rows: []rudderfork.RunStatus{
+		f.recordHeartbeat(f.vm("vm1"), wire.VMHeartbeat{VM: queue.VM{ID: "vm1", Incarnation: inc}, Runs: []rudderfork.RunStatus{
 			{RunRef: key.Ref(run), Percent: percent, Checkpoint: checkpoint},
 		}}, at)
 	}
--- a/scheduler/incarnation_test.go
+++ b/scheduler/incarnation_test.go
@@ -62,7 +62,7 @@
 	f, now := newFleet(), steady.Now()
 	v := f.vm("vm1")
 	status := rudderfork.RunStatus{RunRef: rudderfork.RunRef{Task: "j.0.0.0", Run: 1}, Percent: 40}
-	f.recordHeartbeat(v, wire.VMHeartbeat{VM: queue.VM{ID: "vm1", Incarnation: firstIncarnation}, Rows: []rudderfork.RunStatus{status}}, now)
+	f.recordHeartbeat(v, wire.VMHeartbeat{VM: queue.VM{ID: "vm1", Incarnation: firstIncarnation}, Runs: []rudderfork.RunStatus{status}}, now)
 	v.addFailures(failureStep, now)
 	assert.Equal(t, len(v.runs), 1)
 	f.recordHeartbeat(v, wire.VMHeartbeat{VM: queue.VM{ID: "vm1", Incarnation: secondIncarnation}}, now)
--- a/scheduler/simfleet_test.go
+++ b/scheduler/simfleet_test.go
@@ -205,7 +205,7 @@
 		if v.health == stuck {
 			percent = 0
 		}
-		b.Rows = append(b.Rows, rudderfork.RunStatus{RunRef: k.Ref(k.Number), Percent: percent})
+		b.Runs = append(b.Runs, rudderfork.RunStatus{RunRef: k.Ref(k.Number), Percent: percent})
 	}
 	s.fleet.recordHeartbeat(s.fleet.vm(v.id), b, s.leaderTime())
 }
--- a/scheduler/stale_session_test.go
+++ b/scheduler/stale_session_test.go
@@ -115,7 +115,7 @@
 	c.cluster.t.Helper()
 	b := heartbeatOf(inc)
 	b.Draining = true
-	b.Rows = []rudderfork.RunStatus{{RunRef: rudderfork.RunRef{Task: "feed.0.0.0", Run: 1}, Load: 9999, Percent: 3, PacedDownPercent: 100}}
+	b.Runs = []rudderfork.RunStatus{{RunRef: rudderfork.RunRef{Task: "feed.0.0.0", Run: 1}, Load: 9999, Percent: 3, PacedDownPercent: 100}}
 	c.sendAndWait(wire.FromNode{Heartbeat: &b})
 }
 
--- a/scheduler/swings_test.go
+++ b/scheduler/swings_test.go
@@ -33,7 +33,7 @@
 	b := wire.VMHeartbeat{VM: *qs.VM("vm1"), Measured: true}
 	for i := range tasks {
 		k := queue.TaskKey{Job: "feed", Index: i}
-		b.Rows = append(b.Rows, rudderfork.RunStatus{RunRef: k.Ref(1), Percent: fullPercent, Load: tail})
+		b.Runs = append(b.Runs, rudderfork.RunStatus{RunRef: k.Ref(1), Percent: fullPercent, Load: tail})
 	}
 	v := f.vm("vm1")
 	f.recordHeartbeat(v, b, at)
@@ -64,7 +64,7 @@
 	t.Helper()
 	f := newFleet()
 	v := f.vm("vm1")
-	f.recordHeartbeat(v, wire.VMHeartbeat{Rows: []rudderfork.RunStatus{{RunRef: queue.TaskKey{Job: "j"}.Ref(1), Percent: 10}}}, steady.Now())
+	f.recordHeartbeat(v, wire.VMHeartbeat{Runs: []rudderfork.RunStatus{{RunRef: queue.TaskKey{Job: "j"}.Ref(1), Percent: 10}}}, steady.Now())
 	before := v.changes
 	f.updateForecasts(qs, v, steady.Now())
 	assert.Equal(t, v.changes, before)
--- a/scheduler/worktimes_test.go
+++ b/scheduler/worktimes_test.go
@@ -18,7 +18,7 @@
 	done := queue.End{Task: key, Run: 1, Outcome: queue.OutcomeDone}
 	at := time.Unix(1000, 0)
 	sendStatus := func(f *fleet, after time.Duration, percent, pacedDown int) {
-		f.recordHeartbeat(f.vm("vm1"), wire.VMHeartbeat{Rows: []rudderfork.RunStatus{{RunRef: key.Ref(1), Percent: percent, PacedDownPercent: pacedDown}}}, at.Add(after))
+		f.recordHeartbeat(f.vm("vm1"), wire.VMHeartbeat{Runs: []rudderfork.RunStatus{{RunRef: key.Ref(1), Percent: percent, PacedDownPercent: pacedDown}}}, at.Add(after))
 	}
 	t.Run("time paced down counts in part, and the work before the first report is added", func(t *testing.T) {
 		f := newFleet()
--- a/wire/queue.go
+++ b/wire/queue.go
@@ -90,18 +90,18 @@
 // VMHeartbeat is the heartbeat of a VM's agent, with the VM's properties and the status of its
 // runs.
 type VMHeartbeat struct {
-	Sent int64    `cbor:"1,keyasint"` // the sender's steady clock, ns; echoed
+	Sent int64    `cbor:"1,keyasint"` // the sender's monotonic clock, ns; echoed
 	VM   queue.VM `cbor:"2,keyasint"`
 
 	Draining bool  `cbor:"3,keyasint,omitempty"`
 	LeaveMS  int64 `cbor:"4,keyasint,omitempty"` // minimum time until the executor ends, while draining
 	// Unresponsive means that the VM's executor does not answer. No lease is requested.
 	Unresponsive bool                   `cbor:"5,keyasint,omitempty"`
-	Rows         []rudderfork.RunStatus `cbor:"6,keyasint,omitempty"` // status of the runs that have changed
+	Runs         []rudderfork.RunStatus `cbor:"6,keyasint,omitempty"` // that have changed
 
-	// Measured means that the figures in Rows are newer than those in the previous heartbeat.
+	// Measured means that the figures in Runs are newer than those in the previous heartbeat.
 	Measured bool `cbor:"8,keyasint,omitempty"`
-	// FillerUsage is the share of the VM's processors that fillers used while the figures in Rows
+	// FillerUsage is the share of the VM's processors that fillers used while the figures in Runs
 	// were measured, by image.
 	FillerUsage map[string]float64 `cbor:"7,keyasint,omitempty"`
 
@@ -127,15 +127,15 @@
 	// LastOfStep lists the VM's runs that the other tasks of their steps wait for.
 	LastOfStep []rudderfork.RunRef `cbor:"7,keyasint,omitempty"`
 
-	// StartMS is the time from sending the heartbeat for which starts may be made. It is shorter
-	// than the lease, so that an order to start nothing more soon holds on a VM that it does not
-	// reach. Leaders of earlier releases send nil, which means as long as the lease. Cordoned is
-	// such an order.
+	// StartMS is how long after the heartbeat was sent starts may be made, ms. It is shorter than
+	// the lease, so that an order to start nothing more takes effect soon even on a VM that it does
+	// not reach. Leaders of earlier releases send nil, which means as long as the lease. Cordoned
+	// is such an order.
 	StartMS  *int64 `cbor:"8,keyasint,omitempty"`
 	Cordoned bool   `cbor:"9,keyasint,omitempty"`
 }
 
-// PairPressure is the share of the headroom of serving tasks of one image that fillers of another
+// PairPressure is how much of the headroom of serving tasks of one image the fillers of another
 // image take, as estimated by package interference.
 type PairPressure struct {
 	Serving  string  `cbor:"1,keyasint"`
