--- a/queue/crash_test.go
+++ b/queue/crash_test.go
@@ -131,7 +131,8 @@
 	assert.Equal(t, w.status("feed"), Running)
 }
 
-// TestFirstCrashInDays guards against a state that cannot apply a crash where hardly any was in long.
+// TestFirstCrashInDays guards against a crash that cannot be applied because the base rate has
+// fallen to 0.
 func TestFirstCrashInDays(t *testing.T) {
 	w, bad, good := startTwo(t, one)
 	w.s.base.addObserved((30 * 24 * time.Hour).Milliseconds(), 3_900)
@@ -140,7 +141,7 @@
 	assert.Assert(t, w.task(bad).Suspicion > w.task(good).Suspicion)
 }
 
-// TestCrashCountsOnceInBaseRate guards against ordinary crashes that seem twice as frequent as they are.
+// TestCrashCountsOnceInBaseRate guards against counting one spontaneous crash twice.
 func TestCrashCountsOnceInBaseRate(t *testing.T) {
 	for name, outage := range map[string]func(w *world){
 		"a crash": func(w *world) { w.crash("vm1", "life-2") },
