--- a/runner/filler_speed.go
+++ b/runner/filler_speed.go
@@ -29,27 +29,27 @@
 }
 
 // set records the speed from a time on, and drops changes that are older than the window.
-func (e *fillerSpeed) set(speed float64, from time.Time) {
-	for len(e.changes) > 1 && from.Sub(e.changes[1].from) > tailWindow+paceDelay {
-		e.changes = e.changes[1:]
+func (s *fillerSpeed) set(speed float64, from time.Time) {
+	for len(s.changes) > 1 && from.Sub(s.changes[1].from) > tailWindow+paceDelay {
+		s.changes = s.changes[1:]
 	}
-	e.changes = append(e.changes, speedChange{from, speed})
+	s.changes = append(s.changes, speedChange{from, speed})
 }
 
 // mean returns the mean speed, 0 to 1, over the window that ends now.
-func (e *fillerSpeed) mean(now time.Time) float64 {
-	begin, end := now.Add(-tailWindow), now
-	if !e.ended.IsZero() && e.ended.Before(end) {
-		end = e.ended
+func (s *fillerSpeed) mean(now time.Time) float64 {
+	start, end := now.Add(-tailWindow), now
+	if !s.ended.IsZero() && s.ended.Before(end) {
+		end = s.ended
 	}
 	sum := 0.0
-	for i, c := range e.changes {
+	for i, c := range s.changes {
 		from, to := c.from, end
-		if i+1 < len(e.changes) {
-			to = e.changes[i+1].from
+		if i+1 < len(s.changes) {
+			to = s.changes[i+1].from
 		}
-		if from.Before(begin) {
-			from = begin
+		if from.Before(start) {
+			from = start
 		}
 		if to.After(end) {
 			to = end
@@ -63,30 +63,30 @@
 
 // trackFillers updates the records of the fillers that run. The caller holds mu.
 func (a *Agent) trackFillers(now time.Time) {
-	whole := float64(max(1, a.vm.Capacity.CPUMilli))
+	vmCPU := float64(max(1, a.vm.Capacity.CPUMilli))
 	for id, o := range a.reconciler.DesiredRuns() {
 		ref := rudderfork.RunRef{Task: id, Run: o.Run}
-		if _, there := a.rows[ref]; !there || !o.Filler || a.fillerSpeeds[ref] != nil {
+		if _, listed := a.rows[ref]; !listed || !o.Filler || a.fillerSpeeds[ref] != nil {
 			continue
 		}
-		e := &fillerSpeed{image: o.Image, share: max(minShare, float64(o.CPUMilli)/whole)}
+		s := &fillerSpeed{image: o.Image, share: max(minShare, float64(o.CPUMilli)/vmCPU)}
 		startedAt := a.startedAt[ref]
 		if startedAt.IsZero() {
 			startedAt = now
 		}
-		e.set(1, startedAt)
-		a.fillerSpeeds[ref] = e
+		s.set(1, startedAt)
+		a.fillerSpeeds[ref] = s
 	}
-	for ref, e := range a.fillerSpeeds {
-		if _, there := a.rows[ref]; !there && e.ended.IsZero() {
-			e.ended = now
+	for ref, s := range a.fillerSpeeds {
+		if _, listed := a.rows[ref]; !listed && s.ended.IsZero() {
+			s.ended = now
 		}
-		if !e.ended.IsZero() && now.Sub(e.ended) > tailWindow {
+		if !s.ended.IsZero() && now.Sub(s.ended) > tailWindow {
 			delete(a.fillerSpeeds, ref)
 		}
 	}
 	for ref := range a.startedAt {
-		if _, there := a.rows[ref]; !there && now.Sub(a.startedAt[ref]) > tailWindow {
+		if _, listed := a.rows[ref]; !listed && now.Sub(a.startedAt[ref]) > tailWindow {
 			delete(a.startedAt, ref)
 		}
 	}
@@ -96,8 +96,8 @@
 // window that ends now, by image. The caller holds mu.
 func (a *Agent) measureFillerUsage(now time.Time) map[string]float64 {
 	shares := map[string]float64{}
-	for _, e := range a.fillerSpeeds {
-		shares[e.image] += e.share * e.mean(now)
+	for _, s := range a.fillerSpeeds {
+		shares[s.image] += s.share * s.mean(now)
 	}
 	return shares
 }
--- a/runner/heartbeat.go
+++ b/runner/heartbeat.go
@@ -52,7 +52,7 @@
 		}
 	}
 	for ref := range a.reportedRows {
-		if _, there := a.rows[ref]; !there {
+		if _, listed := a.rows[ref]; !listed {
 			delete(a.reportedRows, ref)
 		}
 	}
--- a/runner/incarnation.go
+++ b/runner/incarnation.go
@@ -53,7 +53,7 @@
 // the names of incarnations have no order. So a description of an incarnation other than the
 // recognized one counts only once the executor has answered a poll that is addressed to that
 // incarnation.
-func (a *Agent) HandleDescription(vm queue.VM, draining bool, leave time.Duration) (taken bool) {
+func (a *Agent) HandleDescription(vm queue.VM, draining bool, leave time.Duration) (accepted bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := steady.Now()
--- a/runner/pace.go
+++ b/runner/pace.go
@@ -73,11 +73,11 @@
 // processors that all tasks but the fillers leave idle. The caller holds mu.
 func (a *Agent) colocatedTasks() (serving []pace.ServingTask, fillers []pace.Filler, idle float64) {
 	idle = pace.MaxUtilization
-	whole := float64(max(1, a.vm.Capacity.CPUMilli))
+	vmCPU := float64(max(1, a.vm.Capacity.CPUMilli))
 	for id, o := range a.reconciler.DesiredRuns() {
 		ref := rudderfork.RunRef{Task: id, Run: o.Run}
-		row, there := a.rows[ref]
-		share := float64(o.CPUMilli) / whole
+		row, listed := a.rows[ref]
+		share := float64(o.CPUMilli) / vmCPU
 		switch {
 		case o.Filler:
 		case o.TailMS > 0:
@@ -86,9 +86,9 @@
 			idle -= share
 		}
 		switch {
-		case there && serves(o, row):
+		case listed && serves(o, row):
 			serving = append(serving, pace.ServingTask{Image: o.Image, Headroom: pace.Headroom(o.TailMS, row.Load)})
-		case o.Filler && there:
+		case o.Filler && listed:
 			fillers = append(fillers, pace.Filler{
 				Run: ref, Image: o.Image, CPUShare: max(minShare, share),
 				Speed: float64(a.paceOf(ref)) / fullPace, MeasuredSpeed: a.meanSpeed(ref), LastOfStep: a.lastOfStep[ref],
@@ -103,11 +103,11 @@
 func (a *Agent) colocated() bool {
 	serving, filler := false, false
 	for id, o := range a.reconciler.DesiredRuns() {
-		row, there := a.rows[rudderfork.RunRef{Task: id, Run: o.Run}]
+		row, listed := a.rows[rudderfork.RunRef{Task: id, Run: o.Run}]
 		switch {
-		case there && serves(o, row):
+		case listed && serves(o, row):
 			serving = true
-		case there && o.Filler:
+		case listed && o.Filler:
 			filler = true
 		}
 	}
@@ -122,8 +122,8 @@
 // meanSpeed returns the mean speed of a filler, 0 to 1, over the time in which the headrooms were
 // measured. The caller holds mu.
 func (a *Agent) meanSpeed(ref rudderfork.RunRef) float64 {
-	if e := a.fillerSpeeds[ref]; e != nil {
-		return e.mean(a.lastStatusAt)
+	if s := a.fillerSpeeds[ref]; s != nil {
+		return s.mean(a.lastStatusAt)
 	}
 	return 0
 }
@@ -132,34 +132,34 @@
 // caller holds mu.
 func (a *Agent) adjustPace(ctx context.Context) {
 	for ref := range a.paces {
-		if _, there := a.rows[ref]; !there {
+		if _, listed := a.rows[ref]; !listed {
 			delete(a.paces, ref)
 		}
 	}
 	serving, fillers, idle := a.colocatedTasks()
-	least := pace.MaxHeadroom
+	minHeadroom := pace.MaxHeadroom
 	for _, s := range serving {
-		least = min(least, s.Headroom)
+		minHeadroom = min(minHeadroom, s.Headroom)
 	}
 	stopped := a.guard.ShouldStop(serving, steady.Now())
 	for i, speed := range pace.Speeds(serving, fillers, idle, a.pressure) {
 		if stopped {
 			speed = 0
 		}
-		a.setPace(ctx, fillers[i].Run, int(speed*fullPace), least)
+		a.setPace(ctx, fillers[i].Run, int(speed*fullPace), minHeadroom)
 	}
 }
 
 // setPace requests a speed, in percent, unless it is close to the one last requested. The caller
 // holds mu.
-func (a *Agent) setPace(ctx context.Context, ref rudderfork.RunRef, percent int, least float64) {
+func (a *Agent) setPace(ctx context.Context, ref rudderfork.RunRef, percent int, minHeadroom float64) {
 	old := a.paceOf(ref)
 	if old == percent || abs(old-percent) < paceStep && percent != 0 && percent != fullPace {
 		return
 	}
 	a.paces[ref] = percent
-	if e := a.fillerSpeeds[ref]; e != nil {
-		e.set(float64(percent)/fullPace, steady.Now().Add(paceDelay))
+	if s := a.fillerSpeeds[ref]; s != nil {
+		s.set(float64(percent)/fullPace, steady.Now().Add(paceDelay))
 	}
 	inc, fence := a.reconciler.Incarnation(), a.reconciler.FencingToken()
 	go func() {
@@ -167,7 +167,7 @@
 		defer cancel()
 		err := a.exec.Pace(ctx, inc, ref, percent, fence)
 		a.log.Info().Str("task", string(ref.Task)).Uint32("run", ref.Run).Int("percent", percent).Int("before", old).
-			Float64("least_headroom", least).AnErr("error", err).Msg("filler_paced")
+			Float64("least_headroom", minHeadroom).AnErr("error", err).Msg("filler_paced")
 		if err != nil {
 			a.mu.Lock()
 			defer a.mu.Unlock()
--- a/runner/poll.go
+++ b/runner/poll.go
@@ -25,17 +25,17 @@
 			steady.Pause(ctx, retryDelay)
 			continue
 		}
-		polled := steady.Now()
+		polledAt := steady.Now()
 		status, err := a.poll(ctx, inc, req)
 		if ctx.Err() != nil {
 			return ctx.Err() // the agent shuts down, which does not concern the executor
 		}
 		var reportAcked <-chan struct{}
-		listed, taken := false, false
+		listed, accepted := false, false
 		if err == nil {
-			reportAcked, listed, taken = a.handleStatus(ctx, inc, status, polled)
+			reportAcked, listed, accepted = a.handleStatus(ctx, inc, status, polledAt)
 		}
-		if !taken {
+		if !accepted {
 			a.handlePollError(inc, cmp.Or(err, errStaleClock))
 			steady.Pause(ctx, retryDelay)
 			continue
@@ -112,11 +112,11 @@
 	a.log.Info().Err(err).Dur("silent", steady.Now().Sub(a.lastStatusAt)).Msg("look_failed")
 }
 
-// handleStatus takes a status. It returns taken false if the executor's clock is behind an earlier
-// reading, since the status is older than that. listed reports whether the status lists ends that
+// handleStatus takes the answer to a poll. It returns accepted false if the executor's clock is
+// behind an earlier reading, since the status is older than that. listed reports whether the status lists ends that
 // the leader has not acknowledged: until it has, the executor answers the next poll at once with
 // the same ends.
-func (a *Agent) handleStatus(ctx context.Context, inc string, status rudderfork.ExecutorStatus, polled time.Time) (reportAcked <-chan struct{}, listed, taken bool) {
+func (a *Agent) handleStatus(ctx context.Context, inc string, status rudderfork.ExecutorStatus, polledAt time.Time) (reportAcked <-chan struct{}, listed, accepted bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.reconciler.Incarnation() != inc {
@@ -134,7 +134,7 @@
 		upTo = max(upTo, e.Seq)
 	}
 	reportAcked = a.reportAcked
-	ends := a.reconciler.HandleStatus(status, polled)
+	ends := a.reconciler.HandleStatus(status, polledAt)
 	a.logLostRuns(ends, status)
 	a.reportListed(ends, upTo)
 	clear(a.rows)
