--- a/runner/stale_model_test.go
+++ b/runner/stale_model_test.go
@@ -161,8 +161,8 @@
 
 // confirm makes the agent poll for one of the unconfirmed incarnations.
 func (m *staleModel) confirm(t *rapid.T) {
-	if lives := m.a.unconfirmed(); len(lives) > 0 {
-		m.a.confirm(context.Background(), rapid.SampledFrom(lives).Draw(t, "life"))
+	if incs := m.a.unconfirmed(); len(incs) > 0 {
+		m.a.confirm(context.Background(), rapid.SampledFrom(incs).Draw(t, "life"))
 	}
 }
 
--- a/runs/reconciler.go
+++ b/runs/reconciler.go
@@ -50,7 +50,7 @@
 // concurrent use.
 type Reconciler struct {
 	incarnation  string // of the executor
-	epoch        uint64
+	epoch        uint64 // of the VM in the leader's state; it rises with each registration that starts without runs
 	maxTerm      uint64 // highest term of any leader seen; the fencing token
 	sessionTerm  uint64 // term of the leader of the present session
 	synced       bool   // the full list of the epoch was received
