--- a/runs/model_test.go
+++ b/runs/model_test.go
@@ -402,15 +402,15 @@
 		return
 	}
 	v.lastSession = session
-	s, g := v.s, v.s.lessor(v.id)
+	s, lessor := v.s, v.s.lessor(v.id)
 	known := s.state.VM(v.id)
-	if known == nil || !known.Live || !known.SameRegistration(desc) || g.Expired() {
-		if g.Expired() && known != nil && known.Live {
+	if known == nil || !known.Live || !known.SameRegistration(desc) || lessor.Expired() {
+		if lessor.Expired() && known != nil && known.Live {
 			return
 		}
-		g.AssumeLease(s.now.Add(s.leaseLength))
+		lessor.AssumeLease(s.now.Add(s.leaseLength))
 		s.apply(queue.Command{Register: &desc, Crash: crash})
-		g.AllowGrants()
+		lessor.AllowGrants()
 		known = s.state.VM(v.id)
 	}
 	if v.epoch != known.Epoch || reportedEpoch != known.Epoch && !s.now.Before(v.fullListDeadline) {
@@ -419,7 +419,7 @@
 		v.forgetSent()
 		v.sendOrders(true)
 	}
-	if left := g.Grant(s.quorumContact, s.now, s.leaseLength); left > 0 {
+	if left := lessor.Grant(s.quorumContact, s.now, s.leaseLength); left > 0 {
 		epoch := known.Epoch
 		lease := runs.Lease{Until: sent.Add(left), StartBy: sent.Add(left - s.leaseLength + startWindow), Cordoned: s.state.Evacuating(v.domain)}
 		v.post(&v.toAgent, func() { v.reconciler.Grant(desc.Incarnation, epoch, lease) })
