--- a/state/claim.go
+++ b/state/claim.go
@@ -10,43 +10,43 @@
 	Key     string             `cbor:"2,keyasint"` // the caller's Idempotency-Key
 }
 
-// ClaimPhase is what is known of a claimed request.
+// ClaimPhase is the state of a claimed request.
 type ClaimPhase string
 
 // The phases of a claim.
 const (
-	ClaimHeld ClaimPhase = "held" // an entry may have sent it to the VM
-	ClaimDone ClaimPhase = "done" // it ran; the answer stands in the claim
+	ClaimHeld ClaimPhase = "held" // an entry may have sent the request to the VM
+	ClaimDone ClaimPhase = "done" // the request ran; Claim.Answer is its answer
 )
 
-// Claim is the right to run one request, once. The token rises when the claim
-// passes on, which happens only when the request surely did not run under the
-// older token.
+// Claim is the right to run one request, at most once. The token rises when
+// another entry takes the claim over, which happens only when it is certain that
+// the request did not run under the older token.
 type Claim struct {
 	Key     ClaimKey         `cbor:"1,keyasint"`
 	Token   rudderfork.Token `cbor:"2,keyasint"`
 	Digest  []byte           `cbor:"3,keyasint"` // of method, path and body
 	VM      rudderfork.VMID  `cbor:"4,keyasint"`
-	Boot    string           `cbor:"5,keyasint"` // of the VM's agent
+	Boot    string           `cbor:"5,keyasint"` // boot ID of the VM's agent
 	Phase   ClaimPhase       `cbor:"6,keyasint"`
 	Expires int64            `cbor:"7,keyasint"` // Unix ms
 	Answer  *Answer          `cbor:"8,keyasint,omitempty"`
 }
 
-// Answer is a recorded answer.
+// Answer is the recorded answer to a claimed request.
 type Answer struct {
 	Status      int    `cbor:"1,keyasint"`
 	ContentType string `cbor:"2,keyasint,omitempty"`
 	Body        []byte `cbor:"3,keyasint,omitempty"`
-	Partial     bool   `cbor:"4,keyasint,omitempty"` // the body was too large to keep
+	Partial     bool   `cbor:"4,keyasint,omitempty"` // Body is left out, since it was too large
 }
 
-// MaxAnswerBytes bounds a recorded body, in bytes.
+// MaxAnswerBytes is the maximum length of a recorded body, in bytes.
 const MaxAnswerBytes = 16 << 10
 
-// Acquire asks for a claim. With After 0 it is granted only if there is none;
-// with After set it takes over from that token, which the asker has fenced off
-// at the VM's agent.
+// Acquire requests a claim. With After 0 it is granted only if there is none yet.
+// With After set it takes the claim over from the holder of that token; the
+// caller has fenced off that token at the VM's agent before.
 type Acquire struct {
 	Key     ClaimKey         `cbor:"1,keyasint"`
 	After   rudderfork.Token `cbor:"2,keyasint,omitempty"`
@@ -56,7 +56,8 @@
 	Expires int64            `cbor:"6,keyasint"`
 }
 
-// Settle records how a claimed request ended. NotRun gives the claim back.
+// Settle records the answer to a claimed request, or with NotRun releases the
+// claim of a request that did not run.
 type Settle struct {
 	Key    ClaimKey         `cbor:"1,keyasint"`
 	Token  rudderfork.Token `cbor:"2,keyasint"`
@@ -64,7 +65,7 @@
 	NotRun bool             `cbor:"4,keyasint,omitempty"`
 }
 
-// claimExpiry orders claims for removal.
+// claimExpiry is an entry of the queue in which claims expire.
 type claimExpiry struct {
 	Key     ClaimKey `cbor:"1,keyasint"`
 	Expires int64    `cbor:"2,keyasint"`
@@ -83,7 +84,8 @@
 	}
 	c := &Claim{Key: a.Key, Token: a.After + 1, Digest: a.Digest, VM: a.VM, Boot: a.Boot, Phase: ClaimHeld, Expires: a.Expires}
 	if old == nil {
-		// The index makes tokens rise also over claims that were given back.
+		// The index of the entry exceeds every older token, also those of
+		// claims that were released and are no longer stored.
 		c.Token = rudderfork.Token(s.revision)
 		s.claimQueue = append(s.claimQueue, claimExpiry{a.Key, a.Expires})
 	} else {
@@ -105,13 +107,14 @@
 		delete(s.claims, st.Key)
 		return s.ok()
 	}
-	done := *c // results that were handed out keep the older record
+	done := *c // a copy, since earlier results refer to the older record
 	done.Phase, done.Answer = ClaimDone, st.Answer
 	s.claims[st.Key] = &done
 	return s.ok()
 }
 
-// expireClaims forgets claims past their window, a few at each step.
+// expireClaims removes expired claims, at most four in each call to bound its
+// cost.
 func (s *State) expireClaims(at int64) {
 	for i := 0; i < 4 && len(s.claimQueue) > 0 && s.claimQueue[0].Expires <= at; i++ {
 		e := s.claimQueue[0]
@@ -122,5 +125,5 @@
 	}
 }
 
-// ClaimCount returns how many claims are remembered.
+// ClaimCount returns the number of stored claims.
 func (s *State) ClaimCount() int { return len(s.claims) }
--- a/state/command.go
+++ b/state/command.go
@@ -7,7 +7,7 @@
 	"rudderfork.example/rudderfork/queue"
 )
 
-// Command is one change. Exactly one of the pointers is set.
+// Command is one change of the state. Exactly one of the pointers is set.
 type Command struct {
 	At       int64     `cbor:"1,keyasint"` // the proposer's clock, Unix ms
 	Edit     *Edit     `cbor:"2,keyasint,omitempty"`
@@ -25,30 +25,30 @@
 	Queue *queue.Command `cbor:"13,keyasint,omitempty"`
 }
 
-// Code says how a command ended.
+// Code is the outcome of a command.
 type Code string
 
 // The codes of a Result.
 const (
 	CodeOK       Code = "ok"
-	CodeConflict Code = "conflict" // the state moved on since the command was decided
+	CodeConflict Code = "conflict" // the state has changed since the command was decided
 	CodeInvalid  Code = "invalid"
 	CodeNotFound Code = "not-found"
 )
 
-// Result is what Apply returns. It is the same on every replica.
+// Result is the result of a command. It is the same on every replica.
 type Result struct {
 	Code     Code                `cbor:"1,keyasint" json:"code"`
 	Text     string              `cbor:"2,keyasint,omitempty" json:"text,omitempty"`
 	Revision rudderfork.Revision `cbor:"3,keyasint" json:"revision"`
-	Cells    []rudderfork.Cell   `cbor:"4,keyasint,omitempty" json:"cells,omitempty"` // on a conflict, as they stand
+	Cells    []rudderfork.Cell   `cbor:"4,keyasint,omitempty" json:"cells,omitempty"` // on a conflict, the present ones
 	Repeated bool                `cbor:"5,keyasint,omitempty" json:"repeated,omitempty"`
 	Epoch    rudderfork.Token    `cbor:"6,keyasint,omitempty" json:"epoch,omitempty"`
-	Placed   []bool              `cbor:"7,keyasint,omitempty" json:"-"`  // per placement asked for
-	Accepted []bool              `cbor:"10,keyasint,omitempty" json:"-"` // per report that arrived
+	Placed   []bool              `cbor:"7,keyasint,omitempty" json:"-"`  // for each placement of the command
+	Accepted []bool              `cbor:"10,keyasint,omitempty" json:"-"` // for each report of the command
 	Claim    *Claim              `cbor:"8,keyasint,omitempty" json:"-"`
-	Granted  bool                `cbor:"9,keyasint,omitempty" json:"-"` // the asker holds the claim
-	Queue    queue.Result        `cbor:"-" json:"-"`                    // of a command on the queues
+	Granted  bool                `cbor:"9,keyasint,omitempty" json:"-"` // the caller holds the claim
+	Queue    queue.Result        `cbor:"-" json:"-"`                    // result of a command on the queues
 }
 
 func (s *State) ok() Result { return Result{Code: CodeOK, Revision: s.revision} }
--- a/state/image.go
+++ b/state/image.go
@@ -10,9 +10,9 @@
 	"rudderfork.example/rudderfork/queue"
 )
 
-// image is the form of the state in a snapshot. Counts and indexes that follow
-// from the records are left out and made anew.
-type image struct {
+// snapshot is the encoded form of the state. Counts and indexes that can be
+// derived from the records are left out and computed again by restore.
+type snapshot struct {
 	Revision   rudderfork.Revision `cbor:"1,keyasint"`
 	TableRev   rudderfork.Revision `cbor:"2,keyasint"`
 	Cells      []rudderfork.Cell   `cbor:"3,keyasint"`
@@ -30,7 +30,7 @@
 // Encode returns the state as CBOR.
 func (s *State) Encode() (data []byte, err error) {
 	defer errs.Annotate(&err, "encode state")
-	im := image{
+	snap := snapshot{
 		Revision: s.revision, TableRev: s.tableRev,
 		Cells: s.CellsAfter(0), Edits: s.edits.records(),
 		VMs: s.VMs(), Jobs: s.Jobs(), Tasks: sorted(s.tasks),
@@ -38,12 +38,12 @@
 		Queues: s.queues.Image(),
 	}
 	for _, c := range s.claims {
-		im.Claims = append(im.Claims, c)
+		snap.Claims = append(snap.Claims, c)
 	}
-	return cbor.Marshal(im)
+	return cbor.Marshal(snap)
 }
 
-// Decode is the inverse of Encode. No data is the empty state.
+// Decode is the inverse of Encode. Without data it returns an empty state.
 func Decode(data []byte) (s *State, err error) {
 	defer errs.Annotate(&err, "decode state")
 	s = New()
@@ -54,35 +54,35 @@
 	if err != nil {
 		return nil, err
 	}
-	var im image
-	if err := dec.Unmarshal(data, &im); err != nil {
+	var snap snapshot
+	if err := dec.Unmarshal(data, &snap); err != nil {
 		return nil, err
 	}
-	s.restore(im)
+	s.restore(snap)
 	return s, nil
 }
 
-func (s *State) restore(im image) {
-	s.revision, s.tableRev = im.Revision, im.TableRev
-	s.finished, s.claimQueue = im.Finished, im.ClaimQueue
-	s.upstreamRev = im.Upstreams
-	s.queues = queue.Restore(im.Queues)
-	for _, c := range im.Cells {
+func (s *State) restore(snap snapshot) {
+	s.revision, s.tableRev = snap.Revision, snap.TableRev
+	s.finished, s.claimQueue = snap.Finished, snap.ClaimQueue
+	s.upstreamRev = snap.Upstreams
+	s.queues = queue.Restore(snap.Queues)
+	for _, c := range snap.Cells {
 		s.cells[c.Key] = c
 	}
-	for _, r := range im.Edits {
+	for _, r := range snap.Edits {
 		s.edits.put(r)
 	}
-	for _, v := range im.VMs {
+	for _, v := range snap.VMs {
 		s.vms[v.Place.VM] = v
 	}
-	for _, j := range im.Jobs {
+	for _, j := range snap.Jobs {
 		s.jobs[j.Spec.ID] = j
 	}
-	for _, c := range im.Claims {
+	for _, c := range snap.Claims {
 		s.claims[c.Key] = c
 	}
-	for _, t := range im.Tasks {
+	for _, t := range snap.Tasks {
 		s.restoreTask(t)
 	}
 }
--- a/state/job.go
+++ b/state/job.go
@@ -13,11 +13,11 @@
 	Spec        rudderfork.JobSpec  `cbor:"1,keyasint"`
 	SubmittedAt int64               `cbor:"2,keyasint"` // Unix ms
 	Cancelled   bool                `cbor:"3,keyasint,omitempty"`
-	Open        int                 `cbor:"4,keyasint"` // tasks that are not final
+	Open        int                 `cbor:"4,keyasint"` // tasks that have not ended
 	Running     int                 `cbor:"5,keyasint"` // tasks that hold capacity
 	Done        int                 `cbor:"6,keyasint"`
 	Failed      int                 `cbor:"7,keyasint"`
-	Blocked     string              `cbor:"8,keyasint,omitempty"` // why it can never run
+	Blocked     string              `cbor:"8,keyasint,omitempty"` // why no VM can run it; empty if one can
 	FinishedAt  int64               `cbor:"9,keyasint,omitempty"`
 	Revision    rudderfork.Revision `cbor:"10,keyasint"`
 }
@@ -43,7 +43,7 @@
 	Waiting    []rudderfork.Rejection `cbor:"17,keyasint,omitempty"`
 }
 
-// Decision is one thing decided about a task, kept for explanations.
+// Decision is one decision about a task, kept to explain its state to operators.
 type Decision struct {
 	At         int64                  `cbor:"1,keyasint" json:"at"` // Unix ms
 	What       string                 `cbor:"2,keyasint" json:"what"`
@@ -56,20 +56,21 @@
 }
 
 const (
-	// keepDecisions bounds the decisions remembered for a task.
-	keepDecisions = 8
-	// keepFinished bounds the finished jobs remembered.
-	keepFinished = 2000
-	// keepAvoid bounds the VMs that a task avoids.
-	keepAvoid = 4
+	// maxDecisions is the number of decisions kept for a task.
+	maxDecisions = 8
+	// maxFinishedJobs is the number of finished jobs kept.
+	maxFinishedJobs = 2000
+	// maxAvoidedVMs is the number of VMs that a task avoids at most.
+	maxAvoidedVMs = 4
 )
 
-// Submit adds a job. Submitted again with the same spec it gets the same answer.
+// Submit adds a job. Submitting it again with the same spec returns the first
+// revision.
 type Submit struct {
 	Spec rudderfork.JobSpec `cbor:"1,keyasint"`
 }
 
-// Cancel ends a job; its running tasks stop.
+// Cancel cancels a job and stops its running tasks.
 type Cancel struct {
 	Job rudderfork.JobID `cbor:"1,keyasint"`
 }
@@ -118,7 +119,7 @@
 	return same && len(a.Cells) == len(b.Cells)
 }
 
-// cancel costs one step for each task of the job.
+// cancel takes time in proportion to the tasks of the job.
 func (s *State) cancel(c Cancel, at int64) Result {
 	j := s.jobs[c.Job]
 	if j == nil {
@@ -141,7 +142,7 @@
 	return s.ok()
 }
 
-// setPhase moves t to phase and keeps every count and index in step.
+// setPhase changes the phase of t and updates all counts and indexes.
 func (s *State) setPhase(t *Task, phase rudderfork.TaskPhase, at int64) {
 	j := s.jobs[t.Job]
 	was := t.Phase
@@ -157,7 +158,7 @@
 		s.release(t, j)
 	}
 	if !was.Holds() && phase.Holds() {
-		s.hold(t, j)
+		s.allocate(t, j)
 	}
 	switch phase {
 	case rudderfork.TaskDone:
@@ -171,7 +172,7 @@
 	}
 }
 
-func (s *State) hold(t *Task, j *Job) {
+func (s *State) allocate(t *Task, j *Job) {
 	v := s.vms[t.VM]
 	v.Used = v.Used.Add(t.Size)
 	s.usage[j.Spec.Team] = s.usage[j.Spec.Team].Add(t.Size)
@@ -191,14 +192,15 @@
 	j.Running--
 }
 
-// finishJob remembers a job that has ended, and forgets the oldest of those.
+// finishJob records the end of a job that has no open tasks, and removes the
+// oldest finished job if too many are kept.
 func (s *State) finishJob(j *Job, at int64) {
 	if j.Open > 0 {
 		return
 	}
 	j.FinishedAt = at
 	s.finished = append(s.finished, j.Spec.ID)
-	if len(s.finished) <= keepFinished {
+	if len(s.finished) <= maxFinishedJobs {
 		return
 	}
 	s.forgetJob(s.finished[0])
@@ -211,12 +213,12 @@
 	}
 	for _, c := range rudderfork.Columns(rudderfork.RowJob) {
 		k := rudderfork.CellKey{Kind: rudderfork.RowJob, Row: string(id), Column: c.Name}
-		delete(s.cells, k) // agents forget a finished job's row by its absence from leases
+		delete(s.cells, k) // agents drop a finished job's row when no lease refers to it
 	}
 	delete(s.jobs, id)
 }
 
-// TasksOf returns a job's tasks in their order.
+// TasksOf returns a job's tasks in the order of their indexes.
 func (s *State) TasksOf(id rudderfork.JobID) []*Task {
 	j := s.jobs[id]
 	if j == nil {
@@ -229,12 +231,12 @@
 	return ts
 }
 
-// JobCell reads a cell of a job's row.
+// JobCell returns the value of a cell of a job's row.
 func (s *State) JobCell(id rudderfork.JobID, column string) int64 {
 	return s.Value(rudderfork.CellKey{Kind: rudderfork.RowJob, Row: string(id), Column: column})
 }
 
-// JobSize is the size that the job's row gives each of its tasks.
+// JobSize returns the size of each task of a job, as its row declares it.
 func (s *State) JobSize(id rudderfork.JobID) rudderfork.Resources {
 	return rudderfork.Resources{
 		CPUMilli:     s.JobCell(id, rudderfork.ColCPU),
@@ -243,7 +245,7 @@
 	}
 }
 
-// Quota is what a team's row allows its tasks to hold.
+// Quota returns the most that a team's tasks may hold together, by its row.
 func (s *State) Quota(t rudderfork.Team) rudderfork.Resources {
 	cell := func(col string) int64 {
 		return s.Value(rudderfork.CellKey{Kind: rudderfork.RowTeam, Row: string(t), Column: col})
@@ -255,7 +257,7 @@
 	}
 }
 
-// Leases returns what a VM is to run, in the order of tasks.
+// Leases returns the leases of the tasks on a VM, in the order of task IDs.
 func (s *State) Leases(vm rudderfork.VMID) []rudderfork.Lease {
 	ls := make([]rudderfork.Lease, 0, len(s.onVM[vm]))
 	for _, t := range s.onVM[vm] {
--- a/state/placement.go
+++ b/state/placement.go
@@ -7,46 +7,46 @@
 	"rudderfork.example/rudderfork"
 )
 
-// Placement asks that a pending task run on a VM.
+// Placement assigns a pending task to a VM.
 type Placement struct {
 	Task       rudderfork.TaskID      `cbor:"1,keyasint"`
 	VM         rudderfork.VMID        `cbor:"2,keyasint"`
-	Epoch      rudderfork.Token       `cbor:"3,keyasint"` // of the VM, as the placer saw it
-	Token      rudderfork.Token       `cbor:"4,keyasint"` // of the task's last lease, likewise
+	Epoch      rudderfork.Token       `cbor:"3,keyasint"` // of the VM when the placement was decided
+	Token      rudderfork.Token       `cbor:"4,keyasint"` // of the task's last lease at that time
 	Size       rudderfork.Resources   `cbor:"5,keyasint"`
 	Reason     string                 `cbor:"6,keyasint,omitempty"`
 	Rejections []rudderfork.Rejection `cbor:"7,keyasint,omitempty"`
 }
 
-// Place is a batch of placements. Each is taken or refused by itself.
+// Place is a batch of placements. Each is accepted or rejected on its own.
 type Place struct {
 	Placements []Placement `cbor:"1,keyasint"`
 	Blocked    []Block     `cbor:"2,keyasint,omitempty"`
 }
 
-// suspectAfter is on how many VMs a task must have failed for its further
-// failures to count against the task alone.
-const suspectAfter = 2
+// blameTaskAfterVMs is the number of VMs on which a task must have failed before
+// its further failures no longer count against the VMs.
+const blameTaskAfterVMs = 2
 
-// Block says why a job cannot run as things stand; empty when it can again.
+// Block sets the reason why no VM can run a job; an empty reason clears it.
 type Block struct {
 	Job    rudderfork.JobID `cbor:"1,keyasint"`
 	Reason string           `cbor:"2,keyasint"`
 }
 
-// Evict asks that tasks checkpoint, stop and go back to pending.
+// Evict makes tasks checkpoint, stop and become pending again.
 type Evict struct {
 	Evictions []Eviction `cbor:"1,keyasint"`
 }
 
-// Eviction is one task to move aside.
+// Eviction is one task to evict.
 type Eviction struct {
 	Task   rudderfork.TaskID `cbor:"1,keyasint"`
 	Token  rudderfork.Token  `cbor:"2,keyasint"`
 	Reason string            `cbor:"3,keyasint"`
 }
 
-// Reports carries how attempts on one VM ended.
+// Reports carries the outcomes of attempts on one VM.
 type Reports struct {
 	VM      rudderfork.VMID     `cbor:"1,keyasint"`
 	Reports []rudderfork.Report `cbor:"2,keyasint"`
@@ -71,8 +71,8 @@
 	return r
 }
 
-// checkPlacement is the ledger's check: nothing runs that does not pass it,
-// however old the state was on which it was decided.
+// checkPlacement checks a placement against the present state, since it may have
+// been decided on an older one. No task starts without passing it.
 func (s *State) checkPlacement(p Placement, at int64) error {
 	t, v := s.tasks[p.Task], s.vms[p.VM]
 	switch {
@@ -93,7 +93,7 @@
 	return s.checkLimits(t, p.Size)
 }
 
-// checkLimits checks the limits that the table sets on a team and a job.
+// checkLimits checks the team's quota and the job's limit of running tasks.
 func (s *State) checkLimits(t *Task, size rudderfork.Resources) error {
 	j := s.jobs[t.Job]
 	if part := s.usage[j.Spec.Team].Add(size).Lacking(s.Quota(j.Spec.Team)); part != "" {
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// CheckLimits reports why a pending task of the given size may not start now for
-// a limit of its team or job, or nil.
+// CheckLimits returns an error if a limit of its team or job keeps a pending task
+// of the given size from starting now.
 func (s *State) CheckLimits(t *Task, size rudderfork.Resources) error { return s.checkLimits(t, size) }
 
 func (s *State) startAttempt(p Placement, at int64) {
@@ -114,13 +114,13 @@
 	t.VM, t.Size = p.VM, p.Size
 	t.Token++
 	s.setPhase(t, rudderfork.TaskRunning, at)
-	s.decide(t, Decision{At: at, What: "placed", VM: p.VM, Reason: p.Reason, Rejections: p.Rejections})
+	s.recordDecision(t, Decision{At: at, What: "placed", VM: p.VM, Reason: p.Reason, Rejections: p.Rejections})
 }
 
-func (s *State) decide(t *Task, d Decision) {
+func (s *State) recordDecision(t *Task, d Decision) {
 	d.Revision, d.TableRev, d.Token = s.revision, s.tableRev, t.Token
 	t.Decisions = append(t.Decisions, d)
-	if len(t.Decisions) > keepDecisions {
+	if len(t.Decisions) > maxDecisions {
 		t.Decisions = slices.Delete(t.Decisions, 0, 1)
 	}
 }
@@ -132,13 +132,13 @@
 			continue
 		}
 		s.setPhase(t, rudderfork.TaskEvicting, at)
-		s.decide(t, Decision{At: at, What: "evicting", VM: t.VM, Reason: ev.Reason})
+		s.recordDecision(t, Decision{At: at, What: "evicting", VM: t.VM, Reason: ev.Reason})
 	}
 	return s.ok()
 }
 
-// reports takes each report once: the token no longer matches the second time,
-// or the task no longer holds a lease.
+// reports accepts each report once: when it is sent again, the token no longer
+// matches or the task no longer holds a lease.
 func (s *State) reports(rs Reports, at int64) Result {
 	res := s.ok()
 	res.Accepted = make([]bool, len(rs.Reports))
@@ -158,12 +158,12 @@
 	t.Checkpoint = max(t.Checkpoint, min(r.Checkpoint, j.Spec.Units))
 	switch r.Outcome {
 	case rudderfork.OutcomeDone:
-		v.noteSuccess()
-		s.decide(t, Decision{At: at, What: "done", VM: t.VM})
+		v.recordSuccess()
+		s.recordDecision(t, Decision{At: at, What: "done", VM: t.VM})
 		t.Checkpoint = j.Spec.Units
 		s.setPhase(t, rudderfork.TaskDone, at)
 	case rudderfork.OutcomeFailed:
-		s.fail(t, v, j, r.Reason, at)
+		s.failAttempt(t, v, j, r.Reason, at)
 	case rudderfork.OutcomeStopped:
 		t.Evictions++
 		s.endAttempt(t, r.Reason, at)
@@ -172,31 +172,32 @@
 	}
 }
 
-func (s *State) fail(t *Task, v *VM, j *Job, reason string, at int64) {
-	if len(t.Avoid) < suspectAfter {
-		v.noteFailure(t.Job, at)
+func (s *State) failAttempt(t *Task, v *VM, j *Job, reason string, at int64) {
+	if len(t.Avoid) < blameTaskAfterVMs {
+		v.recordFailure(t.Job, at)
 	}
 	t.Failures++
 	if !slices.Contains(t.Avoid, t.VM) {
 		t.Avoid = append(t.Avoid, t.VM)
 	}
-	if len(t.Avoid) > keepAvoid {
+	if len(t.Avoid) > maxAvoidedVMs {
 		t.Avoid = t.Avoid[1:]
 	}
 	if t.Failures >= j.Spec.Attempts && !t.Cancel {
-		s.decide(t, Decision{At: at, What: "failed", VM: t.VM, Reason: reason})
+		s.recordDecision(t, Decision{At: at, What: "failed", VM: t.VM, Reason: reason})
 		s.setPhase(t, rudderfork.TaskFailed, at)
 		return
 	}
 	s.endAttempt(t, reason, at)
 }
 
-// endAttempt frees a task's VM and lets it run again, unless it was cancelled.
+// endAttempt releases a task's capacity and makes the task pending again, or
+// cancelled if its job was.
 func (s *State) endAttempt(t *Task, reason string, at int64) {
 	next, what := rudderfork.TaskPending, "freed"
 	if t.Cancel {
 		next, what = rudderfork.TaskCancelled, "cancelled"
 	}
-	s.decide(t, Decision{At: at, What: what, VM: t.VM, Reason: reason})
+	s.recordDecision(t, Decision{At: at, What: what, VM: t.VM, Reason: reason})
 	s.setPhase(t, next, at)
 }
--- a/state/state.go
+++ b/state/state.go
@@ -1,22 +1,25 @@
 // Package state is the replicated state machine: the table, jobs and tasks,
-// VMs and the ledger of their capacity, and the claims of requests that must
-// run at most once.
+// VMs with the capacity that their tasks use, the queues, and the claims of
+// requests that must run at most once.
 //
 // It is changed only by Apply, which every replica calls with the same commands
-// in the same order. Apply reads no clock and no randomness: the leader puts its
-// time into the command. A command that was decided on an older state is
-// checked again here, so racing leaders and late answers cannot break what must
-// hold:
+// in the same order. Apply is deterministic: it reads no clock and no random
+// numbers, and the leader puts its time into the command. Apply checks each
+// command against the present state, because the leader may have decided it on
+// an older one. So competing leaders and late answers cannot break these
+// invariants:
 //
 //   - the sum of the sizes of a VM's tasks never exceeds its capacity less what
 //     is reserved for its services (checkPlacement);
-//   - a task holds at most one lease, and its token rises with each (place);
+//   - a task holds at most one lease, and its fencing token rises with each
+//     lease (place);
 //   - a task leaves its VM only by a report that carries its current token, or
-//     when the VM's lease has run out (report, lost);
-//   - a cell changes only from the revision that the edit names (edit).
+//     when the VM's lease has expired (report, lost);
+//   - a cell changes only if its revision is the one that the edit names
+//     (applyEdit).
 //
-// Records are plain data with exported fields, since they travel and rest as
-// CBOR; callers get them read-only.
+// Records are plain data with exported fields, since they are sent and stored as
+// CBOR. Callers must not change the records that they get.
 package state
 
 import (
@@ -30,19 +33,19 @@
 // State is the replicated state. It is not safe for concurrent use.
 type State struct {
 	revision rudderfork.Revision // index of the last applied entry
-	tableRev rudderfork.Revision // of the newest cell
+	tableRev rudderfork.Revision // of the cell changed last
 	cells    map[rudderfork.CellKey]rudderfork.Cell
-	edits    *editWindow
+	edits    *editHistory
 
 	vms      map[rudderfork.VMID]*VM
 	jobs     map[rudderfork.JobID]*Job
 	tasks    map[rudderfork.TaskID]*Task
-	finished []rudderfork.JobID // oldest first, bounded by keepFinished
+	finished []rudderfork.JobID // oldest first, bounded by maxFinishedJobs
 	usage    map[rudderfork.Team]rudderfork.Resources
 	onVM     map[rudderfork.VMID]map[rudderfork.TaskID]*Task
 	pending  map[rudderfork.TaskID]*Task
 
-	upstreamRev rudderfork.Revision // of the newest change of the VMs that serve
+	upstreamRev rudderfork.Revision // of the last change of the VMs that run services
 
 	queues *queue.State
 
@@ -54,7 +57,7 @@
 func New() *State {
 	return &State{
 		cells:   map[rudderfork.CellKey]rudderfork.Cell{},
-		edits:   newEditWindow(),
+		edits:   newEditHistory(),
 		vms:     map[rudderfork.VMID]*VM{},
 		jobs:    map[rudderfork.JobID]*Job{},
 		tasks:   map[rudderfork.TaskID]*Task{},
@@ -69,10 +72,10 @@
 // Applied returns the index of the last applied entry.
 func (s *State) Applied() rudderfork.Revision { return s.revision }
 
-// Skip notes an entry that carries no command.
+// Skip records that the entry at index was applied and carries no command.
 func (s *State) Skip(index uint64) { s.revision = rudderfork.Revision(index) }
 
-// Apply applies the command that stands at index.
+// Apply applies the command of the log entry at index.
 func (s *State) Apply(index uint64, c Command) Result {
 	s.revision = rudderfork.Revision(index)
 	switch {
@@ -112,28 +115,29 @@
 // VMs returns all VMs in the order of their names.
 func (s *State) VMs() []*VM { return sorted(s.vms) }
 
-// UpstreamRevision is that of the newest change of the VMs that serve.
+// UpstreamRevision returns the revision of the last change of a VM's
+// registration, drain or loss, on which the list of upstreams depends.
 func (s *State) UpstreamRevision() rudderfork.Revision { return s.upstreamRev }
 
-// VM returns a VM, or nil.
+// VM returns a VM, or nil if it is unknown.
 func (s *State) VM(id rudderfork.VMID) *VM { return s.vms[id] }
 
 // Jobs returns all jobs in the order of their names.
 func (s *State) Jobs() []*Job { return sorted(s.jobs) }
 
-// Job returns a job, or nil.
+// Job returns a job, or nil if it is unknown.
 func (s *State) Job(id rudderfork.JobID) *Job { return s.jobs[id] }
 
-// Task returns a task, or nil.
+// Task returns a task, or nil if it is unknown.
 func (s *State) Task(id rudderfork.TaskID) *Task { return s.tasks[id] }
 
-// Pending returns the tasks that wait for a place, in no order.
+// Pending returns the tasks that wait for a placement.
 func (s *State) Pending() map[rudderfork.TaskID]*Task { return s.pending }
 
-// TasksOn returns the tasks that hold capacity on a VM, in no order.
+// TasksOn returns the tasks that hold capacity on a VM.
 func (s *State) TasksOn(vm rudderfork.VMID) map[rudderfork.TaskID]*Task { return s.onVM[vm] }
 
-// Usage returns what a team's tasks hold.
+// Usage returns the sum of the sizes of a team's tasks that hold capacity.
 func (s *State) Usage(t rudderfork.Team) rudderfork.Resources { return s.usage[t] }
 
 func sorted[K ~string, V any](m map[K]V) []V {
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -10,16 +10,16 @@
 	"rudderfork.example/rudderfork"
 )
 
-// machine applies commands at rising indexes.
-type machine struct {
+// harness applies commands at consecutive indexes and advances the time.
+type harness struct {
 	s     *State
 	index uint64
 	now   int64
 }
 
-func newMachine() *machine { return &machine{s: New(), now: 1_000_000} }
+func newHarness() *harness { return &harness{s: New(), now: 1_000_000} }
 
-func (m *machine) do(c Command) Result {
+func (m *harness) do(c Command) Result {
 	m.index++
 	m.now += 10
 	c.At = m.now
@@ -39,40 +39,40 @@
 }
 
 func TestEdits(t *testing.T) {
-	m := newMachine()
+	m := newHarness()
 	first := check(t, m.do(edit("a", 5, 0)), CodeOK)
-	t.Run("a second operator with the same number loses", func(t *testing.T) {
+	t.Run("an edit from an older revision conflicts", func(t *testing.T) {
 		r := check(t, m.do(edit("b", 6, 0)), CodeConflict)
 		assert.Equal(t, r.Cells[0].Value, int64(5))
 	})
-	t.Run("a resent edit gets the first answer", func(t *testing.T) {
+	t.Run("a repeated edit returns the first result", func(t *testing.T) {
 		r := check(t, m.do(edit("a", 5, 0)), CodeOK)
 		assert.Assert(t, r.Repeated)
 		assert.Equal(t, r.Revision, first.Revision)
 	})
-	t.Run("a resent refusal gets the first answer too", func(t *testing.T) {
+	t.Run("a repeated conflict returns the first result", func(t *testing.T) {
 		check(t, m.do(edit("b", 6, 0)), CodeConflict)
 	})
-	t.Run("an id is not used for another edit", func(t *testing.T) {
+	t.Run("an ID cannot be used for another edit", func(t *testing.T) {
 		check(t, m.do(edit("a", 7, first.Revision)), CodeInvalid)
 	})
-	t.Run("a resent edit is known after a snapshot", func(t *testing.T) {
+	t.Run("a repeated edit is recognized after a snapshot", func(t *testing.T) {
 		m := reload(t, m)
 		assert.Assert(t, m.do(edit("a", 5, 0)).Repeated)
 		check(t, m.do(edit("c", 8, first.Revision)), CodeOK)
 	})
-	t.Run("an impossible number is named", func(t *testing.T) {
+	t.Run("a value out of range is invalid", func(t *testing.T) {
 		r := check(t, m.do(edit("d", 0, first.Revision)), CodeInvalid)
 		assert.Equal(t, r.Text, "cell service/tour/weight: 0 is out of range; want 1 to 1000 (share)")
 	})
-	t.Run("all or none", func(t *testing.T) {
+	t.Run("an edit changes all cells or none", func(t *testing.T) {
 		other := rudderfork.CellKey{Kind: rudderfork.RowService, Row: "tour", Column: rudderfork.ColSlots}
 		e := Edit{ID: "e", Writes: []CellWrite{{Key: other, Value: 4}, {Key: weight, Value: 9, IfRevision: 999}}}
 		check(t, m.do(Command{Edit: &e}), CodeConflict)
 		assert.Equal(t, m.s.Cell(other).Revision, rudderfork.Revision(0))
 	})
-	t.Run("the window is bounded", func(t *testing.T) {
-		w := newEditWindow()
+	t.Run("the history is bounded", func(t *testing.T) {
+		w := newEditHistory()
 		for i := range EditWindow + 5 {
 			w.put(editRecord{ID: fmt.Sprint(i)})
 		}
@@ -81,13 +81,13 @@
 	})
 }
 
-func reload(t *testing.T, m *machine) *machine {
+func reload(t *testing.T, m *harness) *harness {
 	t.Helper()
 	data, err := m.s.Encode()
 	assert.NilError(t, err)
 	s, err := Decode(data)
 	assert.NilError(t, err)
-	return &machine{s: s, index: m.index, now: m.now}
+	return &harness{s: s, index: m.index, now: m.now}
 }
 
 func register(vm string) Command {
@@ -101,22 +101,22 @@
 	return Command{Submit: &Submit{rudderfork.JobSpec{ID: rudderfork.JobID(id), Team: "team", Kind: "k", Tasks: tasks, Units: 100}}}
 }
 
-// TestLedger applies commands as racing leaders, late agents and lost answers
-// might send them, in any order, and checks the ledger after each, also over
-// snapshots.
-func TestLedger(t *testing.T) {
+// TestInvariants applies random commands, as competing leaders, late agents and
+// lost answers might cause them, and checks the invariants after each and after
+// a snapshot.
+func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		m := newMachine()
+		m := newHarness()
 		for i := range 3 {
 			m.do(register(fmt.Sprint("vm", i)))
 		}
 		tokens := map[rudderfork.TaskID]rudderfork.Token{}
 		for range rapid.IntRange(1, 80).Draw(rt, "commands") {
 			m.do(drawCommand(rt, m.s))
-			checkLedger(rt, m.s, tokens)
+			checkInvariants(rt, m.s, tokens)
 		}
 		again := reload(t, m)
-		checkLedger(rt, again.s, tokens)
+		checkInvariants(rt, again.s, tokens)
 		assert.Equal(rt, len(again.s.Pending()), len(m.s.Pending()))
 		assert.DeepEqual(rt, again.s.Usage("team"), m.s.Usage("team"))
 	})
@@ -158,7 +158,7 @@
 	return Command{Place: &Place{Placements: []Placement{{Task: id, VM: vm, Epoch: epoch, Token: token, Size: size}}}}
 }
 
-func checkLedger(rt *rapid.T, s *State, tokens map[rudderfork.TaskID]rudderfork.Token) {
+func checkInvariants(rt *rapid.T, s *State, tokens map[rudderfork.TaskID]rudderfork.Token) {
 	used := map[rudderfork.VMID]rudderfork.Resources{}
 	running := map[rudderfork.JobID]int{}
 	for _, t := range s.tasks {
@@ -177,7 +177,7 @@
 	}
 	for _, v := range s.VMs() {
 		if used[v.Place.VM] != v.Used {
-			rt.Fatalf("VM %s holds %v, the ledger says %v", v.Place.VM, used[v.Place.VM], v.Used)
+			rt.Fatalf("VM %s holds %v, its Used is %v", v.Place.VM, used[v.Place.VM], v.Used)
 		}
 		if !v.Used.Fits(v.Capacity.Sub(v.Reserved)) {
 			rt.Fatalf("VM %s holds %v", v.Place.VM, v.Used)
@@ -188,29 +188,29 @@
 	}
 	for _, j := range s.Jobs() {
 		if running[j.Spec.ID] != j.Running {
-			rt.Fatalf("job %s runs %d, the count says %d", j.Spec.ID, running[j.Spec.ID], j.Running)
+			rt.Fatalf("job %s runs %d, its Running is %d", j.Spec.ID, running[j.Spec.ID], j.Running)
 		}
 	}
 }
 
-func claimAsk(after rudderfork.Token, at int64) Command {
+func acquire(after rudderfork.Token, at int64) Command {
 	return Command{Claim: &Acquire{Key: ClaimKey{"s", "k"}, After: after, VM: "vm1", Boot: "b", Expires: at}}
 }
 
 func TestClaims(t *testing.T) {
-	m := newMachine()
+	m := newHarness()
 	const expires = 2_000_000
-	first := m.do(claimAsk(0, expires))
+	first := m.do(acquire(0, expires))
 	assert.Assert(t, first.Granted)
-	t.Run("a second asker gets the first one's claim", func(t *testing.T) {
-		r := m.do(claimAsk(0, expires))
+	t.Run("a second caller gets the first one's claim", func(t *testing.T) {
+		r := m.do(acquire(0, expires))
 		assert.Assert(t, !r.Granted)
 		assert.Equal(t, r.Claim.Token, first.Claim.Token)
 	})
-	next := m.do(claimAsk(first.Claim.Token, expires))
-	t.Run("a fenced token is taken over once", func(t *testing.T) {
+	next := m.do(acquire(first.Claim.Token, expires))
+	t.Run("a fenced-off token is taken over once", func(t *testing.T) {
 		assert.Assert(t, next.Granted && next.Claim.Token > first.Claim.Token)
-		assert.Assert(t, !m.do(claimAsk(first.Claim.Token, expires)).Granted)
+		assert.Assert(t, !m.do(acquire(first.Claim.Token, expires)).Granted)
 	})
 	settle := func(token rudderfork.Token, notRun bool) Command {
 		return Command{Settle: &Settle{Key: ClaimKey{"s", "k"}, Token: token, NotRun: notRun, Answer: &Answer{Status: 200}}}
@@ -219,18 +219,18 @@
 		check(t, m.do(settle(first.Claim.Token, true)), CodeConflict)
 		check(t, m.do(settle(next.Claim.Token, false)), CodeOK)
 	})
-	t.Run("the answer stays, also over a snapshot", func(t *testing.T) {
+	t.Run("the answer is kept, also in a snapshot", func(t *testing.T) {
 		m := reload(t, m)
-		r := m.do(claimAsk(next.Claim.Token, expires))
+		r := m.do(acquire(next.Claim.Token, expires))
 		assert.Assert(t, !r.Granted)
 		assert.Equal(t, r.Claim.Answer.Status, 200)
 		check(t, m.do(settle(next.Claim.Token, true)), CodeConflict)
 	})
-	t.Run("tokens rise also over a claim that was given back", func(t *testing.T) {
-		m := newMachine()
-		a := m.do(claimAsk(0, expires))
+	t.Run("the token rises after a claim was released", func(t *testing.T) {
+		m := newHarness()
+		a := m.do(acquire(0, expires))
 		check(t, m.do(settle(a.Claim.Token, true)), CodeOK)
-		b := m.do(claimAsk(0, expires))
+		b := m.do(acquire(0, expires))
 		assert.Assert(t, b.Granted && b.Claim.Token > a.Claim.Token)
 	})
 	t.Run("claims expire", func(t *testing.T) {
@@ -240,8 +240,8 @@
 	})
 }
 
-func TestFailingWorkerIsSetAside(t *testing.T) {
-	m := newMachine()
+func TestFailingVMIsExcluded(t *testing.T) {
+	m := newHarness()
 	m.do(register("vm0"))
 	fail := func(job string) {
 		check(t, m.do(submit(job, 1)), CodeOK)
@@ -258,23 +258,23 @@
 	v := m.s.VM("vm0")
 	assert.Assert(t, v.Excluded(m.now))
 	first := v.ExcludedUntil - m.now
-	t.Run("on probation one failure is enough, and the time grows", func(t *testing.T) {
+	t.Run("one failure on probation excludes for twice the time", func(t *testing.T) {
 		m.now = v.ExcludedUntil + 1
 		fail("d")
 		assert.Assert(t, v.Excluded(m.now))
 		assert.Equal(t, v.ExcludedUntil-m.now, 2*first)
 	})
-	t.Run("one job that fails everywhere does not count", func(t *testing.T) {
+	t.Run("the failures of a single job exclude no VM", func(t *testing.T) {
 		v := &VM{}
 		for range 10 {
-			v.noteFailure("x", 1)
+			v.recordFailure("x", 1)
 		}
 		assert.Assert(t, !v.Excluded(2))
 	})
 }
 
-func TestCancelWave(t *testing.T) {
-	m := newMachine()
+func TestCancelJob(t *testing.T) {
+	m := newHarness()
 	m.do(register("vm0"))
 	check(t, m.do(submit("a", 5)), CodeOK)
 	m.do(Command{Place: &Place{Placements: []Placement{{Task: "a/0", VM: "vm0", Epoch: 1, Size: rudderfork.Resources{CPUMilli: 1}}}}})
@@ -289,8 +289,8 @@
 	assert.Equal(t, m.s.VM("vm0").Used, rudderfork.Resources{})
 }
 
-func TestSubmitTwice(t *testing.T) {
-	m := newMachine()
+func TestSubmitIsIdempotent(t *testing.T) {
+	m := newHarness()
 	r := check(t, m.do(submit("a", 5)), CodeOK)
 	again := check(t, m.do(submit("a", 5)), CodeOK)
 	assert.Assert(t, again.Repeated && again.Revision == r.Revision)
--- a/state/table.go
+++ b/state/table.go
@@ -9,7 +9,7 @@
 	"rudderfork.example/rudderfork"
 )
 
-// CellWrite sets or removes one cell if its revision is still IfRevision.
+// CellWrite sets or removes one cell if its revision is IfRevision.
 type CellWrite struct {
 	Key        rudderfork.CellKey  `cbor:"1,keyasint" json:"key"`
 	Value      int64               `cbor:"2,keyasint" json:"value"`
@@ -17,33 +17,34 @@
 	IfRevision rudderfork.Revision `cbor:"4,keyasint" json:"if_revision"` // 0 for a cell that was never set
 }
 
-// Edit changes cells, all or none. Resent with the same ID it gets the first
-// result again, as long as the ID stands in the window of EditWindow edits.
+// Edit changes all of its cells or none. Sent again with the same ID it returns
+// the first result, as long as the ID is among the last EditWindow edits.
 type Edit struct {
 	ID     string      `cbor:"1,keyasint" json:"id"`
 	By     string      `cbor:"2,keyasint,omitempty" json:"by,omitempty"`
 	Writes []CellWrite `cbor:"3,keyasint" json:"writes"`
 }
 
-// EditWindow is how many edits are remembered for resends: two days at 16,000
-// changes a day.
+// EditWindow is the number of edits whose results are kept, so that a retry
+// returns the first result: two days at 16,000 changes a day.
 const EditWindow = 32_768
 
-// maxWrites bounds the cells of one edit.
-const maxWrites = 1000
+// maxEditCells is the maximum number of cells in one edit.
+const maxEditCells = 1000
 
-// Check reports the first thing wrong with the edit, before it is proposed.
+// Check returns an error if the edit is not valid in itself. It doesn't check
+// revisions.
 func (e Edit) Check() error {
 	if e.ID == "" || len(e.ID) > 128 {
 		return fmt.Errorf("edit id %q: want 1 to 128 characters", e.ID)
 	}
-	if len(e.Writes) == 0 || len(e.Writes) > maxWrites {
-		return fmt.Errorf("edit %s: %d cells; want 1 to %d", e.ID, len(e.Writes), maxWrites)
+	if len(e.Writes) == 0 || len(e.Writes) > maxEditCells {
+		return fmt.Errorf("edit %s: %d cells; want 1 to %d", e.ID, len(e.Writes), maxEditCells)
 	}
 	for _, w := range e.Writes {
 		v := w.Value
 		if w.Remove {
-			v = w.Key.Default() // only the key matters
+			v = w.Key.Default() // a removal needs only a valid key
 		}
 		if err := rudderfork.CheckCell(w.Key, v); err != nil {
 			return err
@@ -131,7 +132,7 @@
 // Revision implements rudderfork.Table.
 func (s *State) Revision() rudderfork.Revision { return s.tableRev }
 
-// CellsAfter returns the cells changed after rev, oldest first.
+// CellsAfter returns the cells changed after rev, in the order of revisions.
 func (s *State) CellsAfter(rev rudderfork.Revision) []rudderfork.Cell {
 	var cs []rudderfork.Cell
 	for _, c := range s.cells {
@@ -145,27 +146,27 @@
 	return cs
 }
 
-// editRecord is a remembered edit.
+// editRecord is an applied edit with its result.
 type editRecord struct {
 	ID     string            `cbor:"1,keyasint"`
 	Digest [sha256.Size]byte `cbor:"2,keyasint"`
 	Result Result            `cbor:"3,keyasint"`
 }
 
-// editWindow remembers the last EditWindow edits.
-type editWindow struct {
+// editHistory keeps the last EditWindow edits.
+type editHistory struct {
 	byID  map[string]editRecord
 	order []string
 }
 
-func newEditWindow() *editWindow { return &editWindow{byID: map[string]editRecord{}} }
+func newEditHistory() *editHistory { return &editHistory{byID: map[string]editRecord{}} }
 
-func (w *editWindow) get(id string) (r editRecord, ok bool) {
+func (w *editHistory) get(id string) (r editRecord, ok bool) {
 	r, ok = w.byID[id]
 	return r, ok
 }
 
-func (w *editWindow) put(r editRecord) {
+func (w *editHistory) put(r editRecord) {
 	w.byID[r.ID] = r
 	w.order = append(w.order, r.ID)
 	if len(w.order) > EditWindow {
@@ -174,7 +175,7 @@
 	}
 }
 
-func (w *editWindow) records() []editRecord {
+func (w *editHistory) records() []editRecord {
 	rs := make([]editRecord, 0, len(w.order))
 	for _, id := range w.order {
 		rs = append(rs, w.byID[id])
--- a/state/vm.go
+++ b/state/vm.go
@@ -6,54 +6,56 @@
 	"rudderfork.example/rudderfork"
 )
 
-// VM is a machine as control knows it.
+// VM is a VM with its registration, its use and its failures.
 type VM struct {
 	Place    rudderfork.Place     `cbor:"1,keyasint"`
-	Addr     string               `cbor:"2,keyasint"` // of its agent, for requests
+	Addr     string               `cbor:"2,keyasint"` // of its agent, for requests to its services
 	Capacity rudderfork.Resources `cbor:"3,keyasint"`
-	Reserved rudderfork.Resources `cbor:"4,keyasint"` // kept for its services
-	Used     rudderfork.Resources `cbor:"5,keyasint"` // by tasks; the ledger
+	Reserved rudderfork.Resources `cbor:"4,keyasint"` // for its services
+	Used     rudderfork.Resources `cbor:"5,keyasint"` // sum of the sizes of its tasks
 	Services []rudderfork.Service `cbor:"6,keyasint"`
 	Epoch    rudderfork.Token     `cbor:"7,keyasint"` // rises with each registration after a loss
-	Boot     string               `cbor:"8,keyasint"` // of its agent process
+	Boot     string               `cbor:"8,keyasint"` // boot ID of its agent process
 	Live     bool                 `cbor:"9,keyasint"`
 	Draining bool                 `cbor:"10,keyasint"`
 	LostAt   int64                `cbor:"11,keyasint,omitempty"` // Unix ms
 
-	// Failures counts attempts that failed in a row, over different jobs.
+	// Failures is the number of consecutive failures, where those of one job in a
+	// row count once.
 	Failures      int              `cbor:"12,keyasint,omitempty"`
 	FailedJob     rudderfork.JobID `cbor:"13,keyasint,omitempty"`
-	ExcludedUntil int64            `cbor:"14,keyasint,omitempty"` // Unix ms; no tasks before
-	Exclusions    int              `cbor:"15,keyasint,omitempty"` // times set aside in a row
+	ExcludedUntil int64            `cbor:"14,keyasint,omitempty"` // Unix ms; no task is placed before
+	Exclusions    int              `cbor:"15,keyasint,omitempty"` // exclusions since the last success
 
-	// Revision is that of the last change of what the VM is to run.
+	// Revision is that of the last change of the VM's leases, registration or
+	// drain.
 	Revision rudderfork.Revision `cbor:"16,keyasint"`
 }
 
-// FreeCapacity is what tasks may still take.
+// FreeCapacity returns the capacity that is neither reserved nor used by tasks.
 func (v *VM) FreeCapacity() rudderfork.Resources {
 	return v.Capacity.Sub(v.Reserved).Sub(v.Used)
 }
 
-// Excluded reports whether the VM is set aside at the given time. When that ends
-// it is on probation: one task at a time until one succeeds.
+// Excluded reports whether the VM gets no tasks at the given time, Unix ms,
+// because too many failed there. After the exclusion the VM is on probation.
 func (v *VM) Excluded(now int64) bool { return now < v.ExcludedUntil }
 
-// OnProbation reports whether the VM may run only one task for now.
+// OnProbation reports whether the VM may run only one task at a time, which
+// holds after an exclusion until a task succeeds.
 func (v *VM) OnProbation() bool { return v.Exclusions > 0 }
 
 const (
-	// asideAfter is how many attempts in a row must fail, of at least two jobs,
-	// before a VM is set aside. A single job that fails everywhere does not
-	// count against VMs.
-	asideAfter = 3
-	// asideBase is how long a VM is first set aside; it doubles with each time.
-	asideBase = 10 * time.Second
-	// asideMax bounds it.
-	asideMax = 30 * time.Minute
+	// excludeAfterFailures is the value of VM.Failures at which a VM is excluded.
+	// A single job that fails on every VM excludes none.
+	excludeAfterFailures = 3
+	// baseExclusion is the duration of the first exclusion; each further one is
+	// twice as long, up to maxExclusion.
+	baseExclusion = 10 * time.Second
+	maxExclusion  = 30 * time.Minute
 )
 
-// Register says that a VM's agent has come up, or come back.
+// Register adds a VM, or records that its agent has started or connected again.
 type Register struct {
 	Place    rudderfork.Place     `cbor:"1,keyasint"`
 	Addr     string               `cbor:"2,keyasint"`
@@ -63,13 +65,14 @@
 	Boot     string               `cbor:"6,keyasint"`
 }
 
-// VMLoss says that a VM's lease has run out.
+// VMLoss records that a VM's lease has expired.
 type VMLoss struct {
 	VM    rudderfork.VMID  `cbor:"1,keyasint"`
 	Epoch rudderfork.Token `cbor:"2,keyasint"`
 }
 
-// Drain starts or ends a drain: no new tasks or requests, tasks move away.
+// Drain starts or, with Off, ends a drain: the VM gets no new tasks or requests,
+// and its tasks are evicted.
 type Drain struct {
 	VM  rudderfork.VMID `cbor:"1,keyasint"`
 	Off bool            `cbor:"2,keyasint,omitempty"`
@@ -94,8 +97,9 @@
 	return res
 }
 
-// lost frees a VM's tasks. The leader proposes it only when no lease of the VM
-// can be in force any more; the epoch makes a doubled proposal harmless.
+// lost makes a VM's tasks pending again. The leader proposes it only when no
+// lease of the VM can be valid any more. A repeated proposal fails the check of
+// the epoch.
 func (s *State) lost(l VMLoss, at int64) Result {
 	v := s.vms[l.VM]
 	if v == nil || !v.Live || v.Epoch != l.Epoch {
@@ -120,29 +124,29 @@
 	return s.ok()
 }
 
-// noteFailure counts an attempt that failed on v and sets v aside when it fails
-// the tasks of several jobs.
-func (v *VM) noteFailure(job rudderfork.JobID, at int64) {
+// recordFailure counts a failed attempt on v, and excludes v when it fails the
+// tasks of several jobs, or one task on probation.
+func (v *VM) recordFailure(job rudderfork.JobID, at int64) {
 	if v.FailedJob != "" && v.FailedJob != job {
 		v.Failures++
 	} else if v.Failures == 0 {
 		v.Failures = 1
 	}
 	v.FailedJob = job
-	limit := asideAfter
+	limit := excludeAfterFailures
 	if v.OnProbation() {
 		limit = 1
 	}
 	if v.Failures < limit {
 		return
 	}
-	wait := min(asideBase<<min(v.Exclusions, 16), asideMax)
+	wait := min(baseExclusion<<min(v.Exclusions, 16), maxExclusion)
 	v.ExcludedUntil = at + wait.Milliseconds()
 	v.Exclusions++
 	v.Failures = 0
 	v.FailedJob = ""
 }
 
-func (v *VM) noteSuccess() {
+func (v *VM) recordSuccess() {
 	v.Failures, v.FailedJob, v.Exclusions, v.ExcludedUntil = 0, "", 0, 0
 }
