--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,10 +1,10 @@
-// Package placement decides where pending tasks run and which running tasks
-// move aside.
+// Package placement decides on which VMs pending tasks run and which running
+// tasks are evicted.
 //
-// A Planner goes over the pending tasks in order of urgency and asks a Placer
-// for a VM for each. It returns commands; the replicated state checks each
-// again when it applies them. It keeps no record between rounds but a random
-// sequence, so a new leader plans as well as the old one.
+// A Planner goes over the pending tasks in order of priority and asks a Placer
+// for a VM for each. It returns commands, which the replicated state checks
+// again when it applies them. Between rounds it keeps nothing but the state of
+// its random numbers, so a new leader plans as well as the old one.
 package placement
 
 import (
@@ -19,16 +19,18 @@
 )
 
 const (
-	// maxRound bounds the tasks placed in one round.
-	maxRound = 256
-	// maxCandidates bounds the VMs that a Placer sees for one task; they are
-	// drawn at random among those with room (Borg's relaxed randomisation).
+	// maxPlacements is the maximum number of tasks placed in one round.
+	maxPlacements = 256
+	// maxCandidates is the maximum number of VMs that a Placer scores for one
+	// task. They are the first with enough free capacity from a random VM on, which
+	// bounds the cost of a round (relaxed randomization as in Borg).
 	maxCandidates = 48
-	// UrgentPriority and above may move batch work of lower priority aside.
+	// UrgentPriority is the lowest priority of tasks that may preempt tasks of
+	// lower priority.
 	UrgentPriority = 7
 )
 
-// Planner plans rounds. It is not safe for concurrent use.
+// Planner plans placements and evictions. It is not safe for concurrent use.
 type Planner struct {
 	placer rudderfork.Placer
 	model  rudderfork.Interference
@@ -36,25 +38,29 @@
 	usage  Usage
 }
 
-// Usage tells what control has learned from reports; a zero answer is allowed.
+// Usage returns what control has learned from usage reports, or zero where
+// nothing is known yet.
 type Usage interface {
-	// Pressure is how near the VM's services are to their target: 1 at it.
+	// Pressure returns the tail latency of the VM's services over their target.
 	Pressure(vm rudderfork.VMID) float64
-	// TakeExhausted reports, once for each report, that throttling all tasks of a
-	// VM was not enough for its services.
+	// TakeExhausted reports whether the VM's services are over their target though
+	// all of its tasks are throttled fully. It returns true once for each report
+	// of the VM's agent.
 	TakeExhausted(vm rudderfork.VMID) bool
-	// Size corrects a declared size by what tasks of the kind were seen to use.
+	// Size returns the declared size, corrected by the measured use of tasks of
+	// the kind.
 	Size(kind string, declared rudderfork.Resources) rudderfork.Resources
-	// UnsavedWork is the work, in units, that stopping a task would lose.
+	// UnsavedWork returns the units of work since the last checkpoint of a task,
+	// which stopping it loses.
 	UnsavedWork(t rudderfork.TaskID) int64
 }
 
-// NewPlanner returns a planner.
+// NewPlanner returns a planner. seed seeds the choice of candidates.
 func NewPlanner(p rudderfork.Placer, model rudderfork.Interference, u Usage, seed uint64) *Planner {
 	return &Planner{placer: p, model: model, usage: u, rng: rand.New(rand.NewPCG(seed, 2))}
 }
 
-// Plan is what one round decided.
+// Plan is the result of one round.
 type Plan struct {
 	Place state.Place
 	Evict state.Evict
@@ -67,19 +73,19 @@
 
 // round is the working state of one round.
 type round struct {
-	s       *state.State
-	now     time.Time
-	vms     []*view
-	byVM    map[rudderfork.VMID]*view
-	rooms   []rudderfork.Resources // of every VM if it were idle
-	most    rudderfork.Resources   // the greatest of rooms, part by part
-	plan    Plan
-	teams   map[rudderfork.Team]rudderfork.Resources // placed in this round
-	jobs    map[rudderfork.JobID]int
-	skipped map[rudderfork.JobID]bool
+	s              *state.State
+	now            time.Time
+	vms            []*view // the VMs that may get tasks
+	byVM           map[rudderfork.VMID]*view
+	idleCapacities []rudderfork.Resources // of every VM without tasks
+	maxCapacity    rudderfork.Resources   // the maximum of idleCapacities in each dimension
+	plan           Plan
+	teams          map[rudderfork.Team]rudderfork.Resources // sizes of the tasks placed in this round
+	jobs           map[rudderfork.JobID]int
+	skipped        map[rudderfork.JobID]bool // jobs of which no more tasks are placed in this round
 }
 
-// view is a VM with what this round has put on it.
+// view is a VM with the tasks placed on it in this round.
 type view struct {
 	rudderfork.VMView
 	vm    *state.VM
@@ -100,25 +106,25 @@
 		r.byVM[v.Place.VM] = v
 	}
 	for _, v := range s.VMs() {
-		room := v.Capacity.Sub(v.Reserved)
-		r.rooms = append(r.rooms, room)
-		r.most = r.most.Max(room)
+		capacity := v.Capacity.Sub(v.Reserved)
+		r.idleCapacities = append(r.idleCapacities, capacity)
+		r.maxCapacity = r.maxCapacity.Max(capacity)
 	}
 	p.checkJobs(r)
-	for _, t := range p.order(s) {
-		if len(r.plan.Place.Placements) >= maxRound {
+	for _, t := range p.sortPending(s) {
+		if len(r.plan.Place.Placements) >= maxPlacements {
 			break
 		}
 		if !r.skipped[t.Job] {
 			p.placeTask(r, t)
 		}
 	}
-	p.drains(r)
-	p.relieve(r)
+	p.evictFromDraining(r)
+	p.evictUnderPressure(r)
 	return r.plan
 }
 
-// views returns the VMs that may take tasks.
+// views returns the VMs that may get tasks.
 func (p *Planner) views(s *state.State, now time.Time) []*view {
 	var vs []*view
 	for _, v := range s.VMs() {
@@ -139,9 +145,10 @@
 	return vs
 }
 
-// order returns pending tasks: by priority, then by the nearest deadline, then
-// by the share that the team holds for its weight, then by age.
-func (p *Planner) order(s *state.State) []*state.Task {
+// sortPending returns the pending tasks in the order in which they are placed:
+// by priority, then by deadline, then by the processors that the team holds
+// relative to its weight, then by the time of submission.
+func (p *Planner) sortPending(s *state.State) []*state.Task {
 	type key struct {
 		t        *state.Task
 		priority int64
@@ -179,7 +186,7 @@
 func (p *Planner) placeTask(r *round, t *state.Task) {
 	j := r.s.Job(t.Job)
 	size := p.size(r, j)
-	if !r.shareAllows(t, j, size) {
+	if !r.withinLimits(t, j, size) {
 		r.skipped[t.Job] = true
 		return
 	}
@@ -189,26 +196,28 @@
 	}
 	c, ok := p.placer.Place(tv, p.candidates(r, tv), r.now)
 	if !ok {
-		// Tasks of a job are alike; the rest of it waits too, and blocks nobody.
+		// All tasks of a job need the same, so none of its others can be placed.
 		r.skipped[t.Job] = true
 		if tv.Priority >= UrgentPriority {
-			p.makeRoom(r, tv)
+			p.preempt(r, tv)
 		}
 		return
 	}
-	r.take(t, j, size, c)
+	r.assign(t, j, size, c)
 }
 
-// size is the declared size of a job's tasks, corrected by what was seen. The
-// correction never makes a job impossible that could run as declared.
+// size returns the declared size of a job's tasks, corrected by their measured
+// use. The correction never exceeds the largest VM or the team's quota, since a
+// job that can run as declared must not become unschedulable.
 func (p *Planner) size(r *round, j *state.Job) rudderfork.Resources {
 	declared := r.s.JobSize(j.Spec.ID)
 	size := p.usage.Size(j.Spec.Kind, declared)
-	return size.Min(r.most).Min(r.s.Quota(j.Spec.Team)).Max(declared.Min(size))
+	return size.Min(r.maxCapacity).Min(r.s.Quota(j.Spec.Team)).Max(declared.Min(size))
 }
 
-// shareAllows checks team and job limits, with what this round placed.
-func (r *round) shareAllows(t *state.Task, j *state.Job, size rudderfork.Resources) bool {
+// withinLimits reports whether the limits of team and job allow another task,
+// counting those placed in this round.
+func (r *round) withinLimits(t *state.Task, j *state.Job, size rudderfork.Resources) bool {
 	team := j.Spec.Team
 	total := r.s.Usage(team).Add(r.teams[team]).Add(size)
 	if !total.Fits(r.s.Quota(team)) {
@@ -217,7 +226,8 @@
 	return int64(j.Running+r.jobs[t.Job]) < r.s.JobCell(t.Job, rudderfork.ColMaxRunning)
 }
 
-// candidates draws VMs with room for t.
+// candidates returns up to maxCandidates VMs that may run t, from a random one on
+// where there are more.
 func (p *Planner) candidates(r *round, t rudderfork.TaskView) []rudderfork.VMView {
 	var out []rudderfork.VMView
 	if len(r.vms) == 0 {
@@ -229,7 +239,7 @@
 	}
 	for i := range r.vms {
 		v := r.vms[(start+i)%len(r.vms)]
-		if v.vm.OnProbation() && v.tasks > 0 || !t.Size.Fits(v.Free) || p.crowded(t, v, r.now) {
+		if v.vm.OnProbation() && v.tasks > 0 || !t.Size.Fits(v.Free) || p.exceedsPressureLimit(t, v, r.now) {
 			continue
 		}
 		out = append(out, v.VMView)
@@ -240,19 +250,22 @@
 	return out
 }
 
-// growLimit is the pressure past which a task must not bring a VM, as far as its
-// kind is known (Heracles, ISCA 2015, has no growth under 10% slack, whatever
-// would grow). A job's weight moves it, between growLeast and growMost.
+// pressureLimit is the expected pressure above which a VM gets no further task of
+// a job with the default weight. (Heracles, ISCA 2015, lets batch work grow only
+// with 10% slack, whatever its kind; here the expected slowdown by the kind
+// counts.) The limit grows with the job's weight, between minPressureLimit and
+// maxPressureLimit.
 const (
-	growLimit = 0.9
-	growLeast = 0.5
-	growMost  = 1.2
+	pressureLimit    = 0.9
+	minPressureLimit = 0.5
+	maxPressureLimit = 1.2
 	// normalWeight is the default of the weight column.
 	normalWeight = 100
 )
 
-// crowded reports whether t would bring the services of v too near their targets.
-func (p *Planner) crowded(t rudderfork.TaskView, v *view, now time.Time) bool {
+// exceedsPressureLimit reports whether t on v is expected to raise the pressure
+// of a service there above the limit for t. Urgent tasks have no limit.
+func (p *Planner) exceedsPressureLimit(t rudderfork.TaskView, v *view, now time.Time) bool {
 	if len(v.Services) == 0 || t.Priority >= UrgentPriority {
 		return false
 	}
@@ -261,11 +274,11 @@
 		factor, _ := p.model.Slowdown(s, t.Kind, now)
 		expected = max(expected, v.Pressure*factor)
 	}
-	limit := growLimit * float64(t.Weight) / normalWeight
-	return expected > min(max(limit, growLeast), growMost)
+	limit := pressureLimit * float64(t.Weight) / normalWeight
+	return expected > min(max(limit, minPressureLimit), maxPressureLimit)
 }
 
-func (r *round) take(t *state.Task, j *state.Job, size rudderfork.Resources, c rudderfork.Choice) {
+func (r *round) assign(t *state.Task, j *state.Job, size rudderfork.Resources, c rudderfork.Choice) {
 	v := r.byVM[c.VM]
 	v.Free = v.Free.Sub(size)
 	v.Tasks[j.Spec.Kind]++
@@ -278,7 +291,7 @@
 	})
 }
 
-// checkJobs tells jobs that can never run why, and takes that back when they
+// checkJobs sets the reason of jobs that no VM can run, and clears it when one
 // can.
 func (p *Planner) checkJobs(r *round) {
 	seen := map[rudderfork.JobID]bool{}
@@ -287,7 +300,7 @@
 			continue
 		}
 		seen[t.Job] = true
-		reason := r.impossible(t.Job)
+		reason := r.unschedulableReason(t.Job)
 		if reason != "" {
 			r.skipped[t.Job] = true
 		}
@@ -298,32 +311,33 @@
 	slices.SortFunc(r.plan.Place.Blocked, func(a, b state.Block) int { return cmp.Compare(a.Job, b.Job) })
 }
 
-// impossible says why no VM could run the job even if it were idle, or "".
-func (r *round) impossible(id rudderfork.JobID) string {
+// unschedulableReason returns why no VM could run the job even without other
+// tasks, or "" if one could.
+func (r *round) unschedulableReason(id rudderfork.JobID) string {
 	s := r.s
 	j := s.Job(id)
 	size := s.JobSize(id)
 	if part := size.Lacking(s.Quota(j.Spec.Team)); part != "" {
 		return fmt.Sprintf("one task needs %s; the quota of team %s allows %s", size, j.Spec.Team, s.Quota(j.Spec.Team))
 	}
-	if len(r.rooms) == 0 {
+	if len(r.idleCapacities) == 0 {
 		return ""
 	}
 	var largest rudderfork.Resources
-	for _, room := range r.rooms {
-		if size.Fits(room) {
+	for _, capacity := range r.idleCapacities {
+		if size.Fits(capacity) {
 			return ""
 		}
-		if room.CPUMilli > largest.CPUMilli {
-			largest = room
+		if capacity.CPUMilli > largest.CPUMilli {
+			largest = capacity
 		}
 	}
 	return fmt.Sprintf("one task needs %s; the largest VM offers %s", size, largest)
 }
 
-// relieve moves one task away from each VM where throttling was not enough: the
-// one whose stop loses least work for its weight.
-func (p *Planner) relieve(r *round) {
+// evictUnderPressure evicts one task from each VM where throttling was not
+// enough: the one with the least unsaved work times weight.
+func (p *Planner) evictUnderPressure(r *round) {
 	for _, v := range r.vms {
 		if len(v.Services) == 0 || !p.usage.TakeExhausted(v.Place.VM) {
 			continue
@@ -343,8 +357,8 @@
 	}
 }
 
-// drains moves tasks away from VMs that are leaving.
-func (p *Planner) drains(r *round) {
+// evictFromDraining evicts all tasks from VMs that are draining.
+func (p *Planner) evictFromDraining(r *round) {
 	for _, v := range r.s.VMs() {
 		if !v.Live || !v.Draining {
 			continue
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -15,8 +15,8 @@
 
 var now = time.Unix(1000, 0)
 
-// world is a state with VMs, driven by commands as the leader drives it.
-type world struct {
+// fixture is a state with VMs and a planner whose plans are applied.
+type fixture struct {
 	t     *testing.T
 	s     *state.State
 	index uint64
@@ -24,8 +24,8 @@
 	p     *Planner
 }
 
-func newWorld(t *testing.T, vms int) *world {
-	w := &world{t: t, s: state.New(), usage: usage.New(func() time.Time { return now })}
+func newFixture(t *testing.T, vms int) *fixture {
+	w := &fixture{t: t, s: state.New(), usage: usage.New(func() time.Time { return now })}
 	w.p = NewPlanner(NewScored(interference.New(interference.ServicePrior())), interference.New(interference.ServicePrior()), w.usage, 1)
 	for i := range vms {
 		w.do(state.Command{Register: &state.Register{
@@ -36,7 +36,7 @@
 	return w
 }
 
-func (w *world) do(c state.Command) state.Result {
+func (w *fixture) do(c state.Command) state.Result {
 	w.t.Helper()
 	w.index++
 	c.At = rudderfork.Millis(now)
@@ -45,15 +45,15 @@
 	return res
 }
 
-func (w *world) submit(id string, tasks int, cells map[string]int64) {
+func (w *fixture) submit(id string, tasks int, cells map[string]int64) {
 	w.t.Helper()
 	w.do(state.Command{Submit: &state.Submit{Spec: rudderfork.JobSpec{
 		ID: rudderfork.JobID(id), Team: "heritage", Kind: "roster", Tasks: tasks, Units: 10, Cells: cells,
 	}}})
 }
 
-// round plans and applies one round, and returns what was placed.
-func (w *world) round() Plan {
+// round plans one round, applies the plan and returns it.
+func (w *fixture) round() Plan {
 	w.t.Helper()
 	p := w.p.PlanRound(w.s, now)
 	if len(p.Evict.Evictions) > 0 {
@@ -68,15 +68,15 @@
 	return p
 }
 
-func (w *world) running(job string) int { return w.s.Job(rudderfork.JobID(job)).Running }
+func (w *fixture) running(job string) int { return w.s.Job(rudderfork.JobID(job)).Running }
 
-func TestImpossibleJob(t *testing.T) {
-	w := newWorld(t, 2)
+func TestUnschedulableJob(t *testing.T) {
+	w := newFixture(t, 2)
 	w.submit("huge", 3, map[string]int64{rudderfork.ColCPU: 64_000})
 	w.submit("small", 2, nil)
 	w.round()
 	assert.Equal(t, w.running("huge"), 0)
-	assert.Equal(t, w.running("small"), 2, "the impossible job blocks another")
+	assert.Equal(t, w.running("small"), 2, "the unschedulable job blocks another")
 	assert.Equal(t, w.s.Job("huge").Blocked, "one task needs 64.00 cores, 256 MB, 0 accelerators; the largest VM offers 4.00 cores, 4000 MB, 0 accelerators")
 	t.Run("it can run once its size is corrected", func(t *testing.T) {
 		k := rudderfork.CellKey{Kind: rudderfork.RowJob, Row: "huge", Column: rudderfork.ColCPU}
@@ -87,11 +87,11 @@
 	})
 }
 
-// TestLearnedSizeStaysPossible has tasks use whatever they are given, so that
-// every correction calls for the next. (The learned size once grew past every
-// VM, and the last task of a job waited for ever.)
-func TestLearnedSizeStaysPossible(t *testing.T) {
-	w := newWorld(t, 1)
+// TestCorrectedSizeFitsLargestVM guards against a corrected size that outgrows
+// every VM, so that a task stays pending forever: here tasks use twice what they
+// get, and each report raises the correction.
+func TestCorrectedSizeFitsLargestVM(t *testing.T) {
+	w := newFixture(t, 1)
 	w.submit("greedy", 1, map[string]int64{rudderfork.ColCPU: 1300, rudderfork.ColMemory: 1000})
 	declared := rudderfork.Resources{CPUMilli: 1300, MemoryMB: 1000}
 	for range 200 {
@@ -103,7 +103,7 @@
 }
 
 func TestQuota(t *testing.T) {
-	w := newWorld(t, 2)
+	w := newFixture(t, 2)
 	k := rudderfork.CellKey{Kind: rudderfork.RowTeam, Row: "heritage", Column: rudderfork.ColCPU}
 	w.do(state.Command{Edit: &state.Edit{ID: "q", Writes: []state.CellWrite{{Key: k, Value: 2500}}}})
 	w.submit("night", 5, nil)
@@ -112,8 +112,8 @@
 	assert.Equal(t, w.s.Usage("heritage").CPUMilli, int64(2000))
 }
 
-func TestUrgentMovesBatchAside(t *testing.T) {
-	w := newWorld(t, 2)
+func TestUrgentTaskPreempts(t *testing.T) {
+	w := newFixture(t, 2)
 	w.submit("night", 8, nil)
 	w.round()
 	assert.Equal(t, w.running("night"), 8)
@@ -124,14 +124,14 @@
 	w.submit("urgent", 1, map[string]int64{rudderfork.ColPriority: 9, rudderfork.ColCPU: 2000})
 	p := w.round()
 	assert.Equal(t, len(p.Evict.Evictions), 2)
-	t.Run("least work is lost", func(t *testing.T) {
+	t.Run("the tasks with the least unsaved work are evicted", func(t *testing.T) {
 		lost := w.usage.UnsavedWork(p.Evict.Evictions[0].Task) + w.usage.UnsavedWork(p.Evict.Evictions[1].Task)
 		assert.Equal(t, lost, int64(22), "it evicts %v", p.Evict.Evictions)
 	})
-	t.Run("nothing more is evicted while room is on its way", func(t *testing.T) {
+	t.Run("nothing more is evicted while evictions are in progress", func(t *testing.T) {
 		assert.Equal(t, len(w.round().Evict.Evictions), 0)
 	})
-	t.Run("it starts when the room is there", func(t *testing.T) {
+	t.Run("it starts when the evicted tasks have stopped", func(t *testing.T) {
 		for _, e := range p.Evict.Evictions {
 			vm := w.s.Task(e.Task).VM
 			w.do(state.Command{Reports: &state.Reports{VM: vm, Reports: []rudderfork.Report{{Task: e.Task, Token: e.Token, Outcome: rudderfork.OutcomeStopped}}}})
@@ -141,8 +141,8 @@
 	})
 }
 
-func TestAvoidsWhereItFailed(t *testing.T) {
-	w := newWorld(t, 3)
+func TestAvoidsVMWhereTaskFailed(t *testing.T) {
+	w := newFixture(t, 3)
 	w.submit("night", 1, nil)
 	w.round()
 	first := w.s.Task("night/0").VM
@@ -151,10 +151,11 @@
 	assert.Assert(t, w.s.Task("night/0").VM != first)
 }
 
-// TestRelieve has throttling fail on a VM: one task moves away for each report,
-// the one that loses least for its weight, and does not come back there.
-func TestRelieve(t *testing.T) {
-	w := newWorld(t, 1)
+// TestEvictsUnderPressure reports that throttling is not enough on a VM: each
+// report evicts one task, the one with the least unsaved work for its weight,
+// and the task stays pending as long as the pressure is high.
+func TestEvictsUnderPressure(t *testing.T) {
+	w := newFixture(t, 1)
 	w.do(state.Command{Register: &state.Register{
 		Place: rudderfork.Place{VM: "vm0", Domain: "d1"}, Services: []rudderfork.Service{"tour"},
 		Capacity: rudderfork.Resources{CPUMilli: 4000, MemoryMB: 4000},
@@ -166,31 +167,32 @@
 	p := w.round()
 	assert.Equal(t, len(p.Evict.Evictions), 1)
 	assert.Equal(t, p.Evict.Evictions[0].Task, rudderfork.TaskID("cheap/0"))
-	assert.Equal(t, len(w.round().Evict.Evictions), 0, "one report moved two tasks")
-	t.Run("it does not come back while the pressure stays", func(t *testing.T) {
+	assert.Equal(t, len(w.round().Evict.Evictions), 0, "one report evicted two tasks")
+	t.Run("it is not placed again while the pressure stays high", func(t *testing.T) {
 		e := p.Evict.Evictions[0]
 		w.do(state.Command{Reports: &state.Reports{VM: "vm0", Reports: []rudderfork.Report{{Task: e.Task, Token: e.Token, Outcome: rudderfork.OutcomeStopped}}}})
 		w.round()
 		assert.Equal(t, w.s.Task(e.Task).Phase, rudderfork.TaskPending)
 	})
-	t.Run("it does when the pressure is gone", func(t *testing.T) {
+	t.Run("it is placed again when the pressure has fallen", func(t *testing.T) {
 		w.usage.ObservePressure("vm0", 0.3, false)
 		w.round()
 		assert.Equal(t, w.running("cheap"), 2)
 	})
 }
 
-// kinds is an interference that is known.
+// kinds is an interference model with given slowdowns, by kind.
 type kinds map[string]float64
 
 func (k kinds) Slowdown(_ rudderfork.Service, kind string, _ time.Time) (factor, stderr float64) {
 	return k[kind], 0
 }
 
-// TestGrowsByKind has a VM near its target: a quiet kind still goes there, one
-// that would bring it over does not, whatever order they come in.
-func TestGrowsByKind(t *testing.T) {
-	w := newWorld(t, 0)
+// TestPressureLimitDependsOnKind has a VM whose service is near its target: a
+// kind that hardly slows the service is placed there, one that would raise the
+// pressure above the limit is not.
+func TestPressureLimitDependsOnKind(t *testing.T) {
+	w := newFixture(t, 0)
 	model := kinds{"noisy": 1.4, "quiet": 1.01}
 	w.p = NewPlanner(NewScored(model), model, w.usage, 1)
 	w.do(state.Command{Register: &state.Register{
--- a/placement/placers.go
+++ b/placement/placers.go
@@ -8,10 +8,11 @@
 	"rudderfork.example/rudderfork"
 )
 
-// maxRejections bounds what an explanation lists besides the choice.
+// maxRejections is the number of rejected VMs that a choice lists.
 const maxRejections = 4
 
-// FirstFit takes the first VM with room. It is the baseline.
+// FirstFit chooses the first VM with enough free capacity. It is the baseline of
+// benchmarks.
 type FirstFit struct{}
 
 // Place implements rudderfork.Placer.
@@ -24,24 +25,24 @@
 	return rudderfork.Choice{}, false
 }
 
-// Scored takes the VM of least cost: what the task is expected to slow the
-// services there, what it would crowd, and whether it failed there before.
+// Scored chooses the VM of least cost. The cost grows with the expected slowdown
+// of the services there, their pressure, the processors in use and the tasks of
+// the same kind, and most if an attempt of the task failed there.
 type Scored struct {
 	interference rudderfork.Interference
 }
 
-// NewScored returns a placer that asks model how much kinds slow services.
+// NewScored returns a placer that takes the expected slowdowns from model.
 func NewScored(model rudderfork.Interference) *Scored { return &Scored{model} }
 
-// The weights of the parts of a cost. docs/DECISIONS.md gives the measurement
-// that chose each.
+// The weights of the parts of a cost.
 const (
-	costSlowdown = 1.0 // for a service expected to take twice as long
+	costSlowdown = 1.0 // for a service whose latency is expected to double
 	costPressure = 0.5 // for a service at its target
-	costCrowding = 0.3 // for a VM without free processors
-	costAlike    = 0.1 // for each task of the same kind there, at most three
-	costFailed   = 10  // where an attempt of the task failed
-	maxAlike     = 3
+	costCrowding = 0.3 // for a VM whose processors are all in use
+	costSameKind = 0.1 // for each task of the same kind there, up to maxSameKind
+	costFailed   = 10  // if an attempt of the task failed there
+	maxSameKind  = 3
 )
 
 // Place implements rudderfork.Placer.
@@ -90,7 +91,7 @@
 	cost += costPressure * v.Pressure
 	busy := 1 - float64(v.Free.CPUMilli-t.Size.CPUMilli)/float64(max(1, v.Capacity.CPUMilli))
 	cost += costCrowding * busy
-	cost += costAlike * float64(min(maxAlike, v.Tasks[t.Kind]))
+	cost += costSameKind * float64(min(maxSameKind, v.Tasks[t.Kind]))
 	reason += fmt.Sprintf("pressure %.2f, %.0f%% of processors taken", v.Pressure, 100*busy)
 	if slices.Contains(t.Avoid, v.Place.VM) {
 		cost += costFailed
--- a/placement/urgent.go
+++ b/placement/urgent.go
@@ -9,10 +9,10 @@
 	"rudderfork.example/rudderfork/state"
 )
 
-// makeRoom moves batch work of lower priority aside for an urgent task: on the
-// VM where the least work is lost. Room that evictions under way will free
-// counts, so that a task does not evict twice.
-func (p *Planner) makeRoom(r *round, t rudderfork.TaskView) {
+// preempt evicts tasks of lower priority for an urgent task, on the VM where the
+// least work is lost. Capacity that evictions in progress will free counts as
+// free, so that a task doesn't cause evictions twice.
+func (p *Planner) preempt(r *round, t rudderfork.TaskView) {
 	var best []*state.Task
 	bestLost := int64(-1)
 	for _, v := range r.vms {
@@ -21,7 +21,7 @@
 		}
 		victims, lost, ok := p.victims(r, v, t)
 		if ok && len(victims) == 0 {
-			return // room is on its way
+			return // evictions in progress free enough
 		}
 		if ok && (bestLost < 0 || lost < bestLost) {
 			best, bestLost = victims, lost
@@ -33,7 +33,8 @@
 	}
 }
 
-// victims returns the tasks to stop on v so that t fits, least work lost first.
+// victims returns the tasks to evict on v so that t fits, those with the least
+// unsaved work first, and the work lost in units.
 func (p *Planner) victims(r *round, v *view, t rudderfork.TaskView) (ts []*state.Task, lost int64, ok bool) {
 	free := v.Free
 	var lower []*state.Task
