--- a/agent/tasks.go
+++ b/agent/tasks.go
@@ -42,15 +42,15 @@
 	rec    rudderfork.Recorder
 	woken  wakeup.Signal
 
-	mu       sync.Mutex
-	holder   *lease.Holder
-	ladder   throttle.Controller
-	levels   map[rudderfork.TaskID]int
-	renewed  time.Time // the deadline that the worker was last given
-	seenAt   time.Time // when the worker last answered
-	reportID uint64
-	notes    []wire.DecisionRecord
-	reported map[lease.AttemptRef]time.Time // when to report again
+	mu        sync.Mutex
+	holder    *lease.Holder
+	throttler throttle.Controller
+	levels    map[rudderfork.TaskID]int
+	renewed   time.Time // the deadline that the worker was last given
+	seenAt    time.Time // when the worker last answered
+	reportID  uint64
+	notes     []wire.DecisionRecord
+	reported  map[lease.AttemptRef]time.Time // when to report again
 }
 
 func newTasks(cfg Settings, c *node.Client, f *front, log zerolog.Logger, rec rudderfork.Recorder) *tasks {
@@ -210,17 +210,17 @@
 	t.rec.Record(rudderfork.Event{Kind: kind, Subject: string(task), Text: text})
 }
 
-// throttle moves the ladder by the services' pressure. t.mu is held.
+// throttle sets the tasks' throttle levels by the services' pressure. t.mu is held.
 func (t *tasks) throttle() {
 	running := t.holder.Running()
 	p := t.front.pressure()
-	t.ladder.Observe(p, len(running), steady.Now())
+	t.throttler.Observe(p, len(running), steady.Now())
 	var ts []throttle.Task
 	for _, r := range running {
 		l, _ := t.holder.Lease(r.Task)
 		ts = append(ts, throttle.Task{ID: r.Task, Weight: l.Weight, Slowdown: l.Slowdown})
 	}
-	for id, level := range t.ladder.Levels(ts) {
+	for id, level := range t.throttler.Levels(ts) {
 		t.holder.SetThrottle(id, level)
 		if level == t.levels[id] {
 			continue
@@ -250,7 +250,7 @@
 			Throttle: r.Throttle, At: r.At,
 		})
 	}
-	b.Exhausted = t.ladder.Exhausted(steady.Now())
+	b.Exhausted = t.throttler.Exhausted(steady.Now())
 	if len(t.notes) > 0 && t.client.Send(wire.ToControl{Decisions: t.notes}) {
 		t.notes = nil
 	}
--- a/bench/colocation.go
+++ b/bench/colocation.go
@@ -67,27 +67,27 @@
 }
 
 type colo struct {
-	cfg     coloConfig
-	rng     *rand.Rand
-	now     time.Time
-	start   time.Time
-	s       *state.State
-	index   uint64
-	planner *placement.Planner
-	model   *interference.Model
-	usage   *usage.Model
-	ladders map[rudderfork.VMID]*throttle.Controller
-	tasks   map[rudderfork.TaskID]*coloTask
-	due     map[rudderfork.JobID]time.Time
-	later   []func() // reports on their way, by second
-	lateAt  []time.Time
-	res     coloResult
+	cfg         coloConfig
+	rng         *rand.Rand
+	now         time.Time
+	start       time.Time
+	s           *state.State
+	index       uint64
+	planner     *placement.Planner
+	model       *interference.Model
+	usage       *usage.Model
+	controllers map[rudderfork.VMID]*throttle.Controller
+	tasks       map[rudderfork.TaskID]*coloTask
+	due         map[rudderfork.JobID]time.Time
+	later       []func() // reports on their way, by second
+	lateAt      []time.Time
+	res         coloResult
 }
 
 func runColo(cfg coloConfig, seed uint64) coloResult {
 	c := &colo{
 		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 21)), now: time.Unix(1_000_000, 0), s: state.New(),
-		model: interference.New(interference.ServicePrior()), ladders: map[rudderfork.VMID]*throttle.Controller{},
+		model: interference.New(interference.ServicePrior()), controllers: map[rudderfork.VMID]*throttle.Controller{},
 		tasks: map[rudderfork.TaskID]*coloTask{}, due: map[rudderfork.JobID]time.Time{},
 	}
 	c.start = c.now
@@ -124,7 +124,7 @@
 
 func (c *colo) register(i int) {
 	vm := rudderfork.VMID(fmt.Sprintf("vm%02d", i))
-	c.ladders[vm] = &throttle.Controller{}
+	c.controllers[vm] = &throttle.Controller{}
 	c.do(state.Command{Register: &state.Register{
 		Place: rudderfork.Place{VM: vm, Domain: rudderfork.Domain(fmt.Sprint("d", i%3))}, Services: []rudderfork.Service{coloService},
 		Capacity: rudderfork.Resources{CPUMilli: coloCPU, MemoryMB: 60_000}, Reserved: rudderfork.Resources{CPUMilli: coloCPU / 4},
@@ -184,7 +184,7 @@
 // stepVM runs one second of a VM: its tasks, its service, its agent.
 func (c *colo) stepVM(v *state.VM, t time.Duration) {
 	vm := v.Place.VM
-	ladder := c.ladders[vm]
+	controller := c.controllers[vm]
 	var ts []throttle.Task
 	for id, task := range c.s.TasksOn(vm) {
 		x := throttle.Task{ID: id, Weight: c.s.JobCell(task.Job, rudderfork.ColWeight)}
@@ -193,7 +193,7 @@
 		}
 		ts = append(ts, x)
 	}
-	levels := ladder.Levels(ts)
+	levels := controller.Levels(ts)
 	used, effect := 0.0, 0.0
 	shares := map[string]float64{}
 	for _, x := range ts {
@@ -219,7 +219,7 @@
 	c.res.tails = append(c.res.tails, tail)
 	pressure := float64(tail) / float64(coloTarget)
 	if c.cfg.throttle {
-		ladder.Observe(pressure, len(ts), c.now)
+		controller.Observe(pressure, len(ts), c.now)
 	}
 	c.runTasks(vm, levels, 1/(1+over))
 	c.report(vm, mean, pressure, busy, shares, levels)
@@ -281,7 +281,7 @@
 // report sends usage, which arrives late.
 func (c *colo) report(vm rudderfork.VMID, mean time.Duration, pressure, busy float64, shares map[string]float64, levels map[rudderfork.TaskID]int) {
 	at := c.now
-	exhausted := c.cfg.throttle && c.ladders[vm].Exhausted(at)
+	exhausted := c.cfg.throttle && c.controllers[vm].Exhausted(at)
 	type seen struct {
 		id        rudderfork.TaskID
 		kind      string
--- a/throttle/throttle.go
+++ b/throttle/throttle.go
@@ -22,127 +22,135 @@
 )
 
 const (
-	// MaxLevel is a standstill.
+	// MaxLevel is the throttle level at which a task stands still; at level 0 it
+	// runs at full speed.
 	MaxLevel = 3
-	// raiseAt and lowerAt are the pressures at which the ladder goes up, and
-	// may come down.
-	raiseAt = 1.0
-	lowerAt = 0.95
-	// mildUnder is the pressure below which the ladder goes up by one step.
-	mildUnder = 1.1
-	// leastSlowdown is what every kind is taken to slow at least.
-	leastSlowdown = 0.01
-	// severeAt is the pressure at which all tasks go up at once.
-	severeAt = 1.5
-	// raisePause lets a step show its effect before the next.
-	raisePause = time.Second
-	// calmSpell is how long the pressure must stay low before a step down. It
-	// doubles, up to maxCaution times, with each step down that proved too much
-	// within trial, and halves with each that did not.
-	calmSpell  = 3 * time.Second
-	trial      = 8 * time.Second
-	maxCaution = 4
-	// exhaustAfter is how long the ladder must be at its top under pressure.
+	// raiseAbove is the pressure above which steps are added, lowerBelow the one
+	// at or below which they may be taken back.
+	raiseAbove = 1.0
+	lowerBelow = 0.95
+	// moderateAbove is the pressure above which a step for every other task is added.
+	moderateAbove = 1.1
+	// minSlowdown is the least slowdown (factor - 1) assumed of a kind, so that
+	// weight counts also among kinds that slow nothing.
+	minSlowdown = 0.01
+	// severeAbove is the pressure above which a step for each task is added.
+	severeAbove = 1.5
+	// raiseInterval is the least time between two rises, in which the first shows
+	// its effect.
+	raiseInterval = time.Second
+	// lowerDelay is how long the pressure must stay low before a step is taken
+	// back. It doubles, up to maxDoublings times, if the pressure exceeds the
+	// target within trialPeriod of that, and else halves.
+	lowerDelay   = 3 * time.Second
+	trialPeriod  = 8 * time.Second
+	maxDoublings = 4
+	// exhaustAfter is how long all tasks must be throttled fully under pressure
+	// before Exhausted reports it.
 	exhaustAfter = 5 * time.Second
 )
 
-// Task is a running task as the ladder sees it.
+// Task is a running task.
 type Task struct {
 	ID       rudderfork.TaskID
 	Weight   int64
-	Slowdown float64 // expected of its kind, as a factor; 0 counts as 1
+	Slowdown float64 // expected factor on the services' latency; 0 counts as 1
 }
 
-// nuisance orders tasks: what a task is expected to slow the services, for its
-// weight.
-func (t Task) nuisance() float64 {
-	return max(t.Slowdown-1, leastSlowdown) / float64(max(1, t.Weight))
+// harm is the expected slowdown of the services for the task's weight. Tasks with
+// the greatest harm are throttled first.
+func (t Task) harm() float64 {
+	return max(t.Slowdown-1, minSlowdown) / float64(max(1, t.Weight))
 }
 
-// Controller holds the state. It is not safe for concurrent use. The zero value is
-// ready to use.
+// Controller decides on the throttle levels of one VM's tasks. The zero value is
+// ready to use. It is not safe for concurrent use.
 type Controller struct {
-	steps     int // over all tasks, MaxLevel for each
+	steps     int // sum of the levels of all tasks
 	raiseFrom time.Time
-	calmUntil time.Time // a step down is allowed from here on
+	lowerFrom time.Time // when a step may be taken back
 	topSince  time.Time
 	pressure  float64
 	tasks     int
 
-	caution    int       // doublings of the calm spell
-	trialUntil time.Time // the last step down is on trial; zero if none is
+	doublings  int       // of lowerDelay
+	trialUntil time.Time // end of the trial of the last step back; zero without one
 }
 
-// Observe takes the pressure over the newest window and the tasks that run.
-func (l *Controller) Observe(pressure float64, tasks int, now time.Time) {
+// Observe takes the pressure over the newest window and the number of running
+// tasks.
+func (c *Controller) Observe(pressure float64, tasks int, now time.Time) {
 	top := MaxLevel * tasks
-	if tasks < l.tasks {
-		l.topSince = time.Time{} // what was moved away must show its effect first
+	if tasks < c.tasks {
+		c.topSince = time.Time{} // the end of a task must show its effect first
 	}
-	l.pressure, l.tasks = pressure, tasks
-	l.steps = min(l.steps, top)
-	l.judge(pressure, now)
-	spell := calmSpell << l.caution
+	c.pressure, c.tasks = pressure, tasks
+	c.steps = min(c.steps, top)
+	c.endTrial(pressure, now)
+	delay := lowerDelay << c.doublings
 	switch {
-	case pressure > raiseAt:
-		l.calmUntil = now.Add(spell)
-		if now.Before(l.raiseFrom) {
+	case pressure > raiseAbove:
+		c.lowerFrom = now.Add(delay)
+		if now.Before(c.raiseFrom) {
 			return
 		}
-		l.raiseFrom = now.Add(raisePause)
+		c.raiseFrom = now.Add(raiseInterval)
 		switch {
-		case pressure > severeAt:
-			l.steps += tasks
-		case pressure > mildUnder:
-			l.steps += (tasks + 1) / 2
+		case pressure > severeAbove:
+			c.steps += tasks
+		case pressure > moderateAbove:
+			c.steps += (tasks + 1) / 2
 		default:
-			l.steps++
+			c.steps++
 		}
-		l.steps = min(l.steps, top)
-	case pressure > lowerAt:
-		l.calmUntil = now.Add(spell)
-	case l.steps > 0 && !now.Before(l.calmUntil):
-		l.steps--
-		l.calmUntil = now.Add(spell / 2)
-		l.trialUntil = now.Add(trial)
+		c.steps = min(c.steps, top)
+	case pressure > lowerBelow:
+		c.lowerFrom = now.Add(delay)
+	case c.steps > 0 && !now.Before(c.lowerFrom):
+		c.steps--
+		c.lowerFrom = now.Add(delay / 2)
+		c.trialUntil = now.Add(trialPeriod)
 	}
-	l.noteTop(top, now)
+	c.updateTopSince(top, now)
 }
 
-// judge ends the trial of the last step down.
-func (l *Controller) judge(pressure float64, now time.Time) {
+// endTrial ends the trial of the last step back if the pressure has risen or the
+// trial period is over, and adapts the delay.
+func (c *Controller) endTrial(pressure float64, now time.Time) {
 	switch {
-	case l.trialUntil.IsZero():
-	case pressure > raiseAt:
-		l.caution = min(l.caution+1, maxCaution)
-		l.trialUntil = time.Time{}
-	case !now.Before(l.trialUntil):
-		l.caution = max(l.caution-1, 0)
-		l.trialUntil = time.Time{}
+	case c.trialUntil.IsZero():
+	case pressure > raiseAbove:
+		c.doublings = min(c.doublings+1, maxDoublings)
+		c.trialUntil = time.Time{}
+	case !now.Before(c.trialUntil):
+		c.doublings = max(c.doublings-1, 0)
+		c.trialUntil = time.Time{}
 	}
 }
 
-func (l *Controller) noteTop(top int, now time.Time) {
-	if top == 0 || l.steps < top || l.pressure <= raiseAt {
-		l.topSince = time.Time{}
-	} else if l.topSince.IsZero() {
-		l.topSince = now
+func (c *Controller) updateTopSince(top int, now time.Time) {
+	if top == 0 || c.steps < top || c.pressure <= raiseAbove {
+		c.topSince = time.Time{}
+	} else if c.topSince.IsZero() {
+		c.topSince = now
 	}
 }
 
-// Exhausted reports whether throttling has not been enough for a while.
-func (l *Controller) Exhausted(now time.Time) bool {
-	return !l.topSince.IsZero() && now.Sub(l.topSince) >= exhaustAfter
+// Exhausted reports whether the pressure has been above the target for
+// exhaustAfter though all tasks are throttled fully.
+func (c *Controller) Exhausted(now time.Time) bool {
+	return !c.topSince.IsZero() && now.Sub(c.topSince) >= exhaustAfter
 }
 
-// Levels spreads the steps over tasks, those of greatest nuisance first.
-func (l *Controller) Levels(tasks []Task) map[rudderfork.TaskID]int {
+// Levels returns the throttle level of each task, 0 to MaxLevel: the steps are
+// given to the tasks of greatest harm first.
+func (c *Controller) Levels(tasks []Task) map[rudderfork.TaskID]int {
 	ts := slices.Clone(tasks)
 	slices.SortFunc(ts, func(a, b Task) int {
-		return cmp.Or(cmp.Compare(b.nuisance(), a.nuisance()), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(b.harm(), a.harm()), cmp.Compare(a.ID, b.ID))
 	})
 	levels := map[rudderfork.TaskID]int{}
-	left := l.steps
+	left := c.steps
 	for _, t := range ts {
 		levels[t.ID] = min(MaxLevel, left)
 		left -= levels[t.ID]
