--- a/throttle/throttle.go
+++ b/throttle/throttle.go
@@ -1,16 +1,16 @@
 // Package throttle decides how much an agent slows the batch tasks beside its
 // services.
 //
-// It is a ladder with hysteresis, after Heracles (ISCA 2015). Pressure is the
-// services' tail latency over their target. Above the target the ladder goes up
-// at once, further the worse it is; between the marks it holds; below it comes
-// down one step at a time, and only after a calm spell, which grows with each
-// step that proved too much. (A fixed mark well below the target, as in the
-// paper, never let go where the service alone is near its target; see
-// docs/DECISIONS.md.) Steps fall
-// on those tasks first that are expected to slow the services most for their
-// weight. When the ladder is at its top and the pressure
-// stays, throttling has failed, and Exhausted says that something must move.
+// It is a feedback controller with hysteresis, after Heracles (ISCA 2015). The
+// pressure is the services' tail latency over their target. Above the target the
+// controller adds throttle steps at once, more of them the higher the pressure
+// is. Just below the target it changes nothing. Lower still it takes one step
+// back at a time, after a delay that grows if the pressure rises again soon
+// after a step back. (A threshold well below the target, as in Heracles, would
+// never end the throttling of tasks beside a service that is near its target by
+// itself.) Steps go first to the tasks that are expected to slow the services
+// most for their weight. When all tasks are throttled fully and the pressure
+// stays above the target, Exhausted reports that a task must be evicted.
 package throttle
 
 import (
