--- a/provider.go
+++ b/provider.go
@@ -37,5 +37,5 @@
 	Machines(ctx context.Context) ([]Machine, error)
 	// Upkeep starts the upkeep of a machine as part of a wave. Everything that runs on the machine
 	// ends. An upkeep that was already done in the wave is not repeated.
-	Upkeep(ctx context.Context, d Issuer, machine string, wave uint64) error
+	Upkeep(ctx context.Context, issuer Issuer, machine string, wave uint64) error
 }
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -50,7 +50,7 @@
 	watch            watch
 	ticker           *time.Timer
 	silent           atomic.Bool // closed because of silence
-	sendingKeepAlive atomic.Bool // a keep-liveness is being written
+	sendingKeepAlive atomic.Bool // a keep-alive is being written
 }
 
 // Dial connects to url, which starts with ws://.
