--- a/bench/scale.go
+++ b/bench/scale.go
@@ -146,13 +146,13 @@
 	if err := s.Save(quorum.Ready{HardState: &quorum.HardState{Term: 1}, Entries: es}); err != nil {
 		return 0, 0, err
 	}
-	size = s.Size()
+	size = s.LogBytes()
 	if snapshot {
 		data, err := st.Encode()
 		if err != nil {
 			return 0, 0, err
 		}
-		if err := s.Snapshot(quorum.Snapshot{Index: uint64(n), Term: 1, Data: data}, nil); err != nil {
+		if err := s.SaveSnapshot(quorum.Snapshot{Index: uint64(n), Term: 1, Data: data}, nil); err != nil {
 			return 0, 0, err
 		}
 	}
@@ -165,7 +165,7 @@
 		return 0, 0, err
 	}
 	defer s.Close()
-	_, snap, entries := s.Loaded()
+	_, snap, entries := s.TakeLoaded()
 	again, err := state.Decode(snap.Data)
 	if err != nil {
 		return 0, 0, err
--- a/disk/disk.go
+++ b/disk/disk.go
@@ -78,7 +78,7 @@
 	identity Identity
 	hard     quorum.HardState
 	snap     quorum.Snapshot
-	entries  []quorum.Entry // as read by Open; released by Loaded
+	entries  []quorum.Entry // as read by Open; released by TakeLoaded
 }
 
 // Format writes the identity of a new replica into dir, which must be empty or
@@ -142,8 +142,8 @@
 // Identity returns who the replica is.
 func (s *Store) Identity() Identity { return s.identity }
 
-// Loaded returns what Open read, and releases it.
-func (s *Store) Loaded() (hs quorum.HardState, snap quorum.Snapshot, entries []quorum.Entry) {
+// TakeLoaded returns what Open read, and releases it.
+func (s *Store) TakeLoaded() (hs quorum.HardState, snap quorum.Snapshot, entries []quorum.Entry) {
 	entries = s.entries
 	s.entries = nil
 	snap = s.snap
@@ -151,8 +151,8 @@
 	return s.hard, snap, entries
 }
 
-// Size returns the bytes in the current log file.
-func (s *Store) Size() int64 { return s.size }
+// LogBytes returns the bytes in the current log file.
+func (s *Store) LogBytes() int64 { return s.size }
 
 // Close closes the files. It does not sync: all that matters is synced.
 func (s *Store) Close() error {
@@ -170,7 +170,7 @@
 		s.hard = *rd.HardState
 	}
 	if rd.Snapshot != nil {
-		return s.Snapshot(*rd.Snapshot, rd.Entries)
+		return s.SaveSnapshot(*rd.Snapshot, rd.Entries)
 	}
 	if rd.HardState == nil && len(rd.Entries) == 0 {
 		return nil
@@ -189,9 +189,9 @@
 	return s.markTail()
 }
 
-// Snapshot starts a new generation from snap and the entries after it. After ErrFull the
+// SaveSnapshot starts a new generation from snap and the entries after it. After ErrFull the
 // old one stands.
-func (s *Store) Snapshot(snap quorum.Snapshot, after []quorum.Entry) (err error) {
+func (s *Store) SaveSnapshot(snap quorum.Snapshot, after []quorum.Entry) (err error) {
 	defer errs.Annotate(&err, "snapshot at %d", snap.Index)
 	gen := s.gen + 1
 	if err := writeSealed(s.path("snap", gen), snap); err != nil {
--- a/disk/full_test.go
+++ b/disk/full_test.go
@@ -37,7 +37,7 @@
 	s, err := Open(dir)
 	assert.NilError(t, err)
 	defer func() { assert.NilError(t, s.Close()) }()
-	_, snap, es := s.Loaded()
+	_, snap, es := s.TakeLoaded()
 	assert.Equal(t, snap.Index+uint64(len(es)), last)
 }
 
@@ -51,7 +51,7 @@
 		dir := filled(t)
 		s, err := Open(dir)
 		assert.NilError(t, err)
-		s.Loaded()
+		s.TakeLoaded()
 		room := fillDisk(t)
 		*room = n
 		assert.Assert(t, errors.Is(s.Save(next), ErrFull), "with room for %d bytes", n)
@@ -69,7 +69,7 @@
 	dir := filled(t)
 	s, err := Open(dir)
 	assert.NilError(t, err)
-	s.Loaded()
+	s.TakeLoaded()
 	room := fillDisk(t)
 	*room = 5
 	assert.Assert(t, errors.Is(s.Save(quorum.Ready{Entries: entries(11, 12, 1)}), ErrFull))
@@ -82,11 +82,11 @@
 	dir := filled(t)
 	s, err := Open(dir)
 	assert.NilError(t, err)
-	_, snap, _ := s.Loaded()
+	_, snap, _ := s.TakeLoaded()
 	room := fillDisk(t)
 	*room = 3
 	newer := quorum.Snapshot{Index: 9, Term: snap.Term, Members: snap.Members, Data: make([]byte, 100)}
-	assert.Assert(t, errors.Is(s.Snapshot(newer, entries(10, 10, 1)), ErrFull))
+	assert.Assert(t, errors.Is(s.SaveSnapshot(newer, entries(10, 10, 1)), ErrFull))
 	left, err := filepath.Glob(filepath.Join(dir, "*"+tmpSuffix))
 	assert.NilError(t, err)
 	assert.Equal(t, len(left), 0, "%v", left)
@@ -102,7 +102,7 @@
 	dir := filled(t)
 	s, err := Open(dir)
 	assert.NilError(t, err)
-	s.Loaded()
+	s.TakeLoaded()
 	sync := fdatasync
 	t.Cleanup(func() { fdatasync = sync })
 	fdatasync = func(int) error { return syscall.ENOSPC }
--- a/disk/power_test.go
+++ b/disk/power_test.go
@@ -48,7 +48,7 @@
 
 			s, err := Open(dir)
 			assert.NilError(t, err)
-			_, _, told := s.Loaded()
+			_, _, told := s.TakeLoaded()
 			assert.NilError(t, s.Close())
 
 			assert.NilError(t, os.Truncate(path, synced[path]))
@@ -57,7 +57,7 @@
 			}
 			s, err = Open(dir)
 			assert.NilError(t, err, "%d bytes were written", n)
-			_, snap, kept := s.Loaded()
+			_, snap, kept := s.TakeLoaded()
 			assert.Equal(t, snap.Index, uint64(5))
 			checkEntries(t, kept, told)
 			save(t, s, quorum.Ready{Entries: entries(uint64(6+len(kept)), 14, 1)})
--- a/quorum/election.go
+++ b/quorum/election.go
@@ -31,10 +31,10 @@
 // rarely campaign at once.
 const suspectWait = 8
 
-// Suspect tells that the connection of a replica has ended, which most often
+// HandleDisconnect tells that the connection of a replica has ended, which most often
 // means that its process has. If it leads, this replica campaigns soon; should the
 // leader live, its next append puts that off, and a pre-vote disturbs nobody.
-func (n *Node) Suspect(id MemberID, now time.Time) {
+func (n *Node) HandleDisconnect(id MemberID, now time.Time) {
 	if id == "" || n.role != Follower || n.leader != id {
 		return // also where a connection ended before its replica had said its name
 	}
@@ -45,12 +45,12 @@
 	}
 }
 
-// Transfer has the voter that lags least campaign as soon as it has caught up.
+// TransferLeadership has the voter that lags least campaign as soon as it has caught up.
 // Until then, or until an election timeout has passed, nothing is proposed here;
 // this replica steps down when it hears of the new term. The claims that
 // rest on QuorumContact hold, since they follow from the order of votes and
 // acknowledgements at one replica, not from the wait before a campaign.
-func (n *Node) Transfer(now time.Time) {
+func (n *Node) TransferLeadership(now time.Time) {
 	if n.role != Leader {
 		return
 	}
@@ -72,7 +72,7 @@
 // shorter one it would not be elected.
 func (n *Node) handOver() {
 	if p := n.peers[n.heir]; p != nil && p.match == n.log.last() {
-		n.send(Message{Type: MsgTransfer, To: n.heir})
+		n.send(Message{Type: MsgTimeoutNow, To: n.heir})
 	}
 }
 
--- a/quorum/late_test.go
+++ b/quorum/late_test.go
@@ -89,12 +89,12 @@
 	l := g.waitLeader()
 	index, ok := g.propose("new")
 	assert.Assert(t, ok)
-	match, acked := l.node.Match(presentLife), l.node.peers[presentLife].acked
+	match, acked := l.node.MatchIndex(presentLife), l.node.peers[presentLife].acked
 	t.Run("an append's answer counts for no other life", func(t *testing.T) {
-		l.node.Step(Message{Type: MsgAppendReply, From: foundingLife, To: l.id, Term: l.node.Term(), Match: index, Sent: g.now.UnixNano()}, g.now)
-		assert.Equal(t, l.node.Match(presentLife), match)
+		l.node.Step(Message{Type: MsgAppendReply, From: foundingLife, To: l.id, Term: l.node.Term(), Match: index, SentNS: g.now.UnixNano()}, g.now)
+		assert.Equal(t, l.node.MatchIndex(presentLife), match)
 		assert.Equal(t, l.node.peers[presentLife].acked, acked)
-		assert.Assert(t, l.node.Commit() < index)
+		assert.Assert(t, l.node.CommitIndex() < index)
 	})
 	t.Run("a call for votes moves nobody that hears the leader", func(t *testing.T) {
 		g.run(20)
@@ -111,7 +111,7 @@
 	t.Run("the end of its connection makes nobody campaign", func(t *testing.T) {
 		n := g.replicas[presentLife].node
 		campaign := n.NextDeadline()
-		n.Suspect(foundingLife, g.now)
+		n.HandleDisconnect(foundingLife, g.now)
 		assert.Equal(t, n.NextDeadline(), campaign)
 		assert.Assert(t, n.leaderAlive(g.now))
 	})
@@ -141,11 +141,11 @@
 	f := g.replicas[g.follower(l)]
 	f.node.Step(Message{
 		Type: MsgVote, From: l.id, To: f.id, Term: f.node.Term() + 1, Transfer: true,
-		LogIndex: l.node.Last(), LogTerm: l.node.LastTerm(),
+		LogIndex: l.node.LastIndex(), LogTerm: l.node.LastTerm(),
 	}, g.clock(f.id))
 	assert.Equal(t, f.node.Leader(), MemberID(""))
 	before := f.node.NextDeadline()
-	f.node.Suspect("", g.clock(f.id))
+	f.node.HandleDisconnect("", g.clock(f.id))
 	assert.Equal(t, f.node.NextDeadline(), before)
 }
 
--- a/quorum/leader.go
+++ b/quorum/leader.go
@@ -38,7 +38,7 @@
 
 func (n *Node) tickLeader(now time.Time) {
 	if !now.Before(n.checkAt) {
-		n.checkAt = now.Add(n.cfg.Heartbeat)
+		n.checkAt = now.Add(n.cfg.HeartbeatInterval)
 	}
 	if now.Sub(n.QuorumContact(now)) > 2*n.cfg.ElectionTimeout && now.After(n.electionAt) {
 		// No quorum answers; whoever can reach one must be free to lead.
@@ -52,7 +52,7 @@
 
 // broadcast sends every other replica an append, empty where it has all.
 func (n *Node) broadcast(now time.Time) {
-	n.heartbeatAt = now.Add(n.cfg.Heartbeat)
+	n.heartbeatAt = now.Add(n.cfg.HeartbeatInterval)
 	for _, m := range n.log.members() {
 		if p := n.peers[m.ID]; p != nil {
 			n.sendAppend(m.ID, p, now, true)
@@ -60,8 +60,8 @@
 	}
 }
 
-// Confirm sends appends at once, so that QuorumContact soon passes now.
-func (n *Node) Confirm(now time.Time) {
+// ConfirmLeadership sends appends at once, so that QuorumContact soon passes now.
+func (n *Node) ConfirmLeadership(now time.Time) {
 	if n.role == Leader {
 		n.broadcast(now)
 	}
@@ -102,14 +102,14 @@
 	}
 	var es []Entry
 	if p.next-p.match <= maxUnacked {
-		es = n.log.slice(p.next, n.cfg.MaxBatch)
+		es = n.log.slice(p.next, n.cfg.MaxBatchBytes)
 	}
 	if len(es) == 0 && !force {
 		return
 	}
-	n.out.Early = append(n.out.Early, Message{
+	n.out.EarlyMessages = append(n.out.EarlyMessages, Message{
 		Type: MsgAppend, From: n.cfg.ID, To: id, Term: n.hard.Term,
-		LogIndex: p.next - 1, LogTerm: prevTerm, Commit: n.commit, Entries: es, Sent: now.UnixNano(),
+		LogIndex: p.next - 1, LogTerm: prevTerm, Commit: n.commit, Entries: es, SentNS: now.UnixNano(),
 	})
 	p.next += uint64(len(es))
 }
@@ -121,14 +121,14 @@
 	}
 	p.snapAfter = now.Add(n.cfg.ElectionTimeout)
 	s := n.log.snap
-	n.out.Early = append(n.out.Early, Message{
-		Type: MsgSnapshot, From: n.cfg.ID, To: id, Term: n.hard.Term, Snapshot: &s, Commit: n.commit, Sent: now.UnixNano(),
+	n.out.EarlyMessages = append(n.out.EarlyMessages, Message{
+		Type: MsgSnapshot, From: n.cfg.ID, To: id, Term: n.hard.Term, Snapshot: &s, Commit: n.commit, SentNS: now.UnixNano(),
 	})
 }
 
 func (n *Node) onAppend(m Message, now time.Time) {
 	n.follow(m.From, now)
-	reply := Message{Type: MsgAppendReply, To: m.From, Sent: m.Sent}
+	reply := Message{Type: MsgAppendReply, To: m.From, SentNS: m.SentNS}
 	if m.LogIndex < n.commit {
 		// All up to commit is equal already; skip what the message repeats.
 		skip := n.commit - m.LogIndex
@@ -192,7 +192,7 @@
 
 func (n *Node) onSnapshot(m Message, now time.Time) {
 	n.follow(m.From, now)
-	reply := Message{Type: MsgAppendReply, To: m.From, Sent: m.Sent}
+	reply := Message{Type: MsgAppendReply, To: m.From, SentNS: m.SentNS}
 	s := m.Snapshot
 	if s == nil {
 		return
@@ -211,7 +211,7 @@
 	if n.role != Leader || p == nil {
 		return
 	}
-	p.acked = max(p.acked, m.Sent)
+	p.acked = max(p.acked, m.SentNS)
 	if m.Reject {
 		n.onReject(m, p, now)
 		return
@@ -234,7 +234,7 @@
 // counts: a replica that was cut off refuses, when it is back, everything that
 // was on its way, and each refusal must not be answered by all that it lacks.
 func (n *Node) onReject(m Message, p *progress, now time.Time) {
-	if m.Sent < p.triedAt {
+	if m.SentNS < p.triedAt {
 		return
 	}
 	if m.Match+1 < p.next {
@@ -311,8 +311,8 @@
 	return time.Unix(0, times[(len(times)-1)/2])
 }
 
-// Match returns the highest index known equal on another replica.
-func (n *Node) Match(id MemberID) uint64 {
+// MatchIndex returns the highest index known equal on another replica.
+func (n *Node) MatchIndex(id MemberID) uint64 {
 	if p := n.peers[id]; p != nil {
 		return p.match
 	}
--- a/quorum/losses_test.go
+++ b/quorum/losses_test.go
@@ -486,7 +486,7 @@
 		g.add("c9#1", Snapshot{})
 		g.tendAll(100)
 		g.crash(g.follower(l))
-		assert.DeepEqual(t, g.repairs(), []Reason{ReasonPromoted, ReasonSilent})
+		assert.DeepEqual(t, g.repairs(), []Reason{ReasonPromoted, ReasonVoterSilent})
 	})
 }
 
--- a/quorum/members.go
+++ b/quorum/members.go
@@ -9,7 +9,7 @@
 // this replica leads, has committed an entry of its own term, no earlier change
 // is under way, and at most one voter differs.
 func (n *Node) ProposeMembers(next []Member, now time.Time) (index uint64, ok bool) {
-	if !n.Settled() || n.changing() || voterChanges(n.log.members(), next) > 1 {
+	if !n.CommittedInTerm() || n.changing() || voterChanges(n.log.members(), next) > 1 {
 		return 0, false
 	}
 	index = n.appendEntry(Entry{Kind: EntryMembers, Members: next})
@@ -88,12 +88,12 @@
 
 // The reasons for a change of members.
 const (
-	ReasonJoined     Reason = "a replica asked to join"
-	ReasonSuperseded Reason = "a later life of the voter's name follows: its disk is lost"
-	ReasonPromoted   Reason = "a standby that has caught up takes a vote"
-	ReasonSilent     Reason = "the voter is silent, and a standby can take its place or voters are too many"
-	ReasonSpread     Reason = "a failure domain has more votes than another would have"
-	ReasonForgotten  Reason = "a replica without a vote is silent for long"
+	ReasonJoined         Reason = "a replica asked to join"
+	ReasonSuperseded     Reason = "a later life of the voter's name follows: its disk is lost"
+	ReasonPromoted       Reason = "a standby that has caught up takes a vote"
+	ReasonVoterSilent    Reason = "the voter is silent, and a standby can take its place or voters are too many"
+	ReasonSpread         Reason = "a failure domain has more votes than another would have"
+	ReasonNonVoterSilent Reason = "a replica without a vote is silent for long"
 )
 
 // Repair returns the next step that brings the group to size voters that answer
@@ -128,7 +128,7 @@
 		switch {
 		case spare:
 			next, ok = n.without(silent, now)
-			return next, ReasonSilent, ok
+			return next, ReasonVoterSilent, ok
 		case size > 0 && odd && standby >= 0:
 			next, ok = n.succeeded(standby, now)
 			return next, ReasonPromoted, ok
@@ -136,7 +136,7 @@
 	}
 	if gone := n.silentMember(false, forgetTimeouts, now); gone >= 0 {
 		next, ok = n.without(gone, now)
-		return next, ReasonForgotten, ok
+		return next, ReasonNonVoterSilent, ok
 	}
 	if size > 0 {
 		next, ok = n.spread(size, now)
@@ -161,7 +161,7 @@
 	voters, _ := n.crowds()
 	place = -1
 	for i, m := range n.log.members() {
-		match := n.Match(m.ID)
+		match := n.MatchIndex(m.ID)
 		if m.Voter || match == 0 || match+maxLag < n.commit || n.silent(m.ID, timeouts, now) {
 			continue
 		}
--- a/quorum/node.go
+++ b/quorum/node.go
@@ -72,8 +72,8 @@
 // New returns a replica that resumes from what its disk holds. A replica whose
 // ID is not among the members never campaigns; it waits to be added.
 func New(cfg Config, hs HardState, snap Snapshot, entries []Entry, now time.Time) *Node {
-	if cfg.MaxBatch == 0 {
-		cfg.MaxBatch = defaultMaxBatch
+	if cfg.MaxBatchBytes == 0 {
+		cfg.MaxBatchBytes = defaultMaxBatch
 	}
 	n := &Node{
 		cfg: cfg, hard: hs,
@@ -101,18 +101,18 @@
 // Members returns the group's members as the newest entry sets them.
 func (n *Node) Members() []Member { return n.log.members() }
 
-// Commit returns the highest index known committed.
-func (n *Node) Commit() uint64 { return n.commit }
+// CommitIndex returns the highest index known committed.
+func (n *Node) CommitIndex() uint64 { return n.commit }
 
-// Last returns the index of the last entry.
-func (n *Node) Last() uint64 { return n.log.last() }
+// LastIndex returns the index of the last entry.
+func (n *Node) LastIndex() uint64 { return n.log.last() }
 
 // LastTerm returns the term of the last entry. The longer log of a later term wins
 // an election.
 func (n *Node) LastTerm() uint64 { return n.log.lastTerm() }
 
-// Holds reports whether the log has an entry of a term at an index, and has not compacted it.
-func (n *Node) Holds(index, term uint64) bool {
+// HasEntry reports whether the log has an entry of a term at an index, and has not compacted it.
+func (n *Node) HasEntry(index, term uint64) bool {
 	t, ok := n.log.term(index)
 	return ok && t == term
 }
@@ -120,9 +120,9 @@
 // SnapshotIndex returns the index of the newest snapshot.
 func (n *Node) SnapshotIndex() uint64 { return n.log.snap.Index }
 
-// Settled reports whether this leader has committed an entry of its own term;
+// CommittedInTerm reports whether this leader has committed an entry of its own term;
 // before that it may not know of all that is committed.
-func (n *Node) Settled() bool { return n.role == Leader && n.commit >= n.termStart }
+func (n *Node) CommittedInTerm() bool { return n.role == Leader && n.commit >= n.termStart }
 
 // Member returns the member with the given ID.
 func (n *Node) Member(id MemberID) (Member, bool) {
@@ -207,7 +207,7 @@
 		n.onVoteRequest(m, now)
 	case MsgPreVoteReply, MsgVoteReply:
 		n.onVoteReply(m, now)
-	case MsgTransfer:
+	case MsgTimeoutNow:
 		n.onTransfer(m, now)
 	}
 }
@@ -286,8 +286,8 @@
 		rd.HardState = &hs
 		n.hardDirty = false
 		// A new term must be durable before anything is sent in it.
-		rd.Messages = append(rd.Early, rd.Messages...)
-		rd.Early = nil
+		rd.Messages = append(rd.EarlyMessages, rd.Messages...)
+		rd.EarlyMessages = nil
 	}
 	if first := n.stable + 1; first <= n.log.last() {
 		rd.Entries = n.log.slice(first, int(^uint(0)>>1))
@@ -295,13 +295,13 @@
 	return rd
 }
 
-// Early returns the messages that need not wait for the disk, and forgets them. There are
+// TakeEarlyMessages returns the messages that need not wait for the disk, and forgets them. There are
 // none while a new term is not yet handed out by Ready.
-func (n *Node) Early() (ms []Message) {
+func (n *Node) TakeEarlyMessages() (ms []Message) {
 	if n.hardDirty {
 		return nil
 	}
-	ms, n.out.Early = n.out.Early, nil
+	ms, n.out.EarlyMessages = n.out.EarlyMessages, nil
 	return ms
 }
 
@@ -339,11 +339,11 @@
 	return es
 }
 
-// Stable returns the highest index known durable here.
-func (n *Node) Stable() uint64 { return n.stable }
+// StableIndex returns the highest index known durable here.
+func (n *Node) StableIndex() uint64 { return n.stable }
 
-// After returns the entries after index that are durable here.
-func (n *Node) After(index uint64) []Entry {
+// StableEntriesAfter returns the entries after index that are durable here.
+func (n *Node) StableEntriesAfter(index uint64) []Entry {
 	if index >= n.stable {
 		return nil
 	}
--- a/quorum/overlap_test.go
+++ b/quorum/overlap_test.go
@@ -76,7 +76,7 @@
 	}
 	return !slices.ContainsFunc(l.node.voters(), func(id MemberID) bool {
 		r := s.replicas[id]
-		return s.life[string(id[:2])] != id || r.node == nil || r.frozen || r.node.Commit() < l.node.Commit()
+		return s.life[string(id[:2])] != id || r.node == nil || r.frozen || r.node.CommitIndex() < l.node.CommitIndex()
 	})
 }
 
--- a/quorum/quorum.go
+++ b/quorum/quorum.go
@@ -95,7 +95,7 @@
 	MsgVote
 	MsgVoteReply
 	MsgSnapshot
-	MsgTransfer // asks a voter to campaign at once, since its leader stops
+	MsgTimeoutNow // asks a voter to campaign at once, since its leader stops
 )
 
 // Message passes between two replicas. Lost, doubled and reordered messages
@@ -112,26 +112,26 @@
 	Snapshot *Snapshot   `cbor:"9,keyasint,omitempty"`
 	Reject   bool        `cbor:"10,keyasint,omitempty"`
 	Match    uint64      `cbor:"11,keyasint,omitempty"` // replies: highest index known equal, or hint
-	Sent     int64       `cbor:"12,keyasint,omitempty"` // leader's clock, Unix ns, echoed
+	SentNS   int64       `cbor:"12,keyasint,omitempty"` // leader's clock, Unix ns, echoed
 	Transfer bool        `cbor:"13,keyasint,omitempty"` // votes: the leader itself gave up its part
 }
 
 // Ready is the work a Node asks of its caller, in the order of the fields.
 type Ready struct {
-	Early     []Message // send at once
-	HardState *HardState
-	Snapshot  *Snapshot // replaces the log up to its index
-	Entries   []Entry   // append; entries at or past the first's index are replaced
-	Messages  []Message // send once the above is synced
+	EarlyMessages []Message // send at once
+	HardState     *HardState
+	Snapshot      *Snapshot // replaces the log up to its index
+	Entries       []Entry   // append; entries at or past the first's index are replaced
+	Messages      []Message // send once the above is synced
 }
 
 // Empty reports whether there is nothing to do.
 func (rd Ready) Empty() bool {
-	return len(rd.Early) == 0 && rd.HardState == nil && rd.Snapshot == nil && len(rd.Entries) == 0 && len(rd.Messages) == 0
+	return len(rd.EarlyMessages) == 0 && rd.HardState == nil && rd.Snapshot == nil && len(rd.Entries) == 0 && len(rd.Messages) == 0
 }
 
-// Durable reports whether something must be synced.
-func (rd Ready) Durable() bool {
+// MustSync reports whether something must be synced.
+func (rd Ready) MustSync() bool {
 	return rd.HardState != nil || rd.Snapshot != nil || len(rd.Entries) > 0
 }
 
@@ -157,10 +157,10 @@
 	// ElectionTimeout is the least silence after which a replica campaigns;
 	// each wait is drawn between it and its double.
 	ElectionTimeout time.Duration
-	// Heartbeat is the pause between appends to an idle replica.
-	Heartbeat time.Duration
+	// HeartbeatInterval is the pause between appends to an idle replica.
+	HeartbeatInterval time.Duration
 	// Seed makes the draws repeatable.
 	Seed uint64
-	// MaxBatch bounds the payload bytes of one append; 0 means 1 MiB.
-	MaxBatch int
+	// MaxBatchBytes bounds the payload bytes of one append; 0 means 1 MiB.
+	MaxBatchBytes int
 }
--- a/quorum/quorum_test.go
+++ b/quorum/quorum_test.go
@@ -61,7 +61,7 @@
 func (g *group) start(id MemberID) {
 	r := g.replicas[id]
 	r.applied = nil
-	r.node = New(Config{ID: id, ElectionTimeout: 100 * time.Millisecond, Heartbeat: 20 * time.Millisecond, Seed: g.rng.Uint64()},
+	r.node = New(Config{ID: id, ElectionTimeout: 100 * time.Millisecond, HeartbeatInterval: 20 * time.Millisecond, Seed: g.rng.Uint64()},
 		r.hard, r.snap, append([]Entry(nil), r.entries...), g.clock(id))
 }
 
@@ -79,7 +79,7 @@
 		if rd.Empty() && len(es) == 0 {
 			break
 		}
-		g.net = append(g.net, rd.Early...)
+		g.net = append(g.net, rd.EarlyMessages...)
 		if crash != nil && crash() {
 			g.crash(r.id)
 			return
@@ -124,7 +124,7 @@
 // it: a vote, and the entries that it acknowledges. Nothing that goes out early
 // promises anything.
 func (g *group) checkTold(r *replica, rd Ready) {
-	for _, m := range rd.Early {
+	for _, m := range rd.EarlyMessages {
 		assert.Assert(g.t, m.Type == MsgAppend || m.Type == MsgSnapshot, "%s sends type %d before it is on disk", r.id, m.Type)
 	}
 	for _, m := range rd.Messages {
@@ -188,7 +188,7 @@
 	var best *replica
 	for _, id := range g.order {
 		r := g.replicas[id]
-		if r.node != nil && !r.frozen && r.node.Settled() && (best == nil || r.node.Term() > best.node.Term()) {
+		if r.node != nil && !r.frozen && r.node.CommittedInTerm() && (best == nil || r.node.Term() > best.node.Term()) {
 			best = r
 		}
 	}
@@ -250,7 +250,7 @@
 			g.run(50)
 			assert.Assert(t, len(acked) > 0, "nothing was committed under faults")
 			for _, id := range g.order {
-				assert.Equal(t, g.replicas[id].node.Commit(), l.node.Commit(), "replica %s", id)
+				assert.Equal(t, g.replicas[id].node.CommitIndex(), l.node.CommitIndex(), "replica %s", id)
 			}
 			for _, data := range acked {
 				assert.Assert(t, g.hasCommitted(data), "acknowledged entry %s is lost", data)
@@ -323,7 +323,7 @@
 	g.crash("c3#1")
 	rejoin(g, "c3#2", "c3")
 	assert.Equal(t, voterCount(g), 3)
-	assert.Equal(t, g.replicas["c3#2"].node.Commit(), g.waitLeader().node.Commit())
+	assert.Equal(t, g.replicas["c3#2"].node.CommitIndex(), g.waitLeader().node.CommitIndex())
 
 	// A second one is lost right after the repair: the two that are left go on
 	// and have lost nothing.
@@ -421,7 +421,7 @@
 		g.run(300)
 		assert.Equal(t, g.waitLeader().id, l.id)
 		assert.Equal(t, l.node.Term(), term)
-		assert.Equal(t, old.node.Commit(), l.node.Commit())
+		assert.Equal(t, old.node.CommitIndex(), l.node.CommitIndex())
 	})
 }
 
@@ -468,7 +468,7 @@
 		g.cut[[2]MemberID{id, old.id}] = true
 	}
 	for range 200 {
-		old.node.Confirm(g.now)
+		old.node.ConfirmLeadership(g.now)
 		g.step(nil)
 	}
 	assert.Assert(t, old.node.Role() != Leader, "it leads though nobody has answered for a second")
@@ -527,7 +527,7 @@
 			_, ok := g.propose(fmt.Sprintf("last-%d", i))
 			assert.Assert(t, ok)
 		}
-		old.node.Transfer(g.now)
+		old.node.TransferLeadership(g.now)
 		g.ready(old, nil)
 		g.run(15) // 75 ms; the least timeout is 100 ms
 		l := g.leader()
@@ -549,7 +549,7 @@
 			g.crash(id)
 		}
 	}
-	l.node.Transfer(g.now)
+	l.node.TransferLeadership(g.now)
 	g.ready(l, nil)
 	g.run(5)
 	assert.Equal(t, l.node.Role(), Leader)
@@ -570,7 +570,7 @@
 		for _, id := range g.order {
 			if id != old.id {
 				g.cut[[2]MemberID{old.id, id}] = true // a connection ends after what it carried
-				g.replicas[id].node.Suspect(old.id, g.now)
+				g.replicas[id].node.HandleDisconnect(old.id, g.now)
 			}
 		}
 		g.run(15) // 75 ms; the least timeout is 100 ms
@@ -587,7 +587,7 @@
 		term := old.node.Term()
 		for _, id := range g.order {
 			if id != old.id {
-				g.replicas[id].node.Suspect(old.id, g.now)
+				g.replicas[id].node.HandleDisconnect(old.id, g.now)
 				break
 			}
 		}
@@ -637,15 +637,15 @@
 		}
 		g.step(nil)
 	}
-	base := g.replicas[back].node.Last()
+	base := g.replicas[back].node.LastIndex()
 	sent := 0
 	for _, m := range late {
 		g.now = g.now.Add(time.Millisecond)
 		l.node.Step(Message{
-			Type: MsgAppendReply, From: back, To: l.id, Term: l.node.Term(), Reject: true, Match: min(base, m.LogIndex-1), LogTerm: l.node.Term(), Sent: m.Sent,
+			Type: MsgAppendReply, From: back, To: l.id, Term: l.node.Term(), Reject: true, Match: min(base, m.LogIndex-1), LogTerm: l.node.Term(), SentNS: m.SentNS,
 		}, g.now)
 		rd := l.node.Ready()
-		for _, out := range rd.Early {
+		for _, out := range rd.EarlyMessages {
 			sent += len(out.Entries)
 		}
 		l.save(rd)
@@ -655,5 +655,5 @@
 	assert.Assert(t, sent <= 2*lag, "%d entries were sent for a lag of %d", sent, lag)
 	g.replicas[back].frozen = false
 	g.run(200)
-	assert.Equal(t, g.replicas[back].node.Commit(), l.node.Commit())
+	assert.Equal(t, g.replicas[back].node.CommitIndex(), l.node.CommitIndex())
 }
--- a/quorum/view.go
+++ b/quorum/view.go
@@ -21,19 +21,19 @@
 
 func newView() view { return view{heard: map[MemberID]time.Time{}} }
 
-// Heard returns when another replica was last heard, or the zero time if it was
+// LastMessageAt returns when another replica was last heard, or the zero time if it was
 // not since this process began. Followers hear each other only in campaigns.
-func (n *Node) Heard(id MemberID) time.Time { return n.view.heard[id] }
+func (n *Node) LastMessageAt(id MemberID) time.Time { return n.view.heard[id] }
 
 // Campaigns returns how many campaigns this replica has begun since its process
 // did. One that first asks whether others would vote counts once.
 func (n *Node) Campaigns() uint64 { return n.view.campaigns }
 
-// Answers returns, while no leader is known, who granted (true) and who refused this
+// VoteReplies returns, while no leader is known, who granted (true) and who refused this
 // replica's running campaign, or the one before where the answer to this is still
 // out. Voters that are missing did not answer either. asked is false if it has not
 // campaigned since a leader was known.
-func (n *Node) Answers() (all map[MemberID]bool, asked bool) {
+func (n *Node) VoteReplies() (all map[MemberID]bool, asked bool) {
 	all = map[MemberID]bool{}
 	maps.Copy(all, n.view.earlier)
 	maps.Copy(all, n.view.answers)
--- a/quorum/view_test.go
+++ b/quorum/view_test.go
@@ -10,7 +10,7 @@
 // assertAnswers holds what a replica knows of the answers to its campaigns.
 func assertAnswers(t *testing.T, n *Node, want map[MemberID]bool) {
 	t.Helper()
-	got, asked := n.Answers()
+	got, asked := n.VoteReplies()
 	assert.DeepEqual(t, got, want)
 	assert.Equal(t, asked, len(want) > 0)
 }
@@ -24,7 +24,7 @@
 	}
 	for _, m := range n.Members() {
 		if m.ID != n.ID() {
-			assert.Equal(t, n.Heard(m.ID).After(at), heard[m.ID], "%s was heard at %v", m.ID, n.Heard(m.ID))
+			assert.Equal(t, n.LastMessageAt(m.ID).After(at), heard[m.ID], "%s was heard at %v", m.ID, n.LastMessageAt(m.ID))
 		}
 	}
 }
@@ -75,7 +75,7 @@
 		g.start(l.id)
 		lagging := g.replicas[behind].node
 		for range 400 {
-			if all, _ := lagging.Answers(); len(all) > 0 {
+			if all, _ := lagging.VoteReplies(); len(all) > 0 {
 				break
 			}
 			g.step(nil)
@@ -121,6 +121,6 @@
 		n.Step(Message{Type: MsgPreVote, From: MemberID(rune('a' + i)), To: "c1#1"}, now.Add(time.Second))
 	}
 	assert.Assert(t, len(n.view.heard) <= maxHeard+len(members), "%d are remembered", len(n.view.heard))
-	assert.Assert(t, n.Heard("c2#1").Equal(now))
-	assert.Assert(t, n.Heard("c3#1").IsZero())
+	assert.Assert(t, n.LastMessageAt("c2#1").Equal(now))
+	assert.Assert(t, n.LastMessageAt("c3#1").IsZero())
 }
--- a/replica/full_test.go
+++ b/replica/full_test.go
@@ -24,7 +24,7 @@
 }
 
 func (s *fullStore) Save(rd quorum.Ready) error {
-	if s.full.Load() && rd.Durable() {
+	if s.full.Load() && rd.MustSync() {
 		s.refused.Add(1)
 		return fmt.Errorf("save: %w", disk.ErrFull)
 	}
@@ -107,7 +107,7 @@
 	refused atomic.Int64
 }
 
-func (s *logOnly) Snapshot(quorum.Snapshot, []quorum.Entry) error {
+func (s *logOnly) SaveSnapshot(quorum.Snapshot, []quorum.Entry) error {
 	s.refused.Add(1)
 	return fmt.Errorf("snapshot: %w", disk.ErrFull)
 }
--- a/replica/reads.go
+++ b/replica/reads.go
@@ -23,7 +23,7 @@
 	rd.at = r.now()
 	r.pending = append(r.pending, rd)
 	if len(r.pending) == 1 {
-		r.node.Confirm(rd.at)
+		r.node.ConfirmLeadership(rd.at)
 	}
 }
 
@@ -52,7 +52,7 @@
 		r.pending = nil
 		return
 	}
-	if !r.node.Settled() {
+	if !r.node.CommittedInTerm() {
 		return
 	}
 	contact := r.node.QuorumContact(r.now())
@@ -62,11 +62,11 @@
 			left = append(left, rd)
 			continue
 		}
-		rd.commit = r.node.Commit()
+		rd.commit = r.node.CommitIndex()
 		r.ready = append(r.ready, rd)
 	}
 	if len(left) > 0 && len(left) < len(r.pending) {
-		r.node.Confirm(r.now()) // those that came after the last round
+		r.node.ConfirmLeadership(r.now()) // those that came after the last round
 	}
 	r.pending = left
 }
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -145,13 +145,13 @@
 // New returns a replica that resumes from store.
 func New(cfg Config, store Store, send Sender, log zerolog.Logger, rec rudderfork.Recorder, now func() time.Time) (r *Replica, err error) {
 	defer errs.Annotate(&err, "replica")
-	hs, snap, entries := store.Loaded()
+	hs, snap, entries := store.TakeLoaded()
 	st, err := state.Decode(snap.Data)
 	if err != nil {
 		return nil, err
 	}
 	node := quorum.New(quorum.Config{
-		ID: store.Identity().ID, ElectionTimeout: cfg.ElectionTimeout, Heartbeat: cfg.Heartbeat, Seed: cfg.Seed,
+		ID: store.Identity().ID, ElectionTimeout: cfg.ElectionTimeout, HeartbeatInterval: cfg.Heartbeat, Seed: cfg.Seed,
 	}, hs, snap, entries, now())
 	node.SetDomain(memberName(store.Identity().ID), cfg.Domain)
 	report := newReporter(log, send, cfg.Voters, node, now())
@@ -163,7 +163,7 @@
 		resigns: make(chan struct{}, 1), suspects: make(chan quorum.MemberID, maxSuspects),
 		callers: make(chan quorum.Member, maxCallers),
 		node:    node, waiting: map[uint64]proposal{}, snapAt: snap.Index, used: snap.Index > 0, report: report,
-		change: make(chan struct{}), writer: newWriter(store, log), logBytes: store.Size(),
+		change: make(chan struct{}), writer: newWriter(store, log), logBytes: store.LogBytes(),
 	}
 	r.machine = newMachine(st, r.wake)
 	r.publish()
@@ -196,9 +196,9 @@
 		case m := <-r.joins:
 			r.join(m)
 		case <-r.resigns:
-			r.node.Transfer(r.now())
+			r.node.TransferLeadership(r.now())
 		case id := <-r.suspects:
-			r.node.Suspect(id, r.now())
+			r.node.HandleDisconnect(id, r.now())
 		case m := <-r.callers:
 			r.node.SetDomain(m.Name, m.Domain)
 		case <-r.machine.progress:
@@ -257,7 +257,7 @@
 		return
 	}
 	for index, p := range r.waiting {
-		if !r.node.Holds(index, p.term) {
+		if !r.node.HasEntry(index, p.term) {
 			delete(r.waiting, index)
 			p.reply <- outcome{err: ErrUnknown}
 		}
@@ -266,7 +266,7 @@
 
 // opened reports whether the group takes commands.
 func (r *Replica) opened() bool {
-	open, short := r.opening.Opened(r.used, r.node.Settled(), r.node.Voters(), r.size, r.now())
+	open, short := r.opening.Opened(r.used, r.node.CommittedInTerm(), r.node.Voters(), r.size, r.now())
 	if short {
 		r.log.Warn().Int("voters", r.node.Voters()).Int("needed", r.size).Msg("group_opened_short")
 	}
@@ -281,8 +281,8 @@
 		if rd.Empty() {
 			break
 		}
-		r.sendAll(rd.Early)
-		if rd.Durable() {
+		r.sendAll(rd.EarlyMessages)
+		if rd.MustSync() {
 			r.write(write{ready: rd})
 			break
 		}
@@ -290,7 +290,7 @@
 	}
 	if r.writing != nil && r.writing.ready.HardState == nil {
 		// A term that is on its way to the disk is told to nobody.
-		r.sendAll(r.node.Early())
+		r.sendAll(r.node.TakeEarlyMessages())
 	}
 	r.apply(r.node.Committed())
 	r.answerGone()
@@ -360,8 +360,8 @@
 	n, now := r.node, r.now()
 	r.report.Observe(n, now)
 	st := Status{
-		ID: n.ID(), Role: n.Role().String(), Term: n.Term(), Commit: n.Commit(), Last: n.Last(),
-		Snapshot: n.SnapshotIndex(), LogBytes: r.logBytes, Settled: n.Settled() && r.opened(), Members: n.Members(),
+		ID: n.ID(), Role: n.Role().String(), Term: n.Term(), Commit: n.CommitIndex(), Last: n.LastIndex(),
+		Snapshot: n.SnapshotIndex(), LogBytes: r.logBytes, Settled: n.CommittedInTerm() && r.opened(), Members: n.Members(),
 		ContactNS: n.QuorumContact(now).UnixNano(), Campaigns: n.Campaigns(), Leaderless: r.report.Leaderless(),
 	}
 	st.Leader, _ = n.Member(n.Leader())
@@ -403,7 +403,7 @@
 	}
 	s.Heard, s.heard = map[quorum.MemberID]time.Time{}, now.Add(heardPause)
 	for _, m := range s.Members {
-		if at := n.Heard(m.ID); !at.IsZero() {
+		if at := n.LastMessageAt(m.ID); !at.IsZero() {
 			s.Heard[m.ID] = at
 		}
 	}
@@ -420,7 +420,7 @@
 		r.report.NotJoined(m, r.node, joinMember, r.now())
 	case !ok:
 		r.report.NotJoined(m, r.node, joinLifeAnswers, r.now())
-	case !r.node.Settled():
+	case !r.node.CommittedInTerm():
 		r.report.NotJoined(m, r.node, joinUnsettled, r.now())
 	case !r.changeMembers(next, quorum.ReasonJoined):
 		r.report.NotJoined(m, r.node, joinChanging, r.now())
@@ -440,7 +440,7 @@
 
 // repair takes the next step of bringing a rejoined replica in.
 func (r *Replica) repair() {
-	if !r.node.Settled() {
+	if !r.node.CommittedInTerm() {
 		return
 	}
 	if voters := r.node.Voters(); r.short.Found(r.node.Term(), voters, r.size, r.now()) {
--- a/replica/report.go
+++ b/replica/report.go
@@ -69,7 +69,7 @@
 func (p *reporter) Opened(n *quorum.Node) {
 	_, member := n.Member(n.ID())
 	e := p.log.Info().Str("member", string(n.ID())).Bool("votes", votes(n)).Bool("joins", !member).
-		Bool("empty", n.Last() == 0).Uint64("term", n.Term()).Uint64("last", n.Last()).Uint64("last_term", n.LastTerm()).
+		Bool("empty", n.LastIndex() == 0).Uint64("term", n.Term()).Uint64("last", n.LastIndex()).Uint64("last_term", n.LastTerm()).
 		Int("wanted", p.size).Dict("addrs", addrs(n.Members()))
 	group(e, n.Members()).Msg("replica_opened")
 }
@@ -134,7 +134,7 @@
 // was not committed may go again.
 func (p *reporter) changed(n *quorum.Node) {
 	e := difference(p.log.Info(), p.members, n.Members()).
-		Bool("votes", votes(n)).Uint64("term", n.Term()).Uint64("last", n.Last()).Dict("addrs", addrs(n.Members()))
+		Bool("votes", votes(n)).Uint64("term", n.Term()).Uint64("last", n.LastIndex()).Dict("addrs", addrs(n.Members()))
 	group(e, n.Members()).Msg("members_changed")
 	p.members = n.Members()
 }
@@ -143,7 +143,7 @@
 // campaigns, and when each was last heard.
 func (p *reporter) noLeader(n *quorum.Node, now time.Time) {
 	var granted, refused, unanswered []string
-	answers, asked := n.Answers()
+	answers, asked := n.VoteReplies()
 	for _, m := range n.Members() {
 		yes, answered := answers[m.ID]
 		switch {
@@ -157,7 +157,7 @@
 		}
 	}
 	e := p.log.Warn().Dur("leaderless", now.Sub(p.leaderless)).Str("role", n.Role().String()).Bool("votes", votes(n)).
-		Uint64("term", n.Term()).Uint64("last", n.Last()).Uint64("last_term", n.LastTerm()).
+		Uint64("term", n.Term()).Uint64("last", n.LastIndex()).Uint64("last_term", n.LastTerm()).
 		Uint64("campaigns", n.Campaigns()).Int("needed", majority(n.Voters())).Int("wanted", p.size).
 		Strs("granted", granted).Strs("refused", refused).Strs("unanswered", unanswered).
 		Dict("heard", ages(n, now))
@@ -167,7 +167,7 @@
 // asking tells that this replica is no member and asks to be one.
 func (p *reporter) asking(n *quorum.Node, now time.Time) {
 	e := p.log.Info().Str("member", string(n.ID())).Strs("asked", p.send.Addrs()).
-		Uint64("term", n.Term()).Uint64("last", n.Last()).Str("leader", string(n.Leader()))
+		Uint64("term", n.Term()).Uint64("last", n.LastIndex()).Str("leader", string(n.Leader()))
 	if !p.leaderless.IsZero() {
 		e.Dur("leaderless", now.Sub(p.leaderless))
 	}
@@ -195,8 +195,8 @@
 
 // status tells what this replica knows of its group.
 func (p *reporter) status(n *quorum.Node, now time.Time) {
-	e := p.log.Info().Str("member", string(n.ID())).Str("role", n.Role().String()).Bool("settled", n.Settled()).
-		Uint64("term", n.Term()).Str("leader", string(n.Leader())).Uint64("commit", n.Commit()).Uint64("last", n.Last()).
+	e := p.log.Info().Str("member", string(n.ID())).Str("role", n.Role().String()).Bool("settled", n.CommittedInTerm()).
+		Uint64("term", n.Term()).Str("leader", string(n.Leader())).Uint64("commit", n.CommitIndex()).Uint64("last", n.LastIndex()).
 		Int("wanted", p.size).Dict("heard", ages(n, now))
 	group(e, n.Members()).Msg("group_status")
 }
@@ -273,7 +273,7 @@
 			continue
 		}
 		age := int64(neverHeard)
-		if at := n.Heard(m.ID); !at.IsZero() {
+		if at := n.LastMessageAt(m.ID); !at.IsZero() {
 			age = now.Sub(at).Milliseconds()
 		}
 		d.Int64(string(m.ID), age)
--- a/replica/report_test.go
+++ b/replica/report_test.go
@@ -33,7 +33,7 @@
 func newReported(t *testing.T, id quorum.MemberID, members []quorum.Member) *reported {
 	t.Helper()
 	r := &reported{t: t, now: time.Unix(1000, 0)}
-	r.node = quorum.New(quorum.Config{ID: id, ElectionTimeout: 100 * time.Millisecond, Heartbeat: 20 * time.Millisecond},
+	r.node = quorum.New(quorum.Config{ID: id, ElectionTimeout: 100 * time.Millisecond, HeartbeatInterval: 20 * time.Millisecond},
 		quorum.HardState{Term: 4}, quorum.Snapshot{Members: members}, nil, r.now)
 	r.rep = newReporter(zerolog.New(&r.out), nobody{}, 3, r.node, r.now)
 	return r
--- a/replica/saving.go
+++ b/replica/saving.go
@@ -32,12 +32,12 @@
 		r.encoded, r.snapping = nil, false
 		return
 	}
-	if r.writing != nil || s.Index > r.node.Stable() {
+	if r.writing != nil || s.Index > r.node.StableIndex() {
 		return
 	}
 	r.encoded = nil
 	s = r.node.Compact(s)
-	r.write(write{snap: &s, after: r.node.After(s.Index)})
+	r.write(write{snap: &s, after: r.node.StableEntriesAfter(s.Index)})
 }
 
 // noteSnapshot notes how writing a snapshot has ended. Without room the log goes on in
--- a/replica/writer.go
+++ b/replica/writer.go
@@ -24,11 +24,11 @@
 // Store keeps what a replica must not forget, as disk.Store does.
 type Store interface {
 	Identity() disk.Identity
-	Loaded() (hs quorum.HardState, snap quorum.Snapshot, entries []quorum.Entry)
-	// Save and Snapshot fail with disk.ErrFull where the same may be tried again.
+	TakeLoaded() (hs quorum.HardState, snap quorum.Snapshot, entries []quorum.Entry)
+	// Save and SaveSnapshot fail with disk.ErrFull where the same may be tried again.
 	Save(rd quorum.Ready) error
-	Snapshot(snap quorum.Snapshot, after []quorum.Entry) error
-	Size() int64 // of the log, bytes
+	SaveSnapshot(snap quorum.Snapshot, after []quorum.Entry) error
+	LogBytes() int64 // of the log, bytes
 }
 
 // writer writes to the disk in a goroutine of its own, one write at a time, so that the
@@ -67,14 +67,14 @@
 			return
 		case wr := <-w.writes:
 			err := w.do(ctx, wr)
-			w.done <- written{wr, w.store.Size(), err}
+			w.done <- written{wr, w.store.LogBytes(), err}
 		}
 	}
 }
 
 func (w *writer) do(ctx context.Context, wr write) error {
 	if wr.snap != nil {
-		return w.store.Snapshot(*wr.snap, wr.after)
+		return w.store.SaveSnapshot(*wr.snap, wr.after)
 	}
 	crash.Point(crash.ControlSave)
 	err := w.save(ctx, wr.ready)
