--- a/lease/holder.go
+++ b/lease/holder.go
@@ -8,7 +8,7 @@
 	"rudderfork.example/rudderfork"
 )
 
-// WorkerPhase is where an attempt stands at the worker.
+// WorkerPhase is the state of an attempt at the worker.
 type WorkerPhase string
 
 // The phases that a worker reports.
@@ -16,8 +16,8 @@
 	WorkerRunning WorkerPhase = "running"
 	WorkerDone    WorkerPhase = "done"
 	WorkerFailed  WorkerPhase = "failed"
-	WorkerStopped WorkerPhase = "stopped" // by request, checkpointed
-	WorkerExpired WorkerPhase = "expired" // for want of a lease
+	WorkerStopped WorkerPhase = "stopped" // by request, after a checkpoint
+	WorkerExpired WorkerPhase = "expired" // stopped by the worker since the lease had ended
 )
 
 // WorkerTask is an attempt as the worker reports it.
@@ -27,14 +27,15 @@
 	Phase      WorkerPhase
 	Size       rudderfork.Resources
 	Used       rudderfork.Resources
-	Checkpoint int64 // units that would not be lost
+	Checkpoint int64 // units of work saved
 	Progress   int64 // units done
 	Throttle   int
 	Reason     string
-	At         int64 // of the usage, Unix ms
+	At         int64 // time at which Used was measured, Unix ms
 }
 
-// Action is one thing that the agent must do. Exactly one field is set.
+// Action is a call of the agent to the worker, or a report to control. Exactly one
+// field is set.
 type Action struct {
 	Start    *rudderfork.Lease
 	Stop     *StopTask
@@ -49,56 +50,57 @@
 	Token rudderfork.Token
 }
 
-// StopTask asks the worker to stop an attempt, and to refuse it if it comes
-// later.
+// StopTask tells the worker to stop an attempt, and to refuse its start if that
+// arrives later.
 type StopTask struct {
 	AttemptRef
 	Checkpoint bool
 }
 
-// SetThrottle asks the worker to slow an attempt.
+// SetThrottle tells the worker to throttle an attempt.
 type SetThrottle struct {
 	AttemptRef
 	Level int
 }
 
-// Holder is an agent's view of the leases of its VM. It is not safe for
-// concurrent use.
+// Holder keeps the leases of an agent's VM and the attempts at its worker. It is
+// not safe for concurrent use.
 type Holder struct {
-	room     rudderfork.Resources
+	capacity rudderfork.Resources
 	epoch    rudderfork.Token
 	deadline time.Time
 	revision rudderfork.Revision
-	want     map[rudderfork.TaskID]rudderfork.Lease
+	desired  map[rudderfork.TaskID]rudderfork.Lease
 	throttle map[rudderfork.TaskID]int
 
-	boot    string // of the worker
-	seen    map[rudderfork.TaskID]WorkerTask
-	known   bool                  // want is that of the present epoch
-	fresh   bool                  // seen is newer than the last change of want
-	started map[AttemptRef]string // worker boot under which an attempt was started
+	boot        string // boot ID of the worker
+	workerTasks map[rudderfork.TaskID]WorkerTask
+	assigned    bool                  // desired was assigned in the present epoch
+	observed    bool                  // workerTasks is newer than the last change of desired
+	started     map[AttemptRef]string // boot ID of the worker when the start of an attempt was requested
 }
 
-// NewHolder returns a holder for a VM on which tasks may take room.
-func NewHolder(room rudderfork.Resources) *Holder {
+// NewHolder returns a holder for a VM whose tasks may use capacity.
+func NewHolder(capacity rudderfork.Resources) *Holder {
 	return &Holder{
-		room:     room,
-		want:     map[rudderfork.TaskID]rudderfork.Lease{},
-		throttle: map[rudderfork.TaskID]int{},
-		seen:     map[rudderfork.TaskID]WorkerTask{},
-		started:  map[AttemptRef]string{},
+		capacity:    capacity,
+		desired:     map[rudderfork.TaskID]rudderfork.Lease{},
+		throttle:    map[rudderfork.TaskID]int{},
+		workerTasks: map[rudderfork.TaskID]WorkerTask{},
+		started:     map[AttemptRef]string{},
 	}
 }
 
-// StartSession starts a session under epoch. Leases of an older epoch are void.
+// StartSession starts a session with control under an epoch. Leases of an older
+// epoch become invalid.
 func (h *Holder) StartSession(epoch rudderfork.Token) {
 	if epoch <= h.epoch {
 		return
 	}
 	h.epoch = epoch
 	h.deadline = time.Time{}
-	clear(h.want)
-	h.known, h.fresh = false, false
+	clear(h.desired)
+	h.assigned, h.observed = false, false
 }
 
 // Epoch returns the epoch of the session.
@@ -107,54 +109,56 @@
 // Deadline returns when the VM's lease ends.
 func (h *Holder) Deadline() time.Time { return h.deadline }
 
-// Grant takes a deadline. One that is of another epoch or older changes nothing.
+// Grant extends the VM's lease to deadline. A grant of another epoch or an earlier
+// deadline changes nothing.
 func (h *Holder) Grant(epoch rudderfork.Token, deadline time.Time) {
 	if epoch == h.epoch && deadline.After(h.deadline) {
 		h.deadline = deadline
 	}
 }
 
-// Assign takes all that the VM is to run. An assignment of another epoch or an
-// older revision changes nothing.
+// Assign replaces the leases of the tasks that the VM is to run. An assignment of
+// another epoch or an older revision changes nothing.
 func (h *Holder) Assign(epoch rudderfork.Token, rev rudderfork.Revision, leases []rudderfork.Lease) {
 	if epoch != h.epoch || rev < h.revision {
 		return
 	}
 	h.revision = rev
-	clear(h.want)
+	clear(h.desired)
 	for _, l := range leases {
-		h.want[l.Task] = l
+		h.desired[l.Task] = l
 	}
-	h.known, h.fresh = true, false
+	h.assigned, h.observed = true, false
 }
 
-// SetThrottle says how much a task is to be slowed.
+// SetThrottle sets the throttle level that a task is to have.
 func (h *Holder) SetThrottle(t rudderfork.TaskID, level int) { h.throttle[t] = level }
 
-// Observe takes the worker's list, asked for after the last call of Assign.
+// Observe takes the worker's boot ID and its list of attempts, which must have
+// been requested after the last call of Assign.
 func (h *Holder) Observe(boot string, tasks []WorkerTask) {
 	h.boot = boot
-	h.fresh = true
-	clear(h.seen)
+	h.observed = true
+	clear(h.workerTasks)
 	for _, t := range tasks {
-		h.seen[t.Task] = t
+		h.workerTasks[t.Task] = t
 	}
 	for id := range h.throttle {
-		if _, ok := h.seen[id]; !ok {
+		if _, ok := h.workerTasks[id]; !ok {
 			delete(h.throttle, id)
 		}
 	}
 	for ref := range h.started {
-		if h.want[ref.Task].Token != ref.Token {
+		if h.desired[ref.Task].Token != ref.Token {
 			delete(h.started, ref)
 		}
 	}
 }
 
-// Running returns the attempts that run at the worker, in the order of tasks.
+// Running returns the attempts that run at the worker, in the order of task IDs.
 func (h *Holder) Running() []WorkerTask {
 	var ts []WorkerTask
-	for _, t := range h.seen {
+	for _, t := range h.workerTasks {
 		if t.Phase == WorkerRunning {
 			ts = append(ts, t)
 		}
@@ -163,24 +167,24 @@
 	return ts
 }
 
-// Lease returns the lease of a task, if it is wanted.
+// Lease returns the lease of a task, if one is assigned.
 func (h *Holder) Lease(t rudderfork.TaskID) (l rudderfork.Lease, ok bool) {
-	l, ok = h.want[t]
+	l, ok = h.desired[t]
 	return l, ok
 }
 
-// NextActions returns what to do now, reports first. It returns nothing until an
-// assignment came and the worker was observed after it: an agent that has just
-// started must not stop what it does not know yet, and the worker stops by
-// itself when the lease ends.
+// NextActions returns the actions that are due now, reports first. It returns none
+// until an assignment has arrived and the worker was observed after it: an agent
+// that has just started must not stop attempts whose leases it hasn't received
+// yet. The worker stops them itself when the lease ends.
 func (h *Holder) NextActions(now time.Time) []Action {
-	if !h.known || !h.fresh {
+	if !h.assigned || !h.observed {
 		return nil
 	}
 	var as []Action
 	valid := now.Before(h.deadline)
-	for _, t := range h.seen {
-		as = append(as, h.settle(t, valid)...)
+	for _, t := range h.workerTasks {
+		as = append(as, h.reconcile(t, valid)...)
 	}
 	if valid {
 		as = append(as, h.starts()...)
@@ -189,7 +193,8 @@
 	return as
 }
 
-// rank orders actions so that stops come before starts.
+// rank is the place of an action's kind in the order of actions: stops come before
+// starts, which need the capacity.
 func (a Action) rank() int {
 	switch {
 	case a.Report != nil:
@@ -204,18 +209,18 @@
 	return 4
 }
 
-// settle compares one attempt at the worker with what is wanted.
-func (h *Holder) settle(t WorkerTask, valid bool) []Action {
-	l, wanted := h.want[t.Task]
-	wanted = wanted && l.Token == t.Token
+// reconcile returns the action for an attempt at the worker, by its lease.
+func (h *Holder) reconcile(t WorkerTask, valid bool) []Action {
+	l, desired := h.desired[t.Task]
+	desired = desired && l.Token == t.Token
 	ref := AttemptRef{t.Task, t.Token}
 	switch {
-	case t.Phase != WorkerRunning && wanted:
+	case t.Phase != WorkerRunning && desired:
 		return []Action{{Report: report(t)}}
 	case t.Phase != WorkerRunning:
 		return []Action{{Forget: &ref}}
-	case !valid || !wanted:
-		return []Action{{Stop: &StopTask{ref, false}}} // nobody would take the checkpoint
+	case !valid || !desired:
+		return []Action{{Stop: &StopTask{ref, false}}} // control would not accept the checkpoint
 	case l.Stop:
 		return []Action{{Stop: &StopTask{ref, !l.Discard}}}
 	case h.throttle[t.Task] != t.Throttle:
@@ -239,11 +244,11 @@
 	return r
 }
 
-// starts returns the leases to start, as far as they fit beside all that still
-// runs, whether wanted or not.
+// starts returns the starts of leases without an attempt, as far as they fit into
+// the capacity beside all attempts that still run, with or without a lease.
 func (h *Holder) starts() []Action {
 	var used rudderfork.Resources
-	for _, t := range h.seen {
+	for _, t := range h.workerTasks {
 		if t.Phase == WorkerRunning {
 			used = used.Add(t.Size)
 		}
@@ -253,12 +258,12 @@
 		ref := AttemptRef{l.Task, l.Token}
 		boot, before := h.started[ref]
 		if l.Stop || before && boot != h.boot {
-			// It never started, or the worker has restarted since. The stop makes
-			// the worker refuse a start that is still under way.
+			// The attempt is to stop before it has started, or it ended with a restart
+			// of the worker. The stop makes the worker refuse a start that arrives late.
 			as = append(as, Action{Stop: &StopTask{ref, true}})
 			continue
 		}
-		if !used.Add(l.Size).Fits(h.room) {
+		if !used.Add(l.Size).Fits(h.capacity) {
 			continue
 		}
 		used = used.Add(l.Size)
@@ -268,12 +273,12 @@
 	return as
 }
 
-// missing returns the wanted leases of whose task the worker has no attempt, in
-// the order of tasks. An older attempt must go first.
+// missing returns the leases of whose task the worker has no attempt, in the order
+// of task IDs. An older attempt of the task must be stopped and forgotten first.
 func (h *Holder) missing() []rudderfork.Lease {
 	var ls []rudderfork.Lease
-	for _, l := range h.want {
-		if _, ok := h.seen[l.Task]; !ok {
+	for _, l := range h.desired {
+		if _, ok := h.workerTasks[l.Task]; !ok {
 			ls = append(ls, l)
 		}
 	}
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -15,25 +15,25 @@
 
 func at(d time.Duration) time.Time { return t0.Add(d) }
 
-func TestGrants(t *testing.T) {
+func TestLessor(t *testing.T) {
 	const term, bound = 5 * time.Second, time.Second
 	g := NewLessor(term, bound)
 	check := func(t *testing.T, d time.Duration, want bool) {
 		t.Helper()
 		assert.Equal(t, g.Expired("vm1", at(d)), want, "after %v", d)
 	}
-	t.Run("a VM that was never granted a lease does not expire", func(t *testing.T) { check(t, time.Hour, false) })
+	t.Run("a VM without a lease does not expire", func(t *testing.T) { check(t, time.Hour, false) })
 	g.Reset([]rudderfork.VMID{"vm1"}, t0)
-	t.Run("an earlier leader may have granted one just before", func(t *testing.T) {
+	t.Run("a lease of an earlier leader is assumed", func(t *testing.T) {
 		check(t, term+bound, false)
 		check(t, term+bound+time.Millisecond, true)
 	})
 	assert.Equal(t, g.Grant("vm1", at(2*time.Second)), at(7*time.Second))
-	t.Run("a deadline counts from the contact", func(t *testing.T) {
+	t.Run("a deadline counts from the contact with the quorum", func(t *testing.T) {
 		check(t, 8*time.Second, false)
 		check(t, 8*time.Second+time.Millisecond, true)
 	})
-	t.Run("an older contact does not shorten it", func(t *testing.T) {
+	t.Run("an older contact does not shorten a lease", func(t *testing.T) {
 		assert.Equal(t, g.Grant("vm1", t0), at(7*time.Second))
 	})
 }
@@ -54,7 +54,7 @@
 	return WorkerTask{Task: l.Task, Token: l.Token, Phase: WorkerRunning, Size: l.Size}
 }
 
-// checkNext checks the actions that follow, in short form.
+// checkNext compares the next actions, in short form.
 func checkNext(t *testing.T, h *Holder, now time.Time, want ...string) {
 	t.Helper()
 	got := []string{}
@@ -75,16 +75,16 @@
 
 func TestHolder(t *testing.T) {
 	a := task("a/0", 3)
-	t.Run("nothing is done before the worker was seen", func(t *testing.T) {
+	t.Run("nothing is done before the worker was observed", func(t *testing.T) {
 		checkNext(t, newHolder(a), t0)
 	})
-	t.Run("nothing is stopped before an assignment came", func(t *testing.T) {
+	t.Run("nothing is stopped before an assignment has arrived", func(t *testing.T) {
 		h := NewHolder(rudderfork.Resources{CPUMilli: 2000, MemoryMB: 2000})
 		h.StartSession(1)
 		h.Observe("b1", []WorkerTask{running(a)})
 		checkNext(t, h, t0)
 	})
-	t.Run("a wanted task starts", func(t *testing.T) {
+	t.Run("an assigned task starts", func(t *testing.T) {
 		h := newHolder(a)
 		h.Observe("b1", nil)
 		checkNext(t, h, t0, "start a/0 3")
@@ -94,17 +94,17 @@
 		h.Observe("b1", []WorkerTask{running(a)})
 		checkNext(t, h, t0)
 	})
-	t.Run("an older attempt goes first", func(t *testing.T) {
+	t.Run("an older attempt is stopped first", func(t *testing.T) {
 		h := newHolder(a)
 		h.Observe("b1", []WorkerTask{running(task("a/0", 2))})
 		checkNext(t, h, t0, "stop a/0 2")
 	})
-	t.Run("what is not wanted stops", func(t *testing.T) {
+	t.Run("an attempt without a lease stops", func(t *testing.T) {
 		h := newHolder()
 		h.Observe("b1", []WorkerTask{running(a)})
 		checkNext(t, h, t0, "stop a/0 3")
 	})
-	t.Run("all stops when the lease ends", func(t *testing.T) {
+	t.Run("everything stops when the lease ends", func(t *testing.T) {
 		h := newHolder(a)
 		h.Observe("b1", []WorkerTask{running(a)})
 		checkNext(t, h, at(5*time.Second), "stop a/0 3")
@@ -127,14 +127,14 @@
 		h.Grant(1, t0)
 		assert.Equal(t, h.Deadline(), at(5*time.Second))
 	})
-	t.Run("a task that the worker lost in a restart is fenced off, not started again", func(t *testing.T) {
+	t.Run("an attempt that ended with a restart of the worker is fenced off, not started again", func(t *testing.T) {
 		h := newHolder(a)
 		h.Observe("b1", nil)
 		checkNext(t, h, t0, "start a/0 3")
 		h.Observe("b2", nil)
 		checkNext(t, h, t0, "stop a/0 3")
 	})
-	t.Run("an end is reported until the lease is gone, then forgotten", func(t *testing.T) {
+	t.Run("an end is reported until the lease is removed, then forgotten", func(t *testing.T) {
 		h := newHolder(a)
 		end := running(a)
 		end.Phase = WorkerDone
@@ -145,7 +145,7 @@
 		h.Observe("b1", []WorkerTask{end})
 		checkNext(t, h, t0, "forget a/0 3")
 	})
-	t.Run("a new epoch voids what was wanted", func(t *testing.T) {
+	t.Run("a new epoch invalidates the assignment", func(t *testing.T) {
 		h := newHolder(a)
 		h.StartSession(2)
 		h.Observe("b1", nil)
@@ -157,8 +157,9 @@
 	})
 }
 
-// TestForgetsThrottles has many tasks throttled and gone: nothing of them stays.
-func TestForgetsThrottles(t *testing.T) {
+// TestDropsThrottlesOfEndedTasks guards against throttle levels that are kept for
+// tasks that have ended.
+func TestDropsThrottlesOfEndedTasks(t *testing.T) {
 	h := newHolder()
 	for i := range 100 {
 		a := task(fmt.Sprintf("a/%d", i), 1)
@@ -169,12 +170,12 @@
 	assert.Equal(t, len(h.throttle), 0)
 }
 
-// TestRoom starts and keeps tasks in any mixture: what runs never exceeds the
-// room, whatever was assigned.
-func TestRoom(t *testing.T) {
+// TestCapacity assigns random leases and loses some stops: the tasks that run
+// never exceed the capacity.
+func TestCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		room := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 4000}
-		h := NewHolder(room)
+		capacity := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 4000}
+		h := NewHolder(capacity)
 		h.StartSession(1)
 		h.Grant(1, at(time.Hour))
 		worker := map[rudderfork.TaskID]WorkerTask{}
@@ -205,8 +206,8 @@
 			for _, w := range worker {
 				used = used.Add(w.Size)
 			}
-			if !used.Fits(room) {
-				t.Fatalf("%v run in room for %v", used, room)
+			if !used.Fits(capacity) {
+				t.Fatalf("%v run with a capacity of %v", used, capacity)
 			}
 		}
 	})
