--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,16 +1,15 @@
 // Package admission decides which requests an agent passes to its upstream, in
 // which order, and which it refuses.
 //
-// An upstream has a fixed number of slots. Requests beyond that wait in a
-// bounded queue, ordered by start-time fair queueing over teams with the weights
-// of the table, so that a team that floods waits behind its own requests. A
+// An upstream has a fixed number of slots. Further requests wait in a bounded
+// queue, ordered by start-time fair queueing over teams with the weights of the
+// table, so that a team that sends too many waits behind its own requests. A
 // request is refused at once when it cannot be answered by its deadline, when
-// the wait would exceed the service's target, or when the queue is full and it
-// is the one that fairness would serve last. A refusal says when to come back:
-// after the queue has drained, spread out so that callers do not return
-// together.
+// its wait would exceed the service's target, or when the queue is full and it
+// is the last in the fair order. A refusal gives the time for a retry: after the
+// queue has drained, with jitter so that callers don't retry all at once.
 //
-// Queue does no I/O and starts no timers; the agent tells it the time.
+// Queue does no I/O and starts no timers; the agent passes the time.
 package admission
 
 import (
@@ -21,22 +20,22 @@
 	"rudderfork.example/rudderfork"
 )
 
-// Limits are those that the table sets for a service.
+// Limits are the limits that the table sets for a service.
 type Limits struct {
-	Slots   int
-	Queue   int
-	MaxWait time.Duration // longest wait that is worth it; the service's target
+	Slots   int           // requests at the upstream at a time
+	Queue   int           // requests that wait
+	MaxWait time.Duration // longest expected wait; the service's target
 }
 
-// Request is one request that asks to be admitted.
+// Request is a request to be admitted.
 type Request struct {
 	ID       uint64
 	Team     rudderfork.Team
 	Weight   int64
-	Deadline time.Time
+	Deadline time.Time // zero for none
 }
 
-// Verdict is what happens to a request.
+// Verdict is the outcome of admission for a request.
 type Verdict uint8
 
 // The verdicts.
@@ -46,7 +45,8 @@
 	Refuse
 )
 
-// Decision is a verdict on one request, with the reason of a refusal.
+// Decision is the verdict on one request; for a refusal with its reason and the
+// time for a retry.
 type Decision struct {
 	ID      uint64
 	Verdict Verdict
@@ -54,46 +54,47 @@
 	RetryAt time.Time
 }
 
-// Queue is the admission of one service at one upstream. It is not safe for
-// concurrent use.
+// Queue decides on the requests of one service at one upstream. It is not safe
+// for concurrent use.
 type Queue struct {
-	limits  Limits
-	rng     *rand.Rand
-	running map[uint64]bool
-	waiting []*waiting // by tag
-	virtual float64    // start tag of the request started last
-	finish  map[rudderfork.Team]float64
-	mean    float64 // moving average of the time in the upstream, seconds
+	limits      Limits
+	rng         *rand.Rand
+	running     map[uint64]bool
+	waiting     []*waiting                  // ordered by start tag
+	virtualTime float64                     // highest start tag of the requests started
+	finish      map[rudderfork.Team]float64 // finish tag of each team's last queued request
+	mean        float64                     // moving average of the service time, seconds
 }
 
-// waiting is a queued request with its tag.
+// waiting is a queued request with its start tag.
 type waiting struct {
 	Request
 	start float64
 }
 
 const (
-	// firstMean is assumed before anything was measured, in seconds.
-	firstMean = 0.005
-	// smoothing is the weight of a new time in the moving average.
-	smoothing = 0.1
-	// maxSpread bounds how far refusals are spread, as a multiple of the wait.
-	maxSpread = 2.0
-	// minRetry is the least time after which to come back.
-	minRetry = 50 * time.Millisecond
-	// maxTeams bounds the tags remembered of teams that are not waiting.
+	// initialMean is the service time assumed before any was measured, in seconds.
+	initialMean = 0.005
+	// meanWeight is the weight of a new service time in the moving average.
+	meanWeight = 0.1
+	// maxRetrySpread is the greatest jitter of a retry, as a multiple of the wait.
+	maxRetrySpread = 2.0
+	// minRetryDelay is the least delay of a retry.
+	minRetryDelay = 50 * time.Millisecond
+	// maxTeams is the number of teams with finish tags above which all tags are
+	// dropped, to bound memory.
 	maxTeams = 1024
 )
 
-// New returns an empty queue.
+// New returns an empty queue. seed seeds the jitter of retries.
 func New(l Limits, seed uint64) *Queue {
 	return &Queue{
 		limits: l, rng: rand.New(rand.NewPCG(seed, 5)), running: map[uint64]bool{},
-		finish: map[rudderfork.Team]float64{}, mean: firstMean,
+		finish: map[rudderfork.Team]float64{}, mean: initialMean,
 	}
 }
 
-// SetLimits changes the limits. Requests that run are not touched.
+// SetLimits changes the limits. Requests that hold a slot or wait are not affected.
 func (q *Queue) SetLimits(l Limits) { q.limits = l }
 
 // InFlight returns how many requests hold a slot.
@@ -102,24 +103,25 @@
 // Queued returns how many requests wait.
 func (q *Queue) Queued() int { return len(q.waiting) }
 
-// MeanServiceTime returns the moving average of the time in the upstream.
+// MeanServiceTime returns the moving average of the time that a request takes at
+// the upstream.
 func (q *Queue) MeanServiceTime() time.Duration { return time.Duration(q.mean * float64(time.Second)) }
 
-// Offer asks for admission. The rulings are on r and, where r displaces one, on
-// the displaced request.
+// Offer requests admission for r. The decisions are on r and, if r displaces one
+// from a full queue, on the displaced request.
 func (q *Queue) Offer(r Request, now time.Time) []Decision {
 	if len(q.running) < q.limits.Slots && len(q.waiting) == 0 {
-		if late := q.late(r, 0, now); late != "" {
-			return []Decision{q.refuse(r.ID, late, now)}
+		if reason := q.missedDeadline(r, 0, now); reason != "" {
+			return []Decision{q.refuse(r.ID, reason, now)}
 		}
-		q.start(r.ID, q.tag(r))
+		q.start(r.ID, q.startTag(r))
 		return []Decision{{ID: r.ID, Verdict: Start}}
 	}
 	return q.enqueue(r, now)
 }
 
 func (q *Queue) enqueue(r Request, now time.Time) []Decision {
-	tag := q.tag(r)
+	tag := q.startTag(r)
 	at, _ := slices.BinarySearchFunc(q.waiting, tag, func(w *waiting, t float64) int {
 		if w.start <= t {
 			return -1
@@ -130,46 +132,48 @@
 	if wait > q.limits.MaxWait {
 		return []Decision{q.refuse(r.ID, "the wait would exceed the service's target", now)}
 	}
-	if late := q.late(r, wait, now); late != "" {
-		return []Decision{q.refuse(r.ID, late, now)}
+	if reason := q.missedDeadline(r, wait, now); reason != "" {
+		return []Decision{q.refuse(r.ID, reason, now)}
 	}
 	if len(q.waiting) >= q.limits.Queue && at == len(q.waiting) {
 		return []Decision{q.refuse(r.ID, "the queue is full", now)}
 	}
 	q.finish[r.Team] = tag + cost(r)
 	q.waiting = slices.Insert(q.waiting, at, &waiting{r, tag})
-	rulings := []Decision{{ID: r.ID, Verdict: Wait}}
+	decisions := []Decision{{ID: r.ID, Verdict: Wait}}
 	if len(q.waiting) > q.limits.Queue {
 		last := q.waiting[len(q.waiting)-1]
 		q.waiting = q.waiting[:len(q.waiting)-1]
-		rulings = append(rulings, q.refuse(last.ID, "the queue is full and other teams are owed more", now))
+		decisions = append(decisions, q.refuse(last.ID, "the queue is full and requests of other teams come first", now))
 	}
-	return rulings
+	return decisions
 }
 
-// tag is the request's start tag: the queue's virtual time, or where the team's
-// last request ends if that is later.
-func (q *Queue) tag(r Request) float64 {
+// startTag returns the request's start tag: the queue's virtual time, or the
+// finish tag of the team's last request if that is later.
+func (q *Queue) startTag(r Request) float64 {
 	if len(q.finish) > maxTeams {
 		clear(q.finish)
 	}
-	return max(q.virtual, q.finish[r.Team])
+	return max(q.virtualTime, q.finish[r.Team])
 }
 
 func cost(r Request) float64 { return 1 / float64(max(1, r.Weight)) }
 
 func (q *Queue) start(id uint64, tag float64) {
 	q.running[id] = true
-	q.virtual = max(q.virtual, tag)
+	q.virtualTime = max(q.virtualTime, tag)
 }
 
-// waitAt is the expected wait of the request at place at of the queue.
+// waitAt returns the expected wait of the request at index at of the queue.
 func (q *Queue) waitAt(at int) time.Duration {
 	turns := float64(at+1) / float64(max(1, q.limits.Slots))
 	return time.Duration(turns * q.mean * float64(time.Second))
 }
 
-func (q *Queue) late(r Request, wait time.Duration, now time.Time) string {
+// missedDeadline returns the reason to refuse r if it could not be answered by its
+// deadline after the wait, or "".
+func (q *Queue) missedDeadline(r Request, wait time.Duration, now time.Time) string {
 	if r.Deadline.IsZero() || !now.Add(wait+q.MeanServiceTime()).After(r.Deadline) {
 		return ""
 	}
@@ -180,43 +184,45 @@
 	return Decision{ID: id, Verdict: Refuse, Reason: reason, RetryAt: q.RetryAt(now)}
 }
 
-// RetryAt is when to come back: once the queue has drained, spread out.
+// RetryAt returns the time for a retry: when the queue is expected to have
+// drained, with jitter.
 func (q *Queue) RetryAt(now time.Time) time.Time {
-	wait := max(minRetry, q.waitAt(len(q.waiting)))
-	return now.Add(wait + time.Duration(q.rng.Float64()*maxSpread*float64(wait)))
+	wait := max(minRetryDelay, q.waitAt(len(q.waiting)))
+	return now.Add(wait + time.Duration(q.rng.Float64()*maxRetrySpread*float64(wait)))
 }
 
-// Done notes that a request left its slot after took, and returns the rulings
-// on those that wait. took is 0 if it says nothing about the upstream.
+// Done frees the slot of a request and returns the decisions on those that wait.
+// took is the service time, or 0 if it must not count in the mean.
 func (q *Queue) Done(id uint64, took time.Duration, now time.Time) []Decision {
 	if !q.running[id] {
 		return nil
 	}
 	delete(q.running, id)
 	if took > 0 {
-		q.mean += smoothing * (took.Seconds() - q.mean)
+		q.mean += meanWeight * (took.Seconds() - q.mean)
 	}
 	return q.next(now)
 }
 
-// next starts what has a slot and refuses what has become too late.
+// next starts queued requests while slots are free, and refuses those that would
+// miss their deadline.
 func (q *Queue) next(now time.Time) []Decision {
-	var rs []Decision
+	var ds []Decision
 	for len(q.waiting) > 0 && len(q.running) < q.limits.Slots {
 		w := q.waiting[0]
 		q.waiting = q.waiting[1:]
-		if late := q.late(w.Request, 0, now); late != "" {
-			rs = append(rs, q.refuse(w.ID, late, now))
+		if reason := q.missedDeadline(w.Request, 0, now); reason != "" {
+			ds = append(ds, q.refuse(w.ID, reason, now))
 			continue
 		}
 		q.start(w.ID, w.start)
-		rs = append(rs, Decision{ID: w.ID, Verdict: Start})
+		ds = append(ds, Decision{ID: w.ID, Verdict: Start})
 	}
-	return rs
+	return ds
 }
 
-// Cancel removes a request whose caller has gone; ok is false if it does not
-// wait any more.
+// Cancel removes a queued request whose caller has gone; ok is false if it is not
+// queued.
 func (q *Queue) Cancel(id uint64) (ok bool) {
 	i := slices.IndexFunc(q.waiting, func(w *waiting) bool { return w.ID == id })
 	if i < 0 {
@@ -226,15 +232,16 @@
 	return true
 }
 
-// Expire refuses those that wait and can no longer make their deadline.
+// Expire refuses queued requests that can no longer be answered by their
+// deadline.
 func (q *Queue) Expire(now time.Time) []Decision {
-	var rs []Decision
+	var ds []Decision
 	q.waiting = slices.DeleteFunc(q.waiting, func(w *waiting) bool {
-		late := q.late(w.Request, 0, now)
-		if late != "" {
-			rs = append(rs, q.refuse(w.ID, late, now))
+		reason := q.missedDeadline(w.Request, 0, now)
+		if reason != "" {
+			ds = append(ds, q.refuse(w.ID, reason, now))
 		}
-		return late != ""
+		return reason != ""
 	})
-	return rs
+	return ds
 }
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -20,10 +20,10 @@
 	return q.Offer(Request{ID: id, Team: rudderfork.Team(team), Weight: 100}, t0)
 }
 
-func checkVerdicts(t *testing.T, rs []Decision, want ...string) {
+func checkVerdicts(t *testing.T, ds []Decision, want ...string) {
 	t.Helper()
 	got := []string{}
-	for _, r := range rs {
+	for _, r := range ds {
 		got = append(got, fmt.Sprintf("%d %s", r.ID, [...]string{"start", "wait", "refuse"}[r.Verdict]))
 	}
 	assert.DeepEqual(t, got, append([]string{}, want...))
@@ -43,16 +43,16 @@
 func TestDeadline(t *testing.T) {
 	q := newQueue(1, 10)
 	q.Offer(Request{ID: 1}, t0)
-	t.Run("one that cannot be met is refused at once", func(t *testing.T) {
+	t.Run("a request that cannot be answered in time is refused at once", func(t *testing.T) {
 		checkVerdicts(t, q.Offer(Request{ID: 2, Deadline: t0.Add(time.Millisecond)}, t0), "2 refuse")
 	})
-	t.Run("one that has become hopeless is refused while it waits", func(t *testing.T) {
+	t.Run("a queued request is refused when it can no longer be answered in time", func(t *testing.T) {
 		checkVerdicts(t, q.Offer(Request{ID: 3, Deadline: t0.Add(50 * time.Millisecond)}, t0), "3 wait")
 		checkVerdicts(t, q.Expire(t0.Add(time.Millisecond)))
 		checkVerdicts(t, q.Expire(t0.Add(49*time.Millisecond)), "3 refuse")
 		assert.Equal(t, q.Queued(), 0)
 	})
-	t.Run("a wait past the target is refused", func(t *testing.T) {
+	t.Run("a request whose wait would exceed the target is refused", func(t *testing.T) {
 		q := New(Limits{Slots: 1, Queue: 100, MaxWait: 12 * time.Millisecond}, 1)
 		offer(q, 1, "a")
 		checkVerdicts(t, offer(q, 2, "a"), "2 wait")
@@ -61,8 +61,8 @@
 	})
 }
 
-// TestFairness has one team flood: another's request goes before the flood, and
-// a full queue sheds the flood.
+// TestFairness lets one team flood the queue: another team's request is started
+// before the flood, and a full queue refuses requests of the flood.
 func TestFairness(t *testing.T) {
 	q := newQueue(1, 4)
 	offer(q, 1, "flood")
@@ -74,14 +74,14 @@
 	order := []uint64{}
 	running := uint64(1)
 	for range 4 {
-		rs := q.Done(running, time.Millisecond, t0)
-		running = rs[0].ID
+		ds := q.Done(running, time.Millisecond, t0)
+		running = ds[0].ID
 		order = append(order, running)
 	}
 	assert.Assert(t, order[0] == 7 || order[1] == 7, "the calm team waits behind the flood: %v", order)
 }
 
-// TestWeights has two teams flood; the slots go by weight.
+// TestWeights lets two teams flood the queue: they get slots by their weights.
 func TestWeights(t *testing.T) {
 	q := New(Limits{Slots: 1, Queue: 1000, MaxWait: time.Hour}, 1)
 	teams := map[uint64]string{}
@@ -96,8 +96,8 @@
 	heavy := 0
 	running := uint64(1)
 	for range 100 {
-		rs := q.Done(running, time.Microsecond, t0)
-		running = rs[0].ID
+		ds := q.Done(running, time.Microsecond, t0)
+		running = ds[0].ID
 		if teams[running] == "heavy" {
 			heavy++
 		}
@@ -113,13 +113,13 @@
 	}
 	for range 20 {
 		at := q.RetryAt(t0)
-		assert.Assert(t, at.After(t0.Add(99*firstMean*1e9)), "%v is before the queue has drained", at.Sub(t0))
+		assert.Assert(t, at.After(t0.Add(99*initialMean*1e9)), "%v is before the queue has drained", at.Sub(t0))
 		seen[at] = true
 	}
-	assert.Assert(t, len(seen) > 15, "callers are asked back together")
+	assert.Assert(t, len(seen) > 15, "retries are not spread")
 }
 
-func TestWithdraw(t *testing.T) {
+func TestCancel(t *testing.T) {
 	q := newQueue(1, 10)
 	offer(q, 1, "a")
 	offer(q, 2, "a")
