--- a/timeline/timeline.go
+++ b/timeline/timeline.go
@@ -1,10 +1,10 @@
-// Package timeline keeps a process's newest events and merges those of many
-// processes into one order.
+// Package timeline keeps the newest events of a process and merges the events of
+// many processes.
 //
-// Each process keeps its own ring, in memory and bounded. Nothing is sent until
-// an operator asks, so the time line costs no traffic. Events are ordered by
-// time, then by process and the order within it; clocks of different VMs agree
-// only within the bound that the settings state.
+// Each process keeps a bounded ring buffer in memory. Events are sent only when
+// an operator requests them, so the timeline causes no other traffic. Events are
+// ordered by time, then by process and sequence number. Clocks of different VMs
+// agree only within the bound in the settings, and so does the order.
 package timeline
 
 import (
@@ -24,8 +24,8 @@
 	now     func() time.Time
 
 	mu     sync.Mutex
-	events []rudderfork.Event // a ring once full
-	next   int
+	events []rudderfork.Event // in order until full, then a ring
+	next   int                // index of the oldest event once full
 	seq    uint64
 	size   int
 }
@@ -50,14 +50,14 @@
 	r.next = (r.next + 1) % r.size
 }
 
-// Query picks events.
+// Query selects events.
 type Query struct {
-	Subject string // part of the subject; empty for all
-	After   int64  // Unix µs
-	Limit   int    // newest ones; 0 for all
+	Subject string // substring of the subject; empty for all
+	After   int64  // Unix µs, exclusive
+	Limit   int    // number of newest events; 0 for all
 }
 
-// Select returns the events that q picks, oldest first.
+// Select returns the events that match q, oldest first.
 func (r *Ring) Select(q Query) []rudderfork.Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,7 +74,7 @@
 	return es
 }
 
-// Merge puts the events of several processes into one order.
+// Merge returns the events of several processes in one order.
 func Merge(lists ...[]rudderfork.Event) []rudderfork.Event {
 	all := slices.Concat(lists...)
 	slices.SortStableFunc(all, func(a, b rudderfork.Event) int {
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -1,9 +1,9 @@
-// Package usage keeps what control learns from late usage reports: what tasks
-// of a kind really use, how much work each would lose, and how near services
-// are to their targets.
+// Package usage keeps what control learns from usage reports: the resources that
+// tasks of a kind use, the unsaved work of each task, and how near services are
+// to their latency targets.
 //
-// It is the leader's memory alone. A new leader starts from declared sizes and
-// learns again within a few reports.
+// It is not replicated. A new leader starts from declared sizes and learns again
+// within a few reports.
 package usage
 
 import (
@@ -13,28 +13,29 @@
 )
 
 const (
-	// minSamples is how many reports a kind needs before its size is corrected.
+	// minSamples is the number of reports on a kind before its size is corrected.
 	minSamples = 10
-	// margin is put on top of what was seen.
+	// margin is the factor on the measured peak.
 	margin = 1.15
-	// decay is how much of a peak is kept with each report below it.
+	// decay is the factor on the peak with each report.
 	decay = 0.995
-	// minShare and maxFactor bound the correction of a declared size.
+	// minShare and maxFactor are the bounds of the factor on a declared size.
 	minShare  = 0.25
 	maxFactor = 4.0
-	// maxAge is after how long a pressure report no longer counts.
+	// maxAge is the age above which a pressure report is ignored.
 	maxAge = 30 * time.Second
 )
 
-// Model holds what was learned. It is not safe for concurrent use.
+// Model holds the learned values. It is not safe for concurrent use.
 type Model struct {
 	now      func() time.Time
 	kinds    map[string]*kind
-	lost     map[rudderfork.TaskID]int64
+	unsaved  map[rudderfork.TaskID]int64
 	pressure map[rudderfork.VMID]pressure
 }
 
-// kind is the decaying peak, over declared, of what tasks of a kind use.
+// kind is the decaying peak of what tasks of a kind use, relative to their
+// declared size.
 type kind struct {
 	samples int
 	cpu     float64
@@ -47,18 +48,19 @@
 	at        time.Time
 }
 
-// New returns a model that knows nothing.
+// New returns a model without reports.
 func New(now func() time.Time) *Model {
 	return &Model{
 		now: now, kinds: map[string]*kind{},
-		lost: map[rudderfork.TaskID]int64{}, pressure: map[rudderfork.VMID]pressure{},
+		unsaved: map[rudderfork.TaskID]int64{}, pressure: map[rudderfork.VMID]pressure{},
 	}
 }
 
-// ObserveTask takes what a task was seen to use. unsaved is the work, in units,
-// that stopping it would lose; throttled tasks say nothing about processors.
+// ObserveTask takes the measured use of a task. unsaved is its work since the last
+// checkpoint, in units. The processors of a throttled task are ignored, since it
+// uses less than it would.
 func (m *Model) ObserveTask(t rudderfork.TaskID, k string, declared, used rudderfork.Resources, unsaved int64, throttled bool) {
-	m.lost[t] = unsaved
+	m.unsaved[t] = unsaved
 	if declared.CPUMilli <= 0 || declared.MemoryMB <= 0 {
 		return
 	}
@@ -74,17 +76,17 @@
 	}
 }
 
-// Forget drops a task whose attempt has ended.
-func (m *Model) Forget(t rudderfork.TaskID) { delete(m.lost, t) }
+// Forget removes the unsaved work of a task whose attempt has ended.
+func (m *Model) Forget(t rudderfork.TaskID) { delete(m.unsaved, t) }
 
-// ObservePressure takes how near a VM's services are to their targets, and
-// whether its agent has throttled all there is to throttle in vain.
+// ObservePressure takes the tail latency of a VM's services over their target, and
+// whether it stays above 1 though the agent throttles all tasks fully.
 func (m *Model) ObservePressure(vm rudderfork.VMID, level float64, exhausted bool) {
 	m.pressure[vm] = pressure{level, exhausted, m.now()}
 }
 
-// TakeExhausted reports whether throttling is not enough on a VM, once for each
-// report, so that one report moves one task.
+// TakeExhausted reports whether throttling is not enough on a VM. It returns true
+// once for each report, so that one report evicts one task.
 func (m *Model) TakeExhausted(vm rudderfork.VMID) bool {
 	p := m.pressure[vm]
 	if !p.exhausted || m.now().Sub(p.at) > maxAge {
@@ -95,7 +97,7 @@
 	return true
 }
 
-// Pressure returns the newest report, or 0 if that is too old to count.
+// Pressure returns the newest reported pressure, or 0 if the report is too old.
 func (m *Model) Pressure(vm rudderfork.VMID) float64 {
 	p := m.pressure[vm]
 	if m.now().Sub(p.at) > maxAge {
@@ -105,10 +107,11 @@
 }
 
 // UnsavedWork returns the work that stopping a task would lose, in units.
-func (m *Model) UnsavedWork(t rudderfork.TaskID) int64 { return m.lost[t] }
+func (m *Model) UnsavedWork(t rudderfork.TaskID) int64 { return m.unsaved[t] }
 
-// Size corrects a declared size. Accelerators are taken as declared. Memory is
-// never corrected below half, since running out of it kills.
+// Size returns the declared size, corrected by the measured use of the kind.
+// Accelerators are not corrected. Memory is not corrected below half of the
+// declared size, since a task that runs out of memory is killed.
 func (m *Model) Size(k string, declared rudderfork.Resources) rudderfork.Resources {
 	o := m.kinds[k]
 	if o == nil || o.samples < minSamples {
@@ -122,7 +125,7 @@
 	return r
 }
 
-func scale(declared int64, peak, least float64) int64 {
-	f := min(max(peak*margin, least), maxFactor)
+func scale(declared int64, peak, minFactor float64) int64 {
+	f := min(max(peak*margin, minFactor), maxFactor)
 	return max(1, int64(float64(declared)*f))
 }
