--- a/bench/path.go
+++ b/bench/path.go
@@ -34,7 +34,7 @@
 	load    func(t time.Duration) float64 // share of the healthy capacity
 	slow    float64                       // how much slower one upstream is; 0 for none
 	failing bool                          // one upstream answers errors at once
-	retry   func() *routing.RetryBudget        // nil: retries without a budget
+	retry   func() *routing.RetryBudget   // nil: retries without a budget
 	limits  admission.Limits
 	naive   bool // callers resend what was refused or late
 }
--- a/jobtime/jobtime.go
+++ b/jobtime/jobtime.go
@@ -42,11 +42,11 @@
 
 // The kinds of events that a Log reads.
 const (
-	Submitted Kind = "submitted"
-	Placed    Kind = "placed"
-	Ended     Kind = "ended"
-	Stopping  Kind = "stopping"
-	PaceChanged   Kind = "paced"
+	Submitted   Kind = "submitted"
+	Placed      Kind = "placed"
+	Ended       Kind = "ended"
+	Stopping    Kind = "stopping"
+	PaceChanged Kind = "paced"
 )
 
 // Event is what a log line tells of a job or a run.
@@ -56,7 +56,7 @@
 	Job     rudderfork.JobID // of a submission
 	Task    queue.TaskKey
 	Run     uint32
-	Outcome     queue.Outcome // of an end
+	Outcome queue.Outcome // of an end
 	Reason  string        // of a stop
 	Percent int           // of a pace
 }
--- a/routing/budget.go
+++ b/routing/budget.go
@@ -20,7 +20,9 @@
 )
 
 // NewRetryBudget returns a budget of share retries for each request.
-func NewRetryBudget(share float64) *RetryBudget { return &RetryBudget{share: share, tokens: maxTokens / 2} }
+func NewRetryBudget(share float64) *RetryBudget {
+	return &RetryBudget{share: share, tokens: maxTokens / 2}
+}
 
 // AddRequest counts a request.
 func (b *RetryBudget) AddRequest(now time.Time) {
--- a/scheduler/pressures.go
+++ b/scheduler/pressures.go
@@ -32,8 +32,8 @@
 
 // workload is the serving tasks and fillers that run on a VM.
 type workload struct {
-	serving map[string]bool       // images of serving tasks
-	fillers map[string]bool       // images of fillers, including those paced down to zero
+	serving map[string]bool               // images of serving tasks
+	fillers map[string]bool               // images of fillers, including those paced down to zero
 	figures []interference.HeadroomSample // measurements of the serving tasks that work
 }
 
