--- a/agent/agent.go
+++ b/agent/agent.go
@@ -155,8 +155,8 @@
 	return h
 }
 
-// Beat implements node.Handler.
-func (p *Process) Beat() wire.Heartbeat {
+// Heartbeat implements node.Handler.
+func (p *Process) Heartbeat() wire.Heartbeat {
 	b := p.tasks.beat()
 	b.Services = p.front.usage()
 	b.Leaving = p.front.isLeaving()
--- a/bench/fleetgroup.go
+++ b/bench/fleetgroup.go
@@ -56,7 +56,7 @@
 			return err
 		}
 		name := fmt.Sprintf("r%d", i)
-		self := quorum.Member{ID: replica.MemberID(name, replica.Founding), Name: name, Addr: ln.Addr().String(), Voter: true}
+		self := quorum.Member{ID: replica.MemberID(name, replica.FoundingIncarnation), Name: name, Addr: ln.Addr().String(), Voter: true}
 		members = append(members, self)
 		p.group = append(p.group, &fleetReplica{ln: ln, self: self})
 	}
--- a/bench/real.go
+++ b/bench/real.go
@@ -180,8 +180,8 @@
 	}}
 }
 
-// Beat implements node.Handler: the usage of seven tasks, as at the letter's size.
-func (f *fakeNode) Beat() wire.Heartbeat {
+// Heartbeat implements node.Handler: the usage of seven tasks, as at the letter's size.
+func (f *fakeNode) Heartbeat() wire.Heartbeat {
 	b := wire.Heartbeat{Epoch: rudderfork.Token(f.epoch.Load()), Services: []wire.ServiceUsage{{Service: "tour-desk", Requests: 50, MeanUS: 5000, TailUS: 9000, Busy: 0.3}}}
 	for i := range f.tasks {
 		b.Tasks = append(b.Tasks, wire.TaskUsage{Task: rudderfork.TaskID(fmt.Sprintf("job%d/%d", f.i, i)), Token: 1, Used: rudderfork.Resources{CPUMilli: 1000, MemoryMB: 2000}, Checkpoint: 100, Progress: 120, At: 1_796_000_000_000})
@@ -278,7 +278,7 @@
 func leaderOf(ctx context.Context, c *harness.Cluster) (name string, err error) {
 	err = harness.Until(ctx, "a leader", func() error {
 		for _, n := range []string{"c1", "c2", "c3"} {
-			if st, err := c.Operator().Status(ctx, c.Proc(n).Listen()); err == nil && st.Settled {
+			if st, err := c.Operator().Status(ctx, c.Proc(n).Listen()); err == nil && st.Ready {
 				name = n
 				return nil
 			}
--- a/control/api.go
+++ b/control/api.go
@@ -101,7 +101,7 @@
 	case errors.As(err, &p):
 	case errors.As(err, &tooLarge):
 		p = problem.New(http.StatusRequestEntityTooLarge, "too-large", fmt.Sprintf("the body is larger than %d bytes", tooLarge.Limit), rudderfork.RanNo)
-	case errors.Is(err, replica.ErrUnknown):
+	case errors.Is(err, replica.ErrOutcomeUnknown):
 		p = problem.New(http.StatusGatewayTimeout, "unknown", "the change may or may not be accepted; send it again with the same id", rudderfork.RanUnknown)
 		p.RetryAt = steady.Now().Add(retryPause)
 	case errors.Is(err, replica.ErrNotLeader), errors.Is(err, replica.ErrSuperseded):
--- a/control/control.go
+++ b/control/control.go
@@ -130,9 +130,9 @@
 			return fmt.Errorf("group %s is formed already: %s answers; start without format, to join", cfg.Group, m.Name)
 		}
 	}
-	id := disk.Identity{ID: replica.MemberID(cfg.Name, replica.Founding), Group: cfg.Group}
+	id := disk.Identity{ID: replica.MemberID(cfg.Name, replica.FoundingIncarnation), Group: cfg.Group}
 	for _, m := range cfg.Peers {
-		m.ID = replica.MemberID(m.Name, replica.Founding)
+		m.ID = replica.MemberID(m.Name, replica.FoundingIncarnation)
 		m.Voter = true
 		id.Members = append(id.Members, m)
 	}
--- a/control/late_test.go
+++ b/control/late_test.go
@@ -31,7 +31,7 @@
 type alone struct{ nobody }
 
 func (alone) Send(quorum.Message)            {}
-func (alone) SetGroup([]quorum.Member, bool) {}
+func (alone) SetMembers([]quorum.Member, bool) {}
 func (alone) Addrs() []string                { return nil }
 
 // leading is a hub on a group of one.
--- a/entry/claimed.go
+++ b/entry/claimed.go
@@ -147,7 +147,7 @@
 // upstream, but under the same key it may run elsewhere, or may have run.
 func (c *call) noClaim(err error) *rudderfork.Problem {
 	p := c.unavailable("no-claim", "control cannot be asked for the right to run it once; it was not sent now, but may have run before")
-	if errors.Is(err, node.ErrUnknown) {
+	if errors.Is(err, node.ErrOutcomeUnknown) {
 		p.Detail = "control did not answer in time; it was not sent now, but may have run before"
 	}
 	return p
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -120,8 +120,8 @@
 	return wire.Hello{Kind: wire.KindEntry, Process: p.cfg.Name, Place: p.cfg.Place, Boot: p.boot, Admin: p.admin}
 }
 
-// Beat implements node.Handler.
-func (p *Process) Beat() wire.Heartbeat { return wire.Heartbeat{Leaving: p.leaving.Load()} }
+// Heartbeat implements node.Handler.
+func (p *Process) Heartbeat() wire.Heartbeat { return wire.Heartbeat{Leaving: p.leaving.Load()} }
 
 // Handle implements node.Handler.
 func (p *Process) Handle(m wire.ToNode) {
--- a/node/client.go
+++ b/node/client.go
@@ -19,9 +19,9 @@
 // errStale means that the session said hello before Reconnect was called.
 var errStale = errors.New("the hello is out of date")
 
-// ErrUnknown means that the answer of control did not come; what was asked may
+// ErrOutcomeUnknown means that the answer of control did not come; what was asked may
 // have been done.
-var ErrUnknown = errors.New("control did not answer")
+var ErrOutcomeUnknown = errors.New("control did not answer")
 
 const (
 	// redialPause is the rest after a failed attempt, for each address.
@@ -36,8 +36,8 @@
 type Handler interface {
 	// Hello describes this process at the start of a session.
 	Hello() wire.Hello
-	// Beat describes its state, once a beat.
-	Beat() wire.Heartbeat
+	// Heartbeat describes its state, once a beat.
+	Heartbeat() wire.Heartbeat
 	// Handle takes a message that is neither an update nor a result.
 	Handle(m wire.ToNode)
 }
@@ -179,7 +179,7 @@
 }
 
 func (c *Client) beatMessage() wire.ToControl {
-	b := c.h.Beat()
+	b := c.h.Heartbeat()
 	b.TableRevision = c.table.Revision()
 	return wire.ToControl{Heartbeat: &b}
 }
@@ -245,10 +245,10 @@
 	select {
 	case r, ok := <-answer:
 		if !ok || r.Failed != "" {
-			return res, ErrUnknown
+			return res, ErrOutcomeUnknown
 		}
 		return r.Result, nil
 	case <-ctx.Done():
-		return res, ErrUnknown
+		return res, ErrOutcomeUnknown
 	}
 }
--- a/node/client_test.go
+++ b/node/client_test.go
@@ -34,7 +34,7 @@
 	return h
 }
 
-func (p *process) Beat() wire.Heartbeat { return wire.Heartbeat{} }
+func (p *process) Heartbeat() wire.Heartbeat { return wire.Heartbeat{} }
 func (p *process) Handle(wire.ToNode)   {}
 
 // TestReconnectDuringHello calls Reconnect after the hello was made and before
--- a/proof/main_test.go
+++ b/proof/main_test.go
@@ -65,7 +65,7 @@
 			if n == not || !c.Proc(n).Running() {
 				continue
 			}
-			if st, err := status(ctx, c, n); err == nil && st.Role == "leader" && st.Settled {
+			if st, err := status(ctx, c, n); err == nil && st.Role == "leader" && st.Ready {
 				name = n
 				return nil
 			}
--- a/replica/calls.go
+++ b/replica/calls.go
@@ -39,7 +39,7 @@
 	case o := <-p.reply:
 		return o.result, o.err
 	case <-ctx.Done():
-		return res, ErrUnknown
+		return res, ErrOutcomeUnknown
 	}
 }
 
@@ -74,7 +74,7 @@
 func (r *Replica) Leads() bool { return r.Status().Leads() }
 
 // Leads reports whether the replica was a settled leader.
-func (s Status) Leads() bool { return s.Settled && s.Role == quorum.Leader.String() }
+func (s Status) Leads() bool { return s.Ready && s.Role == quorum.Leader.String() }
 
 // Changed returns a channel that closes at the next change of state, role or leader.
 func (r *Replica) Changed() <-chan struct{} {
@@ -87,26 +87,26 @@
 // there are peers mean nothing new.
 const maxSuspects = 16
 
-// Suspect tells that another replica's connection has ended.
-func (r *Replica) Suspect(id quorum.MemberID) {
+// HandleDisconnect tells that another replica's connection has ended.
+func (r *Replica) HandleDisconnect(id quorum.MemberID) {
 	select {
 	case r.suspects <- id:
 	default:
 	}
 }
 
-// NoteCaller notes where the machine of a replica stands that has connected. One that
+// RecordDomain notes where the machine of a replica stands that has connected. One that
 // is missed is told at its next connection.
-func (r *Replica) NoteCaller(m quorum.Member) {
+func (r *Replica) RecordDomain(m quorum.Member) {
 	select {
 	case r.callers <- m:
 	default:
 	}
 }
 
-// Resign hands the leader's part to another replica, if this one has it, and
+// TransferLeadership hands the leader's part to another replica, if this one has it, and
 // waits until it has gone over or ctx ends.
-func (r *Replica) Resign(ctx context.Context) {
+func (r *Replica) TransferLeadership(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := r.Changed()
 		if r.Status().Role != quorum.Leader.String() {
--- a/replica/group.go
+++ b/replica/group.go
@@ -14,8 +14,8 @@
 	"rudderfork.example/rudderfork/quorum"
 )
 
-// Founding is the life that founding members get. Later lives are random.
-const Founding = "1"
+// FoundingIncarnation is the life that founding members get. Later lives are random.
+const FoundingIncarnation = "1"
 
 // lifeLength is how many random letters name a later life.
 const lifeLength = 8
--- a/replica/losses_test.go
+++ b/replica/losses_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// SetGroup implements Sender.
-func (s *socket) SetGroup(_ []quorum.Member, joined bool) {
+// SetMembers implements Sender.
+func (s *socket) SetMembers(_ []quorum.Member, joined bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.joined = joined
--- a/replica/metrics.go
+++ b/replica/metrics.go
@@ -62,8 +62,8 @@
 		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
 	st, now := c.rep.Status(), c.rep.now()
-	gauge(c.known, truth(st.Leaderless.IsZero()))
-	gauge(c.leaderless, since(st.Leaderless, now).Seconds())
+	gauge(c.known, truth(st.LeaderlessSince.IsZero()))
+	gauge(c.leaderless, since(st.LeaderlessSince, now).Seconds())
 	gauge(c.term, float64(st.Term))
 	for _, role := range []quorum.Role{quorum.Follower, quorum.PreCandidate, quorum.Candidate, quorum.Leader} {
 		gauge(c.role, truth(st.Role == role.String()), role.String())
@@ -108,7 +108,7 @@
 // of a name, of which two may be members while one takes the other's place.
 func words(st Status) map[string]time.Time {
 	newest := map[string]time.Time{}
-	for id, at := range st.Heard {
+	for id, at := range st.LastMessageAt {
 		if name := memberName(id); at.After(newest[name]) {
 			newest[name] = at
 		}
@@ -123,7 +123,7 @@
 			continue
 		}
 		voters++
-		at, heard := st.Heard[m.ID]
+		at, heard := st.LastMessageAt[m.ID]
 		if m.ID == st.ID || heard && now.Sub(at) < presentSpan {
 			present++
 		}
--- a/replica/metrics_test.go
+++ b/replica/metrics_test.go
@@ -127,7 +127,7 @@
 	r.now = func() time.Time { return now }
 	r.status.Role = quorum.Leader.String()
 	r.status.Members = append(three(), quorum.Member{ID: "c2#x", Name: "c2", Voter: true})
-	r.status.Heard = map[quorum.MemberID]time.Time{"c2#1": now.Add(-time.Hour), "c2#x": now.Add(-time.Second)}
+	r.status.LastMessageAt = map[quorum.MemberID]time.Time{"c2#1": now.Add(-time.Hour), "c2#x": now.Add(-time.Second)}
 	assertMetrics(t, r, map[string]float64{"word_age_seconds/c2": 1, "voters": 4, "voters_needed": 3, "voters_present": 2})
 	assertNoMetrics(t, r, "word_age_seconds/c1", "word_age_seconds/c3")
 }
--- a/replica/opening_test.go
+++ b/replica/opening_test.go
@@ -65,7 +65,7 @@
 	h := emptyHall(t, every)
 	var founding []quorum.Member
 	for _, name := range h.names[:founders] {
-		founding = append(founding, quorum.Member{ID: MemberID(name, Founding), Name: name, Voter: true})
+		founding = append(founding, quorum.Member{ID: MemberID(name, FoundingIncarnation), Name: name, Voter: true})
 	}
 	for _, m := range founding {
 		assert.NilError(t, disk.Format(h.dir(m.Name), disk.Identity{ID: m.ID, Members: founding}))
--- a/replica/peers.go
+++ b/replica/peers.go
@@ -76,16 +76,16 @@
 // String names the service in the supervisor's log.
 func (p *Peers) String() string { return "peers" }
 
-// Tell replaces the addresses that the process is told of.
-func (p *Peers) Tell(addrs []string) {
+// SetSeeds replaces the addresses that the process is told of.
+func (p *Peers) SetSeeds(addrs []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.told = addrs
 	p.changed.Set()
 }
 
-// SetGroup implements Sender.
-func (p *Peers) SetGroup(members []quorum.Member, joined bool) {
+// SetMembers implements Sender.
+func (p *Peers) SetMembers(members []quorum.Member, joined bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.joined = joined
@@ -319,7 +319,7 @@
 			m, err := c.Receive(r.Context())
 			if err != nil {
 				p.log.Info().Str("member", string(caller)).Err(err).Msg("peer_link_ended")
-				rep.Suspect(caller)
+				rep.HandleDisconnect(caller)
 				return
 			}
 			switch {
@@ -333,7 +333,7 @@
 			case m.Self != nil:
 				caller = m.Self.ID
 				p.noteCaller(*m.Self)
-				rep.NoteCaller(*m.Self)
+				rep.RecordDomain(*m.Self)
 			}
 		}
 	}
--- a/replica/peers_test.go
+++ b/replica/peers_test.go
@@ -45,7 +45,7 @@
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	self := quorum.Member{ID: MemberID(name, Founding), Name: name, Addr: ln.Addr().String(), Voter: founding, Domain: domain}
+	self := quorum.Member{ID: MemberID(name, FoundingIncarnation), Name: name, Addr: ln.Addr().String(), Voter: founding, Domain: domain}
 	id := disk.Identity{ID: self.ID}
 	if founding {
 		id.Members = []quorum.Member{self}
@@ -156,12 +156,12 @@
 // TestLateCaller has a replica's earlier life heard of after a later one has joined:
 // neither is sent what is meant for the other.
 func TestLateCaller(t *testing.T) {
-	self := quorum.Member{ID: MemberID("a", Founding), Name: "a", Addr: "127.0.0.1:1"}
+	self := quorum.Member{ID: MemberID("a", FoundingIncarnation), Name: "a", Addr: "127.0.0.1:1"}
 	now := quorum.Member{ID: MemberID("b", "now"), Name: "b", Addr: "127.0.0.1:2", Voter: true}
 	before := quorum.Member{ID: MemberID("b", "before"), Name: "b", Addr: "127.0.0.1:3"}
 	p := NewPeers(self, nil, nil, electionTimeout, zerolog.Nop())
 	p.noteCaller(now)
-	p.SetGroup([]quorum.Member{self, now}, true)
+	p.SetMembers([]quorum.Member{self, now}, true)
 	p.noteCaller(before)
 	p.mu.Lock()
 	p.reconcile()
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -26,8 +26,8 @@
 	ErrNotLeader = errors.New("this control process does not lead")
 	// ErrSuperseded means that the command was surely not committed.
 	ErrSuperseded = errors.New("another leader took over; the command was not committed")
-	// ErrUnknown means that the command may or may not be committed.
-	ErrUnknown = errors.New("the command's fate is unknown")
+	// ErrOutcomeUnknown means that the command may or may not be committed.
+	ErrOutcomeUnknown = errors.New("the command's fate is unknown")
 )
 
 // maxDrain bounds the inputs handled between two syncs, so that many commands
@@ -41,9 +41,9 @@
 // Sender sends messages to other replicas; it may lose them.
 type Sender interface {
 	Send(m quorum.Message)
-	// SetGroup tells the present members, and whether this replica is one of
+	// SetMembers tells the present members, and whether this replica is one of
 	// them and follows or is a leader; if not, it has to ask to join.
-	SetGroup(members []quorum.Member, joined bool)
+	SetMembers(members []quorum.Member, joined bool)
 	// Addrs returns the addresses that this replica keeps a link to, or tries to.
 	Addrs() []string
 }
@@ -100,19 +100,19 @@
 	Last      uint64          `json:"last"`
 	Snapshot  uint64          `json:"snapshot"`
 	LogBytes  int64           `json:"log_bytes"`
-	Settled   bool            `json:"settled"`
+	Ready   bool            `json:"settled"`
 	Leader    quorum.Member   `json:"leader"`
 	Members   []quorum.Member `json:"members"`
 	ContactNS int64           `json:"-"` // quorum contact, Unix ns
 	Campaigns uint64          `json:"campaigns"`
-	// Leaderless is since when no leader is known; zero while one is.
-	Leaderless time.Time `json:"-"`
-	// Heard is when each other member was last heard, as of at most heardPause ago.
-	Heard map[quorum.MemberID]time.Time `json:"-"`
-	heard time.Time                     // Heard is due again
+	// LeaderlessSince is when the last known leader was lost; zero while one is known.
+	LeaderlessSince time.Time `json:"-"`
+	// LastMessageAt is when each other member was last heard, as of at most heardPause ago.
+	LastMessageAt map[quorum.MemberID]time.Time `json:"-"`
+	heard time.Time                     // when LastMessageAt is copied again
 }
 
-// heardPause is between two copies of the times in Status.Heard, so that a message
+// heardPause is between two copies of the times in Status.LastMessageAt, so that a message
 // costs none; metrics are fetched every few seconds.
 const heardPause = 100 * time.Millisecond
 
@@ -259,7 +259,7 @@
 	for index, p := range r.waiting {
 		if !r.node.HasEntry(index, p.term) {
 			delete(r.waiting, index)
-			p.reply <- outcome{err: ErrUnknown}
+			p.reply <- outcome{err: ErrOutcomeUnknown}
 		}
 	}
 }
@@ -361,12 +361,12 @@
 	r.report.Observe(n, now)
 	st := Status{
 		ID: n.ID(), Role: n.Role().String(), Term: n.Term(), Commit: n.CommitIndex(), Last: n.LastIndex(),
-		Snapshot: n.SnapshotIndex(), LogBytes: r.logBytes, Settled: n.CommittedInTerm() && r.opened(), Members: n.Members(),
-		ContactNS: n.QuorumContact(now).UnixNano(), Campaigns: n.Campaigns(), Leaderless: r.report.Leaderless(),
+		Snapshot: n.SnapshotIndex(), LogBytes: r.logBytes, Ready: n.CommittedInTerm() && r.opened(), Members: n.Members(),
+		ContactNS: n.QuorumContact(now).UnixNano(), Campaigns: n.Campaigns(), LeaderlessSince: r.report.LeaderlessSince(),
 	}
 	st.Leader, _ = n.Member(n.Leader())
 	_, member := n.Member(n.ID())
-	r.send.SetGroup(st.Members, member && n.Leader() != "")
+	r.send.SetMembers(st.Members, member && n.Leader() != "")
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	old := r.status
@@ -376,7 +376,7 @@
 		r.log.Info().Str("role", st.Role).Uint64("term", st.Term).Msg("role_changed")
 		r.rec.Record(rudderfork.Event{Kind: "role", Subject: string(st.ID), Text: fmt.Sprintf("%s in term %d", st.Role, st.Term)})
 	}
-	if old.Role != st.Role || old.Term != st.Term || old.Settled != st.Settled || old.Leader.ID != st.Leader.ID {
+	if old.Role != st.Role || old.Term != st.Term || old.Ready != st.Ready || old.Leader.ID != st.Leader.ID {
 		r.signalChange()
 	}
 }
@@ -398,13 +398,13 @@
 // enough.
 func (s *Status) noteHeard(old Status, n *quorum.Node, now time.Time) {
 	if now.Before(old.heard) {
-		s.Heard, s.heard = old.Heard, old.heard
+		s.LastMessageAt, s.heard = old.LastMessageAt, old.heard
 		return
 	}
-	s.Heard, s.heard = map[quorum.MemberID]time.Time{}, now.Add(heardPause)
+	s.LastMessageAt, s.heard = map[quorum.MemberID]time.Time{}, now.Add(heardPause)
 	for _, m := range s.Members {
 		if at := n.LastMessageAt(m.ID); !at.IsZero() {
-			s.Heard[m.ID] = at
+			s.LastMessageAt[m.ID] = at
 		}
 	}
 }
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -21,7 +21,7 @@
 type nobody struct{}
 
 func (nobody) Send(quorum.Message)            {}
-func (nobody) SetGroup([]quorum.Member, bool) {}
+func (nobody) SetMembers([]quorum.Member, bool) {}
 func (nobody) Addrs() []string                { return nil }
 func (nobody) Record(rudderfork.Event)        {}
 
--- a/replica/report.go
+++ b/replica/report.go
@@ -111,8 +111,8 @@
 	return b
 }
 
-// Leaderless returns since when no leader is known, or the zero time if one is.
-func (p *reporter) Leaderless() time.Time { return p.leaderless }
+// LeaderlessSince returns since when no leader is known, or the zero time if one is.
+func (p *reporter) LeaderlessSince() time.Time { return p.leaderless }
 
 func (p *reporter) noteLeader(n *quorum.Node, now time.Time) {
 	switch {
--- a/replica/report_test.go
+++ b/replica/report_test.go
@@ -138,7 +138,7 @@
 		assert.Equal(t, len(ls), times)
 		assertFields(t, ls[times-1], map[string]any{"leaderless": 5000.0, "granted": ids(), "unanswered": ids("c2#1", "c3#1")})
 		r.step(quorum.Message{Type: quorum.MsgAppend, From: "c2#1"})
-		assert.Assert(t, r.rep.Leaderless().IsZero())
+		assert.Assert(t, r.rep.LeaderlessSince().IsZero())
 		r.wait(50 * time.Millisecond)
 		assert.Equal(t, len(r.lines("no_leader")), 0)
 	})
--- a/replica/silence_test.go
+++ b/replica/silence_test.go
@@ -54,7 +54,7 @@
 		name := fmt.Sprintf("r%d", i)
 		g.lns = append(g.lns, ln)
 		g.members = append(g.members, quorum.Member{
-			ID: MemberID(name, Founding), Name: name, Addr: ln.Addr().String(), Voter: i < founders,
+			ID: MemberID(name, FoundingIncarnation), Name: name, Addr: ln.Addr().String(), Voter: i < founders,
 		})
 	}
 	for range founders {
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -44,7 +44,7 @@
 type noPeers struct{}
 
 func (noPeers) Send(quorum.Message)            {}
-func (noPeers) SetGroup([]quorum.Member, bool) {}
+func (noPeers) SetMembers([]quorum.Member, bool) {}
 func (noPeers) Addrs() []string                { return nil }
 func (noPeers) Record(rudderfork.Event)        {}
 
