--- a/jobtime/jobtime.go
+++ b/jobtime/jobtime.go
@@ -1,10 +1,11 @@
-// Package jobtime tells from the processes' logs where the time of jobs goes.
+// Package jobtime computes from the processes' logs what the time of jobs was spent
+// on.
 //
-// A job ends with its last task. That task could begin when the task before it in
-// the chain had ended, and so on back to the job's submission: this chain of tasks
-// is what made the job take as long as it did, and the rest ran beside it. A Log
-// gathers events; Jobs splits the time of each job that has ended by what its
-// chain spent it on.
+// A job ends with its last task. That task could start when a task of another step
+// had ended, and so on back to the job's submission. These tasks are the job's
+// critical path, which alone determines how long the job takes. A Log collects
+// events; Jobs divides the time of each job that has ended into the parts of its
+// critical path.
 package jobtime
 
 import (
@@ -17,27 +18,30 @@
 	"rudderfork.example/rudderfork/queue"
 )
 
-// Part is what a job's time was spent on.
+// Part names what a part of a job's time was spent on. The names are printed.
 type Part string
 
 // The parts of a job's time.
 const (
-	// Waiting is from when a task could begin to its first start.
+	// Waiting is the time from when a task could start to its first start.
 	Waiting Part = "waiting for a place"
-	// PacedDown is what a filler was held back by while it ran, by its share.
+	// PacedDown is the time that a filler lost by running at less than full speed:
+	// of a second at 40 percent, 0.6 s.
 	PacedDown Part = "paced down"
-	// Working is the rest of the run that did the task.
+	// Working is the rest of the run that completed the task.
 	Working Part = "at work"
-	// WaitingAgain is from the end of a run that did not do its task to the next start.
+	// WaitingAgain is the time from the end of a run that didn't complete its task
+	// to the next start.
 	WaitingAgain Part = "waiting for another start"
-	// lost is followed by why a run ended that did not do its task.
-	lost = "in a run that "
+	// unfinishedPrefix and the reason of its end name a run that didn't complete its
+	// task.
+	unfinishedPrefix = "in a run that "
 )
 
-// fullPercent is the share of a filler that is not held back.
-const fullPercent = 100
+// fullSpeedPercent is the pace of a filler at full speed.
+const fullSpeedPercent = 100
 
-// Kind tells events apart.
+// Kind is the kind of an event.
 type Kind string
 
 // The kinds of events that a Log reads.
@@ -49,7 +53,7 @@
 	PaceChanged Kind = "paced"
 )
 
-// Event is what a log line tells of a job or a run.
+// Event is an event of a job or a run, read from a log line.
 type Event struct {
 	Kind    Kind
 	At      time.Time
@@ -61,14 +65,14 @@
 	Percent int           // of a pace
 }
 
-// Job is where a job's time went.
+// Job is the time of a job, divided into parts.
 type Job struct {
 	ID    rudderfork.JobID
 	Took  time.Duration
 	Parts map[Part]time.Duration // their sum is Took
 }
 
-// Log gathers events, in any order.
+// Log collects events, in any order.
 type Log struct {
 	submitted map[rudderfork.JobID]time.Time
 	tasks     map[queue.TaskKey]*task
@@ -81,7 +85,7 @@
 
 type run struct {
 	placed, ended time.Time
-	how           queue.Outcome
+	outcome       queue.Outcome
 	reason        string
 	paces         []pace
 }
@@ -96,7 +100,7 @@
 	return &Log{submitted: map[rudderfork.JobID]time.Time{}, tasks: map[queue.TaskKey]*task{}}
 }
 
-// Add takes an event.
+// Add adds an event.
 func (l *Log) Add(e Event) {
 	if e.Kind == Submitted {
 		if at, known := l.submitted[e.Job]; !known || e.At.Before(at) {
@@ -109,7 +113,7 @@
 	case Placed:
 		r.placed = e.At
 	case Ended:
-		r.ended, r.how = e.At, e.Outcome
+		r.ended, r.outcome = e.At, e.Outcome
 	case Stopping:
 		r.reason = e.Reason
 	case PaceChanged:
@@ -131,8 +135,8 @@
 	return r
 }
 
-// Jobs returns the jobs of which the submission is known and each task that was
-// placed has ended, by their IDs.
+// Jobs returns the jobs whose submission is in the log and whose placed tasks are
+// all completed, in the order of their IDs.
 func (l *Log) Jobs() (jobs []Job) {
 	byJob := map[rudderfork.JobID][]*task{}
 	for k, t := range l.tasks {
@@ -149,7 +153,7 @@
 	return jobs
 }
 
-// split walks a job's chain from its last task back to its submission.
+// split follows a job's critical path from its last task back to its submission.
 func split(id rudderfork.JobID, submitted time.Time, tasks []*task) Job {
 	slices.SortFunc(tasks, func(a, b *task) int {
 		return cmp.Or(a.done().ended.Compare(b.done().ended), cmp.Compare(a.key.String(), b.key.String()))
@@ -157,20 +161,21 @@
 	at := len(tasks) - 1
 	j := Job{ID: id, Took: tasks[at].done().ended.Sub(submitted), Parts: map[Part]time.Duration{}}
 	for at >= 0 {
-		before := endedBefore(tasks, at)
+		before := predecessor(tasks, at)
 		ready := submitted
 		if before >= 0 {
 			ready = tasks[before].done().ended
 		}
-		tasks[at].spend(ready, j.Parts)
+		tasks[at].addParts(ready, j.Parts)
 		at = before
 	}
 	return j
 }
 
-// endedBefore returns the place of the task of another step that ended last before
-// the first start of the one at place i, or -1. Tasks are in the order of their ends.
-func endedBefore(tasks []*task, i int) int {
+// predecessor returns the index of the task of another step that ended last before
+// the first start of the task at index i, or -1. Tasks are in the order of their
+// ends.
+func predecessor(tasks []*task, i int) int {
 	first := tasks[i].sorted()[0].placed
 	for k := i - 1; k >= 0; k-- {
 		if tasks[k].key.StepKey() != tasks[i].key.StepKey() && !tasks[k].done().ended.After(first) {
@@ -180,18 +185,19 @@
 	return -1
 }
 
-// done returns the run that did the task, or nil: the first, if a copy did it too.
+// done returns the run that completed the task, or nil: the first to end, if a copy
+// completed it too.
 func (t *task) done() (first *run) {
 	for _, r := range t.runs {
-		if r.how == queue.OutcomeDone && !r.placed.IsZero() && (first == nil || r.ended.Before(first.ended)) {
+		if r.outcome == queue.OutcomeDone && !r.placed.IsZero() && (first == nil || r.ended.Before(first.ended)) {
 			first = r
 		}
 	}
 	return first
 }
 
-// sorted returns the runs that were placed, in the order of their starts. One of
-// which no end was told lasted until the next start: its VM was lost.
+// sorted returns the runs that were placed, in the order of their starts. A run
+// without a logged end was lost with its VM, and counts until the next start.
 func (t *task) sorted() (runs []*run) {
 	for _, r := range t.runs {
 		if !r.placed.IsZero() {
@@ -201,15 +207,15 @@
 	slices.SortFunc(runs, func(a, b *run) int { return a.placed.Compare(b.placed) })
 	for i, r := range runs[:len(runs)-1] {
 		if r.ended.IsZero() {
-			r.ended, r.how = runs[i+1].placed, "with its VM"
+			r.ended, r.outcome = runs[i+1].placed, "with its VM"
 		}
 	}
 	return runs
 }
 
-// spend adds the time from when the task could begin until it was done. Copies that
-// ran beside the run that did it count for nothing.
-func (t *task) spend(ready time.Time, parts map[Part]time.Duration) {
+// addParts adds the time from ready, when the task could start, until it was
+// completed. Copies that ran at the same time as an earlier run don't count.
+func (t *task) addParts(ready time.Time, parts map[Part]time.Duration) {
 	done, at, wait := t.done(), ready, Waiting
 	for _, r := range t.sorted() {
 		if r.ended.IsZero() || r.ended.After(done.ended) || r.placed.Before(at) && r != done {
@@ -218,26 +224,27 @@
 		begin := later(r.placed, at)
 		parts[wait] += begin.Sub(at)
 		if r == done {
-			held := r.held(begin)
-			parts[PacedDown] += held
-			parts[Working] += r.ended.Sub(begin) - held
+			pacedDown := r.pacedDown(begin)
+			parts[PacedDown] += pacedDown
+			parts[Working] += r.ended.Sub(begin) - pacedDown
 			return
 		}
-		parts[r.lost()] += r.ended.Sub(begin)
+		parts[r.unfinishedPart()] += r.ended.Sub(begin)
 		at, wait = r.ended, WaitingAgain
 	}
 }
 
-// lost names the part of a run that did not do its task.
-func (r *run) lost() Part {
+// unfinishedPart returns the part for a run that didn't complete its task.
+func (r *run) unfinishedPart() Part {
 	if r.reason != "" {
-		return Part(lost + "was stopped: " + r.reason)
+		return Part(unfinishedPrefix + "was stopped: " + r.reason)
 	}
-	return Part(lost + "ended " + string(r.how))
+	return Part(unfinishedPrefix + "ended " + string(r.outcome))
 }
 
-// held is the time by which a run was held back from a time on.
-func (r *run) held(from time.Time) (held time.Duration) {
+// pacedDown returns the time that the run lost after from by running at less than
+// full speed.
+func (r *run) pacedDown(from time.Time) (pacedDown time.Duration) {
 	slices.SortStableFunc(r.paces, func(a, b pace) int { return a.at.Compare(b.at) })
 	for i, p := range r.paces {
 		until := r.ended
@@ -245,10 +252,10 @@
 			until = r.paces[i+1].at
 		}
 		if begin := later(p.at, from); until.After(begin) {
-			held += until.Sub(begin) * time.Duration(fullPercent-p.percent) / fullPercent
+			pacedDown += until.Sub(begin) * time.Duration(fullSpeedPercent-p.percent) / fullSpeedPercent
 		}
 	}
-	return held
+	return pacedDown
 }
 
 func later(a, b time.Time) time.Time {
