--- a/interference/interference.go
+++ b/interference/interference.go
@@ -1,16 +1,17 @@
-// Package interference learns how much each kind of batch work slows each
-// service, from usage that arrives late.
+// Package interference learns how much each kind of batch work slows each service
+// (Model), and how much fillers reduce the headroom of serving tasks
+// (PressureModel).
 //
-// For every service it fits ln(latency) of an upstream over a window as
+// For every service Model fits ln(latency) of an upstream over a window as
 //
 //	base + load·busy + Σ effect(kind)·share(kind) + noise
 //
 // where share(kind) is the part of the VM's processors that tasks of the kind
 // held in that window, and busy the part of the service's slots in use. The fit
-// is recursive least squares with exponential forgetting, which gives each
-// effect a standard error for free; a pair that was never seen together keeps
-// the prior. Windows are matched with the tasks that ran in them by the time of
-// the measurement, not by its arrival.
+// is recursive least squares with exponential forgetting, which also gives the
+// standard error of each effect. A pair that was never observed keeps the prior.
+// Usage reports arrive late, so the caller matches windows with the tasks that
+// ran in them by the time of the measurement, not by its arrival.
 package interference
 
 import (
@@ -21,21 +22,22 @@
 	"rudderfork.example/rudderfork/internal/regression"
 )
 
-// assumedShare is the part of a VM's processors at which Slowdown is given.
-const assumedShare = 0.25
+// slowdownShare is the part of a VM's processors for which Slowdown gives the
+// factor.
+const slowdownShare = 0.25
 
-// Prior is what is assumed before anything was seen, and how fast the past is
-// forgotten.
+// Prior is the assumption before the first observation, and the rate at which old
+// observations lose weight.
 type Prior struct {
-	HalfLife    time.Duration // after which a sample counts half
-	Effect      float64       // of an unseen pair: on ln(latency), for all processors
-	EffectError float64       // its standard error
+	HalfLife    time.Duration // after which a sample has half of its weight
+	Effect      float64       // of an unobserved pair: added to ln(latency) by a kind on all processors
+	EffectError float64       // standard error of Effect
 	NoiseVar    float64       // variance of ln(latency) between windows
 }
 
-// ServicePrior is the prior for services beside batch jobs that hold processors of
-// their own: one that holds all of them slows a service by a fifth, give or
-// take.
+// ServicePrior returns the prior for services beside batch jobs that have
+// processors of their own: a job that holds all of them is assumed to slow a
+// service by a fifth.
 func ServicePrior() Prior {
 	return Prior{HalfLife: 30 * time.Minute, Effect: 0.18, EffectError: 0.35, NoiseVar: 0.02}
 }
@@ -49,16 +51,16 @@
 	Shares  map[string]float64 // share of processors by kind of batch work
 }
 
-// Model holds the fits. It is not safe for concurrent use.
+// Model holds a fit for each service. It is not safe for concurrent use.
 type Model struct {
 	prior Prior
 	fits  map[rudderfork.Service]*fit
 }
 
-// New returns a model that knows nothing but a prior.
+// New returns a model without observations.
 func New(p Prior) *Model { return &Model{prior: p, fits: map[rudderfork.Service]*fit{}} }
 
-// Observe takes one window. Windows may arrive late and out of order.
+// Observe adds a window. Windows may arrive late and out of order.
 func (m *Model) Observe(s Sample) {
 	if s.Latency <= 0 {
 		return
@@ -71,16 +73,16 @@
 	f.observe(s)
 }
 
-// Slowdown implements rudderfork.Interference: the factor for a task that holds
-// a quarter of the VM's processors.
+// Slowdown implements rudderfork.Interference. It returns the factor on the
+// latency by a task that holds a quarter of the VM's processors.
 func (m *Model) Slowdown(s rudderfork.Service, kind string, now time.Time) (factor, stderr float64) {
 	effect, e := m.Effect(s, kind, now)
-	factor = math.Exp(effect * assumedShare)
-	return factor, factor * e * assumedShare
+	factor = math.Exp(effect * slowdownShare)
+	return factor, factor * e * slowdownShare
 }
 
-// Effect is what a kind that holds all processors adds to ln(latency), with its
-// standard error.
+// Effect returns what a kind that holds all processors adds to ln(latency), with
+// its standard error.
 func (m *Model) Effect(s rudderfork.Service, kind string, now time.Time) (effect, stderr float64) {
 	if f := m.fits[s]; f != nil {
 		return f.effect(kind, now)
@@ -88,17 +90,17 @@
 	return m.prior.Effect, m.prior.EffectError
 }
 
-// fit is the regression of one service. Index 0 is the base, 1 the load, the
-// rest are kinds.
+// fit is the regression of one service. Coefficient 0 is the base, 1 the load, and
+// the others are the effects of kinds.
 type fit struct {
 	prior Prior
 	index map[string]int
 	reg   regression.Fit
-	at    time.Time
+	at    time.Time // of the newest sample
 }
 
-// baseVar is the variance of the base and of the load's part at first: 10 ms
-// within a factor of e² or so.
+// baseVar is the initial variance of the base, whose initial value is ln(10 ms):
+// a standard error of a factor of e². It also bounds the variance of the load.
 const baseVar = 4
 
 func newFit(p Prior) *fit {
@@ -126,13 +128,13 @@
 	for k, share := range s.Shares {
 		x[f.index[k]] = share
 	}
-	f.forget(s.At)
+	f.widen(s.At)
 	f.reg.Update(x, math.Log(s.Latency.Seconds()), f.prior.NoiseVar, 0)
 }
 
-// forget widens the errors by the time since the newest sample. No effect is
-// known worse than the prior.
-func (f *fit) forget(at time.Time) {
+// widen raises the variances with the time since the newest sample, at most to
+// those of the prior.
+func (f *fit) widen(at time.Time) {
 	if f.at.IsZero() {
 		f.at = at
 	}
--- a/interference/interference_test.go
+++ b/interference/interference_test.go
@@ -11,9 +11,9 @@
 
 var t0 = time.Unix(1000, 0)
 
-// feed gives the model windows of a service whose true effects are given, with
-// noise, and returns the time of the last.
-func feed(m *Model, n int, effects map[string]float64, seed uint64) time.Time {
+// observeWindows adds n windows of a service with the given effects and with noise
+// to a model, and returns the time of the last.
+func observeWindows(m *Model, n int, effects map[string]float64, seed uint64) time.Time {
 	rng := rand.New(rand.NewPCG(seed, 6))
 	now := t0
 	for range n {
@@ -32,27 +32,27 @@
 	return now
 }
 
-func TestLearnsPairs(t *testing.T) {
+func TestSlowdown(t *testing.T) {
 	effects := map[string]float64{"noisy": 2, "quiet": 0}
 	m := New(ServicePrior())
-	now := feed(m, 400, effects, 1)
+	now := observeWindows(m, 400, effects, 1)
 	for k, e := range effects {
 		factor, stderr := m.Slowdown("tour", k, now)
-		want := math.Exp(e * assumedShare)
+		want := math.Exp(e * slowdownShare)
 		assert.Assert(t, math.Abs(factor-want) < 3*stderr+0.02, "%s: %.3f ± %.3f, want %.3f", k, factor, stderr, want)
 	}
-	t.Run("a pair never seen keeps the prior", func(t *testing.T) {
+	t.Run("an unobserved pair keeps the prior", func(t *testing.T) {
 		factor, stderr := m.Slowdown("tour", "new", now)
-		assert.Equal(t, factor, math.Exp(ServicePrior().Effect*assumedShare))
+		assert.Equal(t, factor, math.Exp(ServicePrior().Effect*slowdownShare))
 		assert.Assert(t, stderr > 0.05)
 	})
-	t.Run("what is old is less sure", func(t *testing.T) {
+	t.Run("the standard error grows with time", func(t *testing.T) {
 		_, fresh := m.Slowdown("tour", "noisy", now)
 		_, old := m.Slowdown("tour", "noisy", now.Add(2*ServicePrior().HalfLife))
 		assert.Assert(t, old > fresh)
 	})
-	t.Run("it follows a change", func(t *testing.T) {
-		changed := feed(m, 1200, map[string]float64{"noisy": 0, "quiet": 0}, 2)
+	t.Run("the estimate follows a change", func(t *testing.T) {
+		changed := observeWindows(m, 1200, map[string]float64{"noisy": 0, "quiet": 0}, 2)
 		factor, _ := m.Slowdown("tour", "noisy", changed)
 		assert.Assert(t, factor < 1.25, "%.3f", factor)
 	})
--- a/interference/pressure.go
+++ b/interference/pressure.go
@@ -8,85 +8,88 @@
 	"rudderfork.example/rudderfork/internal/regression"
 )
 
-// PressureModel learns what fillers take from serving tasks, by pair of images.
+// PressureModel learns how much fillers reduce the headroom of serving tasks, for
+// each pair of images. It is not safe for concurrent use.
 //
-// A serving task answers like a queue: its tail is about s/(1-ρ), where ρ is the
-// load on it, its own and what fillers beside it add. So its headroom, the
-// objective over the tail, falls in a straight line with the speeds of the
-// fillers:
+// A serving task behaves like a queue: its tail latency is about s/(1-ρ), where ρ
+// is its utilization, by its own load and by the fillers beside it. So its
+// headroom, the latency objective over the tail latency, is linear in the speeds
+// of the fillers:
 //
 //	headroom = own - Σ pressure(pair)·share
 //
 // where share is the part of the VM's processors at which fillers of an image
-// work. The tail itself explodes near ρ = 1, and its logarithm bends: in trials
-// with random paces the headroom left 13% of the variance unexplained, the
-// logarithm 21%, the tail 50%.
+// work, and own depends on the task's own load. The tail latency itself diverges
+// near ρ = 1, and its logarithm is not linear: with random speeds of the fillers a
+// linear fit of the headroom left 13% of the variance unexplained, one of the
+// logarithm 21%, one of the tail latency 50%.
 //
-// The task's own part swings with its load over seconds, so the fit is over the
-// differences between two figures of one task, in which it nearly cancels.
+// The task's own load varies over seconds. So the fit uses the differences between
+// successive samples of a task, in which own nearly cancels out.
 type PressureModel struct {
 	fits map[string]*pressureFit // by serving image
 }
 
 const (
-	// priorPressure is assumed of a pair that was never seen, with its standard
-	// error. On calm days of the users' platform two pairs in three take less
-	// than 1, the others 4 to 12.
+	// priorPressure is the pressure assumed of a pair that was never observed,
+	// priorError its standard error. On calm days of the users' platform two pairs
+	// in three have a pressure below 1, the others of 4 to 12.
 	priorPressure, priorError = 2.0, 3.0
-	// assumedError is the standard error of what was learned elsewhere: half of
-	// what is unknown.
-	assumedError = priorError / 2
-	// pressureHalfLife is when a difference counts half.
+	// transferredError is the standard error of a pressure that another process
+	// learned: half of that of the prior.
+	transferredError = priorError / 2
+	// pressureHalfLife is the age at which a difference has half of its weight.
 	pressureHalfLife = time.Minute
-	// figureVar is the variance of a difference by the rounding of its figures,
-	// and swingVar what a second of the task's own swings adds: without fillers
-	// the headroom was seen to move by 0.3 in half a second.
-	figureVar, swingVar = 0.03, 0.25
-	// outlier bounds how far one difference may pull the fit, in standard
-	// deviations.
-	outlier = 3.0
-	// longestGap is how far apart two figures may lie.
-	longestGap = 1500 * time.Millisecond
-	// leastChange is the least change of a share that tells anything.
-	leastChange = 0.005
-	// saturated is the headroom under which a figure tells little: the tail is
-	// bounded by what the users' clients wait for.
-	saturated = 0.15
-	// maxFigures bounds the tasks whose last figure is kept.
-	maxFigures = 4_096
+	// roundingVar is the variance of a difference by the rounding of its samples.
+	// loadVar is the variance that the task's own load adds for each second between
+	// them: without fillers the headroom moves by 0.3 in half a second.
+	roundingVar, loadVar = 0.03, 0.25
+	// outlierBound is the deviation above which a difference has less weight in the
+	// fit, in standard deviations.
+	outlierBound = 3.0
+	// maxGap is the longest time between two samples whose difference is used.
+	maxGap = 1500 * time.Millisecond
+	// minChange is the least change of a share for which a difference is used.
+	minChange = 0.005
+	// saturatedBelow is the headroom below which two successive samples are not
+	// used: the timeout of the users' clients bounds the tail latency there.
+	saturatedBelow = 0.15
+	// maxLastSamples is the number of runs for which the last sample is kept.
+	maxLastSamples = 4_096
 )
 
-// HeadroomSample is a serving task's headroom, and what worked beside it meanwhile.
+// HeadroomSample is a serving task's headroom and the fillers' share of the
+// processors during the measurement.
 type HeadroomSample struct {
-	Image    string
+	Image    string // of the serving task
 	Run      rudderfork.RunRef
 	At       time.Time
 	Headroom float64
 	Shares   map[string]float64 // of the VM's processors, by image of the fillers
 }
 
-// Pair names the image of a serving task and that of a filler.
+// Pair is the image of a serving task and that of a filler.
 type Pair struct{ Serving, Filler string }
 
-// NewPressureModel returns a model that knows nothing but a prior.
+// NewPressureModel returns a model without observations.
 func NewPressureModel() *PressureModel { return &PressureModel{fits: map[string]*pressureFit{}} }
 
-// DefaultPressure is the pressure assumed of a pair that was never seen.
+// DefaultPressure returns the pressure assumed of a pair that was never observed.
 func DefaultPressure() float64 { return priorPressure }
 
-// Observe takes a figure. Figures of a run come in the order of their times.
+// Observe adds a sample. Those of one run must come in the order of their times.
 func (p *PressureModel) Observe(f HeadroomSample) {
 	p.fit(f.Image).observe(f)
 }
 
-// SetPrior takes a pressure that was learned elsewhere, unless the pair was seen
-// here already, and reports whether it did.
+// SetPrior sets the prior of a pair to a pressure that another process learned,
+// unless the pair is known already, and reports whether it did.
 func (p *PressureModel) SetPrior(serving, filler string, pressure float64) bool {
 	fit := p.fit(serving)
 	if _, known := fit.index[filler]; known {
 		return false
 	}
-	fit.index[filler] = fit.reg.Grow(max(0, pressure), assumedError*assumedError)
+	fit.index[filler] = fit.reg.Grow(max(0, pressure), transferredError*transferredError)
 	return true
 }
 
@@ -100,16 +103,16 @@
 	return f
 }
 
-// Estimate returns the pressure of a pair and its standard error.
+// Estimate returns the pressure of a pair and its standard error at now.
 func (p *PressureModel) Estimate(serving, filler string, now time.Time) (pressure, stderr float64) {
 	if f := p.fits[serving]; f != nil {
-		return f.of(filler, now)
+		return f.estimate(filler, now)
 	}
 	return priorPressure, priorError
 }
 
-// pressureFit is the regression of one serving image; its coefficients are the
-// images of fillers.
+// pressureFit is the regression of one serving image. Its coefficients are the
+// pressures of the images of fillers.
 type pressureFit struct {
 	index map[string]int
 	reg   regression.Fit
@@ -119,22 +122,22 @@
 
 func (p *pressureFit) observe(f HeadroomSample) {
 	before, ok := p.last[f.Run]
-	if len(p.last) >= maxFigures && !ok {
+	if len(p.last) >= maxLastSamples && !ok {
 		clear(p.last)
 	}
 	p.last[f.Run] = f
 	gap := f.At.Sub(before.At)
-	if !ok || gap <= 0 || gap > longestGap || f.Headroom < saturated && before.Headroom < saturated {
+	if !ok || gap <= 0 || gap > maxGap || f.Headroom < saturatedBelow && before.Headroom < saturatedBelow {
 		return
 	}
 	if x := p.change(before.Shares, f.Shares); x != nil {
-		p.forget(f.At)
-		p.update(x, f.Headroom-before.Headroom, figureVar+swingVar*gap.Seconds())
+		p.widen(f.At)
+		p.update(x, f.Headroom-before.Headroom, roundingVar+loadVar*gap.Seconds())
 	}
 }
 
-// change returns what the fillers took off, for each coefficient, or nil if they
-// worked on as before.
+// change returns the decrease of the fillers' share for each coefficient, or nil if
+// no share has changed by minChange.
 func (p *pressureFit) change(before, now map[string]float64) []float64 {
 	for _, shares := range []map[string]float64{before, now} {
 		for image := range shares {
@@ -147,7 +150,7 @@
 	changed := false
 	for image, i := range p.index {
 		x[i] = before[image] - now[image]
-		changed = changed || math.Abs(x[i]) >= leastChange
+		changed = changed || math.Abs(x[i]) >= minChange
 	}
 	if !changed {
 		return nil
@@ -155,15 +158,16 @@
 	return x
 }
 
-// update takes a difference, and keeps the pressures from falling below zero:
-// fillers do not speed anyone up.
+// update adds a difference to the fit and bounds the pressures to zero or more,
+// since fillers don't speed up a serving task.
 func (p *pressureFit) update(x []float64, y, noise float64) {
-	p.reg.Update(x, y, noise, outlier)
+	p.reg.Update(x, y, noise, outlierBound)
 	p.reg.Bound(0)
 }
 
-// forget widens the errors by the time since the newest difference.
-func (p *pressureFit) forget(at time.Time) {
+// widen raises the variances with the time since the newest difference, at most to
+// that of the prior.
+func (p *pressureFit) widen(at time.Time) {
 	if !p.at.IsZero() && at.After(p.at) {
 		p.reg.Widen(regression.Growth(at.Sub(p.at), pressureHalfLife), func(int) float64 { return priorError * priorError })
 	}
@@ -172,7 +176,7 @@
 	}
 }
 
-func (p *pressureFit) of(filler string, now time.Time) (pressure, stderr float64) {
+func (p *pressureFit) estimate(filler string, now time.Time) (pressure, stderr float64) {
 	i, ok := p.index[filler]
 	if !ok {
 		return priorPressure, priorError
