--- a/interference/pressure.go
+++ b/interference/pressure.go
@@ -44,8 +44,8 @@
 	// loadVar is the variance that the task's own load adds for each second between
 	// them: without fillers the headroom moves by 0.3 in half a second.
 	roundingVar, loadVar = 0.03, 0.25
-	// outlierBound is the deviation above which a difference has less weight in the
-	// fit, in standard deviations.
+	// outlierBound is the deviation from the prediction to which that of a
+	// difference is limited, in standard deviations.
 	outlierBound = 3.0
 	// maxGap is the longest time between two samples whose difference is used.
 	maxGap = 1500 * time.Millisecond
--- a/routing/baseline.go
+++ b/routing/baseline.go
@@ -7,7 +7,8 @@
 	"rudderfork.example/rudderfork"
 )
 
-// list is what the baselines share: upstreams in order, and requests under way.
+// list is the common part of the baselines: the upstreams and the requests in
+// flight.
 type list struct {
 	vms  []rudderfork.VMID
 	sent map[rudderfork.VMID]int
@@ -43,13 +44,13 @@
 	return vms
 }
 
-// Random picks any upstream. It is a baseline.
+// Random picks an upstream at random. It is a baseline of benchmarks.
 type Random struct {
 	list
 	rng *rand.Rand
 }
 
-// NewRandom returns a random picker.
+// NewRandom returns a random picker. seed seeds its random numbers.
 func NewRandom(seed uint64) *Random { return &Random{rng: rand.New(rand.NewPCG(seed, 4))} }
 
 // Pick implements rudderfork.Picker.
@@ -61,7 +62,7 @@
 	return vms[p.rng.IntN(len(vms))], "drawn at random", true
 }
 
-// RoundRobin picks upstreams in turn. It is a baseline.
+// RoundRobin picks the upstreams in turn. It is a baseline of benchmarks.
 type RoundRobin struct {
 	list
 	next int
@@ -77,8 +78,8 @@
 	return vms[p.next%len(vms)], "next in turn", true
 }
 
-// LeastInFlight picks the upstream at which this entry has the least requests.
-// It is a baseline.
+// LeastInFlight picks the upstream with the fewest requests of this entry in
+// flight. It is a baseline of benchmarks.
 type LeastInFlight struct {
 	list
 	next int
@@ -90,7 +91,7 @@
 	if len(vms) == 0 {
 		return "", "", false
 	}
-	p.next++ // so that ties go round
+	p.next++ // rotates the choice among upstreams with equal numbers
 	for i := range vms {
 		o := vms[(p.next+i)%len(vms)]
 		if vm == "" || p.sent[o] < p.sent[vm] {
--- a/routing/budget.go
+++ b/routing/budget.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// RetryBudget bounds retries to a share of the requests, so that retries cannot
-// multiply an overload. It is a token bucket filled by requests, with a small
-// steady flow for entries that see few. It is not safe for concurrent use.
+// RetryBudget limits retries to a share of the requests, so that retries can't
+// amplify an overload. It is a token bucket that requests refill, and that also
+// refills at a low rate for entries with few requests. It is not safe for
+// concurrent use.
 type RetryBudget struct {
 	share  float64
 	tokens float64
@@ -12,10 +13,9 @@
 }
 
 const (
-	// maxTokens bounds a burst of retries.
+	// maxTokens is the capacity of the bucket, the largest burst of retries.
 	maxTokens = 20
-	// steadyRate is how many retries a second are allowed however few requests
-	// there are.
+	// steadyRate is the refill per second without requests.
 	steadyRate = 0.5
 )
 
@@ -24,13 +24,13 @@
 	return &RetryBudget{share: share, tokens: maxTokens / 2}
 }
 
-// AddRequest counts a request.
+// AddRequest counts a request that is not a retry.
 func (b *RetryBudget) AddRequest(now time.Time) {
 	b.refill(now)
 	b.tokens = min(maxTokens, b.tokens+b.share)
 }
 
-// TryRetry reports whether a retry is allowed, and takes it from the budget.
+// TryRetry reports whether a retry is allowed, and if so takes it from the budget.
 func (b *RetryBudget) TryRetry(now time.Time) bool {
 	b.refill(now)
 	if b.tokens < 1 {
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,9 +1,8 @@
 // Package routing chooses an upstream for each request, and limits retries.
 //
-// Every entry chooses by itself; entries share no memory. What they know of an
-// upstream comes back on its answers, on probes, and from the requests that the
-// entry itself has under way there. The pickers are driven by events and given
-// times and hold no sockets.
+// Each entry chooses on its own and shares no state with others. It learns the load
+// of an upstream from its answers, from probes and from its own requests in
+// flight there. The pickers do no I/O; the entry passes events and times.
 package routing
 
 import (
@@ -15,61 +14,64 @@
 )
 
 const (
-	// candidates is how many upstreams are drawn and compared for a request.
-	candidates = 3
-	// smoothing is the weight of a new latency in the moving average.
-	smoothing = 0.2
-	// loadAge is after how long a reported load no longer counts.
-	loadAge = time.Second
-	// latencyAge is how fast an old latency loses its weight: an upstream that
-	// was slow is tried again after a few of these.
-	latencyAge = 2 * time.Second
-	// band is how much lower a cost must be to count as lower: within it two
-	// upstreams are alike, and the draw decides.
-	band = 0.95
-	// optimism is what an upstream of unknown latency is expected to take, as a
-	// share of the typical one.
-	optimism = 0.8
-	// firstLatency is assumed before any is known, in seconds.
-	firstLatency = 0.01
-	// farCost is added for another failure domain.
-	farCost = 300 * time.Microsecond
-	// failLimit is how many requests in a row must fail before an upstream is
-	// set aside, asideBase for how long at first, doubling up to asideMax.
-	failLimit = 3
-	asideBase = 500 * time.Millisecond
-	asideMax  = 30 * time.Second
-	// rampRequests is how many good answers an upstream that came back needs
-	// before it may have more than one request at a time.
-	rampRequests = 5
+	// maxCandidates is the number of upstreams drawn at random and compared for a
+	// request.
+	maxCandidates = 3
+	// latencyWeight is the weight of a new latency in the moving average.
+	latencyWeight = 0.2
+	// maxLoadAge is the age above which a reported load is ignored.
+	maxLoadAge = time.Second
+	// latencyTimeScale is the age at which a latency has half of its weight. An
+	// upstream that was slow is tried again after a few times as long.
+	latencyTimeScale = 2 * time.Second
+	// costTolerance is the factor by which a cost must be lower to count as lower.
+	// Between upstreams of closer costs the random order decides.
+	costTolerance = 0.95
+	// unknownLatencyFactor is the expected latency of an upstream of unknown
+	// latency over the mean latency. Below 1 it makes the entry try such upstreams.
+	unknownLatencyFactor = 0.8
+	// initialLatency is the mean latency assumed before any is known, in seconds.
+	initialLatency = 0.01
+	// remoteDomainCost is added to the cost of upstreams in another failure domain.
+	remoteDomainCost = 300 * time.Microsecond
+	// maxFailures is the number of consecutive failures at which an upstream is
+	// ejected, which means that it gets no requests. The first ejection lasts
+	// baseEjection, each further one twice as long, up to maxEjection.
+	maxFailures  = 3
+	baseEjection = 500 * time.Millisecond
+	maxEjection  = 30 * time.Second
+	// rampSuccesses is the number of successful answers after an ejection before an
+	// upstream gets more than one request at a time.
+	rampSuccesses = 5
+	// defaultSlots is assumed of an upstream that hasn't reported its slots.
 	defaultSlots = 8
 )
 
-// Probing is the picker of the product: it draws candidates and takes, among
-// those with a free slot, the one of least expected latency, else the one with
-// the least requests (the hot/cold rule of Prequal, NSDI 2024). It implements
-// rudderfork.Picker.
+// Probing is the default picker. It draws maxCandidates upstreams at random and
+// picks, among those with a free slot, the one of least cost, and if none has a
+// free slot, the one with the fewest requests (the hot/cold rule of Prequal, NSDI
+// 2024). It implements rudderfork.Picker.
 type Probing struct {
-	domain rudderfork.Domain
-	rng    *rand.Rand
-	ups    []*upstream
-	byVM   map[rudderfork.VMID]*upstream
+	domain    rudderfork.Domain
+	rng       *rand.Rand
+	upstreams []*upstream
+	byVM      map[rudderfork.VMID]*upstream
 }
 
-// upstream is what one entry knows of one upstream.
+// upstream is the state of one upstream at one entry.
 type upstream struct {
 	rudderfork.Upstream
-	sent      int // requests of this entry under way
-	load      rudderfork.Load
-	loadAt    time.Time
-	sentAt    int     // sent when load came
-	latency   float64 // moving average, seconds
-	latencyAt time.Time
+	sent       int // requests of this entry in flight
+	load       rudderfork.Load
+	loadAt     time.Time
+	sentAtLoad int     // value of sent when load was reported
+	latency    float64 // moving average, seconds
+	latencyAt  time.Time
 
-	failures   int
-	asideUntil time.Time
-	asideCount int
-	good       int // good answers since it came back
+	failures     int
+	ejectedUntil time.Time
+	ejections    int
+	successes    int // successful answers since the last ejection
 }
 
 // NewProbing returns a picker for an entry in the given failure domain.
@@ -80,7 +82,7 @@
 // SetUpstreams implements rudderfork.Picker.
 func (p *Probing) SetUpstreams(us []rudderfork.Upstream, _ time.Time) {
 	old := p.byVM
-	p.byVM, p.ups = map[rudderfork.VMID]*upstream{}, nil
+	p.byVM, p.upstreams = map[rudderfork.VMID]*upstream{}, nil
 	for _, u := range us {
 		up := old[u.Place.VM]
 		if up == nil || up.Addr != u.Addr {
@@ -88,7 +90,7 @@
 		}
 		up.Upstream = u
 		p.byVM[u.Place.VM] = up
-		p.ups = append(p.ups, up)
+		p.upstreams = append(p.upstreams, up)
 	}
 }
 
@@ -99,40 +101,42 @@
 		return "", "", false
 	}
 	drawn := p.draw(usable)
-	typical := p.typical(now)
+	mean := p.meanLatency(now)
 	best := drawn[0]
 	for _, u := range drawn[1:] {
-		if p.better(u, best, typical, now) {
+		if p.better(u, best, mean, now) {
 			best = u
 		}
 	}
 	why = fmt.Sprintf("least cost of %d drawn from %d usable: about %d requests there, %.1f ms expected",
-		len(drawn), len(usable), best.inFlight(now), 1000*best.expected(typical, now))
+		len(drawn), len(usable), best.inFlight(now), 1000*best.expected(mean, now))
 	return best.Place.VM, why, true
 }
 
-// usable returns the upstreams that may get a request: those not set aside, or
-// all not leaving if that leaves none, since a guess beats a refusal.
+// usable returns the upstreams that may get a request: those that accept one, or
+// else all that aren't leaving, since a request to an ejected upstream may still
+// succeed.
 func (p *Probing) usable(now time.Time, tried []rudderfork.VMID) []*upstream {
-	var good, rest []*upstream
-	for _, u := range p.ups {
-		if u.load.Leaving && now.Sub(u.loadAt) < leavingAge || contains(tried, u.Place.VM) {
+	var accepting, rest []*upstream
+	for _, u := range p.upstreams {
+		if u.load.Leaving && now.Sub(u.loadAt) < maxLeavingAge || contains(tried, u.Place.VM) {
 			continue
 		}
-		if u.mayTry(now) {
-			good = append(good, u)
+		if u.accepts(now) {
+			accepting = append(accepting, u)
 		} else {
 			rest = append(rest, u)
 		}
 	}
-	if len(good) == 0 {
+	if len(accepting) == 0 {
 		return rest
 	}
-	return good
+	return accepting
 }
 
-// leavingAge is how long a report that an upstream is leaving holds.
-const leavingAge = 10 * time.Second
+// maxLeavingAge is the age above which a report that an upstream is leaving is
+// ignored.
+const maxLeavingAge = 10 * time.Second
 
 func contains(vms []rudderfork.VMID, vm rudderfork.VMID) bool {
 	for _, v := range vms {
@@ -143,26 +147,27 @@
 	return false
 }
 
-// mayTry reports whether u is not set aside; one that came back gets one
-// request at a time until it has answered a few.
-func (u *upstream) mayTry(now time.Time) bool {
-	if now.Before(u.asideUntil) {
+// accepts reports whether u may get another request: it isn't ejected, and after an
+// ejection it gets one request at a time until rampSuccesses answers.
+func (u *upstream) accepts(now time.Time) bool {
+	if now.Before(u.ejectedUntil) {
 		return false
 	}
-	return u.asideCount == 0 || u.good >= rampRequests || u.sent == 0
+	return u.ejections == 0 || u.successes >= rampSuccesses || u.sent == 0
 }
 
-// draw returns up to candidates of us, at random.
+// draw returns up to maxCandidates of us, chosen at random.
 func (p *Probing) draw(us []*upstream) []*upstream {
-	for i := range min(candidates, len(us)) {
+	for i := range min(maxCandidates, len(us)) {
 		j := i + p.rng.IntN(len(us)-i)
 		us[i], us[j] = us[j], us[i]
 	}
-	return us[:min(candidates, len(us))]
+	return us[:min(maxCandidates, len(us))]
 }
 
-// better compares two candidates by the hot/cold rule.
-func (p *Probing) better(a, b *upstream, typical float64, now time.Time) bool {
+// better reports whether a is better than b by the hot/cold rule: an upstream with
+// a free slot is cold.
+func (p *Probing) better(a, b *upstream, mean float64, now time.Time) bool {
 	fa, fb := a.inFlight(now), b.inFlight(now)
 	coldA, coldB := fa < a.slots(), fb < b.slots()
 	switch {
@@ -171,14 +176,15 @@
 	case !coldA && fa != fb:
 		return fa < fb
 	}
-	return p.cost(a, typical, now) < band*p.cost(b, typical, now)
+	return p.cost(a, mean, now) < costTolerance*p.cost(b, mean, now)
 }
 
-// cost is the expected latency, with what the requests already there add.
-func (p *Probing) cost(u *upstream, typical float64, now time.Time) float64 {
-	c := u.expected(typical, now) * (1 + float64(u.inFlight(now))/float64(u.slots()))
+// cost returns the expected latency in seconds, raised by the requests in flight
+// and by the distance.
+func (p *Probing) cost(u *upstream, mean float64, now time.Time) float64 {
+	c := u.expected(mean, now) * (1 + float64(u.inFlight(now))/float64(u.slots()))
 	if u.Place.Domain != p.domain {
-		c += farCost.Seconds()
+		c += remoteDomainCost.Seconds()
 	}
 	return c
 }
@@ -190,41 +196,43 @@
 	return defaultSlots
 }
 
-// inFlight is the number of requests at u: what it last reported, corrected by
-// what this entry sent and got back since.
+// inFlight returns the number of requests at u: the last reported one, corrected by
+// the requests that this entry has sent and completed since.
 func (u *upstream) inFlight(now time.Time) int {
-	if now.Sub(u.loadAt) > loadAge {
+	if now.Sub(u.loadAt) > maxLoadAge {
 		return u.sent
 	}
-	return max(u.sent, u.load.InFlight+u.load.Queued+u.sent-u.sentAt)
+	return max(u.sent, u.load.InFlight+u.load.Queued+u.sent-u.sentAtLoad)
 }
 
-// expected is the latency, pulled towards a little less than the typical one as
-// it gets old: what is not known is worth a try.
-func (u *upstream) expected(typical float64, now time.Time) float64 {
+// expected returns the expected latency in seconds: the measured one, which with
+// age approaches the mean latency times unknownLatencyFactor.
+func (u *upstream) expected(mean float64, now time.Time) float64 {
 	w := u.freshness(now)
-	return w*u.latency + (1-w)*optimism*typical
+	return w*u.latency + (1-w)*unknownLatencyFactor*mean
 }
 
-// freshness is the weight of the latency: 1 when new, towards 0 with age.
+// freshness returns the weight of the latency by its age: 1 when new, falling
+// towards 0.
 func (u *upstream) freshness(now time.Time) float64 {
 	if u.latencyAt.IsZero() {
 		return 0
 	}
-	age := now.Sub(u.latencyAt).Seconds() / latencyAge.Seconds()
+	age := now.Sub(u.latencyAt).Seconds() / latencyTimeScale.Seconds()
 	return 1 / (1 + age*age)
 }
 
-// typical is the mean latency over the upstreams, by freshness.
-func (p *Probing) typical(now time.Time) float64 {
+// meanLatency returns the mean latency over the upstreams in seconds, weighted by
+// freshness.
+func (p *Probing) meanLatency(now time.Time) float64 {
 	sum, weight := 0.0, 0.0
-	for _, u := range p.ups {
+	for _, u := range p.upstreams {
 		w := u.freshness(now)
 		sum += w * u.latency
 		weight += w
 	}
 	if weight == 0 {
-		return firstLatency
+		return initialLatency
 	}
 	return sum / weight
 }
@@ -249,32 +257,32 @@
 	}
 	u.failures = 0
 	if took <= 0 {
-		return // a refusal or a feed says nothing about latency
+		return // a refusal or a feed (relay.Feed) says nothing about latency
 	}
-	u.good++
-	if u.good >= 2*rampRequests {
-		u.asideCount = 0
+	u.successes++
+	if u.successes >= 2*rampSuccesses {
+		u.ejections = 0
 	}
-	// The less the old latency is worth, the more the new one counts.
-	weight := max(smoothing, 1-u.freshness(now))
+	// The older the latency, the more the new one counts.
+	weight := max(latencyWeight, 1-u.freshness(now))
 	u.latency += weight * (took.Seconds() - u.latency)
 	u.latencyAt = now
 }
 
-// fail counts a failure and sets u aside when there are too many in a row, or
-// at once if it has just come back.
+// fail counts a failure and ejects u after maxFailures consecutive ones, or after
+// one if fewer than rampSuccesses answers came since the last ejection.
 func (u *upstream) fail(now time.Time) {
 	u.failures++
-	limit := failLimit
-	if u.asideCount > 0 && u.good < rampRequests {
+	limit := maxFailures
+	if u.ejections > 0 && u.successes < rampSuccesses {
 		limit = 1
 	}
-	if u.failures < limit || now.Before(u.asideUntil) {
+	if u.failures < limit || now.Before(u.ejectedUntil) {
 		return
 	}
-	u.asideUntil = now.Add(min(asideBase<<min(u.asideCount, 8), asideMax))
-	u.asideCount++
-	u.failures, u.good = 0, 0
+	u.ejectedUntil = now.Add(min(baseEjection<<min(u.ejections, 8), maxEjection))
+	u.ejections++
+	u.failures, u.successes = 0, 0
 }
 
 // Observe implements rudderfork.Picker.
@@ -283,9 +291,9 @@
 	if u == nil {
 		return
 	}
-	u.load, u.loadAt, u.sentAt = l, now, u.sent
+	u.load, u.loadAt, u.sentAtLoad = l, now, u.sent
 	if l.Down {
-		u.failures = max(u.failures, failLimit-1)
+		u.failures = max(u.failures, maxFailures-1)
 		u.fail(now)
 	}
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -21,8 +21,8 @@
 	return p
 }
 
-// shares sends n requests that take what took says, one at a time, and returns
-// how many each VM got.
+// shares sends n requests one at a time, with the time and failure that took
+// returns, and returns the number of requests to each VM.
 func shares(p *Probing, n int, now time.Time, took func(rudderfork.VMID) (time.Duration, bool)) map[rudderfork.VMID]int {
 	got := map[rudderfork.VMID]int{}
 	for range n {
@@ -48,7 +48,7 @@
 		return 5 * time.Millisecond, false
 	})
 	assert.Assert(t, got["slow"] >= 1 && got["slow"] < 10, "%v", got)
-	t.Run("it is tried again", func(t *testing.T) {
+	t.Run("it is tried again after a while", func(t *testing.T) {
 		got := shares(p, 300, t0.Add(time.Minute), func(rudderfork.VMID) (time.Duration, bool) { return 5 * time.Millisecond, false })
 		assert.Assert(t, got["slow"] > 50, "%v", got)
 	})
@@ -58,16 +58,16 @@
 	p := newPicker("a", "b", "bad")
 	failing := func(vm rudderfork.VMID) (time.Duration, bool) { return 5 * time.Millisecond, vm == "bad" }
 	got := shares(p, 300, t0, failing)
-	assert.Equal(t, got["bad"], failLimit, "%v", got)
-	t.Run("it is tried again with one request, and set aside for longer", func(t *testing.T) {
-		got := shares(p, 300, t0.Add(asideBase+time.Millisecond), failing)
+	assert.Equal(t, got["bad"], maxFailures, "%v", got)
+	t.Run("after the ejection one failure ejects it for longer", func(t *testing.T) {
+		got := shares(p, 300, t0.Add(baseEjection+time.Millisecond), failing)
 		assert.Equal(t, got["bad"], 1, "%v", got)
 	})
-	t.Run("it comes back one request at a time", func(t *testing.T) {
+	t.Run("it gets one request at a time after the ejection", func(t *testing.T) {
 		now := t0.Add(time.Minute)
 		sent := 0
 		for range 100 {
-			if vm, _, _ := p.Pick(now, []rudderfork.VMID{"a", "b"}); vm == "bad" && p.byVM["bad"].mayTry(now) {
+			if vm, _, _ := p.Pick(now, []rudderfork.VMID{"a", "b"}); vm == "bad" && p.byVM["bad"].accepts(now) {
 				p.Sent("bad", now)
 				sent++
 			}
@@ -76,9 +76,9 @@
 	})
 }
 
-// TestRefusalsAreNotFast has one upstream refuse at once and the others answer
-// slowly: it must not look like the fastest. (It did, and drew the requests.)
-func TestRefusalsAreNotFast(t *testing.T) {
+// TestRefusalsDontCountAsLatency guards against an upstream that refuses requests
+// at once, looks like the fastest and attracts them.
+func TestRefusalsDontCountAsLatency(t *testing.T) {
 	p := newPicker("a", "b", "full")
 	got := shares(p, 300, t0, func(vm rudderfork.VMID) (time.Duration, bool) {
 		if vm == "full" {
@@ -101,8 +101,8 @@
 	p := newPicker("a")
 	_, _, ok := p.Pick(t0, []rudderfork.VMID{"a"})
 	assert.Assert(t, !ok)
-	t.Run("one set aside is better than none", func(t *testing.T) {
-		shares(p, failLimit, t0, func(rudderfork.VMID) (time.Duration, bool) { return 0, true })
+	t.Run("an ejected upstream is used if there is no other", func(t *testing.T) {
+		shares(p, maxFailures, t0, func(rudderfork.VMID) (time.Duration, bool) { return 0, true })
 		_, _, ok := p.Pick(t0.Add(10*time.Millisecond), nil)
 		assert.Assert(t, ok)
 	})
