--- a/agent/service.go
+++ b/agent/service.go
@@ -168,7 +168,7 @@
 	return nil, &refusal{"deadline", "the deadline passed while it waited", s.queue.RetryAt(steady.Now())}
 }
 
-// rule passes rulings to those that wait. s.mu is held.
+// rule passes decisions to those that wait. s.mu is held.
 func (s *service) rule(rs []admission.Decision) {
 	for _, ru := range rs {
 		if ru.Verdict == admission.Wait {
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -38,9 +38,9 @@
 
 // Store keeps claims until they expire. It is not safe for concurrent use.
 type Store struct {
-	entries map[state.ClaimKey]*entry
-	order   []expiry
-	bytes   int // sum of the lengths of all bodies
+	entries  map[state.ClaimKey]*entry
+	expiries []expiry
+	bytes    int // sum of the lengths of all bodies
 }
 
 // entry is the newest claim of one key.
@@ -75,7 +75,7 @@
 		if len(s.entries) >= maxClaims {
 			return ErrFull
 		}
-		s.order = append(s.order, expiry{k, e.expires})
+		s.expiries = append(s.expiries, expiry{k, e.expires})
 	}
 	s.releaseBody(old)
 	s.entries[k] = e
@@ -136,9 +136,9 @@
 
 // expire removes expired entries, at most four in each call to bound its cost.
 func (s *Store) expire(now time.Time) {
-	for i := 0; i < 4 && len(s.order) > 0 && now.After(s.order[0].at); i++ {
-		x := s.order[0]
-		s.order = s.order[1:]
+	for i := 0; i < 4 && len(s.expiries) > 0 && now.After(s.expiries[0].at); i++ {
+		x := s.expiries[0]
+		s.expiries = s.expiries[1:]
 		if e := s.entries[x.key]; e != nil && !e.expires.After(now) {
 			s.releaseBody(e)
 			delete(s.entries, x.key)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -14,8 +14,8 @@
 //
 // The agent's side (Holder) compares the leases that control assigned with the
 // attempts that the worker reports, and returns the actions that reconcile them.
-// It decides from these alone, so lost, repeated and late answers and a restart
-// of the agent need no special case.
+// Of earlier requests it keeps only the boot ID of the worker at each start, so
+// lost, repeated and late answers and a restart of the agent need no special case.
 package lease
 
 import (
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -110,7 +110,7 @@
 		r.idleCapacities = append(r.idleCapacities, capacity)
 		r.maxCapacity = r.maxCapacity.Max(capacity)
 	}
-	p.checkJobs(r)
+	p.updateBlockedJobs(r)
 	for _, t := range p.sortPending(s) {
 		if len(r.plan.Place.Placements) >= maxPlacements {
 			break
@@ -185,7 +185,7 @@
 
 func (p *Planner) placeTask(r *round, t *state.Task) {
 	j := r.s.Job(t.Job)
-	size := p.size(r, j)
+	size := p.taskSize(r, j)
 	if !r.withinLimits(t, j, size) {
 		r.skipped[t.Job] = true
 		return
@@ -206,10 +206,10 @@
 	r.assign(t, j, size, c)
 }
 
-// size returns the declared size of a job's tasks, corrected by their measured
+// taskSize returns the declared size of a job's tasks, corrected by their measured
 // use. The correction never exceeds the largest VM or the team's quota, since a
 // job that can run as declared must not become unschedulable.
-func (p *Planner) size(r *round, j *state.Job) rudderfork.Resources {
+func (p *Planner) taskSize(r *round, j *state.Job) rudderfork.Resources {
 	declared := r.s.JobSize(j.Spec.ID)
 	size := p.usage.Size(j.Spec.Kind, declared)
 	return size.Min(r.maxCapacity).Min(r.s.Quota(j.Spec.Team)).Max(declared.Min(size))
@@ -291,9 +291,9 @@
 	})
 }
 
-// checkJobs sets the reason of jobs that no VM can run, and clears it when one
+// updateBlockedJobs sets the reason of jobs that no VM can run, and clears it when one
 // can.
-func (p *Planner) checkJobs(r *round) {
+func (p *Planner) updateBlockedJobs(r *round) {
 	seen := map[rudderfork.JobID]bool{}
 	for _, t := range r.s.Pending() {
 		if seen[t.Job] {
@@ -351,7 +351,7 @@
 			}
 		}
 		if best != nil {
-			r.evict(best, fmt.Sprintf("throttling all tasks of VM %s was not enough, its services are at %.0f%% of their targets; stopping this one loses least for its weight, %d units",
+			r.evict(best, fmt.Sprintf("throttling all tasks of VM %s was not enough, its services are at %.0f%% of their targets; stopping this one loses the least work for its weight, %d units",
 				v.Place.VM, 100*v.Pressure, p.usage.UnsavedWork(best.ID)))
 		}
 	}
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -61,12 +61,12 @@
 // upstream is the state of one upstream at one entry.
 type upstream struct {
 	rudderfork.Upstream
-	sent       int // requests of this entry in flight
-	load       rudderfork.Load
-	loadAt     time.Time
-	sentAtLoad int     // value of sent when load was reported
-	latency    float64 // moving average, seconds
-	latencyAt  time.Time
+	outstanding       int // requests of this entry in flight
+	load              rudderfork.Load
+	loadAt            time.Time
+	outstandingAtLoad int     // value of outstanding when load was reported
+	latency           float64 // moving average, seconds
+	latencyAt         time.Time
 
 	failures     int
 	ejectedUntil time.Time
@@ -153,7 +153,7 @@
 	if now.Before(u.ejectedUntil) {
 		return false
 	}
-	return u.ejections == 0 || u.successes >= rampSuccesses || u.sent == 0
+	return u.ejections == 0 || u.successes >= rampSuccesses || u.outstanding == 0
 }
 
 // draw returns up to maxCandidates of us, chosen at random.
@@ -200,9 +200,9 @@
 // the requests that this entry has sent and completed since.
 func (u *upstream) inFlight(now time.Time) int {
 	if now.Sub(u.loadAt) > maxLoadAge {
-		return u.sent
+		return u.outstanding
 	}
-	return max(u.sent, u.load.InFlight+u.load.Queued+u.sent-u.sentAtLoad)
+	return max(u.outstanding, u.load.InFlight+u.load.Queued+u.outstanding-u.outstandingAtLoad)
 }
 
 // expected returns the expected latency in seconds: the measured one, which with
@@ -240,7 +240,7 @@
 // Sent implements rudderfork.Picker.
 func (p *Probing) Sent(vm rudderfork.VMID, _ time.Time) {
 	if u := p.byVM[vm]; u != nil {
-		u.sent++
+		u.outstanding++
 	}
 }
 
@@ -250,7 +250,7 @@
 	if u == nil {
 		return
 	}
-	u.sent = max(0, u.sent-1)
+	u.outstanding = max(0, u.outstanding-1)
 	if failed {
 		u.fail(now)
 		return
@@ -291,7 +291,7 @@
 	if u == nil {
 		return
 	}
-	u.load, u.loadAt, u.sentAtLoad = l, now, u.sent
+	u.load, u.loadAt, u.outstandingAtLoad = l, now, u.outstanding
 	if l.Down {
 		u.failures = max(u.failures, maxFailures-1)
 		u.fail(now)
