--- a/cmd/rudderctl/fleet.go
+++ b/cmd/rudderctl/fleet.go
@@ -39,7 +39,7 @@
 			st = "lost"
 		case v.Draining:
 			st = "leaving"
-		case v.Aside:
+		case v.Excluded:
 			st = "set aside"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d/%d\t%d/%d\t%v\t%.2f\n", v.VM, v.Domain, st, v.Tasks,
@@ -59,7 +59,7 @@
 		if !n.BehindSince.IsZero() {
 			behind = time.Since(n.BehindSince).Round(time.Millisecond).String()
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%t\t%d\t%s\t%s\n", n.Process, n.Kind, n.Place.VM, n.Place.Domain, n.Connected, n.Have, behind, n.Admin)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%t\t%d\t%s\t%s\n", n.Process, n.Kind, n.Place.VM, n.Place.Domain, n.Connected, n.TableRevision, behind, n.Admin)
 	}
 	return w.Flush()
 }
--- a/control/api.go
+++ b/control/api.go
@@ -20,26 +20,26 @@
 )
 
 const (
-	// maxBody bounds a request of an operator, in bytes.
-	maxBody = 1 << 20
-	// retryPause is when to come back while there is no leader.
-	retryPause = time.Second
+	// maxBodyBytes bounds the body of an operator's request.
+	maxBodyBytes = 1 << 20
+	// retryDelay is the delay in the Retry-After of a response that may be retried.
+	retryDelay = time.Second
 )
 
-// api is the operators' interface; docs/API.md describes it.
+// api serves the operators' API, which docs/API.md describes.
 type api struct {
-	cfg     Settings
-	rep     *replica.Replica
-	hub     *hub
-	learned *learned
-	ring    *timeline.Ring
+	cfg    Settings
+	rep    *replica.Replica
+	hub    *hub
+	models *usageModels
+	ring   *timeline.Ring
 }
 
-func newAPI(cfg Settings, rep *replica.Replica, h *hub, l *learned, ring *timeline.Ring) *api {
-	return &api{cfg, rep, h, l, ring}
+func newAPI(cfg Settings, rep *replica.Replica, h *hub, m *usageModels, ring *timeline.Ring) *api {
+	return &api{cfg, rep, h, m, ring}
 }
 
-// handler answers a request of an operator, or returns what went wrong.
+// handler answers an operator's request, or returns the error to answer with.
 type handler func(w http.ResponseWriter, r *http.Request) error
 
 func (a *api) routes(mux *http.ServeMux) {
@@ -67,14 +67,15 @@
 	}
 }
 
-// onLeader sends requests that reach a follower to the leader, and makes every
-// answer current: the leader is confirmed after the request came.
+// onLeader redirects requests from a follower to the leader. On the leader it
+// confirms the leadership after the request has arrived, so that every answer is
+// linearizable.
 func (a *api) onLeader(h handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		r.Body = http.MaxBytesReader(w, r.Body, maxBody)
+		r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
 		st := a.rep.Status()
-		if st.Role != "leader" && st.Leader.Addr != "" && r.Header.Get(hopHeader) == "" {
-			// 307 keeps method and body.
+		if st.Role != "leader" && st.Leader.Addr != "" && r.Header.Get(noRedirectHeader) == "" {
+			// Status 307 makes the client keep method and body.
 			w.Header().Set("Location", "http://"+st.Leader.Addr+r.URL.RequestURI())
 			w.WriteHeader(http.StatusTemporaryRedirect)
 			return
@@ -91,8 +92,8 @@
 	}
 }
 
-// hopHeader, when set, asks not to be redirected.
-const hopHeader = "Rudderfork-No-Redirect"
+// noRedirectHeader, when set, makes a follower answer instead of redirecting.
+const noRedirectHeader = "Rudderfork-No-Redirect"
 
 func (a *api) fail(w http.ResponseWriter, err error) {
 	var p *rudderfork.Problem
@@ -102,19 +103,19 @@
 	case errors.As(err, &tooLarge):
 		p = problem.New(http.StatusRequestEntityTooLarge, "too-large", fmt.Sprintf("the body is larger than %d bytes", tooLarge.Limit), rudderfork.RanNo)
 	case errors.Is(err, replica.ErrOutcomeUnknown):
-		p = problem.New(http.StatusGatewayTimeout, "unknown", "the change may or may not be accepted; send it again with the same id", rudderfork.RanUnknown)
-		p.RetryAt = steady.Now().Add(retryPause)
+		p = problem.New(http.StatusGatewayTimeout, "unknown", "the change may or may not have been accepted; send it again with the same id", rudderfork.RanUnknown)
+		p.RetryAt = steady.Now().Add(retryDelay)
 	case errors.Is(err, replica.ErrNotLeader), errors.Is(err, replica.ErrSuperseded):
-		p = problem.New(http.StatusServiceUnavailable, "no-leader", "no leader answers here now; nothing was changed", rudderfork.RanNo)
-		p.RetryAt = steady.Now().Add(retryPause)
+		p = problem.New(http.StatusServiceUnavailable, "no-leader", "this process is not the leader, or cannot confirm that it is; nothing was changed", rudderfork.RanNo)
+		p.RetryAt = steady.Now().Add(retryDelay)
 	default:
 		p = problem.New(http.StatusInternalServerError, "internal", err.Error(), rudderfork.RanUnknown)
 	}
 	problem.Write(w, p)
 }
 
-// result turns a rejected command into a problem.
-func result(res state.Result) error {
+// resultError returns the problem for a rejected command, or nil.
+func resultError(res state.Result) error {
 	switch res.Code {
 	case state.CodeOK:
 		return nil
@@ -130,7 +131,7 @@
 	return problem.New(http.StatusUnprocessableEntity, "invalid", fmt.Sprintf(format, args...), rudderfork.RanNo)
 }
 
-// decode reads a JSON body strictly.
+// decode reads a JSON body and rejects unknown fields.
 func decode(r *http.Request, v any) error {
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
@@ -181,8 +182,8 @@
 	return nil
 }
 
-// putCell sets or removes one cell. If-Match must name the revision that the
-// operator read, so that two who hold the same number cannot both win.
+// putCell sets or removes one cell. If-Match must hold the revision that the
+// operator read, so that of two concurrent changes only one is accepted.
 func (a *api) putCell(w http.ResponseWriter, r *http.Request) error {
 	wr := state.CellWrite{Key: cellKey(r), Remove: r.Method == http.MethodDelete}
 	if !wr.Remove {
@@ -200,12 +201,12 @@
 	match := strings.Trim(r.Header.Get("If-Match"), `"`)
 	rev, err := strconv.ParseUint(match, 10, 64)
 	if err != nil {
-		return problem.New(http.StatusPreconditionRequired, "no-revision", `If-Match is missing or no revision; want the ETag that you read, "0" for a cell never set`, rudderfork.RanNo)
+		return problem.New(http.StatusPreconditionRequired, "no-revision", `If-Match is missing or not a revision; want the ETag of the last read, or "0" for a cell that was never set`, rudderfork.RanNo)
 	}
 	wr.IfRevision = rudderfork.Revision(rev)
 	id := strings.Trim(r.Header.Get("Idempotency-Key"), `"`)
 	if id == "" {
-		return problem.New(http.StatusBadRequest, "no-id", "Idempotency-Key is missing; want an id of your choice, the same when you resend", rudderfork.RanNo)
+		return problem.New(http.StatusBadRequest, "no-id", "Idempotency-Key is missing; want an id of your choice, the same for each retry", rudderfork.RanNo)
 	}
 	return a.edit(w, r, state.Edit{ID: id, By: r.Header.Get("From"), Writes: []state.CellWrite{wr}})
 }
@@ -226,7 +227,7 @@
 	if err != nil {
 		return err
 	}
-	if err := result(res); err != nil {
+	if err := resultError(res); err != nil {
 		return err
 	}
 	if !res.Repeated {
@@ -249,7 +250,7 @@
 	if err != nil {
 		return err
 	}
-	if err := result(res); err != nil {
+	if err := resultError(res); err != nil {
 		return err
 	}
 	a.ring.Record(rudderfork.Event{Kind: "submitted", Subject: string(spec.ID), Revision: res.Revision, Text: fmt.Sprintf("%d tasks of kind %s for team %s", spec.Tasks, spec.Kind, spec.Team)})
@@ -260,7 +261,7 @@
 
 func (a *api) cancelJob(w http.ResponseWriter, r *http.Request) error {
 	id := rudderfork.JobID(r.PathValue("job"))
-	return a.simple(w, r, state.Command{Cancel: &state.Cancel{Job: id}}, "cancelled", string(id))
+	return a.doCommand(w, r, state.Command{Cancel: &state.Cancel{Job: id}}, "cancelled", string(id))
 }
 
 func (a *api) drainVM(w http.ResponseWriter, r *http.Request) error {
@@ -271,22 +272,22 @@
 		return err
 	}
 	vm := rudderfork.VMID(r.PathValue("vm"))
-	what := "draining"
+	kind := "draining"
 	if body.Off {
-		what = "drain_ended"
+		kind = "drain_ended"
 	}
-	return a.simple(w, r, state.Command{Drain: &state.Drain{VM: vm, Off: body.Off}}, what, string(vm))
+	return a.doCommand(w, r, state.Command{Drain: &state.Drain{VM: vm, Off: body.Off}}, kind, string(vm))
 }
 
-func (a *api) simple(w http.ResponseWriter, r *http.Request, c state.Command, what, subject string) error {
+func (a *api) doCommand(w http.ResponseWriter, r *http.Request, c state.Command, kind, subject string) error {
 	res, err := a.rep.Do(r.Context(), c)
 	if err != nil {
 		return err
 	}
-	if err := result(res); err != nil {
+	if err := resultError(res); err != nil {
 		return err
 	}
-	a.ring.Record(rudderfork.Event{Kind: what, Subject: subject, Revision: res.Revision, Text: "asked for by an operator"})
+	a.ring.Record(rudderfork.Event{Kind: kind, Subject: subject, Revision: res.Revision, Text: "requested by an operator"})
 	admin.WriteJSON(w, res)
 	return nil
 }
--- a/control/client.go
+++ b/control/client.go
@@ -9,12 +9,12 @@
 	"rudderfork.example/rudderfork/replica"
 )
 
-// askTimeout bounds a question to another control process.
-const askTimeout = time.Second
+// askTimeout bounds a status request to another control process.
+const statusTimeout = time.Second
 
-// askStatus asks the control process at addr for its view of the group.
-func askStatus(ctx context.Context, addr string) (st replica.Status, err error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// askStatus reads the replication status of the control process at addr.
+func fetchStatus(ctx context.Context, addr string) (st replica.Status, err error) {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/status", nil)
 	if err != nil {
--- a/control/control.go
+++ b/control/control.go
@@ -1,12 +1,12 @@
-// Package control is the process that holds the durable state: a replica of the
-// group, the sessions of entries and agents, the leader's duties and the
-// operators' API.
+// Package control implements the control process. It holds a replica of the
+// durable state, the sessions with entries and agents (the nodes), the work of
+// the leader and the operators' API.
 //
-// All replicas run the same code. A follower keeps the log and the state and
-// sends nodes and operators to the leader. The leader also decides: it expires
-// leases, plans placements and evictions, and pushes the table, the list of
-// upstreams and the assignments to the nodes. What it decides takes effect only
-// once it is committed, and is checked again when it is applied.
+// All replicas run the same code. A follower replicates the log and redirects
+// nodes and operators to the leader. The leader expires leases, plans placements
+// and evictions, and pushes the table, the list of upstreams and the assignments
+// to the nodes. Each of its decisions is a command: it takes effect once it is
+// committed, and is checked again when it is applied.
 package control
 
 import (
@@ -33,14 +33,14 @@
 	"rudderfork.example/rudderfork/usage"
 )
 
-// timelineSize is how many events a control process keeps.
+// timelineSize is the number of events that the timeline retains.
 const timelineSize = 8192
 
-// keepStatus is how long the status of a queue's finished job can be asked for:
-// long enough for an operator to come back to it.
-const keepStatus = 10 * time.Minute
+// keepStatus is how long the status of a finished queue job can be read, so
+// that an operator can still look it up afterwards.
+const queueStatusRetention = 10 * time.Minute
 
-// headerTimeout bounds how long a client may take to send its headers.
+// headerTimeout bounds the time for reading the headers of a request.
 const headerTimeout = 5 * time.Second
 
 // Process is a control process, ready to serve.
@@ -53,7 +53,8 @@
 }
 
 // New opens the data folder and the listeners. An empty or corrupt folder is
-// formatted under a new member ID, so that the process joins the group anew.
+// formatted under a new member ID, so that the process joins the group as a new
+// member.
 func New(cfg Settings, log zerolog.Logger) (p *Process, err error) {
 	defer errs.Annotate(&err, "control %s", cfg.Name)
 	daemon.ReserveProcessor()
@@ -77,12 +78,12 @@
 	return assemble(cfg, log, store, rep, peers, ring, ln, adminLn), nil
 }
 
-// assemble wires the parts together under one supervisor.
+// assemble creates the services of the process and adds them to one supervisor.
 func assemble(cfg Settings, log zerolog.Logger, store *disk.Store, rep *replica.Replica, peers *replica.Peers, ring *timeline.Ring, ln, adminLn net.Listener) *Process {
-	learned := &learned{interference: interference.New(interference.ServicePrior()), usage: usage.New(steady.Now)}
-	planner := placement.NewPlanner(placement.NewScored(learned), learned, learned, replica.Seed(cfg.Name))
-	grants := lease.NewLessor(cfg.LeaseTerm, cfg.ClockBound)
-	hub := newHub(cfg, rep, grants, learned, log, ring)
+	models := &usageModels{interference: interference.New(interference.ServicePrior()), usage: usage.New(steady.Now)}
+	planner := placement.NewPlanner(placement.NewScored(models), models, models, replica.Seed(cfg.Name))
+	lessor := lease.NewLessor(cfg.LeaseTerm, cfg.ClockBound)
+	hub := newHub(cfg, rep, lessor, models, log, ring)
 	lead := newLeader(cfg, rep, hub, planner, log, ring)
 	adm := admin.New(adminLn, ring, func() error { return nil })
 	adm.Registry().MustRegister(newCollector(rep, hub), replica.NewCollector(rep))
@@ -90,11 +91,11 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /peer", peers.Accept(rep))
 	mux.HandleFunc("GET /node", hub.accept)
-	queues := scheduler.New(scheduler.Settings{Lease: cfg.LeaseTerm, StatusRetention: keepStatus}, rep, nil, log, ring)
+	queues := scheduler.New(scheduler.Settings{Lease: cfg.LeaseTerm, StatusRetention: queueStatusRetention}, rep, nil, log, ring)
 	queues.Routes(mux, ring)
 	mux.HandleFunc("GET /queues", queues.Accept)
 	adm.Registry().MustRegister(queues.Collectors()...)
-	newAPI(cfg, rep, hub, learned, ring).routes(mux)
+	newAPI(cfg, rep, hub, models, ring).routes(mux)
 	srv := &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
 
 	sup := daemon.Supervisor("control", log)
@@ -110,7 +111,7 @@
 	return &Process{cfg, log, store, rep, sup}
 }
 
-// Run serves until ctx ends.
+// Run serves until ctx is cancelled.
 func (p *Process) Run(ctx context.Context) (err error) {
 	defer errs.Annotate(&err, "control %s", p.cfg.Name)
 	err = p.sup.Serve(ctx)
@@ -122,12 +123,13 @@
 }
 
 // Format writes the identity of a founding member into the data folder. It must
-// be called once in the life of a group, on each founding member.
+// be called exactly once on each founding member, before the group first starts.
+// It fails if a peer reports a group that has committed entries.
 func Format(ctx context.Context, cfg Settings) (err error) {
 	defer errs.Annotate(&err, "format %s", cfg.Name)
 	for _, m := range cfg.Peers {
-		if st, err := askStatus(ctx, m.Addr); err == nil && st.Commit > 0 {
-			return fmt.Errorf("group %s is formed already: %s answers; start without format, to join", cfg.Group, m.Name)
+		if st, err := fetchStatus(ctx, m.Addr); err == nil && st.Commit > 0 {
+			return fmt.Errorf("group %s already exists: %s is a member of it; start without format to join", cfg.Group, m.Name)
 		}
 	}
 	id := disk.Identity{ID: replica.MemberID(cfg.Name, replica.FoundingIncarnation), Group: cfg.Group}
--- a/control/explain.go
+++ b/control/explain.go
@@ -13,22 +13,22 @@
 	"rudderfork.example/rudderfork/timeline"
 )
 
-// Explanation gives the reasons for what was decided about one subject, in
-// plain sentences, newest decision last.
+// Explanation gives the reasons for the decisions about one subject, as sentences,
+// newest decision last.
 type Explanation struct {
 	Subject   string   `json:"subject"`
 	Sentences []string `json:"sentences"`
 }
 
-func (e *Explanation) say(format string, args ...any) {
+func (e *Explanation) addf(format string, args ...any) {
 	e.Sentences = append(e.Sentences, fmt.Sprintf(format, args...))
 }
 
-// maxNotes bounds the events that an explanation adds from the time line.
-const maxNotes = 8
+// maxThrottleEvents bounds the events that an explanation adds from the timeline.
+const maxThrottleEvents = 8
 
-// explain answers for a task (job/index), a job or a VM. Requests are explained
-// by the entry that took them.
+// explain explains a task (job/index), a job or a VM. A request is explained by the
+// entry that received it.
 func (a *api) explain(w http.ResponseWriter, r *http.Request) error {
 	subject := r.FormValue("subject")
 	e := &Explanation{Subject: subject}
@@ -43,59 +43,59 @@
 		}
 	})
 	if len(e.Sentences) == 0 {
-		return gone("subject", subject)
+		return notFound("subject", subject)
 	}
-	for _, ev := range a.ring.Select(timeline.Query{Subject: subject, Limit: maxNotes}) {
+	for _, ev := range a.ring.Select(timeline.Query{Subject: subject, Limit: maxThrottleEvents}) {
 		if ev.Subject == subject && strings.HasPrefix(ev.Kind, "throttle") {
-			e.say("%s: throttled by its agent: %s.", clock(ev.At/1000), ev.Text)
+			e.addf("%s: throttled by its agent: %s.", formatTime(ev.At/1000), ev.Text)
 		}
 	}
 	admin.WriteJSON(w, e)
 	return nil
 }
 
-func clock(ms int64) string {
+func formatTime(ms int64) string {
 	return rudderfork.FromMillis(ms).UTC().Format("15:04:05.000")
 }
 
 func (a *api) explainTask(e *Explanation, s *state.State, t *state.Task) {
 	j := s.Job(t.Job)
-	e.say("Task %s of job %s (team %s, kind %s) is %s since %s; %d of %d units are saved.",
-		t.ID, t.Job, j.Spec.Team, j.Spec.Kind, t.Phase, clock(t.Since), t.Checkpoint, j.Spec.Units)
+	e.addf("Task %s of job %s (team %s, kind %s) is %s since %s; %d of %d units are saved.",
+		t.ID, t.Job, j.Spec.Team, j.Spec.Kind, t.Phase, formatTime(t.Since), t.Checkpoint, j.Spec.Units)
 	for _, d := range t.Decisions {
-		a.sayDecision(e, d)
+		a.addDecision(e, d)
 	}
 	if t.Phase == rudderfork.TaskPending {
-		a.sayWaiting(e, s, t, j)
+		a.addWaitReason(e, s, t, j)
 	}
-	a.sayCells(e, s, t.Job)
+	a.addCells(e, s, t.Job)
 }
 
-func (a *api) sayDecision(e *Explanation, d state.Decision) {
-	text := fmt.Sprintf("%s: %s", clock(d.At), d.What)
+func (a *api) addDecision(e *Explanation, d state.Decision) {
+	text := fmt.Sprintf("%s: %s", formatTime(d.At), d.What)
 	if d.VM != "" {
 		text += " on VM " + string(d.VM)
 	}
 	if d.Reason != "" {
 		text += " because: " + d.Reason
 	}
-	e.say("%s (lease token %d, table at revision %d, decision at revision %d).", text, d.Token, d.TableRev, d.Revision)
+	e.addf("%s (lease token %d, table at revision %d, decision at revision %d).", text, d.Token, d.TableRev, d.Revision)
 	for _, r := range d.Rejections {
-		e.say("  VM %s was considered and not chosen: %s.", r.VM, r.Reason)
+		e.addf("  VM %s was considered and not chosen: %s.", r.VM, r.Reason)
 	}
-	if age, ok := a.learned.ReportAge(d.VM, steady.Now()); ok && d.What == "placed" {
-		e.say("  The newest usage report of VM %s is %v old now.", d.VM, age.Round(time.Millisecond))
+	if age, ok := a.models.ReportAge(d.VM, steady.Now()); ok && d.What == "placed" {
+		e.addf("  The newest usage report of VM %s is %v old now.", d.VM, age.Round(time.Millisecond))
 	}
 }
 
-// sayWaiting says why a task does not run now.
-func (a *api) sayWaiting(e *Explanation, s *state.State, t *state.Task, j *state.Job) {
+// addWaitReason adds why a pending task does not run now.
+func (a *api) addWaitReason(e *Explanation, s *state.State, t *state.Task, j *state.Job) {
 	size := s.JobSize(t.Job)
 	switch err := s.CheckLimits(t, size); {
 	case j.Blocked != "":
-		e.say("It cannot run as things stand: %s.", j.Blocked)
+		e.addf("It cannot run at present: %s.", j.Blocked)
 	case err != nil:
-		e.say("It waits: %v.", err)
+		e.addf("It waits: %v.", err)
 	default:
 		free := 0
 		for _, v := range s.VMs() {
@@ -103,53 +103,53 @@
 				free++
 			}
 		}
-		e.say("It waits for room: it needs %s, and %d of %d VMs have that free now; those whose services are near their targets take no more batch work.", size, free, len(s.VMs()))
+		e.addf("It waits for free capacity: it needs %s, and %d of %d VMs have that free now; VMs whose services are near their latency targets get no more batch work.", size, free, len(s.VMs()))
 	}
 }
 
-func (a *api) sayCells(e *Explanation, s *state.State, job rudderfork.JobID) {
+func (a *api) addCells(e *Explanation, s *state.State, job rudderfork.JobID) {
 	for _, col := range []string{rudderfork.ColPriority, rudderfork.ColWeight, rudderfork.ColCPU, rudderfork.ColMemory} {
 		c := s.Cell(rudderfork.CellKey{Kind: rudderfork.RowJob, Row: string(job), Column: col})
 		if c.Revision == 0 || c.Removed {
-			e.say("Cell %s is not set; its default %d counts.", c.Key, s.Value(c.Key))
+			e.addf("Cell %s is not set; its default %d applies.", c.Key, s.Value(c.Key))
 			continue
 		}
-		e.say("Cell %s is %d since revision %d.", c.Key, c.Value, c.Revision)
+		e.addf("Cell %s is %d since revision %d.", c.Key, c.Value, c.Revision)
 	}
 }
 
 func (a *api) explainJob(e *Explanation, s *state.State, j *state.Job) {
 	v := jobView(s, j)
-	e.say("Job %s of team %s has %d tasks: %d pending, %d running, %d done, %d failed.", v.ID, v.Team, v.Tasks, v.Pending, v.Running, v.Done, v.Failed)
+	e.addf("Job %s of team %s has %d tasks: %d pending, %d running, %d done, %d failed.", v.ID, v.Team, v.Tasks, v.Pending, v.Running, v.Done, v.Failed)
 	if v.Blocked != "" {
-		e.say("It cannot run as things stand: %s. It takes no room and blocks nobody.", v.Blocked)
+		e.addf("It cannot run at present: %s. It uses no capacity and delays no other job.", v.Blocked)
 	}
 	if v.Cancelled {
-		e.say("An operator cancelled it.")
+		e.addf("An operator cancelled it.")
 	}
-	if size := a.learned.Size(v.Kind, v.Size); size != v.Size {
-		e.say("Its tasks declare %s; from what tasks of kind %s were seen to use, they are placed as %s.", v.Size, v.Kind, size)
+	if size := a.models.Size(v.Kind, v.Size); size != v.Size {
+		e.addf("Its tasks declare %s; by the measured usage of tasks of kind %s, they are placed as %s.", v.Size, v.Kind, size)
 	}
-	a.sayCells(e, s, v.ID)
+	a.addCells(e, s, v.ID)
 }
 
 func (a *api) explainVM(e *Explanation, s *state.State, v *state.VM) {
 	vm := v.Place.VM
-	e.say("VM %s in failure domain %s has %s; %s are kept for services %v; tasks hold %s.", vm, v.Place.Domain, v.Capacity, v.Reserved, v.Services, v.Used)
+	e.addf("VM %s in failure domain %s has %s; %s are reserved for services %v; tasks hold %s.", vm, v.Place.Domain, v.Capacity, v.Reserved, v.Services, v.Used)
 	switch {
 	case !v.Live:
-		e.say("Its lease ran out at %s; it gets no tasks until its agent registers again.", clock(v.LostAt))
+		e.addf("Its lease expired at %s; it gets no tasks until its agent registers again.", formatTime(v.LostAt))
 	case v.Draining:
-		e.say("It is leaving: it gets no new tasks or requests, and its tasks move away.")
+		e.addf("It is leaving: it gets no new tasks or requests, and its tasks are moved to other VMs.")
 	case v.Excluded(rudderfork.Millis(steady.Now())):
-		e.say("It is set aside until %s, because tasks of several jobs failed on it; then it is tried with one task.", clock(v.ExcludedUntil))
+		e.addf("It is set aside until %s, because tasks of several jobs failed on it; then it gets one task at a time.", formatTime(v.ExcludedUntil))
 	case v.OnProbation():
-		e.say("It is on probation with one task at a time, after tasks of several jobs failed on it.")
+		e.addf("It is on probation with one task at a time, after tasks of several jobs failed on it.")
 	}
-	if age, ok := a.learned.ReportAge(vm, steady.Now()); ok {
-		e.say("Its newest usage report is %v old; its services are at %.0f%% of their targets.", age.Round(time.Millisecond), 100*a.learned.Pressure(vm))
+	if age, ok := a.models.ReportAge(vm, steady.Now()); ok {
+		e.addf("Its newest usage report is %v old; its services are at %.0f%% of their targets.", age.Round(time.Millisecond), 100*a.models.Pressure(vm))
 	}
 	for _, l := range s.Leases(vm) {
-		e.say("It runs task %s under token %d with %s.", l.Task, l.Token, l.Size)
+		e.addf("It runs task %s under token %d with %s.", l.Task, l.Token, l.Size)
 	}
 }
--- a/control/hub.go
+++ b/control/hub.go
@@ -20,82 +20,83 @@
 )
 
 const (
-	// pushPause gathers changes for so long before they go out.
-	pushPause = 5 * time.Millisecond
-	// helloTimeout bounds the opening of a session.
+	// pushPause is how long changes are collected before they are pushed.
+	pushDelay = 5 * time.Millisecond
+	// helloTimeout bounds the wait for the hello of a new session, and for the
+	// barrier that follows.
 	helloTimeout = 5 * time.Second
-	// silenceLimit ends a session that sent nothing for so long.
+	// silenceLimit ends a session in which nothing was received for that long.
 	silenceLimit = 15 * time.Second
-	// showLost is for how long the upstream of a VM whose lease ran out stays
-	// listed: its service may well be up, and entries see for themselves.
-	showLost = 10 * time.Minute
+	// showLost is how long the upstreams of a VM stay listed after its
+	// lease has expired. The service may still be up, and entries probe it.
+	lostUpstreamRetention = 10 * time.Minute
 )
 
-// hub holds the sessions of entries and agents, and the leases granted to the
-// latter. It serves only while its replica leads and the leader's duties have
-// begun for the present term.
+// hub holds the sessions of entries and agents, and the leases granted to
+// agents. It accepts sessions only while its replica leads and startTerm has run
+// for the current term.
 type hub struct {
-	cfg     Settings
-	rep     *replica.Replica
-	learned *learned
-	log     zerolog.Logger
-	rec     rudderfork.Recorder
+	cfg    Settings
+	rep    *replica.Replica
+	models *usageModels
+	log    zerolog.Logger
+	rec    rudderfork.Recorder
 
-	mu       sync.Mutex
-	term     uint64 // for which sessions are taken
-	grants   *lease.Lessor
-	expiring map[rudderfork.VMID]bool
-	sessions map[*session]bool
-	nodes    map[string]Node // by process
-	opened   uint64          // connections until now
-	agents   map[rudderfork.VMID]*agentTurn
+	mu            sync.Mutex
+	term          uint64 // in which sessions are accepted
+	lessor        *lease.Lessor
+	expiring      map[rudderfork.VMID]bool
+	sessions      map[*session]bool
+	nodes         map[string]Node // by process
+	connections   uint64          // number of the newest connection
+	registrations map[rudderfork.VMID]*agentRegistration
 }
 
-// agentTurn says which connection of a VM's agent is the latest.
-type agentTurn struct {
-	number      uint64 // of the latest that has registered the VM
-	registering bool
+// agentTurn is the newest registration of a VM's agent.
+type agentRegistration struct {
+	connNumber uint64 // of the newest connection that registered the VM
+	inProgress bool
 }
 
-// Node is what control knows of an entry or agent.
+// Node is an entry or agent, as operators see it.
 type Node struct {
-	Process   string              `json:"process"`
-	Kind      wire.NodeKind       `json:"kind"`
-	Place     rudderfork.Place    `json:"place"`
-	Admin     string              `json:"admin"`
-	Have      rudderfork.Revision `json:"table_revision"` // in force there
-	BeatAt    time.Time           `json:"beat_at"`
-	Connected bool                `json:"connected"`
-	// BehindSince is when the newest revision that it lacks was accepted; zero
-	// if it lacks none.
+	Process       string              `json:"process"`
+	Kind          wire.NodeKind       `json:"kind"`
+	Place         rudderfork.Place    `json:"place"`
+	Admin         string              `json:"admin"`
+	TableRevision rudderfork.Revision `json:"table_revision"` // applied by the node
+	HeartbeatAt   time.Time           `json:"beat_at"`
+	Connected     bool                `json:"connected"`
+	// BehindSince is when a heartbeat first showed that the node lacks the
+	// newest revision; zero if it has it.
 	BehindSince time.Time `json:"behind_since,omitzero"`
 }
 
-func newHub(cfg Settings, rep *replica.Replica, g *lease.Lessor, l *learned, log zerolog.Logger, rec rudderfork.Recorder) *hub {
+func newHub(cfg Settings, rep *replica.Replica, lessor *lease.Lessor, m *usageModels, log zerolog.Logger, rec rudderfork.Recorder) *hub {
 	return &hub{
-		cfg: cfg, rep: rep, learned: l, log: log, rec: rec, grants: g,
+		cfg: cfg, rep: rep, models: m, log: log, rec: rec, lessor: lessor,
 		expiring: map[rudderfork.VMID]bool{}, sessions: map[*session]bool{}, nodes: map[string]Node{},
-		agents: map[rudderfork.VMID]*agentTurn{},
+		registrations: map[rudderfork.VMID]*agentRegistration{},
 	}
 }
 
 // String names the service in the supervisor's log.
 func (h *hub) String() string { return "hub" }
 
-// startTerm begins to take sessions for a term of leadership. Every live VM may
-// hold a lease that an earlier leader granted.
+// startTerm starts to accept sessions in a term of leadership. Each of vms may
+// still hold a lease that an earlier leader granted.
 func (h *hub) startTerm(term uint64, vms []rudderfork.VMID, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.term = term
-	h.grants.Reset(vms, now)
+	h.lessor.Reset(vms, now)
 	clear(h.expiring)
 	clear(h.nodes)
-	clear(h.agents)
+	clear(h.registrations)
 }
 
 // closeAll closes all sessions.
-func (h *hub) closeAll() {
+func (h *hub) closeSessions() {
 	h.mu.Lock()
 	open := slices.Collect(maps.Keys(h.sessions))
 	h.mu.Unlock()
@@ -104,37 +105,37 @@
 	}
 }
 
-func (h *hub) takes() bool {
+func (h *hub) acceptsSessions() bool {
 	st := h.rep.Status()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return st.Leads() && st.Term == h.term
 }
 
-// expire reports whether no lease of the VM can be in force. From then on the
-// VM is granted none until it has registered again, so that no heartbeat slips
-// in between this check and the commit of what follows from it.
-func (h *hub) expire(vm rudderfork.VMID, now time.Time) bool {
+// tryExpire reports whether no lease of the VM can still be valid. If so, the VM
+// is granted none until it registers again, so that no heartbeat can renew the
+// lease between this check and the commit of the VM's loss.
+func (h *hub) tryExpire(vm rudderfork.VMID, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.grants.Expired(vm, now) {
+	if !h.lessor.Expired(vm, now) {
 		return false
 	}
 	h.expiring[vm] = true
 	return true
 }
 
-// registered admits a VM to leases again, after its registration committed. The
-// VM counts as leased from now on, so that it expires also if its agent dies
-// before it asks for its first lease.
-func (h *hub) registered(vm rudderfork.VMID, now time.Time) {
+// allowGrants lets a VM be granted leases again, after its registration was
+// committed. The VM counts as leased from now on, so that it also expires if its
+// agent dies before its first heartbeat.
+func (h *hub) allowGrants(vm rudderfork.VMID, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.expiring, vm)
-	h.grants.Grant(vm, now)
+	h.lessor.Grant(vm, now)
 }
 
-// grant extends a VM's lease; ok is false if it may get none.
+// grant extends a VM's lease. ok is false if the VM may not be granted one.
 func (h *hub) grant(vm rudderfork.VMID) (deadline time.Time, ok bool) {
 	st := h.rep.Status()
 	h.mu.Lock()
@@ -142,37 +143,37 @@
 	if !st.Leads() || st.Term != h.term || h.expiring[vm] {
 		return deadline, false
 	}
-	return h.grants.Grant(vm, time.Unix(0, st.ContactNS)), true
+	return h.lessor.Grant(vm, time.Unix(0, st.ContactNS)), true
 }
 
-// Serve implements suture.Service: it wakes sessions for which something is
-// new, and closes those of VMs that were lost.
+// Serve implements suture.Service: it wakes the sessions that have something
+// to send when the state changes, and closes all sessions when leadership ends.
 func (h *hub) Serve(ctx context.Context) error {
 	for {
 		changed := h.rep.Changed()
-		if !h.takes() {
-			h.closeAll()
+		if !h.acceptsSessions() {
+			h.closeSessions()
 		} else {
-			h.push()
+			h.wakeSessions()
 		}
 		select {
 		case <-ctx.Done():
-			h.closeAll()
+			h.closeSessions()
 			return ctx.Err()
 		case <-changed:
-			steady.Pause(ctx, pushPause)
+			steady.Pause(ctx, pushDelay)
 		}
 	}
 }
 
-// push wakes the sessions for which the state holds something new.
-func (h *hub) push() {
+// wakeSessions wakes the sessions that have something to send or have to end.
+func (h *hub) wakeSessions() {
 	h.mu.Lock()
 	open := slices.Collect(maps.Keys(h.sessions))
 	h.mu.Unlock()
 	h.rep.View(func(s *state.State) {
 		for _, ss := range open {
-			if ss.stale(s) {
+			if ss.needsPush(s) {
 				ss.woken.Set()
 			}
 		}
@@ -180,7 +181,7 @@
 }
 
 func (h *hub) accept(w http.ResponseWriter, r *http.Request) {
-	number := h.number()
+	connNumber := h.nextConnNumber()
 	c, err := wire.Accept[wire.ToNode, wire.ToControl](w, r, wire.NodeSession)
 	if err != nil {
 		h.log.Warn().Err(err).Msg("node_refused")
@@ -192,12 +193,12 @@
 		h.log.Warn().Err(err).Msg("node_refused")
 		return
 	}
-	if !h.takes() || h.barrier(r.Context()) != nil {
+	if !h.acceptsSessions() || h.barrier(r.Context()) != nil {
 		redirect := &wire.Redirect{Addr: h.rep.Status().Leader.Addr}
-		_ = c.Send(r.Context(), wire.ToNode{Redirect: redirect}) // it redials either way
+		_ = c.Send(r.Context(), wire.ToNode{Redirect: redirect}) // the node redials even if it doesn't get this
 		return
 	}
-	h.serve(r.Context(), c, number, *hello)
+	h.serve(r.Context(), c, connNumber, *hello)
 }
 
 func (h *hub) barrier(ctx context.Context) error {
@@ -206,62 +207,64 @@
 	return h.rep.Barrier(ctx)
 }
 
-// number numbers a connection, before it is answered.
-func (h *hub) number() uint64 {
+// nextConnNumber returns the number of a connection that was just accepted.
+func (h *hub) nextConnNumber() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.opened++
-	return h.opened
+	h.connections++
+	return h.connections
 }
 
 var (
-	// errOutlived means that the VM's agent has registered in a later connection.
-	errOutlived = errors.New("the VM's agent has a later session")
-	// errRegistering means that it is doing so in another one.
+	// errSuperseded means that the VM's agent has registered in a later connection.
+	errSuperseded = errors.New("the VM's agent has a later session")
+	// errRegistering means that a registration of the VM is being committed in
+	// another connection.
 	errRegistering = errors.New("the VM's agent is being registered in another session")
 )
 
-// beginRegistration takes a VM's registration in a connection, unless its agent
-// has registered in a later one: then the hello was held up on its way, and may be
-// of a process that has ended. Registrations of a VM are committed one after the
-// other; this one is to be followed by endRegistration.
+// beginRegistration starts the registration of a VM in a connection. It fails if
+// the VM's agent has registered in a later connection: then the hello was delayed
+// and may be of a process that has ended. It also fails while another registration
+// of the VM is being committed. The caller must call endRegistration.
 //
-// Connections are in the order of the agent's processes, since an agent leaves its
-// connection before it opens the next, and says hello only once that is answered.
-func (h *hub) beginRegistration(vm rudderfork.VMID, number uint64) (turn *agentTurn, err error) {
+// Connection numbers have the order of the agent's processes, since an agent
+// closes its connection before it opens the next, and sends its hello only after
+// the connection was accepted.
+func (h *hub) beginRegistration(vm rudderfork.VMID, connNumber uint64) (reg *agentRegistration, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	turn = h.agents[vm]
-	if turn == nil {
-		turn = &agentTurn{}
-		h.agents[vm] = turn
+	reg = h.registrations[vm]
+	if reg == nil {
+		reg = &agentRegistration{}
+		h.registrations[vm] = reg
 	}
 	switch {
-	case number < turn.number:
-		return nil, errOutlived
-	case turn.registering:
+	case connNumber < reg.connNumber:
+		return nil, errSuperseded
+	case reg.inProgress:
 		return nil, errRegistering
 	}
-	turn.number, turn.registering = number, true
-	return turn, nil
+	reg.connNumber, reg.inProgress = connNumber, true
+	return reg, nil
 }
 
-func (h *hub) endRegistration(turn *agentTurn) {
+func (h *hub) endRegistration(reg *agentRegistration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	turn.registering = false
+	reg.inProgress = false
 }
 
-// outlived reports whether a VM's agent has registered in a later connection.
-func (h *hub) outlived(vm rudderfork.VMID, number uint64) bool {
+// superseded reports whether a VM's agent has registered in a later connection.
+func (h *hub) superseded(vm rudderfork.VMID, connNumber uint64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	turn := h.agents[vm]
-	return turn != nil && number < turn.number
+	reg := h.registrations[vm]
+	return reg != nil && connNumber < reg.connNumber
 }
 
-func (h *hub) serve(ctx context.Context, c *wire.Conn[wire.ToNode, wire.ToControl], number uint64, hello wire.Hello) {
-	s := newSession(h, c, number, hello)
+func (h *hub) serve(ctx context.Context, c *wire.Conn[wire.ToNode, wire.ToControl], connNumber uint64, hello wire.Hello) {
+	s := newSession(h, c, connNumber, hello)
 	if err := s.register(ctx); err != nil {
 		h.log.Warn().Err(err).Str("node", hello.Process).Msg("node_refused")
 		return
@@ -279,7 +282,7 @@
 	h.sessions[s] = true
 	h.nodes[s.hello.Process] = Node{
 		Process: s.hello.Process, Kind: s.hello.Kind, Place: s.hello.Place, Admin: s.hello.Admin,
-		Have: s.hello.TableRevision, BeatAt: steady.Now(), Connected: true,
+		TableRevision: s.hello.TableRevision, HeartbeatAt: steady.Now(), Connected: true,
 	}
 }
 
@@ -292,14 +295,15 @@
 	h.nodes[s.hello.Process] = n
 }
 
-// have notes the table revision that a node confirmed.
-func (h *hub) have(process string, rev, newest rudderfork.Revision) {
+// recordHeartbeat records a heartbeat of a node that has applied revision rev of
+// the table; newest is the current revision.
+func (h *hub) recordHeartbeat(process string, rev, newest rudderfork.Revision) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := h.nodes[process]
-	n.Have, n.BeatAt, n.Connected = max(n.Have, rev), steady.Now(), true
+	n.TableRevision, n.HeartbeatAt, n.Connected = max(n.TableRevision, rev), steady.Now(), true
 	switch {
-	case n.Have >= newest:
+	case n.TableRevision >= newest:
 		n.BehindSince = time.Time{}
 	case n.BehindSince.IsZero():
 		n.BehindSince = steady.Now()
@@ -307,7 +311,7 @@
 	h.nodes[process] = n
 }
 
-// Nodes returns all nodes known in this term, in the order of their names.
+// Nodes returns all nodes that have connected in this term, sorted by name.
 func (h *hub) Nodes() []Node {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/control/leader.go
+++ b/control/leader.go
@@ -17,16 +17,18 @@
 )
 
 const (
-	// dutyPause is the longest pause between two rounds of the leader's duties.
-	dutyPause = 250 * time.Millisecond
-	// roundPause is the shortest, so that changes gather into one round.
-	roundPause = 10 * time.Millisecond
-	// platformPause is how often the platform's list is asked for.
-	platformPause = time.Second
+	// maxRoundInterval is the longest pause between two rounds of the leader.
+	maxRoundInterval = 250 * time.Millisecond
+	// roundDelay is the shortest pause, so that several changes are handled in one
+	// round.
+	roundDelay = 10 * time.Millisecond
+	// platformPollInterval is the time between two requests for the platform's list
+	// of VMs, and the timeout of a request.
+	platformPollInterval = time.Second
 )
 
-// leader does what only the leader does: it expires leases, plans rounds and
-// takes the platform's list of leaving VMs.
+// leader does the work of the leader: it expires leases, plans evictions and
+// placements, and drains VMs that the platform lists as leaving.
 type leader struct {
 	cfg     Settings
 	rep     *replica.Replica
@@ -36,12 +38,12 @@
 	rec     rudderfork.Recorder
 	hc      *http.Client
 
-	term       uint64
-	platformAt time.Time
+	term             uint64
+	nextPlatformPoll time.Time
 }
 
 func newLeader(cfg Settings, rep *replica.Replica, h *hub, p *placement.Planner, log zerolog.Logger, rec rudderfork.Recorder) *leader {
-	return &leader{cfg: cfg, rep: rep, hub: h, planner: p, log: log, rec: rec, hc: &http.Client{Timeout: platformPause}}
+	return &leader{cfg: cfg, rep: rep, hub: h, planner: p, log: log, rec: rec, hc: &http.Client{Timeout: platformPollInterval}}
 }
 
 // String names the service in the supervisor's log.
@@ -56,11 +58,11 @@
 		} else {
 			l.term = 0
 		}
-		wait := time.NewTimer(dutyPause)
+		wait := time.NewTimer(maxRoundInterval)
 		select {
 		case <-ctx.Done():
 		case <-changed:
-			steady.Pause(ctx, roundPause)
+			steady.Pause(ctx, roundDelay)
 		case <-wait.C:
 		}
 		wait.Stop()
@@ -79,9 +81,9 @@
 	}
 	l.expire(ctx)
 	l.plan(ctx)
-	if now := steady.Now(); l.cfg.Platform != "" && now.After(l.platformAt) {
-		l.platformAt = now.Add(platformPause)
-		l.platform(ctx)
+	if now := steady.Now(); l.cfg.Platform != "" && now.After(l.nextPlatformPoll) {
+		l.nextPlatformPoll = now.Add(platformPollInterval)
+		l.drainLeavingVMs(ctx)
 	}
 }
 
@@ -99,23 +101,24 @@
 	l.log.Info().Uint64("term", term).Int("vms", len(vms)).Msg("leading")
 }
 
-// expire frees the tasks of VMs whose lease has run out for sure.
+// expire commits the loss of VMs whose lease has certainly expired, which frees
+// their tasks.
 func (l *leader) expire(ctx context.Context) {
 	var lost []state.VMLoss
 	l.rep.View(func(s *state.State) {
 		for _, v := range s.VMs() {
-			if v.Live && l.hub.expire(v.Place.VM, steady.Now()) {
+			if v.Live && l.hub.tryExpire(v.Place.VM, steady.Now()) {
 				lost = append(lost, state.VMLoss{VM: v.Place.VM, Epoch: v.Epoch})
 			}
 		}
 	})
-	for _, lo := range lost {
-		res, err := l.rep.Do(ctx, state.Command{Lost: &lo})
+	for _, loss := range lost {
+		res, err := l.rep.Do(ctx, state.Command{Lost: &loss})
 		if err != nil || res.Code != state.CodeOK {
 			continue
 		}
-		l.log.Warn().Str("lost_vm", string(lo.VM)).Msg("vm_lost")
-		l.rec.Record(rudderfork.Event{Kind: "vm_lost", Subject: string(lo.VM), Revision: res.Revision, Text: "its lease ran out"})
+		l.log.Warn().Str("lost_vm", string(loss.VM)).Msg("vm_lost")
+		l.rec.Record(rudderfork.Event{Kind: "vm_lost", Subject: string(loss.VM), Revision: res.Revision, Text: "its lease ran out"})
 	}
 }
 
@@ -146,18 +149,18 @@
 	}
 }
 
-// PlatformVM is one line of the platform's list, which lags.
+// PlatformVM is an entry of the platform's list of VMs, which may be out of date.
 type PlatformVM struct {
 	VM      rudderfork.VMID `json:"vm"`
 	Leaving bool            `json:"leaving"`
 }
 
-// platform drains VMs that the platform's list says are leaving. The list only
-// ever starts a drain: it lags, so what it does not say means nothing.
-func (l *leader) platform(ctx context.Context) {
-	list, err := l.fetch(ctx)
+// drainLeavingVMs drains the VMs that the platform lists as leaving. The list may
+// be out of date, so a VM that it doesn't list as leaving stays as it is.
+func (l *leader) drainLeavingVMs(ctx context.Context) {
+	list, err := l.fetchVMList(ctx)
 	if err != nil {
-		return // it is asked again soon, and agents know of their own stop
+		return // the next poll tries again, and agents report their own stop
 	}
 	var drains []state.Drain
 	l.rep.View(func(s *state.State) {
@@ -174,7 +177,7 @@
 	}
 }
 
-func (l *leader) fetch(ctx context.Context) (list []PlatformVM, err error) {
+func (l *leader) fetchVMList(ctx context.Context) (list []PlatformVM, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+l.cfg.Platform+"/vms", nil)
 	if err != nil {
 		return nil, err
--- a/control/session.go
+++ b/control/session.go
@@ -15,33 +15,34 @@
 )
 
 const (
-	// outQueue bounds the answers that wait for a node that does not read.
+	// outQueue is how many answers may wait for a node that reads slowly; one more
+	// ends the session.
 	outQueue = 256
-	// commandTimeout bounds a command that a node asked for.
+	// commandTimeout bounds the commit of a command.
 	commandTimeout = 3 * time.Second
 )
 
-// session is the connection of one entry or agent. What it pushes is always the
-// whole of what is newer than what it last sent, so nothing has to be queued.
+// session is the connection of one entry or agent. Each push sends everything that
+// is newer than what was sent before, so that pushes need no queue.
 type session struct {
-	hub    *hub
-	number uint64 // of the connection
-	conn   *wire.Conn[wire.ToNode, wire.ToControl]
-	hello  wire.Hello
-	epoch  rudderfork.Token // 0 without a lease
-	out    chan wire.ToNode
-	woken  wakeup.Signal
+	hub        *hub
+	connNumber uint64 // order of the connection, see hub.nextConnNumber
+	conn       *wire.Conn[wire.ToNode, wire.ToControl]
+	hello      wire.Hello
+	epoch      rudderfork.Token // 0 without a lease
+	out        chan wire.ToNode
+	woken      wakeup.Signal
 
 	mu   sync.Mutex
-	sent pushed
+	sent sentRevisions
 }
 
-// pushed is up to which revisions a session has sent each thing.
-type pushed struct {
-	table     rudderfork.Revision
-	upstreams rudderfork.Revision
-	assign    rudderfork.Revision
-	once      bool // something was sent; a node must hear also that it lacks nothing
+// sentRevisions holds the newest revisions that a session has sent.
+type sentRevisions struct {
+	table      rudderfork.Revision
+	upstreams  rudderfork.Revision
+	assign     rudderfork.Revision
+	updateSent bool // an update was sent; a node gets one even if it lacks nothing
 }
 
 func receiveHello(ctx context.Context, c *wire.Conn[wire.ToNode, wire.ToControl]) (*wire.Hello, error) {
@@ -50,30 +51,30 @@
 	case err != nil:
 		return nil, err
 	case m.Hello == nil:
-		return nil, errors.New("the first message is no hello")
+		return nil, errors.New("the first message is not a hello")
 	}
 	return m.Hello, wire.CheckVersion(m.Hello.Process, m.Hello.Version)
 }
 
-func newSession(h *hub, c *wire.Conn[wire.ToNode, wire.ToControl], number uint64, hello wire.Hello) *session {
+func newSession(h *hub, c *wire.Conn[wire.ToNode, wire.ToControl], connNumber uint64, hello wire.Hello) *session {
 	s := &session{
-		hub: h, number: number, conn: c, hello: hello, sent: pushed{table: hello.TableRevision},
+		hub: h, connNumber: connNumber, conn: c, hello: hello, sent: sentRevisions{table: hello.TableRevision},
 		out: make(chan wire.ToNode, outQueue), woken: wakeup.New(),
 	}
 	s.woken.Set()
 	return s
 }
 
-// register commits the VM's registration, if the node has one.
+// register commits the registration of the VM, if the hello has one.
 func (s *session) register(ctx context.Context) error {
 	if s.hello.Register == nil {
 		return nil
 	}
-	turn, err := s.hub.beginRegistration(s.hello.Place.VM, s.number)
+	reg, err := s.hub.beginRegistration(s.hello.Place.VM, s.connNumber)
 	if err != nil {
 		return err
 	}
-	defer s.hub.endRegistration(turn)
+	defer s.hub.endRegistration(reg)
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	res, err := s.hub.rep.Do(ctx, state.Command{Register: s.hello.Register})
@@ -81,13 +82,13 @@
 		return err
 	}
 	s.epoch = res.Epoch
-	s.hub.registered(s.hello.Place.VM, steady.Now())
+	s.hub.allowGrants(s.hello.Place.VM, steady.Now())
 	return nil
 }
 
-// stale reports whether st holds something that the session has not sent, or
+// needsPush reports whether st holds something that the session has not sent, or
 // the session has to end.
-func (s *session) stale(st *state.State) bool {
+func (s *session) needsPush(st *state.State) bool {
 	s.mu.Lock()
 	sent := s.sent
 	s.mu.Unlock()
@@ -107,29 +108,29 @@
 	go func() {
 		defer s.conn.Close()
 		defer cancel()
-		s.write(ctx)
+		s.writeLoop(ctx)
 	}()
 	for {
 		m, err := s.conn.ReceiveWithin(ctx, silenceLimit)
 		if err != nil {
 			return err
 		}
-		if m.Heartbeat != nil && s.epoch != 0 && s.hub.outlived(s.hello.Place.VM, s.number) {
-			return errOutlived
+		if m.Heartbeat != nil && s.epoch != 0 && s.hub.superseded(s.hello.Place.VM, s.connNumber) {
+			return errSuperseded
 		}
 		s.handle(ctx, m)
 	}
 }
 
-// write sends what is new and the answers, until the session ends.
-func (s *session) write(ctx context.Context) {
+// writeLoop sends pushes and queued answers until the session ends.
+func (s *session) writeLoop(ctx context.Context) {
 	welcome := wire.ToNode{Welcome: &wire.Welcome{Epoch: s.epoch}}
 	if s.conn.Send(ctx, welcome) != nil {
 		return
 	}
 	s.grant()
 	for {
-		// Answers first: a lease must not wait for a long update.
+		// Answers go first, so that a lease doesn't wait for a long update.
 		select {
 		case m := <-s.out:
 			if s.conn.Send(ctx, m) != nil {
@@ -153,9 +154,9 @@
 	}
 }
 
-// push sends all that is new; false ends the session.
+// push sends everything that is new. It returns false if the session has to end.
 func (s *session) push(ctx context.Context) bool {
-	ms, lost := s.news()
+	ms, lost := s.unsentMessages()
 	if lost {
 		return false
 	}
@@ -167,16 +168,17 @@
 	return true
 }
 
-// news gathers what is newer than what was sent. lost is true if the VM's lease
-// is void, so that the agent must register again.
-func (s *session) news() (ms []wire.ToNode, lost bool) {
+// unsentMessages returns messages with everything that is newer than what was
+// sent. lost is true if the VM's registration is void, so that the agent has to
+// register again.
+func (s *session) unsentMessages() (ms []wire.ToNode, lost bool) {
 	s.hub.rep.View(func(st *state.State) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if rev := st.Revision(); rev > s.sent.table || !s.sent.once {
+		if rev := st.Revision(); rev > s.sent.table || !s.sent.updateSent {
 			cells := nodeCells(st.CellsAfter(s.sent.table))
 			ms = append(ms, wire.ToNode{Update: &wire.Update{From: s.sent.table, To: rev, Cells: cells}})
-			s.sent.table, s.sent.once = rev, true
+			s.sent.table, s.sent.updateSent = rev, true
 		}
 		if s.hello.Kind == wire.KindEntry {
 			if rev := st.UpstreamRevision(); rev > s.sent.upstreams {
@@ -195,7 +197,7 @@
 		}
 		if v.Revision > s.sent.assign {
 			leases := st.Leases(v.Place.VM)
-			s.hub.learned.rate(leases, v.Services, steady.Now())
+			s.hub.models.setSlowdowns(leases, v.Services, steady.Now())
 			ms = append(ms, wire.ToNode{Assign: &wire.Assign{
 				Epoch: s.epoch, Revision: v.Revision, Leases: leases, Draining: v.Draining,
 			}})
@@ -205,7 +207,7 @@
 	return ms, lost
 }
 
-// nodeCells leaves out the rows of jobs, which only control reads.
+// nodeCells filters out the rows of jobs, which only control reads.
 func nodeCells(cs []rudderfork.Cell) []rudderfork.Cell {
 	var out []rudderfork.Cell
 	for _, c := range cs {
@@ -218,7 +220,7 @@
 
 func upstreams(st *state.State) []wire.UpstreamInfo {
 	var us []wire.UpstreamInfo
-	oldest := rudderfork.Millis(steady.Now().Add(-showLost))
+	oldest := rudderfork.Millis(steady.Now().Add(-lostUpstreamRetention))
 	for _, v := range st.VMs() {
 		if len(v.Services) == 0 || !v.Live && v.LostAt < oldest {
 			continue
@@ -231,13 +233,13 @@
 func (s *session) handle(ctx context.Context, m wire.ToControl) {
 	switch {
 	case m.Heartbeat != nil:
-		s.beat(*m.Heartbeat)
+		s.handleHeartbeat(*m.Heartbeat)
 	case m.Reports != nil:
-		go s.reports(ctx, *m.Reports)
+		go s.commitReports(ctx, *m.Reports)
 	case m.Claim != nil:
-		go s.command(ctx, m.Claim.ID, state.Command{Claim: &m.Claim.Claim})
+		go s.commitCommand(ctx, m.Claim.ID, state.Command{Claim: &m.Claim.Claim})
 	case m.Settle != nil:
-		go s.command(ctx, m.Settle.ID, state.Command{Settle: &m.Settle.Settle})
+		go s.commitCommand(ctx, m.Settle.ID, state.Command{Settle: &m.Settle.Settle})
 	case m.Decisions != nil:
 		for _, n := range m.Decisions {
 			s.hub.rec.Record(rudderfork.Event{Kind: n.What, Subject: string(n.Task), Text: n.Reason})
@@ -245,17 +247,17 @@
 	}
 }
 
-func (s *session) beat(b wire.Heartbeat) {
+func (s *session) handleHeartbeat(b wire.Heartbeat) {
 	var newest rudderfork.Revision
 	s.hub.rep.View(func(st *state.State) {
 		newest = st.Revision()
 		if s.hello.Kind == wire.KindAgent {
-			s.hub.learned.beat(st, s.hello.Place.VM, b, steady.Now())
+			s.hub.models.observeHeartbeat(st, s.hello.Place.VM, b, steady.Now())
 		}
 	})
-	s.hub.have(s.hello.Process, b.TableRevision, newest)
+	s.hub.recordHeartbeat(s.hello.Process, b.TableRevision, newest)
 	if s.epoch == 0 {
-		s.answer(wire.ToNode{Grant: &wire.Grant{}})
+		s.enqueue(wire.ToNode{Grant: &wire.Grant{}})
 		return
 	}
 	if b.Epoch == s.epoch {
@@ -263,18 +265,18 @@
 	}
 }
 
-// grant answers with an extended lease, if the VM may have one.
+// grant extends the lease of the VM and sends it, if the VM may be granted one.
 func (s *session) grant() {
 	if s.epoch == 0 {
 		return
 	}
 	if d, ok := s.hub.grant(s.hello.Place.VM); ok {
-		s.answer(wire.ToNode{Grant: &wire.Grant{Epoch: s.epoch, Deadline: rudderfork.Millis(d)}})
+		s.enqueue(wire.ToNode{Grant: &wire.Grant{Epoch: s.epoch, Deadline: rudderfork.Millis(d)}})
 	}
 }
 
-// answer queues a message; a node that does not read loses its session.
-func (s *session) answer(m wire.ToNode) {
+// enqueue queues a message. If the queue is full, it closes the session.
+func (s *session) enqueue(m wire.ToNode) {
 	select {
 	case s.out <- m:
 	default:
@@ -282,8 +284,9 @@
 	}
 }
 
-// reports commits how attempts ended. Without an answer the agent sends again.
-func (s *session) reports(ctx context.Context, b wire.ReportBatch) {
+// commitReports commits the outcomes of attempts. The agent sends a report again
+// that is not acknowledged.
+func (s *session) commitReports(ctx context.Context, b wire.ReportBatch) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	c := state.Command{Reports: &state.Reports{VM: s.hello.Place.VM, Reports: b.Reports}}
@@ -293,15 +296,15 @@
 	}
 	for i, r := range b.Reports {
 		if !res.Accepted[i] {
-			continue // it came before
+			continue // a repeated report
 		}
-		s.hub.learned.forget(r.Task)
+		s.hub.models.forgetTask(r.Task)
 		s.hub.rec.Record(rudderfork.Event{Kind: "task_" + string(r.Outcome), Subject: string(r.Task), Text: fmt.Sprintf("token %d on %s, %d units saved %s", r.Token, s.hello.Place.VM, r.Checkpoint, r.Reason)})
 	}
-	s.answer(wire.ToNode{ReportsAck: &wire.ReportsAck{ID: b.ID}})
+	s.enqueue(wire.ToNode{ReportsAck: &wire.ReportsAck{ID: b.ID}})
 }
 
-func (s *session) command(ctx context.Context, id uint64, c state.Command) {
+func (s *session) commitCommand(ctx context.Context, id uint64, c state.Command) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	res, err := s.hub.rep.Do(ctx, c)
@@ -309,5 +312,5 @@
 	if err != nil {
 		out.Failed = err.Error()
 	}
-	s.answer(wire.ToNode{Result: &out})
+	s.enqueue(wire.ToNode{Result: &out})
 }
--- a/control/settings.go
+++ b/control/settings.go
@@ -8,7 +8,7 @@
 	"rudderfork.example/rudderfork/settings"
 )
 
-// Settings are those of a control process.
+// Settings are the settings of a control process.
 type Settings struct {
 	Name   string
 	Place  rudderfork.Place
@@ -16,8 +16,8 @@
 	Admin  string
 	Data   string
 	Group  string
-	Peers  []quorum.Member   // all founding members, itself among them
-	Dial   map[string]string // where to reach a peer, if not at its address
+	Peers  []quorum.Member   // all founding members, this process included
+	Dial   map[string]string // by peer name: the address to dial, if it differs from the one in Peers
 
 	ElectionTimeout time.Duration
 	Heartbeat       time.Duration
@@ -27,7 +27,7 @@
 	Platform        string // address of the platform's list of VMs; "" for none
 }
 
-// The defaults, with why in docs/DESIGN.md.
+// Defaults; docs/DESIGN.md gives the reasons.
 const (
 	defaultElection  = 500 * time.Millisecond
 	defaultHeartbeat = 100 * time.Millisecond
@@ -59,7 +59,7 @@
 		self = self || p[0] == cfg.Name
 	}
 	if !self && cfg.Name != "" {
-		f.Wrong("control", "peers", "lacks this process; want "+cfg.Name+"=address among them")
+		f.Wrong("control", "peers", "does not list this process; want it to contain "+cfg.Name+"=address")
 	}
 	if cfg.Heartbeat*2 > cfg.ElectionTimeout {
 		f.Wrong("control", "heartbeat", "is too long; want at most half of election_timeout")
@@ -73,7 +73,7 @@
 	return cfg, f.Err()
 }
 
-// self returns this process as a member of the group.
+// self returns the member that stands for this process.
 func (s Settings) self(id quorum.MemberID) quorum.Member {
 	self := quorum.Member{ID: id, Name: s.Name}
 	for _, m := range s.Peers {
@@ -84,7 +84,7 @@
 	return self
 }
 
-// addrs returns where the other founding members are reached.
+// addrs returns the addresses at which to dial the other founding members.
 func (s Settings) addrs() (addrs []string) {
 	for _, m := range s.Peers {
 		switch a := s.Dial[m.Name]; {
--- a/control/late_test.go
+++ b/control/superseded_test.go
@@ -24,24 +24,24 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// waitLimit ends a wait for a condition that does not come true.
+// waitLimit bounds the wait for a condition.
 const waitLimit = 20 * time.Second
 
-// alone is the sender of a replica that has no peers.
-type alone struct{ nobody }
+// noPeers is the sender of a replica that has no peers.
+type noPeers struct{ nopRecorder }
 
-func (alone) Send(quorum.Message)            {}
-func (alone) SetMembers([]quorum.Member, bool) {}
-func (alone) Addrs() []string                { return nil }
+func (noPeers) Send(quorum.Message)              {}
+func (noPeers) SetMembers([]quorum.Member, bool) {}
+func (noPeers) Addrs() []string                  { return nil }
 
-// leading is a hub on a group of one.
-type leading struct {
+// leaderHub is a hub whose replica leads a group of one.
+type leaderHub struct {
 	t   *testing.T
 	hub *hub
 	url string
 }
 
-func newLeading(t *testing.T) *leading {
+func newLeaderHub(t *testing.T) *leaderHub {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "data")
 	self := quorum.Member{ID: "c#1", Name: "c", Voter: true}
@@ -49,16 +49,16 @@
 	store, err := disk.Open(dir)
 	assert.NilError(t, err)
 	rep, err := replica.New(replica.Config{ElectionTimeout: 50 * time.Millisecond, Heartbeat: 10 * time.Millisecond, SnapshotEvery: 1000},
-		store, alone{}, zerolog.Nop(), alone{}, steady.Now)
+		store, noPeers{}, zerolog.Nop(), noPeers{}, steady.Now)
 	assert.NilError(t, err)
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
-		_ = rep.Serve(t.Context()) // it ends with the test
+		_ = rep.Serve(t.Context()) // returns when the test ends
 	}()
 	t.Cleanup(func() { <-served })
-	l := &leading{t: t, hub: newHub(Settings{}, rep, lease.NewLessor(testTerm, testBound), &learned{interference: interference.New(interference.ServicePrior()), usage: usage.New(steady.Now)}, zerolog.Nop(), nobody{})}
-	l.until("the replica leads", rep.Leads)
+	l := &leaderHub{t: t, hub: newHub(Settings{}, rep, lease.NewLessor(testTerm, testBound), &usageModels{interference: interference.New(interference.ServicePrior()), usage: usage.New(steady.Now)}, zerolog.Nop(), nopRecorder{})}
+	l.waitUntil("the replica leads", rep.Leads)
 	l.hub.startTerm(rep.Status().Term, nil, steady.Now())
 	srv := httptest.NewServer(http.HandlerFunc(l.hub.accept))
 	t.Cleanup(srv.Close)
@@ -66,7 +66,7 @@
 	return l
 }
 
-func (l *leading) until(what string, ok func() bool) {
+func (l *leaderHub) waitUntil(what string, ok func() bool) {
 	l.t.Helper()
 	poll.WaitOn(l.t, func(poll.LogT) poll.Result {
 		if ok() {
@@ -76,43 +76,44 @@
 	}, poll.WithTimeout(waitLimit), poll.WithDelay(10*time.Millisecond))
 }
 
-// agentLink is a connection of an agent's process.
-type agentLink struct {
-	l    *leading
+// agentConn is a connection of a process of the agent.
+type agentConn struct {
+	l    *leaderHub
 	boot string
 	conn *wire.Conn[wire.ToControl, wire.ToNode]
 }
 
-// dial connects; nothing is said yet.
-func (l *leading) dial(boot string) *agentLink {
+// dial connects without sending a hello.
+func (l *leaderHub) dial(boot string) *agentConn {
 	l.t.Helper()
 	c, err := wire.Dial[wire.ToControl, wire.ToNode](l.t.Context(), l.url, wire.NodeSession)
 	assert.NilError(l.t, err)
 	l.t.Cleanup(c.Close)
-	return &agentLink{l, boot, c}
+	return &agentConn{l, boot, c}
 }
 
-// hello registers the VM, and reports whether the leader welcomes it.
-func (a *agentLink) hello() bool {
+// register sends a hello that registers the VM, and reports whether the leader
+// accepts it.
+func (a *agentConn) register() bool {
 	a.l.t.Helper()
 	place := rudderfork.Place{VM: "vm1"}
 	h := wire.Hello{Version: wire.Version, Kind: wire.KindAgent, Process: "vm1", Place: place, Boot: a.boot}
 	h.Register = &state.Register{Place: place, Addr: a.boot + ":1", Boot: a.boot}
 	assert.NilError(a.l.t, a.conn.Send(a.l.t.Context(), wire.ToControl{Hello: &h}))
-	return a.answered(func(m wire.ToNode) bool { return m.Welcome != nil })
+	return a.receiveUntil(func(m wire.ToNode) bool { return m.Welcome != nil })
 }
 
-// beat sends a heartbeat, and reports whether a grant answers it.
-func (a *agentLink) beat() bool {
+// sendHeartbeat sends a heartbeat, and reports whether the answer is a grant.
+func (a *agentConn) sendHeartbeat() bool {
 	a.l.t.Helper()
 	if a.conn.Send(a.l.t.Context(), wire.ToControl{Heartbeat: &wire.Heartbeat{Epoch: 1, Leaving: true}}) != nil {
 		return false
 	}
-	return a.answered(func(m wire.ToNode) bool { return m.Grant != nil })
+	return a.receiveUntil(func(m wire.ToNode) bool { return m.Grant != nil })
 }
 
-// answered reads until an answer is as wanted, or the session ends.
-func (a *agentLink) answered(wanted func(m wire.ToNode) bool) bool {
+// receiveUntil receives messages until one is as wanted; false if the session ends.
+func (a *agentConn) receiveUntil(wanted func(m wire.ToNode) bool) bool {
 	a.l.t.Helper()
 	for {
 		m, err := a.conn.ReceiveWithin(a.l.t.Context(), waitLimit)
@@ -125,8 +126,8 @@
 	}
 }
 
-// checkBoot holds whose registration is in force.
-func (l *leading) checkBoot(want string) {
+// checkBoot checks which process has registered the VM.
+func (l *leaderHub) checkBoot(want string) {
 	l.t.Helper()
 	var v *state.VM
 	l.hub.rep.View(func(st *state.State) { v = st.VM("vm1") })
@@ -134,34 +135,34 @@
 	assert.Equal(l.t, v.Addr, want+":1")
 }
 
-// TestLateHello has what an agent's earlier process said arrive after a later one
-// has registered.
-func TestLateHello(t *testing.T) {
-	t.Run("its hello", func(t *testing.T) {
-		l := newLeading(t)
+// Messages of an agent's earlier process may arrive after a later process has
+// registered. They must neither replace its registration nor renew its lease.
+func TestSupersededAgentProcess(t *testing.T) {
+	t.Run("delayed hello", func(t *testing.T) {
+		l := newLeaderHub(t)
 		before, now := l.dial("boot-b"), l.dial("boot-a")
-		assert.Assert(t, now.hello())
-		assert.Assert(t, !before.hello())
+		assert.Assert(t, now.register())
+		assert.Assert(t, !before.register())
 		l.checkBoot("boot-a")
 	})
-	t.Run("its heartbeats", func(t *testing.T) {
-		l := newLeading(t)
+	t.Run("delayed heartbeats", func(t *testing.T) {
+		l := newLeaderHub(t)
 		before := l.dial("boot-b")
-		assert.Assert(t, before.hello())
+		assert.Assert(t, before.register())
 		now := l.dial("boot-a")
-		assert.Assert(t, now.hello())
-		before.answered(func(m wire.ToNode) bool { return m.Grant != nil }) // of its welcome
-		assert.Assert(t, !before.beat())
+		assert.Assert(t, now.register())
+		before.receiveUntil(func(m wire.ToNode) bool { return m.Grant != nil }) // the one that follows the welcome
+		assert.Assert(t, !before.sendHeartbeat())
 		l.checkBoot("boot-a")
 	})
-	t.Run("the later one goes on", func(t *testing.T) {
-		l := newLeading(t)
+	t.Run("the later process keeps its session", func(t *testing.T) {
+		l := newLeaderHub(t)
 		before, now := l.dial("boot-b"), l.dial("boot-a")
-		assert.Assert(t, now.hello())
-		assert.Assert(t, !before.hello())
-		assert.Assert(t, now.beat())
+		assert.Assert(t, now.register())
+		assert.Assert(t, !before.register())
+		assert.Assert(t, now.sendHeartbeat())
 		again := l.dial("boot-a")
-		assert.Assert(t, again.hello())
-		assert.Assert(t, again.beat())
+		assert.Assert(t, again.register())
+		assert.Assert(t, again.sendHeartbeat())
 	})
 }
--- a/control/views.go
+++ b/control/views.go
@@ -48,7 +48,7 @@
 	Addr     string               `json:"addr"`
 	Live     bool                 `json:"live"`
 	Draining bool                 `json:"draining"`
-	Aside    bool                 `json:"set_aside"`
+	Excluded bool                 `json:"set_aside"`
 	Epoch    rudderfork.Token     `json:"epoch"`
 	Capacity rudderfork.Resources `json:"capacity"`
 	Reserved rudderfork.Resources `json:"reserved"`
@@ -103,7 +103,7 @@
 		}
 	})
 	if v.ID == "" {
-		return gone("job", string(id))
+		return notFound("job", string(id))
 	}
 	admin.WriteJSON(w, v)
 	return nil
@@ -118,24 +118,24 @@
 		}
 	})
 	if v.ID == "" {
-		return gone("task", string(id))
+		return notFound("task", string(id))
 	}
 	admin.WriteJSON(w, v)
 	return nil
 }
 
-// gone answers for what is not known, or was forgotten.
-func gone(what, id string) error {
-	detail := fmt.Sprintf("%s %s is unknown, or it ended and was forgotten", what, id)
+// notFound returns the problem for a subject that does not exist or was deleted.
+func notFound(what, id string) error {
+	detail := fmt.Sprintf("%s %s is unknown, or it ended and was deleted", what, id)
 	return problem.New(http.StatusNotFound, "not-found", detail, rudderfork.RanNo)
 }
 
 func (a *api) vmView(s *state.State, v *state.VM) VMView {
 	return VMView{
 		VM: v.Place.VM, Domain: v.Place.Domain, Rack: v.Place.Rack, Addr: v.Addr, Live: v.Live, Draining: v.Draining,
-		Aside: v.Excluded(rudderfork.Millis(steady.Now())), Epoch: v.Epoch,
+		Excluded: v.Excluded(rudderfork.Millis(steady.Now())), Epoch: v.Epoch,
 		Capacity: v.Capacity, Reserved: v.Reserved, Used: v.Used, Tasks: len(s.TasksOn(v.Place.VM)),
-		Services: v.Services, Pressure: a.learned.Pressure(v.Place.VM),
+		Services: v.Services, Pressure: a.models.Pressure(v.Place.VM),
 	}
 }
 
--- a/internal/harness/wait.go
+++ b/internal/harness/wait.go
@@ -85,7 +85,7 @@
 		}
 		have := 0
 		for _, o := range ns {
-			if o.Have >= rev {
+			if o.TableRevision >= rev {
 				have++
 			}
 		}
