--- a/quorum/election.go
+++ b/quorum/election.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// campaign asks for votes; as PreCandidate only whether others would give one.
+// campaign requests votes. As PreCandidate it requests pre-votes, which ask only
+// whether the others would grant a vote.
 func (n *Node) campaign(role Role, now time.Time) {
-	if role == PreCandidate || n.transferred {
-		n.view.begin()
+	if role == PreCandidate || n.transferCampaign {
+		n.view.beginCampaign()
 	}
 	n.role = role
 	n.leader = ""
@@ -19,37 +20,39 @@
 	for _, id := range n.voters() {
 		if id != n.cfg.ID {
 			n.send(Message{
-				Type: typ, To: id, Term: term, LogIndex: n.log.last(), LogTerm: n.log.lastTerm(), Transfer: n.transferred,
+				Type: typ, To: id, Term: term, LogIndex: n.log.last(), LogTerm: n.log.lastTerm(), Transfer: n.transferCampaign,
 			})
 		}
 	}
 	n.countVotes(now)
 }
 
-// suspectWait bounds the wait before a campaign when the leader's connection has
-// ended, as a part of the election timeout. It is drawn, so that two followers
-// rarely campaign at once.
-const suspectWait = 8
+// disconnectWaitDivisor sets the maximum wait before a campaign after the leader's
+// connection ended: the election timeout divided by it. The wait is random, so that
+// two followers rarely campaign at once.
+const disconnectWaitDivisor = 8
 
-// HandleDisconnect tells that the connection of a replica has ended, which most often
-// means that its process has. If it leads, this replica campaigns soon; should the
-// leader live, its next append puts that off, and a pre-vote disturbs nobody.
+// HandleDisconnect records that the connection of a replica has ended, which most
+// often means that its process has ended. If it was the leader, this replica
+// campaigns soon. If the leader still runs, its next append delays the campaign,
+// and a pre-vote that is sent before that does not disrupt the group.
 func (n *Node) HandleDisconnect(id MemberID, now time.Time) {
 	if id == "" || n.role != Follower || n.leader != id {
-		return // also where a connection ended before its replica had said its name
+		return // id is empty if the connection ended before the replica sent its ID
 	}
-	n.heardAt = time.Time{}
-	soon := now.Add(time.Duration(n.rng.Int64N(int64(n.cfg.ElectionTimeout) / suspectWait)))
+	n.leaderContactAt = time.Time{}
+	soon := now.Add(time.Duration(n.rng.Int64N(int64(n.cfg.ElectionTimeout) / disconnectWaitDivisor)))
 	if soon.Before(n.electionAt) {
 		n.electionAt = soon
 	}
 }
 
-// TransferLeadership has the voter that lags least campaign as soon as it has caught up.
-// Until then, or until an election timeout has passed, nothing is proposed here;
-// this replica steps down when it hears of the new term. The claims that
-// rest on QuorumContact hold, since they follow from the order of votes and
-// acknowledgements at one replica, not from the wait before a campaign.
+// TransferLeadership starts a leadership transfer to the voter that lags least,
+// which campaigns as soon as it has caught up. Until then, or until an election
+// timeout has passed, proposals are refused; this replica steps down when it
+// receives the new term. The guarantees of QuorumContact still hold, since they
+// follow from the order of votes and acknowledgements at each replica, not from
+// the wait before a campaign.
 func (n *Node) TransferLeadership(now time.Time) {
 	if n.role != Leader {
 		return
@@ -64,27 +67,29 @@
 	if best == "" {
 		return
 	}
-	n.heir, n.heirUntil = best, now.Add(n.cfg.ElectionTimeout)
-	n.handOver()
+	n.transferee, n.transferDeadline = best, now.Add(n.cfg.ElectionTimeout)
+	n.sendTimeoutNow()
 }
 
-// handOver asks the heir to campaign once its log is as long as this one; with a
-// shorter one it would not be elected.
-func (n *Node) handOver() {
-	if p := n.peers[n.heir]; p != nil && p.match == n.log.last() {
-		n.send(Message{Type: MsgTimeoutNow, To: n.heir})
+// sendTimeoutNow sends the transferee MsgTimeoutNow once its log is as long as this
+// one; with a shorter log it would not be elected.
+func (n *Node) sendTimeoutNow() {
+	if p := n.peers[n.transferee]; p != nil && p.match == n.log.last() {
+		n.send(Message{Type: MsgTimeoutNow, To: n.transferee})
 	}
 }
 
-// handing reports whether this leader takes no more commands, so that its heir
-// can catch up.
-func (n *Node) handing(now time.Time) bool { return n.heir != "" && now.Before(n.heirUntil) }
+// transferring reports whether this leader refuses proposals, so that the
+// transferee can catch up.
+func (n *Node) transferring(now time.Time) bool {
+	return n.transferee != "" && now.Before(n.transferDeadline)
+}
 
 func (n *Node) onTransfer(m Message, now time.Time) {
-	if n.role == Follower && n.leader == m.From && n.voter() {
-		n.transferred = true
+	if n.role == Follower && n.leader == m.From && n.isVoter() {
+		n.transferCampaign = true
 		n.campaign(Candidate, now)
-		n.transferred = false
+		n.transferCampaign = false
 	}
 }
 
@@ -94,7 +99,7 @@
 	if pre {
 		reply.Type = MsgPreVoteReply
 	}
-	reply.Reject = !n.wouldVote(m, pre, now)
+	reply.Reject = !n.canGrantVote(m, pre, now)
 	if reply.Reject {
 		reply.Term = n.hard.Term
 	} else if !pre {
@@ -105,7 +110,7 @@
 	n.send(reply)
 }
 
-func (n *Node) wouldVote(m Message, pre bool, now time.Time) bool {
+func (n *Node) canGrantVote(m Message, pre bool, now time.Time) bool {
 	if n.leaderAlive(now) && !m.Transfer {
 		return false
 	}
@@ -127,7 +132,7 @@
 	if n.role != role || m.Type != want {
 		return
 	}
-	// A granted pre-vote carries the term asked about.
+	// A granted pre-vote carries the term of the request.
 	if !m.Reject && role == PreCandidate && m.Term != n.hard.Term+1 {
 		return
 	}
--- a/quorum/late_test.go
+++ b/quorum/late_test.go
@@ -89,11 +89,11 @@
 	l := g.waitLeader()
 	index, ok := g.propose("new")
 	assert.Assert(t, ok)
-	match, acked := l.node.MatchIndex(presentLife), l.node.peers[presentLife].acked
+	match, acked := l.node.MatchIndex(presentLife), l.node.peers[presentLife].ackedNS
 	t.Run("an append's answer counts for no other life", func(t *testing.T) {
 		l.node.Step(Message{Type: MsgAppendReply, From: foundingLife, To: l.id, Term: l.node.Term(), Match: index, SentNS: g.now.UnixNano()}, g.now)
 		assert.Equal(t, l.node.MatchIndex(presentLife), match)
-		assert.Equal(t, l.node.peers[presentLife].acked, acked)
+		assert.Equal(t, l.node.peers[presentLife].ackedNS, acked)
 		assert.Assert(t, l.node.CommitIndex() < index)
 	})
 	t.Run("a call for votes moves nobody that hears the leader", func(t *testing.T) {
@@ -156,7 +156,7 @@
 	g := newGroup(t, 3, 77)
 	g.commit("acked")
 	began := g.now
-	for g.now.Sub(began) < (forgetTimeouts+1)*g.waitLeader().node.cfg.ElectionTimeout {
+	for g.now.Sub(began) < (removeTimeouts+1)*g.waitLeader().node.cfg.ElectionTimeout {
 		g.step(nil)
 	}
 	l := g.waitLeader()
@@ -165,7 +165,7 @@
 	_, ok = l.node.ProposeMembers(next, g.clock(l.id))
 	assert.Assert(t, ok)
 	g.ready(l, nil)
-	for l.node.changing() {
+	for l.node.changePending() {
 		g.step(nil)
 	}
 	next, why, ok := l.node.Repair(3, g.clock(l.id))
--- a/quorum/leader.go
+++ b/quorum/leader.go
@@ -8,25 +8,25 @@
 func (n *Node) becomeLeader(now time.Time) {
 	n.role = Leader
 	n.leader = n.cfg.ID
-	n.view.end()
-	n.heir = ""
-	n.heardAt = now
+	n.view.clearReplies()
+	n.transferee = ""
+	n.leaderContactAt = now
 	n.peers = map[MemberID]*progress{}
 	n.termStart = n.log.last() + 1
 	n.resetElection(now)
-	n.checkAt = now
+	n.quorumCheckAt = now
 	n.syncPeers(now)
 	n.log.push(Entry{Index: n.termStart, Term: n.hard.Term, Kind: EntryNoop})
 	n.broadcast(now)
 }
 
-// syncPeers makes peers match the members.
+// syncPeers adds and removes entries of peers to match the members.
 func (n *Node) syncPeers(now time.Time) {
 	keep := map[MemberID]bool{}
 	for _, m := range n.log.members() {
 		keep[m.ID] = true
 		if n.peers[m.ID] == nil && m.ID != n.cfg.ID {
-			n.peers[m.ID] = &progress{next: n.log.last() + 1, since: now.UnixNano()}
+			n.peers[m.ID] = &progress{next: n.log.last() + 1, trackedSinceNS: now.UnixNano()}
 		}
 	}
 	for id := range n.peers {
@@ -37,11 +37,11 @@
 }
 
 func (n *Node) tickLeader(now time.Time) {
-	if !now.Before(n.checkAt) {
-		n.checkAt = now.Add(n.cfg.HeartbeatInterval)
+	if !now.Before(n.quorumCheckAt) {
+		n.quorumCheckAt = now.Add(n.cfg.HeartbeatInterval)
 	}
 	if now.Sub(n.QuorumContact(now)) > 2*n.cfg.ElectionTimeout && now.After(n.electionAt) {
-		// No quorum answers; whoever can reach one must be free to lead.
+		// No quorum answers; a replica that can reach one must be able to lead.
 		n.becomeFollower(n.hard.Term, "", now)
 		return
 	}
@@ -50,7 +50,8 @@
 	}
 }
 
-// broadcast sends every other replica an append, empty where it has all.
+// broadcast sends an append to every other replica, without entries to one that
+// has them all.
 func (n *Node) broadcast(now time.Time) {
 	n.heartbeatAt = now.Add(n.cfg.HeartbeatInterval)
 	for _, m := range n.log.members() {
@@ -60,16 +61,18 @@
 	}
 }
 
-// ConfirmLeadership sends appends at once, so that QuorumContact soon passes now.
+// ConfirmLeadership sends appends to all replicas at once. Their acknowledgements
+// move QuorumContact to now or later.
 func (n *Node) ConfirmLeadership(now time.Time) {
 	if n.role == Leader {
 		n.broadcast(now)
 	}
 }
 
-// Propose appends a command. ok is false unless this replica leads.
+// Propose appends a command. ok is false if this replica does not lead or is
+// transferring its leadership.
 func (n *Node) Propose(data []byte, now time.Time) (index, term uint64, ok bool) {
-	if n.role != Leader || n.handing(now) {
+	if n.role != Leader || n.transferring(now) {
 		return 0, 0, false
 	}
 	index = n.appendEntry(Entry{Kind: EntryCommand, Data: data})
@@ -92,8 +95,9 @@
 	}
 }
 
-// sendAppend sends entries from p.next on. Without force it stays quiet if
-// there are none or too many are unacknowledged.
+// sendAppend sends the entries from p.next on. If there are none, or more than
+// maxUnacked are unacknowledged, it sends an empty append with force and nothing
+// without.
 func (n *Node) sendAppend(id MemberID, p *progress, now time.Time, force bool) {
 	prevTerm, ok := n.log.term(p.next - 1)
 	if !ok {
@@ -114,12 +118,12 @@
 	p.next += uint64(len(es))
 }
 
-// sendSnapshot sends the snapshot, at most once an election timeout.
+// sendSnapshot sends the snapshot, at most once per election timeout.
 func (n *Node) sendSnapshot(id MemberID, p *progress, now time.Time) {
-	if now.Before(p.snapAfter) {
+	if now.Before(p.nextSnapshotAt) {
 		return
 	}
-	p.snapAfter = now.Add(n.cfg.ElectionTimeout)
+	p.nextSnapshotAt = now.Add(n.cfg.ElectionTimeout)
 	s := n.log.snap
 	n.out.EarlyMessages = append(n.out.EarlyMessages, Message{
 		Type: MsgSnapshot, From: n.cfg.ID, To: id, Term: n.hard.Term, Snapshot: &s, Commit: n.commit, SentNS: now.UnixNano(),
@@ -127,10 +131,10 @@
 }
 
 func (n *Node) onAppend(m Message, now time.Time) {
-	n.follow(m.From, now)
+	n.followLeader(m.From, now)
 	reply := Message{Type: MsgAppendReply, To: m.From, SentNS: m.SentNS}
 	if m.LogIndex < n.commit {
-		// All up to commit is equal already; skip what the message repeats.
+		// The logs match up to the commit index; skip entries up to there.
 		skip := n.commit - m.LogIndex
 		if skip >= uint64(len(m.Entries)) {
 			reply.Match = n.commit
@@ -142,21 +146,21 @@
 	}
 	if t, ok := n.log.term(m.LogIndex); !ok || t != m.LogTerm {
 		reply.Reject = true
-		reply.Match = n.hint(m)
+		reply.Match = n.conflictHint(m)
 		reply.LogTerm, _ = n.log.term(reply.Match)
 		n.send(reply)
 		return
 	}
-	n.takeEntries(m.Entries)
+	n.storeEntries(m.Entries)
 	reply.Match = m.LogIndex + uint64(len(m.Entries))
 	n.commit = max(n.commit, min(m.Commit, reply.Match))
 	n.send(reply)
 }
 
-// hint is the highest index at which this log may agree with that of the leader
-// whose append it refuses: entries of later terms than the one before the append
-// cannot be the leader's.
-func (n *Node) hint(m Message) uint64 {
+// conflictHint returns the highest index at which this log may match that of the
+// leader whose append m it rejects: entries of later terms than the entry before
+// the append cannot be the leader's.
+func (n *Node) conflictHint(m Message) uint64 {
 	i := min(n.log.last(), m.LogIndex-1)
 	for i > n.commit {
 		if t, ok := n.log.term(i); !ok || t <= m.LogTerm {
@@ -167,17 +171,17 @@
 	return i
 }
 
-func (n *Node) follow(leader MemberID, now time.Time) {
+func (n *Node) followLeader(leader MemberID, now time.Time) {
 	if n.role != Follower || n.leader != leader {
 		n.becomeFollower(n.hard.Term, leader, now)
 	}
-	n.heardAt = now
+	n.leaderContactAt = now
 	n.resetElection(now)
 }
 
-// takeEntries appends what is new and replaces what differs. It never replaces
-// a committed entry, since those were skipped.
-func (n *Node) takeEntries(es []Entry) {
+// storeEntries appends new entries and replaces conflicting ones. It never
+// replaces a committed entry, since the caller skips those.
+func (n *Node) storeEntries(es []Entry) {
 	for _, e := range es {
 		if t, ok := n.log.term(e.Index); ok {
 			if t == e.Term {
@@ -191,7 +195,7 @@
 }
 
 func (n *Node) onSnapshot(m Message, now time.Time) {
-	n.follow(m.From, now)
+	n.followLeader(m.From, now)
 	reply := Message{Type: MsgAppendReply, To: m.From, SentNS: m.SentNS}
 	s := m.Snapshot
 	if s == nil {
@@ -211,43 +215,44 @@
 	if n.role != Leader || p == nil {
 		return
 	}
-	p.acked = max(p.acked, m.SentNS)
+	p.ackedNS = max(p.ackedNS, m.SentNS)
 	if m.Reject {
 		n.onReject(m, p, now)
 		return
 	}
 	if m.Match > p.match {
 		p.match = m.Match
-		p.snapAfter = time.Time{}
+		p.nextSnapshotAt = time.Time{}
 	}
 	p.next = max(p.next, p.match+1)
 	n.advanceCommit(now)
-	if m.From == n.heir && n.handing(now) {
-		n.handOver()
+	if m.From == n.transferee && n.transferring(now) {
+		n.sendTimeoutNow()
 	}
 	if p.next <= n.log.last() {
 		n.sendAppend(m.From, p, now, false)
 	}
 }
 
-// onReject goes back to where the logs agree. Only the answer to the newest try
-// counts: a replica that was cut off refuses, when it is back, everything that
-// was on its way, and each refusal must not be answered by all that it lacks.
+// onReject moves p.next back to where the logs may match. It ignores replies to
+// appends sent before the last probe: a replica that was partitioned rejects, on
+// its return, all appends that were in flight, and the missing entries must not be
+// sent again for each of them.
 func (n *Node) onReject(m Message, p *progress, now time.Time) {
-	if m.SentNS < p.triedAt {
+	if m.SentNS < p.probedNS {
 		return
 	}
 	if m.Match+1 < p.next {
-		p.next = max(n.agreeing(m), p.match) + 1
+		p.next = max(n.agreementIndex(m), p.match) + 1
 	}
-	p.triedAt = now.UnixNano()
+	p.probedNS = now.UnixNano()
 	n.sendAppend(m.From, p, now, true)
 }
 
-// agreeing is the highest index at which a log that holds m.LogTerm at m.Match may
-// agree with this one. With the replica's own hint, one refusal skips a whole
-// term, so that finding the place takes few round trips.
-func (n *Node) agreeing(m Message) uint64 {
+// agreementIndex returns the highest index at which a log that has m.LogTerm at
+// m.Match may match this one. Together with the replica's conflictHint, one
+// rejection skips a whole term, so that few round trips are needed.
+func (n *Node) agreementIndex(m Message) uint64 {
 	i := min(m.Match, n.log.last())
 	for i > n.log.base {
 		if t, ok := n.log.term(i); !ok || t <= m.LogTerm {
@@ -258,8 +263,9 @@
 	return i
 }
 
-// advanceCommit commits what a quorum holds durably. An entry of an earlier
-// term commits only together with one of the leader's own term (Raft 5.4.2).
+// advanceCommit commits the entries that are durable on a quorum. An entry of an
+// earlier term commits only together with one of the leader's own term (Raft
+// paper, section 5.4.2).
 func (n *Node) advanceCommit(now time.Time) {
 	voters := n.voters()
 	if len(voters) == 0 {
@@ -282,15 +288,15 @@
 	n.afterCommit(now)
 }
 
-// afterCommit lets a leader that is no longer a member step down.
+// afterCommit makes a leader step down that is no longer a member.
 func (n *Node) afterCommit(now time.Time) {
 	if _, ok := n.Member(n.cfg.ID); !ok && n.commit >= n.log.configs[len(n.log.configs)-1].index {
 		n.becomeFollower(n.hard.Term, "", now)
 	}
 }
 
-// QuorumContact is the newest time T such that a quorum acknowledged appends
-// sent at T or later. It is zero unless this replica leads.
+// QuorumContact returns the newest time T such that a quorum acknowledged appends
+// sent at T or later, or the zero time if this replica does not lead.
 func (n *Node) QuorumContact(now time.Time) time.Time {
 	if n.role != Leader {
 		return time.Time{}
@@ -301,7 +307,7 @@
 		if id == n.cfg.ID {
 			times = append(times, now.UnixNano())
 		} else {
-			times = append(times, n.peers[id].acked)
+			times = append(times, n.peers[id].ackedNS)
 		}
 	}
 	if len(times) == 0 {
@@ -311,7 +317,8 @@
 	return time.Unix(0, times[(len(times)-1)/2])
 }
 
-// MatchIndex returns the highest index known equal on another replica.
+// MatchIndex returns the highest index up to which another replica's log is known
+// to match, or 0 if this replica does not lead or does not track that one.
 func (n *Node) MatchIndex(id MemberID) uint64 {
 	if p := n.peers[id]; p != nil {
 		return p.match
--- a/quorum/log.go
+++ b/quorum/log.go
@@ -2,24 +2,24 @@
 
 import "sort"
 
-// log holds the entries after the snapshot, in memory. Index i of the log
-// stands at entries[i-base-1].
+// log holds the log entries in memory. Some entries before the snapshot's index
+// are kept too. The entry with index i is entries[i-base-1].
 type log struct {
-	snap    Snapshot
-	base    uint64 // index of the entry before entries[0]
-	baseT   uint64 // its term
-	entries []Entry
-	configs []config // rising by index; the last is in force
+	snap     Snapshot
+	base     uint64 // index of the entry before entries[0]
+	baseTerm uint64 // its term
+	entries  []Entry
+	configs  []config // in ascending order of index; the last is in force
 }
 
-// config is the group's membership from an index on.
+// config is the group's membership from a log index on.
 type config struct {
 	index   uint64
 	members []Member
 }
 
 func newLog(snap Snapshot, entries []Entry) *log {
-	l := &log{snap: snap, base: snap.Index, baseT: snap.Term}
+	l := &log{snap: snap, base: snap.Index, baseTerm: snap.Term}
 	l.configs = []config{{snap.Index, snap.Members}}
 	for _, e := range entries {
 		if e.Index > snap.Index {
@@ -36,12 +36,12 @@
 	return t
 }
 
-// term returns the term of the entry at i; ok is false if it is compacted or
-// not there yet.
+// term returns the term of the entry at index i; ok is false if the entry is
+// compacted or not in the log yet.
 func (l *log) term(i uint64) (t uint64, ok bool) {
 	switch {
 	case i == l.base:
-		return l.baseT, true
+		return l.baseTerm, true
 	case i < l.base || i > l.last():
 		return 0, false
 	}
@@ -55,7 +55,7 @@
 	}
 }
 
-// truncate drops the entries from index i on, and the membership they set.
+// truncate removes the entries from index i on and the memberships they set.
 func (l *log) truncate(i uint64) {
 	l.entries = l.entries[: i-l.base-1 : i-l.base-1]
 	for len(l.configs) > 1 && l.configs[len(l.configs)-1].index >= i {
@@ -63,8 +63,8 @@
 	}
 }
 
-// slice returns entries from index i on, at most maxBytes of payload but at
-// least one entry if there is any.
+// slice returns the entries from index i on, with at most maxBytes of payload
+// but at least one entry if there is any.
 func (l *log) slice(i uint64, maxBytes int) []Entry {
 	if i <= l.base || i > l.last() {
 		return nil
@@ -91,7 +91,8 @@
 	return l.configs[k-1].members
 }
 
-// compact takes a snapshot and forgets entries up to its index less keep.
+// compact installs snapshot s and removes the entries up to its index except the
+// last keep of them.
 func (l *log) compact(s Snapshot, keep uint64) {
 	if s.Index <= l.snap.Index || s.Index > l.last() {
 		return
@@ -100,7 +101,7 @@
 	cut := l.keepFrom(s.Index, keep)
 	t, _ := l.term(cut)
 	l.entries = append([]Entry(nil), l.entries[cut-l.base:]...)
-	l.base, l.baseT = cut, t
+	l.base, l.baseTerm = cut, t
 	l.snap = s
 	keepFrom := 0
 	for k, c := range l.configs {
@@ -111,18 +112,18 @@
 	l.configs = append([]config(nil), l.configs[keepFrom:]...)
 }
 
-// keepFrom returns the index before the first entry to keep behind index: at most
-// keep entries, of at most keepBytes.
+// keepFrom returns the index before the first entry to keep when the log is
+// compacted at index: at most keep entries, of at most trailingBytes in total.
 func (l *log) keepFrom(index, keep uint64) uint64 {
 	size := 0
 	for i := index; i > l.base; i-- {
 		size += len(l.entries[i-l.base-1].Data)
-		if index-i >= keep || size > keepBytes {
+		if index-i >= keep || size > trailingBytes {
 			return i
 		}
 	}
 	return l.base
 }
 
-// reset replaces everything by a snapshot.
+// reset replaces the whole log by a snapshot.
 func (l *log) reset(s Snapshot) { *l = *newLog(s, nil) }
--- a/quorum/node.go
+++ b/quorum/node.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	defaultMaxBatch = 1 << 20
-	// keepEntries is how many entries stay behind a snapshot, so that a replica
-	// that lags a little is brought up by entries.
-	keepEntries = 2000
-	// keepBytes bounds the payload of these, since an entry may hold a document of
-	// hundreds of kilobytes.
-	keepBytes = 8 << 20
-	// maxUnacked bounds entries sent ahead of a replica's acknowledgement.
+	defaultMaxBatchBytes = 1 << 20
+	// trailingEntries is the number of entries kept before a snapshot's index, so
+	// that a replica that lags a little needs no snapshot.
+	trailingEntries = 2000
+	// trailingBytes bounds the payload of these entries, since one entry may hold a
+	// document of hundreds of kilobytes.
+	trailingBytes = 8 << 20
+	// maxUnacked bounds the entries sent to a replica and not yet acknowledged.
 	maxUnacked = 4096
 )
 
@@ -30,56 +30,57 @@
 
 	commit  uint64
 	applied uint64
-	stable  uint64 // highest index known durable here
+	stable  uint64 // highest index known durable on this replica
 
-	// electionAt is when silence turns into a campaign; heardAt is when the
-	// present leader was last heard.
-	electionAt time.Time
-	heardAt    time.Time
+	// electionAt is when this replica campaigns unless it receives an append first;
+	// leaderContactAt is when it last received a message of the current leader.
+	electionAt      time.Time
+	leaderContactAt time.Time
 
 	votes map[MemberID]bool
 
 	// Leader only.
-	peers       map[MemberID]*progress
-	heartbeatAt time.Time // appends are due; reads put it off
-	checkAt     time.Time // the leader looks whether a quorum answers
-	termStart   uint64    // index of the first entry of the leader's own term
+	peers         map[MemberID]*progress
+	heartbeatAt   time.Time // next appends to all; ConfirmLeadership moves it back
+	quorumCheckAt time.Time // next check that a quorum answers
+	termStart     uint64    // index of the first entry of the leader's own term
 
 	out       Ready
 	hardDirty bool
 
-	transferred bool // the campaign was asked for by the leader
+	transferCampaign bool // the leader requested the campaign
 
-	// heir is whom this leader hands its part to, until heirUntil.
-	heir      MemberID
-	heirUntil time.Time
+	// transferee is the target of a leadership transfer that ends at transferDeadline.
+	transferee       MemberID
+	transferDeadline time.Time
 
-	view view
+	view peerView
 
-	domains map[string]rudderfork.Domain // by machine's name; SetDomain
+	domains map[string]rudderfork.Domain // by member name; see SetDomain
 }
 
-// progress is what a leader knows of another replica.
+// progress is the replication progress of another replica, tracked by the leader.
 type progress struct {
-	match     uint64
-	next      uint64
-	acked     int64 // newest of the leader's clocks that it echoed, Unix ns
-	snapAfter time.Time
-	since     int64 // the leader's clock when it began to send, Unix ns: silence counts from then
-	triedAt   int64 // leader's clock at the newest try after a refusal, Unix ns
+	match          uint64
+	next           uint64
+	ackedNS        int64 // newest SentNS that it echoed (leader's clock)
+	nextSnapshotAt time.Time
+	trackedSinceNS int64 // leader's clock when tracking began; silence counts from then at the earliest
+	probedNS       int64 // leader's clock at the last append sent after a rejection
 }
 
-// New returns a replica that resumes from what its disk holds. A replica whose
-// ID is not among the members never campaigns; it waits to be added.
+// New returns a replica that resumes from its stored hard state, snapshot and
+// entries. A replica whose ID is not among the members never campaigns; it waits
+// to be added.
 func New(cfg Config, hs HardState, snap Snapshot, entries []Entry, now time.Time) *Node {
 	if cfg.MaxBatchBytes == 0 {
-		cfg.MaxBatchBytes = defaultMaxBatch
+		cfg.MaxBatchBytes = defaultMaxBatchBytes
 	}
 	n := &Node{
 		cfg: cfg, hard: hs,
 		rng:    rand.New(rand.NewPCG(cfg.Seed, 1)),
 		log:    newLog(snap, entries),
-		commit: snap.Index, applied: snap.Index, view: newView(), domains: map[string]rudderfork.Domain{},
+		commit: snap.Index, applied: snap.Index, view: newPeerView(), domains: map[string]rudderfork.Domain{},
 	}
 	n.stable = n.log.last()
 	n.resetElection(now)
@@ -89,16 +90,17 @@
 // ID returns the replica's own ID.
 func (n *Node) ID() MemberID { return n.cfg.ID }
 
-// Role returns the replica's part in its term.
+// Role returns the replica's role in its term.
 func (n *Node) Role() Role { return n.role }
 
 // Term returns the current term.
 func (n *Node) Term() uint64 { return n.hard.Term }
 
-// Leader returns the known leader's ID, or "".
+// Leader returns the ID of the current term's leader, or "" if it is not known.
 func (n *Node) Leader() MemberID { return n.leader }
 
-// Members returns the group's members as the newest entry sets them.
+// Members returns the group's members according to the newest EntryMembers in the
+// log, committed or not.
 func (n *Node) Members() []Member { return n.log.members() }
 
 // CommitIndex returns the highest index known committed.
@@ -107,11 +109,12 @@
 // LastIndex returns the index of the last entry.
 func (n *Node) LastIndex() uint64 { return n.log.last() }
 
-// LastTerm returns the term of the last entry. The longer log of a later term wins
-// an election.
+// LastTerm returns the term of the last entry. A replica grants its vote only to a
+// log that has a later last term, or the same and at least its own length.
 func (n *Node) LastTerm() uint64 { return n.log.lastTerm() }
 
-// HasEntry reports whether the log has an entry of a term at an index, and has not compacted it.
+// HasEntry reports whether the log has an entry with this index and term that is
+// not compacted.
 func (n *Node) HasEntry(index, term uint64) bool {
 	t, ok := n.log.term(index)
 	return ok && t == term
@@ -120,8 +123,8 @@
 // SnapshotIndex returns the index of the newest snapshot.
 func (n *Node) SnapshotIndex() uint64 { return n.log.snap.Index }
 
-// CommittedInTerm reports whether this leader has committed an entry of its own term;
-// before that it may not know of all that is committed.
+// CommittedInTerm reports whether this replica leads and has committed an entry of
+// its own term. Before that, its commit index may be too low.
 func (n *Node) CommittedInTerm() bool { return n.role == Leader && n.commit >= n.termStart }
 
 // Member returns the member with the given ID.
@@ -134,7 +137,7 @@
 	return Member{}, false
 }
 
-func (n *Node) voter() bool {
+func (n *Node) isVoter() bool {
 	m, ok := n.Member(n.cfg.ID)
 	return ok && m.Voter
 }
@@ -154,8 +157,8 @@
 
 // NextDeadline is when Tick is next due.
 func (n *Node) NextDeadline() time.Time {
-	if n.role == Leader && n.checkAt.Before(n.heartbeatAt) {
-		return n.checkAt
+	if n.role == Leader && n.quorumCheckAt.Before(n.heartbeatAt) {
+		return n.quorumCheckAt
 	}
 	if n.role == Leader {
 		return n.heartbeatAt
@@ -163,7 +166,7 @@
 	return n.electionAt
 }
 
-// Tick acts on deadlines that have passed.
+// Tick does the work of deadlines that have passed.
 func (n *Node) Tick(now time.Time) {
 	if n.role == Leader {
 		n.tickLeader(now)
@@ -173,7 +176,7 @@
 		return
 	}
 	n.resetElection(now)
-	if n.voter() {
+	if n.isVoter() {
 		n.campaign(PreCandidate, now)
 	}
 }
@@ -183,17 +186,17 @@
 	n.electionAt = now.Add(n.cfg.ElectionTimeout + extra)
 }
 
-// Step takes one message from another replica.
+// Step handles one message from another replica.
 func (n *Node) Step(m Message, now time.Time) {
 	if m.To != n.cfg.ID {
-		return // meant for an earlier life of this replica's name
+		return // sent to an earlier incarnation of this replica
 	}
-	n.hear(m, now)
+	n.recordMessage(m, now)
 	if m.Term > n.hard.Term && !n.stepHigherTerm(m, now) {
 		return
 	}
 	if m.Term < n.hard.Term {
-		n.rejectOld(m)
+		n.rejectStale(m)
 		return
 	}
 	switch m.Type {
@@ -212,8 +215,9 @@
 	}
 }
 
-// stepHigherTerm moves to the message's term where that is right, and reports
-// whether the message is to be handled further.
+// stepHigherTerm handles the higher term of a message: it adopts the term unless
+// the message is a pre-vote, a granted pre-vote, or a vote request to a replica
+// with a live leader that is no part of a transfer. It reports whether Step goes on with the message.
 func (n *Node) stepHigherTerm(m Message, now time.Time) bool {
 	switch m.Type {
 	case MsgPreVote:
@@ -233,8 +237,8 @@
 	return true
 }
 
-// rejectOld tells a sender of a past term about the present one.
-func (n *Node) rejectOld(m Message) {
+// rejectStale sends the current term to the sender of a message of a past term.
+func (n *Node) rejectStale(m Message) {
 	switch m.Type {
 	case MsgAppend, MsgSnapshot:
 		n.send(Message{Type: MsgAppendReply, To: m.From, Reject: true, Match: n.log.last()})
@@ -251,22 +255,22 @@
 	n.role = Follower
 	n.leader = leader
 	if leader != "" {
-		n.view.end()
+		n.view.clearReplies()
 	}
-	n.heir = ""
+	n.transferee = ""
 	n.peers = nil
 	n.votes = nil
 	n.resetElection(now)
 }
 
-// leaderAlive reports whether a leader was heard within the least election
-// timeout, or this replica leads with a quorum behind it. Votes for others are
+// leaderAlive reports whether this replica had contact with a leader within the
+// minimum election timeout, or with a quorum if it leads. Votes for others are
 // refused then.
 func (n *Node) leaderAlive(now time.Time) bool {
 	if n.role == Leader {
 		return now.Sub(n.QuorumContact(now)) < n.cfg.ElectionTimeout
 	}
-	return n.leader != "" && now.Sub(n.heardAt) < n.cfg.ElectionTimeout
+	return n.leader != "" && now.Sub(n.leaderContactAt) < n.cfg.ElectionTimeout
 }
 
 func (n *Node) send(m Message) {
@@ -277,7 +281,7 @@
 	n.out.Messages = append(n.out.Messages, m)
 }
 
-// Ready returns the work that has gathered, and forgets it.
+// Ready returns the pending work and clears it.
 func (n *Node) Ready() Ready {
 	rd := n.out
 	n.out = Ready{}
@@ -295,8 +299,8 @@
 	return rd
 }
 
-// TakeEarlyMessages returns the messages that need not wait for the disk, and forgets them. There are
-// none while a new term is not yet handed out by Ready.
+// TakeEarlyMessages returns and clears the messages that need not wait for the disk.
+// There are none while Ready has not returned a changed hard state yet.
 func (n *Node) TakeEarlyMessages() (ms []Message) {
 	if n.hardDirty {
 		return nil
@@ -305,12 +309,11 @@
 	return ms
 }
 
-// Persisted notes that rd is durable.
+// Persisted records that rd is durable.
 func (n *Node) Persisted(rd Ready, now time.Time) {
 	if k := len(rd.Entries); k > 0 {
 		e := rd.Entries[k-1]
-		// The entry may have been replaced since; then its successor is not
-		// durable yet.
+		// The entry may have been replaced meanwhile; the new one is not durable yet.
 		if t, ok := n.log.term(e.Index); ok && t == e.Term && e.Index > n.stable {
 			n.stable = e.Index
 		}
@@ -320,9 +323,10 @@
 	}
 }
 
-// Committed returns entries that are newly committed, and counts them applied. A leader
-// applies what others hold durably while its own disk stands still; elsewhere entries are
-// durable here too, so that they follow a snapshot that is still being written.
+// Committed returns the newly committed entries and counts them as applied. On a
+// leader they may be durable only on other replicas, so that a stalled disk of the
+// leader does not delay them. On others they are durable on this replica too, so
+// that they come after a snapshot that is still being written.
 func (n *Node) Committed() []Entry {
 	upTo := n.commit
 	if n.role != Leader {
@@ -339,10 +343,11 @@
 	return es
 }
 
-// StableIndex returns the highest index known durable here.
+// StableIndex returns the highest index known durable on this replica.
 func (n *Node) StableIndex() uint64 { return n.stable }
 
-// StableEntriesAfter returns the entries after index that are durable here.
+// StableEntriesAfter returns the entries after index that are durable on this
+// replica.
 func (n *Node) StableEntriesAfter(index uint64) []Entry {
 	if index >= n.stable {
 		return nil
@@ -350,10 +355,10 @@
 	return n.log.slice(index+1, int(^uint(0)>>1))[:n.stable-index]
 }
 
-// Compact replaces the log up to s.Index, which must be applied, by s. It
-// returns the snapshot with its membership, for the disk.
+// Compact replaces the log up to s.Index, which must be applied, by s. It returns
+// s with its term and members set, for the disk.
 func (n *Node) Compact(s Snapshot) Snapshot {
 	s.Term, _ = n.log.term(s.Index)
-	n.log.compact(s, keepEntries)
+	n.log.compact(s, trailingEntries)
 	return n.log.snap
 }
--- a/quorum/overlap_test.go
+++ b/quorum/overlap_test.go
@@ -71,7 +71,7 @@
 // disks that were lost before count no longer.
 func (s *site) whole() bool {
 	l := s.leader()
-	if l == nil || l.node.Voters() < wantedVoters || l.node.changing() {
+	if l == nil || l.node.Voters() < wantedVoters || l.node.changePending() {
 		return false
 	}
 	return !slices.ContainsFunc(l.node.voters(), func(id MemberID) bool {
--- a/quorum/quorum.go
+++ b/quorum/quorum.go
@@ -1,32 +1,35 @@
-// Package quorum is the replication core: Raft (Ongaro and Ousterhout 2014;
-// Ongaro's thesis 2014) as a state machine without I/O.
+// Package quorum implements the Raft consensus algorithm (Ongaro and Ousterhout
+// 2014; Ongaro's thesis 2014) as a state machine without I/O.
 //
-// A Node is one replica. The caller feeds it messages, proposals and the time,
-// then takes a Ready: what to make durable, what to send, what to apply.
+// A Node is one replica. The caller passes it messages, proposals and the time,
+// then takes a Ready that lists what to make durable, what to send and what to
+// apply.
 //
 //	n.Step(m, now)            // or Tick, Propose, ProposeMembers
 //	rd := n.Ready()
-//	send(rd.Early)            // appends need not wait for the leader's disk
+//	send(rd.EarlyMessages)    // appends need not wait for the leader's disk
 //	save(rd)                  // hard state, snapshot, entries; synced
 //	send(rd.Messages)         // votes and acknowledgements
 //	n.Persisted(rd, now)      // lets the leader count its own copy
 //	apply(n.Committed())
 //
-// The node may be fed on while a save is under way; n.Early() then returns what need not
-// wait for it. The next Ready is taken once the one before is Persisted.
+// The node accepts input while a save is in progress; n.TakeEarlyMessages() then
+// returns the messages that need not wait for the save. Call Ready again only
+// after Persisted for the previous Ready.
 //
-// Beyond the basic algorithm it has: pre-vote with leader stickiness, so a
-// replica that was cut off does not disturb the rest; step-down of a leader
-// that a quorum no longer answers; snapshots; non-voting replicas; and changes
-// of one voter at a time, allowed only after an entry of the leader's own term
-// has committed. A leader that is to stop hands its part to another (Transfer).
+// Beyond the basic algorithm the package implements: pre-vote with leader
+// stickiness, so that a replica that was partitioned does not disrupt the group
+// on its return; check-quorum, by which a leader steps down when a quorum no
+// longer answers; snapshots; non-voting replicas; membership changes of one voter
+// at a time, allowed only after an entry of the leader's own term has committed;
+// and leadership transfer.
 //
-// Time enters in one way. Every append carries the leader's clock and its
-// acknowledgement echoes it. QuorumContact is the newest time T such that a
-// quorum acknowledged appends sent at T or later. No other leader can have been
-// elected before T, so a read that arrived before T is current, and a lease
-// granted until T plus a term ends at most a term after the next election. Only
-// the leader's own clock is compared with itself.
+// Every append carries the leader's clock, and its acknowledgement echoes it.
+// QuorumContact is the newest time T such that a quorum acknowledged appends
+// sent at T or later. No other leader can have been elected before T, so a read
+// that arrived before T is current, and a lease granted until T plus its duration
+// ends at most that duration after the next election. The leader's clock is
+// compared only with itself, so clocks need not agree between replicas.
 package quorum
 
 import (
@@ -35,32 +38,32 @@
 	"rudderfork.example/rudderfork"
 )
 
-// MemberID names one life of a replica's data folder. A replica that lost its
-// disk comes back under a new ID, so that it cannot vote with an empty memory.
+// MemberID identifies one incarnation of a replica's data folder. A replica that
+// lost its disk gets a new ID, since it no longer knows its earlier votes.
 type MemberID string
 
-// Member is one replica of the group.
+// Member is one replica of the group, with or without a vote.
 type Member struct {
 	ID    MemberID `cbor:"1,keyasint" json:"id"`
-	Name  string   `cbor:"2,keyasint" json:"name"` // the same over all lives
+	Name  string   `cbor:"2,keyasint" json:"name"` // the same for all incarnations
 	Addr  string   `cbor:"3,keyasint" json:"addr"` // host:port
 	Voter bool     `cbor:"4,keyasint,omitempty" json:"voter"`
 
-	// Domain is where its machine stands, "" if it has not said so.
+	// Domain is the failure domain of the replica's host, "" if not reported.
 	Domain rudderfork.Domain `cbor:"5,keyasint,omitempty" json:"domain,omitempty"`
 }
 
-// EntryKind tells entries apart.
+// EntryKind is the kind of a log entry.
 type EntryKind uint8
 
 // The kinds of entry.
 const (
-	EntryNoop    EntryKind = iota // opens a leader's term
-	EntryCommand                  // Data is for the state machine
+	EntryNoop    EntryKind = iota // first entry of a leader's term
+	EntryCommand                  // Data is a command to the state machine
 	EntryMembers                  // Members replaces the group's members
 )
 
-// Entry is one place of the replicated log.
+// Entry is one entry of the replicated log.
 type Entry struct {
 	Index   uint64    `cbor:"1,keyasint"`
 	Term    uint64    `cbor:"2,keyasint"`
@@ -69,13 +72,14 @@
 	Members []Member  `cbor:"5,keyasint,omitempty"`
 }
 
-// HardState is what a replica must not forget: its term and its vote in it.
+// HardState is the replica's term and its vote in that term. It must be durable
+// before the replica sends a message of that term.
 type HardState struct {
 	Term uint64   `cbor:"1,keyasint"`
 	Vote MemberID `cbor:"2,keyasint,omitempty"`
 }
 
-// Snapshot stands for all entries up to Index.
+// Snapshot is the state after all entries up to Index.
 type Snapshot struct {
 	Index   uint64   `cbor:"1,keyasint"`
 	Term    uint64   `cbor:"2,keyasint"`
@@ -83,10 +87,10 @@
 	Data    []byte   `cbor:"4,keyasint"`
 }
 
-// MessageType tells messages apart.
+// MessageType is the type of a message.
 type MessageType uint8
 
-// The types of message.
+// The message types.
 const (
 	MsgAppend MessageType = iota + 1
 	MsgAppendReply
@@ -95,11 +99,11 @@
 	MsgVote
 	MsgVoteReply
 	MsgSnapshot
-	MsgTimeoutNow // asks a voter to campaign at once, since its leader stops
+	MsgTimeoutNow // leadership transfer: the receiver campaigns at once
 )
 
-// Message passes between two replicas. Lost, doubled and reordered messages
-// cost time, never safety.
+// Message is sent from one replica to another. Lost, duplicated and reordered
+// messages cost time, never safety.
 type Message struct {
 	Type     MessageType `cbor:"1,keyasint"`
 	From     MemberID    `cbor:"2,keyasint"`
@@ -111,12 +115,12 @@
 	Entries  []Entry     `cbor:"8,keyasint,omitempty"`
 	Snapshot *Snapshot   `cbor:"9,keyasint,omitempty"`
 	Reject   bool        `cbor:"10,keyasint,omitempty"`
-	Match    uint64      `cbor:"11,keyasint,omitempty"` // replies: highest index known equal, or hint
+	Match    uint64      `cbor:"11,keyasint,omitempty"` // replies: highest matching index, or a hint if rejected
 	SentNS   int64       `cbor:"12,keyasint,omitempty"` // leader's clock, Unix ns, echoed
-	Transfer bool        `cbor:"13,keyasint,omitempty"` // votes: the leader itself gave up its part
+	Transfer bool        `cbor:"13,keyasint,omitempty"` // votes: the leader requested this campaign
 }
 
-// Ready is the work a Node asks of its caller, in the order of the fields.
+// Ready is the work that the caller does for a Node, in the order of the fields.
 type Ready struct {
 	EarlyMessages []Message // send at once
 	HardState     *HardState
@@ -125,7 +129,7 @@
 	Messages      []Message // send once the above is synced
 }
 
-// Empty reports whether there is nothing to do.
+// Empty reports whether there is no work.
 func (rd Ready) Empty() bool {
 	return len(rd.EarlyMessages) == 0 && rd.HardState == nil && rd.Snapshot == nil && len(rd.Entries) == 0 && len(rd.Messages) == 0
 }
@@ -135,7 +139,7 @@
 	return rd.HardState != nil || rd.Snapshot != nil || len(rd.Entries) > 0
 }
 
-// Role is a replica's part in its term.
+// Role is a replica's role in its term.
 type Role uint8
 
 // The roles.
@@ -151,15 +155,15 @@
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// Config sets up a Node.
+// Config holds the settings of a Node.
 type Config struct {
 	ID MemberID
-	// ElectionTimeout is the least silence after which a replica campaigns;
-	// each wait is drawn between it and its double.
+	// ElectionTimeout is the minimum time without contact from a leader before a
+	// replica campaigns. Each wait is drawn between one and two timeouts.
 	ElectionTimeout time.Duration
-	// HeartbeatInterval is the pause between appends to an idle replica.
+	// HeartbeatInterval is the time between appends to an idle replica.
 	HeartbeatInterval time.Duration
-	// Seed makes the draws repeatable.
+	// Seed seeds the random election waits.
 	Seed uint64
 	// MaxBatchBytes bounds the payload bytes of one append; 0 means 1 MiB.
 	MaxBatchBytes int
--- a/quorum/quorum_test.go
+++ b/quorum/quorum_test.go
@@ -523,7 +523,7 @@
 		_, ok := g.propose("before")
 		assert.Assert(t, ok)
 		g.run(30)
-		for i := range 5 { // not replicated yet: the heir has to catch up first
+		for i := range 5 { // not replicated yet: the transferee has to catch up first
 			_, ok := g.propose(fmt.Sprintf("last-%d", i))
 			assert.Assert(t, ok)
 		}
@@ -604,8 +604,8 @@
 	for i := range uint64(count) {
 		l.push(Entry{Index: i + 1, Term: 1, Data: make([]byte, size)})
 	}
-	l.compact(Snapshot{Index: count}, keepEntries)
-	assert.Equal(t, len(l.entries), keepBytes/size)
+	l.compact(Snapshot{Index: count}, trailingEntries)
+	assert.Equal(t, len(l.entries), trailingBytes/size)
 	assert.Equal(t, l.last(), uint64(count))
 	term, ok := l.term(count - 3)
 	assert.Assert(t, ok && term == 1)
--- a/quorum/spread.go
+++ b/quorum/spread.go
@@ -7,23 +7,24 @@
 	"rudderfork.example/rudderfork"
 )
 
-// maxDomains bounds the machines whose failure domains are remembered: members and
-// those that ask to join.
+// maxDomains bounds the replicas whose failure domains are kept: members and those
+// that request to join.
 const maxDomains = 256
 
-// SetDomain tells in which failure domain the machine of a name stands. Members that
-// have joined have said so; founders only tell whoever they connect to.
+// SetDomain sets the failure domain of the replica with this name. A replica that
+// joins reports its domain in its Member; founding members report theirs only to
+// the replicas that they connect to.
 func (n *Node) SetDomain(name string, domain rudderfork.Domain) {
 	if domain == "" {
 		return
 	}
 	if _, known := n.domains[name]; !known && len(n.domains) >= maxDomains {
-		clear(n.domains) // those that live tell theirs again
+		clear(n.domains) // running replicas report theirs again
 	}
 	n.domains[name] = domain
 }
 
-// domainOf returns where a member's machine stands, if that is known.
+// domainOf returns a member's failure domain, if it is known.
 func (n *Node) domainOf(m Member) (domain rudderfork.Domain, known bool) {
 	if domain, known = n.domains[m.Name]; known {
 		return domain, true
@@ -31,9 +32,9 @@
 	return m.Domain, m.Domain != ""
 }
 
-// crowds counts the voters of each failure domain; ok is false if that of one of them
-// is not known.
-func (n *Node) crowds() (voters map[rudderfork.Domain]int, ok bool) {
+// votersByDomain counts the voters of each failure domain; ok is false if the domain
+// of one of them is not known.
+func (n *Node) votersByDomain() (voters map[rudderfork.Domain]int, ok bool) {
 	voters = map[rudderfork.Domain]int{}
 	for _, m := range n.log.members() {
 		if !m.Voter {
@@ -48,49 +49,49 @@
 	return voters, true
 }
 
-// spread returns the next step that spreads the votes of a sound group over failure
-// domains as evenly as its standbys allow, so that the loss of one domain takes as few
-// as can be: first a standby gets a vote, then a voter of the most crowded domain gives
-// its up, so that there are never fewer than size. ok is false when there is nothing to
-// do, or while a voter does not answer.
+// spread returns the next membership change that spreads the voters evenly over the
+// failure domains, as far as the standbys allow, so that the loss of one domain takes
+// as few voters as possible. First a standby is promoted, then a voter of the domain
+// with the most voters is demoted, so that there are never fewer voters than size. ok
+// is false when there is nothing to do, or while a voter does not answer.
 func (n *Node) spread(size int, now time.Time) (next []Member, ok bool) {
-	voters, known := n.crowds()
-	if !known || n.silentMember(true, freshTimeouts, now) >= 0 {
+	voters, known := n.votersByDomain()
+	if !known || n.silentMember(true, recentTimeouts, now) >= 0 {
 		return nil, false
 	}
-	giver := n.giver(voters)
-	if giver < 0 {
+	demote := n.voterToDemote(voters)
+	if demote < 0 {
 		return nil, false
 	}
 	switch count := n.Voters(); {
 	case count > size:
 		next = slices.Clone(n.log.members())
-		next[giver].Voter = false
-		return next, n.quorate(next, freshTimeouts, now)
+		next[demote].Voter = false
+		return next, n.hasQuorum(next, recentTimeouts, now)
 	case count < size:
-		return nil, false // a standby is to take a vote first, or there is none
+		return nil, false // Repair promotes a standby first, if there is one
 	}
-	taker := n.standbyHeard(freshTimeouts, now)
-	if taker < 0 || voters[n.domainAt(giver)]-voters[n.domainAt(taker)] < 2 || n.supersededVoter() >= 0 {
+	promote := n.standbyAnsweredWithin(recentTimeouts, now)
+	if promote < 0 || voters[n.domainAt(demote)]-voters[n.domainAt(promote)] < 2 || n.supersededVoter() >= 0 {
 		return nil, false
 	}
-	return n.succeeded(taker, now)
+	return n.withReplacement(promote, now)
 }
 
-func (n *Node) domainAt(place int) rudderfork.Domain {
-	domain, _ := n.domainOf(n.log.members()[place])
+func (n *Node) domainAt(pos int) rudderfork.Domain {
+	domain, _ := n.domainOf(n.log.members()[pos])
 	return domain
 }
 
-// giver returns the place of the voter that gives its vote up first: one of the domain
-// with the most, and not the leader, or -1 where no domain has two.
-func (n *Node) giver(voters map[rudderfork.Domain]int) (place int) {
-	const crowd = 2
-	place, most := -1, crowd-1
+// voterToDemote returns the position of a voter other than the leader in the domain
+// with the most voters, or -1 if no domain has two.
+func (n *Node) voterToDemote(voters map[rudderfork.Domain]int) (pos int) {
+	const minVoters = 2
+	pos, maxVoters := -1, minVoters-1
 	for i, m := range n.log.members() {
-		if count := voters[n.domainAt(i)]; m.Voter && m.ID != n.ID() && count > most {
-			place, most = i, count
+		if count := voters[n.domainAt(i)]; m.Voter && m.ID != n.ID() && count > maxVoters {
+			pos, maxVoters = i, count
 		}
 	}
-	return place
+	return pos
 }
--- a/quorum/view.go
+++ b/quorum/view.go
@@ -5,68 +5,72 @@
 	"time"
 )
 
-// view is what a replica remembers of the others so that an operator can be told.
-// Nothing is decided by it.
-type view struct {
-	heard     map[MemberID]time.Time // the newest message of each
-	campaigns uint64
-	// answers are those to the running campaign, earlier to the one before it. Both
-	// end when a leader is known.
-	answers, earlier map[MemberID]bool
+// peerView records contacts and vote replies for status reports to operators. The
+// algorithm does not use it.
+type peerView struct {
+	lastMessageAt map[MemberID]time.Time // when the last message of each replica arrived
+	campaigns     uint64
+	// replies holds the vote replies to the current campaign, previousReplies those to
+	// the one before it: true if granted. Both are cleared when a leader is known.
+	replies, previousReplies map[MemberID]bool
 }
 
-// maxHeard bounds the replicas beyond the members that are remembered: past lives
-// and those that ask to join.
-const maxHeard = 64
+// maxTrackedSenders bounds the tracked replicas that are not members: past
+// incarnations and those that request to join.
+const maxTrackedSenders = 64
 
-func newView() view { return view{heard: map[MemberID]time.Time{}} }
+func newPeerView() peerView { return peerView{lastMessageAt: map[MemberID]time.Time{}} }
 
-// LastMessageAt returns when another replica was last heard, or the zero time if it was
-// not since this process began. Followers hear each other only in campaigns.
-func (n *Node) LastMessageAt(id MemberID) time.Time { return n.view.heard[id] }
+// LastMessageAt returns when the last message of another replica arrived, or the
+// zero time if there was none since this process started. Followers exchange
+// messages only in campaigns.
+func (n *Node) LastMessageAt(id MemberID) time.Time { return n.view.lastMessageAt[id] }
 
-// Campaigns returns how many campaigns this replica has begun since its process
-// did. One that first asks whether others would vote counts once.
+// Campaigns returns the number of campaigns that this replica has started since its
+// process started. A campaign and its pre-vote count once.
 func (n *Node) Campaigns() uint64 { return n.view.campaigns }
 
-// VoteReplies returns, while no leader is known, who granted (true) and who refused this
-// replica's running campaign, or the one before where the answer to this is still
-// out. Voters that are missing did not answer either. asked is false if it has not
-// campaigned since a leader was known.
-func (n *Node) VoteReplies() (all map[MemberID]bool, asked bool) {
+// VoteReplies returns, while no leader is known, which replicas granted (true) or
+// refused their vote in this replica's current campaign, or in the previous one if
+// they have not replied to the current one. Voters that are missing replied to
+// neither. campaigned is false if this replica has not campaigned since it last knew a
+// leader.
+func (n *Node) VoteReplies() (all map[MemberID]bool, campaigned bool) {
 	all = map[MemberID]bool{}
-	maps.Copy(all, n.view.earlier)
-	maps.Copy(all, n.view.answers)
-	return all, n.view.answers != nil
+	maps.Copy(all, n.view.previousReplies)
+	maps.Copy(all, n.view.replies)
+	return all, n.view.replies != nil
 }
 
-// hear notes a message that was meant for this replica.
-func (n *Node) hear(m Message, now time.Time) {
-	if _, known := n.view.heard[m.From]; !known && len(n.view.heard) >= maxHeard {
-		maps.DeleteFunc(n.view.heard, func(id MemberID, _ time.Time) bool {
+// recordMessage records the sender and time of a message to this replica, and the
+// reply if it is one to a vote request.
+func (n *Node) recordMessage(m Message, now time.Time) {
+	if _, known := n.view.lastMessageAt[m.From]; !known && len(n.view.lastMessageAt) >= maxTrackedSenders {
+		maps.DeleteFunc(n.view.lastMessageAt, func(id MemberID, _ time.Time) bool {
 			_, member := n.Member(id)
 			return !member
 		})
 	}
-	n.view.heard[m.From] = now
+	n.view.lastMessageAt[m.From] = now
 	if m.Type == MsgPreVoteReply || m.Type == MsgVoteReply {
-		n.view.answer(m.From, !m.Reject)
+		n.view.recordReply(m.From, !m.Reject)
 	}
 }
 
-// begin notes a campaign. The answers of the one before are kept until the next.
-func (v *view) begin() {
+// beginCampaign records the start of a campaign. The replies to the previous one are
+// kept until the next.
+func (v *peerView) beginCampaign() {
 	v.campaigns++
-	v.earlier, v.answers = v.answers, map[MemberID]bool{}
+	v.previousReplies, v.replies = v.replies, map[MemberID]bool{}
 }
 
-// answer notes an answer to the running campaign. One that comes when a leader is
-// known, or none was begun, is too late to mean anything.
-func (v *view) answer(from MemberID, granted bool) {
-	if v.answers != nil {
-		v.answers[from] = granted
+// recordReply records a reply to the current campaign. Without a campaign, or once a
+// leader is known, a reply is ignored.
+func (v *peerView) recordReply(from MemberID, granted bool) {
+	if v.replies != nil {
+		v.replies[from] = granted
 	}
 }
 
-// end forgets the campaigns: a leader is known.
-func (v *view) end() { v.answers, v.earlier = nil, nil }
+// clearReplies removes the replies of past campaigns, since a leader is known.
+func (v *peerView) clearReplies() { v.replies, v.previousReplies = nil, nil }
--- a/quorum/view_test.go
+++ b/quorum/view_test.go
@@ -117,10 +117,10 @@
 	now := time.Unix(1000, 0)
 	n := New(Config{ID: "c1#1", ElectionTimeout: time.Second}, HardState{}, Snapshot{Members: members}, nil, now)
 	n.Step(Message{Type: MsgPreVote, From: "c2#1", To: "c1#1"}, now)
-	for i := range 10 * maxHeard {
+	for i := range 10 * maxTrackedSenders {
 		n.Step(Message{Type: MsgPreVote, From: MemberID(rune('a' + i)), To: "c1#1"}, now.Add(time.Second))
 	}
-	assert.Assert(t, len(n.view.heard) <= maxHeard+len(members), "%d are remembered", len(n.view.heard))
+	assert.Assert(t, len(n.view.lastMessageAt) <= maxTrackedSenders+len(members), "%d are remembered", len(n.view.lastMessageAt))
 	assert.Assert(t, n.LastMessageAt("c2#1").Equal(now))
 	assert.Assert(t, n.LastMessageAt("c3#1").IsZero())
 }
