--- a/disk/disk.go
+++ b/disk/disk.go
@@ -1,17 +1,17 @@
-// Package disk keeps a replica's hard state, snapshot and log in one folder.
+// Package disk stores a replica's hard state, snapshot and log in one folder.
 //
 // The folder holds one generation g at a time: snap-g, the state up to some
 // index, and log-g, the records after it. Taking a snapshot writes generation
-// g+1 beside g and then removes g; the rename of log-(g+1) is the step that
-// makes it valid. identity holds the replica's member ID and the group's first
-// members; tail holds how far log-g was synced.
+// g+1 beside g and then removes g; the rename of log-(g+1) makes the new
+// generation valid. The file identity holds the replica's member ID and the
+// group's first members. The file tail holds the length up to which log-g was
+// synced.
 //
-// A record is a length, a CRC-32C and a CBOR payload. Reading tells three
-// things apart: a record that does not read beyond the synced length is a torn
-// write, which was never acknowledged, and is cut off; every other mismatch is
-// corruption, and Open fails with ErrCorrupt. A corrupt
-// folder is never read as valid, because what it lost may have been committed;
-// SetAside moves it away so that the replica can rejoin under a new ID
+// A record is a length, a CRC-32C and a CBOR payload. An invalid record beyond
+// the synced length is a torn write, which was never acknowledged, and is cut
+// off. Every other mismatch is corruption, and Open fails with ErrCorrupt. A
+// corrupt folder is never used, because the lost records may have been
+// committed; SetAside renames it so that the replica can rejoin under a new ID
 // (after "Protocol-Aware Recovery", FAST 2018).
 package disk
 
@@ -32,36 +32,37 @@
 	"rudderfork.example/rudderfork/quorum"
 )
 
-// ErrCorrupt marks a folder whose content does not match its checksums.
+// ErrCorrupt is returned for a folder with missing files or content that does not match
+// its checksums.
 var ErrCorrupt = errors.New("data folder is corrupt")
 
-// ErrFull marks what was not written since the disk takes no more bytes. What was written
-// before holds, and the same may be tried again.
+// ErrFull is returned by a write that failed for lack of disk space. Everything saved
+// before stays valid, and the write may be retried.
 var ErrFull = errors.New("the disk is full")
 
-// ErrEmpty marks a folder that was never formatted.
+// ErrEmpty is returned for a folder that was never formatted.
 var ErrEmpty = errors.New("data folder is empty")
 
 const (
 	headerSize = 8        // length and CRC, 4 bytes each
-	maxRecord  = 64 << 20 // bytes; a longer length is corruption
+	maxRecord  = 64 << 20 // bytes; a greater length is taken for corruption
 	dirMode    = 0o755
 	fileMode   = 0o644
 
 	identityFile = "identity"
-	tmpSuffix    = ".tmp" // of a file that is being written
+	tmpSuffix    = ".tmp" // of a file while it is written
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Identity says who the replica is. It is written once.
+// Identity identifies the replica and its group. It is written once.
 type Identity struct {
 	ID      quorum.MemberID `cbor:"1,keyasint"`
-	Group   string          `cbor:"2,keyasint"`           // the same on all replicas of the group
-	Members []quorum.Member `cbor:"3,keyasint,omitempty"` // first members; empty for one that joins
+	Group   string          `cbor:"2,keyasint"`           // ID of the group, the same on all its replicas
+	Members []quorum.Member `cbor:"3,keyasint,omitempty"` // founding members; empty for a replica that joins
 }
 
-// record is one entry of a log file.
+// record is one record of a log file; one of the fields is set.
 type record struct {
 	Hard  *quorum.HardState `cbor:"1,keyasint,omitempty"`
 	Entry *quorum.Entry     `cbor:"2,keyasint,omitempty"`
@@ -78,11 +79,11 @@
 	identity Identity
 	hard     quorum.HardState
 	snap     quorum.Snapshot
-	entries  []quorum.Entry // as read by Open; released by TakeLoaded
+	entries  []quorum.Entry // read by Open, cleared by TakeLoaded
 }
 
-// Format writes the identity of a new replica into dir, which must be empty or
-// missing, but for what a Format that was cut short has left.
+// Format writes the identity of a new replica into dir, which must be missing or
+// empty except for the temporary file of an interrupted Format.
 func Format(dir string, id Identity) (err error) {
 	defer errs.Annotate(&err, "format %s", filepath.Base(dir))
 	if err := os.MkdirAll(dir, dirMode); err != nil {
@@ -94,13 +95,13 @@
 	}
 	for _, n := range names {
 		if n.Name() != identityFile+tmpSuffix {
-			return fmt.Errorf("the folder is not empty: it has %s", n.Name())
+			return fmt.Errorf("the folder is not empty: it contains %s", n.Name())
 		}
 	}
 	if err := syncDir(filepath.Dir(dir)); err != nil {
 		return err
 	}
-	return writeSealed(filepath.Join(dir, identityFile), id)
+	return writeChecksummed(filepath.Join(dir, identityFile), id)
 }
 
 // Empty reports whether dir was never formatted.
@@ -109,23 +110,24 @@
 	return errors.Is(err, fs.ErrNotExist)
 }
 
-// SetAside renames dir so that it can be formatted anew, and returns its new
-// path.
+// SetAside renames the corrupt folder dir, so that a new one can be formatted in
+// its place, and returns the new path.
 func SetAside(dir string, now time.Time) (to string, err error) {
 	defer errs.Annotate(&err, "set aside %s", filepath.Base(dir))
 	to = fmt.Sprintf("%s.corrupt-%d", dir, now.UnixMilli())
 	return to, os.Rename(dir, to)
 }
 
-// Open reads dir. It fails with ErrEmpty or ErrCorrupt where that is so.
+// Open reads the data folder dir. It fails with ErrEmpty if dir was never formatted
+// and with ErrCorrupt if it is corrupt.
 func Open(dir string) (s *Store, err error) {
 	defer errs.Annotate(&err, "open %s", filepath.Base(dir))
 	s = &Store{dir: dir}
-	if err := readSealed(filepath.Join(dir, identityFile), &s.identity); err != nil {
-		if errors.Is(err, fs.ErrNotExist) && !s.anyLog() {
+	if err := readChecksummed(filepath.Join(dir, identityFile), &s.identity); err != nil {
+		if errors.Is(err, fs.ErrNotExist) && !s.hasLog() {
 			return nil, ErrEmpty
 		}
-		return nil, fmt.Errorf("identity: %w", asCorrupt(err))
+		return nil, fmt.Errorf("identity: %w", wrapCorrupt(err))
 	}
 	s.snap.Members = s.identity.Members
 	if err := s.load(); err != nil {
@@ -134,15 +136,16 @@
 	return s, nil
 }
 
-func (s *Store) anyLog() bool {
+func (s *Store) hasLog() bool {
 	names, _ := filepath.Glob(filepath.Join(s.dir, "log-*"))
 	return len(names) > 0
 }
 
-// Identity returns who the replica is.
+// Identity returns the identity of the replica.
 func (s *Store) Identity() Identity { return s.identity }
 
-// TakeLoaded returns what Open read, and releases it.
+// TakeLoaded returns the hard state, snapshot and entries that Open read. It releases
+// the entries and the snapshot's data, so a second call returns neither.
 func (s *Store) TakeLoaded() (hs quorum.HardState, snap quorum.Snapshot, entries []quorum.Entry) {
 	entries = s.entries
 	s.entries = nil
@@ -151,10 +154,10 @@
 	return s.hard, snap, entries
 }
 
-// LogBytes returns the bytes in the current log file.
+// LogBytes returns the length of the current log file, bytes.
 func (s *Store) LogBytes() int64 { return s.size }
 
-// Close closes the files. It does not sync: all that matters is synced.
+// Close closes the files. It does not sync, since Save and SaveSnapshot do.
 func (s *Store) Close() error {
 	if s.tail == nil {
 		return s.log.Close()
@@ -162,8 +165,8 @@
 	return errors.Join(s.log.Close(), s.tail.Close())
 }
 
-// Save makes rd durable. After an error but ErrFull the store must not be used: what the
-// disk holds is then unknown.
+// Save makes rd durable. After an error other than ErrFull the content of the disk is
+// unknown and the store must not be used.
 func (s *Store) Save(rd quorum.Ready) (err error) {
 	defer errs.Annotate(&err, "save")
 	if rd.HardState != nil {
@@ -180,21 +183,21 @@
 		return err
 	}
 	if _, err := writeAt(s.log, buf, s.size); err != nil {
-		return full(err) // what was written of it lies beyond the synced length
+		return wrapFull(err) // a partial write is beyond the synced length
 	}
 	if err := datasync(s.log); err != nil {
 		return err
 	}
 	s.size += int64(len(buf))
-	return s.markTail()
+	return s.writeTail()
 }
 
-// SaveSnapshot starts a new generation from snap and the entries after it. After ErrFull the
-// old one stands.
+// SaveSnapshot starts a new generation from snap and the entries after it. After ErrFull
+// the old generation stays in use.
 func (s *Store) SaveSnapshot(snap quorum.Snapshot, after []quorum.Entry) (err error) {
 	defer errs.Annotate(&err, "snapshot at %d", snap.Index)
 	gen := s.gen + 1
-	if err := writeSealed(s.path("snap", gen), snap); err != nil {
+	if err := writeChecksummed(s.path("snap", gen), snap); err != nil {
 		return err
 	}
 	crash.Point(crash.ControlSnapshot)
@@ -209,7 +212,7 @@
 	if err := s.openLog(gen, int64(len(buf))); err != nil {
 		return err
 	}
-	if err := s.markTail(); err != nil {
+	if err := s.writeTail(); err != nil {
 		return err
 	}
 	s.removeGeneration(old)
@@ -222,14 +225,14 @@
 		return err
 	}
 	if s.log != nil {
-		_ = s.log.Close() // an old generation; nothing in it matters any more
+		_ = s.log.Close() // the old generation is no longer needed
 	}
 	s.log, s.gen, s.size = f, gen, size
 	return syncDir(s.dir)
 }
 
 func (s *Store) removeGeneration(gen uint64) {
-	_ = os.Remove(s.path("log", gen)) // left-overs are removed by the next Open
+	_ = os.Remove(s.path("log", gen)) // the next Open removes files that remain
 	_ = os.Remove(s.path("snap", gen))
 }
 
@@ -237,14 +240,15 @@
 	return filepath.Join(s.dir, fmt.Sprintf("%s-%08d", kind, gen))
 }
 
-// markTail notes how far the log is synced. It is written without a sync of
-// its own: after a power loss it may be too low, never too high, which is
-// enough to tell a log that was cut off later from a torn write.
-func (s *Store) markTail() error {
+// writeTail records the synced length of the log in the file tail, which is not
+// synced itself. After a power loss the recorded length may be too low but never too
+// high, which suffices to distinguish a log that was truncated later from a torn
+// write.
+func (s *Store) writeTail() error {
 	if s.tail == nil {
 		f, err := os.OpenFile(filepath.Join(s.dir, "tail"), os.O_RDWR|os.O_CREATE, fileMode)
-		if errors.Is(full(err), ErrFull) {
-			return nil // as below
+		if errors.Is(wrapFull(err), ErrFull) {
+			return nil // as for the write below
 		}
 		if err != nil {
 			return err
@@ -256,13 +260,14 @@
 	buf = binary.LittleEndian.AppendUint64(buf, uint64(s.size))
 	buf = binary.LittleEndian.AppendUint32(buf, crc32.Checksum(buf, castagnoli))
 	_, err := writeAt(s.tail, buf, 0)
-	if errors.Is(full(err), ErrFull) {
-		return nil // it is too low until the next one
+	if errors.Is(wrapFull(err), ErrFull) {
+		return nil // the recorded length is too low until the next write
 	}
 	return err
 }
 
-const tailSize = 20
+// tailSize is the length of the file tail: generation, synced length, CRC-32C.
+const tailSize = 20 // bytes
 
 func encodeRecords(hs *quorum.HardState, es []quorum.Entry) (buf []byte, err error) {
 	if hs != nil {
--- a/disk/disk_test.go
+++ b/disk/disk_test.go
@@ -57,7 +57,7 @@
 func TestReopen(t *testing.T) {
 	dir, s := newStore(t)
 	save(t, s, quorum.Ready{HardState: &quorum.HardState{Term: 3, Vote: "c2#1"}, Entries: entries(1, 10, 3)})
-	// A new leader replaces the tail.
+	// A new leader replaces the last entries.
 	save(t, s, quorum.Ready{HardState: &quorum.HardState{Term: 4}, Entries: entries(8, 9, 4)})
 
 	s = reopen(t, dir, s)
@@ -74,9 +74,9 @@
 		assert.Equal(t, hs.Term, uint64(4))
 		assert.Equal(t, string(snap.Data), "state")
 		checkEntries(t, es, entries(9, 11, 4))
-		left, err := filepath.Glob(filepath.Join(dir, "*-00000001"))
+		remaining, err := filepath.Glob(filepath.Join(dir, "*-00000001"))
 		assert.NilError(t, err)
-		assert.Equal(t, len(left), 0, "the old generation is still there: %v", left)
+		assert.Equal(t, len(remaining), 0, "the old generation is still there: %v", remaining)
 	})
 }
 
@@ -87,7 +87,7 @@
 	t.Run("a folder in use is not formatted again", func(t *testing.T) {
 		assert.ErrorContains(t, Format(dir, Identity{}), "not empty")
 	})
-	t.Run("an empty folder says so", func(t *testing.T) {
+	t.Run("an unformatted folder is reported as empty", func(t *testing.T) {
 		_, err := Open(t.TempDir())
 		assert.Assert(t, errors.Is(err, ErrEmpty))
 	})
@@ -103,9 +103,9 @@
 	})
 }
 
-// TestFormatCutShort has a process end in the middle of the first format of its folder:
-// what it left must not keep the next one from formatting it.
-func TestFormatCutShort(t *testing.T) {
+// TestInterruptedFormat leaves the temporary file of a Format that was killed. The folder
+// must count as empty, and the next Format must succeed.
+func TestInterruptedFormat(t *testing.T) {
 	whole, err := appendRecord(nil, Identity{ID: "c1#1", Group: "test", Members: members})
 	assert.NilError(t, err)
 	for _, n := range []int{0, headerSize / 2, len(whole) / 2, len(whole)} {
@@ -123,7 +123,7 @@
 	}
 }
 
-// filled returns a folder with a snapshot and ten entries, closed.
+// filled returns a closed folder with a snapshot at index 5 and entries 6 to 10.
 func filled(t *testing.T) (dir string) {
 	t.Helper()
 	dir, s := newStore(t)
@@ -143,8 +143,8 @@
 	assert.NilError(t, os.WriteFile(path, f(b), fileMode))
 }
 
-// TestEveryFlippedBit flips each byte of each file that matters: Open must
-// either refuse, or return exactly what was synced.
+// TestEveryFlippedBit flips a bit in each byte of the identity, snapshot and log in turn:
+// Open must fail with ErrCorrupt.
 func TestEveryFlippedBit(t *testing.T) {
 	dir := filled(t)
 	for _, file := range []string{"identity", "snap-00000002", "log-00000002"} {
@@ -160,8 +160,8 @@
 	}
 }
 
-// TestEveryTruncation cuts the log at each length: what was synced is missed,
-// and Open refuses.
+// TestEveryTruncation truncates the log to each length below the synced one: Open must
+// fail with ErrCorrupt.
 func TestEveryTruncation(t *testing.T) {
 	dir := filled(t)
 	path := filepath.Join(dir, "log-00000002")
@@ -172,15 +172,15 @@
 		_, err := Open(dir)
 		assert.Assert(t, errors.Is(err, ErrCorrupt), "cut to %d bytes: %v", n, err)
 	}
-	t.Run("a log that is gone", func(t *testing.T) {
+	t.Run("a missing log", func(t *testing.T) {
 		assert.NilError(t, os.Remove(path))
 		_, err := Open(dir)
 		assert.Assert(t, errors.Is(err, ErrCorrupt), "%v", err)
 	})
 }
 
-// TestTornWrite appends each part of a record past what was synced, as a crash
-// in the middle of a write leaves it: it is cut off and nothing else is lost.
+// TestTornWrite appends each prefix of a record after the synced length, as a crash
+// during a write leaves it: Open must cut it off and lose nothing else.
 func TestTornWrite(t *testing.T) {
 	dir := filled(t)
 	path := filepath.Join(dir, "log-00000002")
@@ -203,7 +203,7 @@
 		checkEntries(t, es, entries(6, 11, 1))
 		assert.NilError(t, s.Close())
 		assert.NilError(t, os.WriteFile(path, whole, fileMode))
-		s, err = Open(dir) // moves the mark back to the whole
+		s, err = Open(dir) // resets the length in the file tail
 		if err == nil {
 			assert.NilError(t, s.Close())
 		} else {
@@ -212,7 +212,8 @@
 	}
 }
 
-// TestCrashInSnapshot stops a snapshot between its steps.
+// TestCrashInSnapshot leaves the files of a snapshot that a crash interrupted: Open must
+// load the old generation and remove them.
 func TestCrashInSnapshot(t *testing.T) {
 	for _, left := range []string{"snap-00000003", "snap-00000003.tmp", "log-00000003.tmp"} {
 		t.Run(left, func(t *testing.T) {
@@ -230,10 +231,10 @@
 	}
 }
 
-// TestGarbledUnsynced ends the log with a batch of full length that reached the
-// disk in part, as a loss of power in the middle of a sync can leave it: it is
-// cut off like a short one.
-func TestGarbledUnsynced(t *testing.T) {
+// TestPartlyWrittenBatch ends the log with a batch of full length with zeroes in some of
+// its bytes, as a power loss during a sync can leave it: Open must cut it off like a
+// shorter one.
+func TestPartlyWrittenBatch(t *testing.T) {
 	dir := filled(t)
 	path := filepath.Join(dir, "log-00000002")
 	whole, err := os.ReadFile(path)
@@ -250,7 +251,7 @@
 		assert.Assert(t, len(es) >= 5, "a synced entry is lost")
 		checkEntries(t, es[:5], entries(6, 10, 1))
 		assert.NilError(t, s.Close())
-		assert.NilError(t, os.Remove(filepath.Join(dir, "tail"))) // the mark of the next round is the whole
+		assert.NilError(t, os.Remove(filepath.Join(dir, "tail"))) // the next Open writes it anew
 		assert.NilError(t, os.WriteFile(path, whole, fileMode))
 		s, err = Open(dir)
 		assert.NilError(t, err)
--- a/disk/file.go
+++ b/disk/file.go
@@ -8,8 +8,9 @@
 	"syscall"
 )
 
-// writeSealed writes v as one checksummed record, replacing path atomically.
-func writeSealed(path string, v any) error {
+// writeChecksummed replaces path atomically by a file that holds v as one checksummed
+// record.
+func writeChecksummed(path string, v any) error {
 	buf, err := appendRecord(nil, v)
 	if err != nil {
 		return err
@@ -17,8 +18,8 @@
 	return writeAtomic(path, buf)
 }
 
-// readSealed is the inverse of writeSealed.
-func readSealed(path string, v any) error {
+// readChecksummed reads a file written by writeChecksummed into v.
+func readChecksummed(path string, v any) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -33,18 +34,18 @@
 	return decoder.Unmarshal(payload, v)
 }
 
-// writeAtomic writes path so that after a crash it holds all of buf or what it
-// held before.
+// writeAtomic writes path so that after a crash it holds either all of buf or its
+// previous content.
 func writeAtomic(path string, buf []byte) error {
 	tmp := path + tmpSuffix
 	f, err := os.OpenFile(tmp, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 	if err != nil {
-		return full(err)
+		return wrapFull(err)
 	}
 	if _, err := writeAt(f, buf, 0); err != nil {
 		_ = f.Close()
-		_ = os.Remove(tmp) // its bytes may be what is lacking
-		return full(err)
+		_ = os.Remove(tmp) // frees the space that it took
+		return wrapFull(err)
 	}
 	if err := f.Sync(); err != nil {
 		_ = f.Close()
@@ -68,19 +69,19 @@
 	return d.Sync()
 }
 
-// writeAt is replaced by tests whose disk is full.
+// writeAt is replaced in tests to simulate a full disk.
 var writeAt = (*os.File).WriteAt
 
-// full marks the error of a write that found no room. One of a sync is not marked: what
-// that leaves on the disk is unknown.
-func full(err error) error {
+// wrapFull adds ErrFull to the error of a write that failed for lack of space. It is not
+// used for errors of a sync, after which the content of the disk is unknown.
+func wrapFull(err error) error {
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) {
 		return fmt.Errorf("%w: %w", ErrFull, err)
 	}
 	return err
 }
 
-// fdatasync is replaced by tests that lose power.
+// fdatasync is replaced in tests to simulate power loss and failed syncs.
 var fdatasync = syscall.Fdatasync
 
 // datasync syncs the file's data and the metadata needed to read it.
@@ -88,4 +89,4 @@
 	return os.NewSyscallError("fdatasync", fdatasync(int(f.Fd())))
 }
 
-func asCorrupt(err error) error { return fmt.Errorf("%w: %w", ErrCorrupt, err) }
+func wrapCorrupt(err error) error { return fmt.Errorf("%w: %w", ErrCorrupt, err) }
--- a/disk/full_test.go
+++ b/disk/full_test.go
@@ -12,26 +12,27 @@
 	"rudderfork.example/rudderfork/quorum"
 )
 
-// fillDisk has the disk take so many bytes more until the test ends, or for ever if that
-// is negative. A write that does not fit is cut short, as the kernel does.
-func fillDisk(t *testing.T) (room *int) {
+// limitSpace limits the bytes that can still be written to *free until the test ends; a
+// negative value means no limit. A write that does not fit is done in part, as by the
+// kernel.
+func limitSpace(t *testing.T) (free *int) {
 	t.Helper()
-	left := -1
+	remaining := -1
 	before := writeAt
 	t.Cleanup(func() { writeAt = before })
 	writeAt = func(f *os.File, b []byte, at int64) (int, error) {
-		if left < 0 || len(b) <= left {
-			left = max(-1, left-len(b))
+		if remaining < 0 || len(b) <= remaining {
+			remaining = max(-1, remaining-len(b))
 			return before(f, b, at)
 		}
-		n, _ := before(f, b[:left], at)
-		left = 0
+		n, _ := before(f, b[:remaining], at)
+		remaining = 0
 		return n, &os.PathError{Op: "write", Path: f.Name(), Err: syscall.ENOSPC}
 	}
-	return &left
+	return &remaining
 }
 
-// checkLast holds that a folder reads as holding entries up to an index.
+// checkLast checks that the last entry of a folder has the given index.
 func checkLast(t *testing.T, dir string, last uint64) {
 	t.Helper()
 	s, err := Open(dir)
@@ -41,9 +42,9 @@
 	assert.Equal(t, snap.Index+uint64(len(es)), last)
 }
 
-// TestFull holds that a full disk loses nothing of what was saved, at whatever byte it is
-// full, and that the same is saved once there is room.
-func TestFull(t *testing.T) {
+// TestDiskFull checks that a disk that fills up at any byte of a save loses nothing saved
+// before, and that the same save succeeds once there is space.
+func TestDiskFull(t *testing.T) {
 	next := quorum.Ready{Entries: entries(11, 12, 1)}
 	buf, err := encodeRecords(nil, next.Entries)
 	assert.NilError(t, err)
@@ -52,53 +53,54 @@
 		s, err := Open(dir)
 		assert.NilError(t, err)
 		s.TakeLoaded()
-		room := fillDisk(t)
-		*room = n
-		assert.Assert(t, errors.Is(s.Save(next), ErrFull), "with room for %d bytes", n)
+		free := limitSpace(t)
+		*free = n
+		assert.Assert(t, errors.Is(s.Save(next), ErrFull), "with %d bytes free", n)
 		assert.Assert(t, errors.Is(s.Save(next), ErrFull))
-		*room = -1
+		*free = -1
 		assert.NilError(t, s.Save(next))
 		assert.NilError(t, s.Close())
 		checkLast(t, dir, 12)
 	}
 }
 
-// TestFullThenKilled holds that what did not fit is no harm to a process that is killed
-// meanwhile.
-func TestFullThenKilled(t *testing.T) {
+// TestDiskFullThenKilled checks that a partial write to a full disk is ignored when the
+// folder is opened again.
+func TestDiskFullThenKilled(t *testing.T) {
 	dir := filled(t)
 	s, err := Open(dir)
 	assert.NilError(t, err)
 	s.TakeLoaded()
-	room := fillDisk(t)
-	*room = 5
+	free := limitSpace(t)
+	*free = 5
 	assert.Assert(t, errors.Is(s.Save(quorum.Ready{Entries: entries(11, 12, 1)}), ErrFull))
-	*room = -1
+	*free = -1
 	checkLast(t, dir, 10)
 }
 
-// TestFullSnapshot holds that a snapshot that finds no room leaves the log in force.
-func TestFullSnapshot(t *testing.T) {
+// TestDiskFullDuringSnapshot checks that the old generation stays in use if a snapshot
+// does not fit, and that no temporary file remains.
+func TestDiskFullDuringSnapshot(t *testing.T) {
 	dir := filled(t)
 	s, err := Open(dir)
 	assert.NilError(t, err)
 	_, snap, _ := s.TakeLoaded()
-	room := fillDisk(t)
-	*room = 3
+	free := limitSpace(t)
+	*free = 3
 	newer := quorum.Snapshot{Index: 9, Term: snap.Term, Members: snap.Members, Data: make([]byte, 100)}
 	assert.Assert(t, errors.Is(s.SaveSnapshot(newer, entries(10, 10, 1)), ErrFull))
-	left, err := filepath.Glob(filepath.Join(dir, "*"+tmpSuffix))
+	remaining, err := filepath.Glob(filepath.Join(dir, "*"+tmpSuffix))
 	assert.NilError(t, err)
-	assert.Equal(t, len(left), 0, "%v", left)
-	*room = -1
+	assert.Equal(t, len(remaining), 0, "%v", remaining)
+	*free = -1
 	assert.NilError(t, s.Save(quorum.Ready{Entries: entries(11, 12, 1)}))
 	assert.NilError(t, s.Close())
 	checkLast(t, dir, 12)
 }
 
-// TestSyncFails holds that a sync that fails for want of room is not taken for a write
-// that may be tried again.
-func TestSyncFails(t *testing.T) {
+// TestFailedSyncIsNotErrFull checks that a sync that fails for lack of space is not
+// reported as ErrFull, since it must not be retried.
+func TestFailedSyncIsNotErrFull(t *testing.T) {
 	dir := filled(t)
 	s, err := Open(dir)
 	assert.NilError(t, err)
--- a/disk/load.go
+++ b/disk/load.go
@@ -17,7 +17,7 @@
 	"rudderfork.example/rudderfork/quorum"
 )
 
-// decoder allows the large arrays that a snapshot or a batch may hold.
+// decoder accepts arrays and maps as large as a snapshot or a batch may hold.
 var decoder = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxArrayElements: math.MaxInt32, MaxMapPairs: math.MaxInt32}.DecMode()
 	if err != nil {
@@ -26,9 +26,9 @@
 	return m
 }()
 
-// load reads the newest generation.
+// load reads the newest generation and removes files of others.
 func (s *Store) load() error {
-	gen, err := s.newest()
+	gen, err := s.newestGeneration()
 	if err != nil {
 		return err
 	}
@@ -36,7 +36,7 @@
 		if err := s.openLog(1, 0); err != nil {
 			return err
 		}
-		return s.markTail()
+		return s.writeTail()
 	}
 	if err := s.loadSnapshot(gen); err != nil {
 		return err
@@ -55,20 +55,20 @@
 	if err := s.log.Truncate(size); err != nil {
 		return err
 	}
-	// A process that was killed before its sync has left records that are read, and
-	// that a loss of power would still take.
+	// Records that a killed process wrote and did not sync are loaded, and would be
+	// lost on a power loss. Sync them before they are acknowledged.
 	if err := datasync(s.log); err != nil {
 		return err
 	}
-	if err := s.markTail(); err != nil {
+	if err := s.writeTail(); err != nil {
 		return err
 	}
 	return s.removeOthers(gen)
 }
 
-// newest returns the highest generation that has a log, or 0. A tail that
-// speaks of a newer one means that its log is gone.
-func (s *Store) newest() (gen uint64, err error) {
+// newestGeneration returns the highest generation that has a log, or 0. It fails with
+// ErrCorrupt if the file tail is of a newer generation, whose log is missing then.
+func (s *Store) newestGeneration() (gen uint64, err error) {
 	names, err := filepath.Glob(filepath.Join(s.dir, "log-*"))
 	if err != nil {
 		return 0, err
@@ -91,17 +91,18 @@
 }
 
 func (s *Store) loadSnapshot(gen uint64) error {
-	err := readSealed(s.path("snap", gen), &s.snap)
+	err := readChecksummed(s.path("snap", gen), &s.snap)
 	if errors.Is(err, fs.ErrNotExist) && gen == 1 {
-		return nil // the first generation starts from nothing
+		return nil // the first generation has no snapshot
 	}
 	if err != nil {
-		return fmt.Errorf("snap-%08d: %w", gen, asCorrupt(err))
+		return fmt.Errorf("snap-%08d: %w", gen, wrapCorrupt(err))
 	}
 	return nil
 }
 
-// readTail returns how far a log was synced; ok is false without a valid mark.
+// readTail returns the generation and synced length in the file tail; ok is false if
+// it is missing or invalid.
 func (s *Store) readTail() (gen uint64, size int64, ok bool) {
 	b, err := os.ReadFile(filepath.Join(s.dir, "tail"))
 	if err != nil || len(b) != tailSize {
@@ -121,23 +122,24 @@
 	return size
 }
 
-// loadLog reads records and returns the length of the valid part.
+// loadLog applies the records of a log file of which synced bytes are known to be
+// synced, and returns the length of the valid part.
 func (s *Store) loadLog(data []byte, synced int64) (size int64, err error) {
 	if int64(len(data)) < synced {
-		return 0, fmt.Errorf("%d bytes, but %d were synced: %w", len(data), synced, ErrCorrupt)
+		return 0, fmt.Errorf("file has %d bytes, but %d were synced: %w", len(data), synced, ErrCorrupt)
 	}
 	off := 0
 	for off < len(data) {
 		payload, err := recordAt(data, off)
 		if err != nil && int64(off) >= synced {
-			// Each batch is synced before the next is written, so only the last
-			// one can be unsynced: what does not read past the mark is torn.
+			// Each batch is synced before the next is written, so only the last one
+			// can be unsynced: an invalid record past the synced length is torn.
 			return int64(off), nil
 		}
 		if err != nil {
 			return 0, fmt.Errorf("offset %d: %w", off, err)
 		}
-		if err := s.takeRecord(payload); err != nil {
+		if err := s.applyRecord(payload); err != nil {
 			return 0, fmt.Errorf("offset %d: %w", off, err)
 		}
 		off += headerSize + len(payload)
@@ -145,30 +147,30 @@
 	return int64(off), nil
 }
 
-// recordAt returns the payload at off.
+// recordAt returns the payload of the record at offset off.
 func recordAt(data []byte, off int) (payload []byte, err error) {
 	rest := data[off:]
 	if len(rest) < headerSize {
-		return nil, fmt.Errorf("cut record: %w", ErrCorrupt)
+		return nil, fmt.Errorf("truncated record: %w", ErrCorrupt)
 	}
 	n := binary.LittleEndian.Uint32(rest)
 	if n == 0 || n > maxRecord {
-		return nil, fmt.Errorf("length %d: %w", n, ErrCorrupt)
+		return nil, fmt.Errorf("invalid record length %d: %w", n, ErrCorrupt)
 	}
 	if int(n) > len(rest)-headerSize {
-		return nil, fmt.Errorf("cut record: %w", ErrCorrupt)
+		return nil, fmt.Errorf("truncated record: %w", ErrCorrupt)
 	}
 	payload = rest[headerSize : headerSize+int(n)]
 	if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(rest[4:]) {
-		return nil, fmt.Errorf("checksum: %w", ErrCorrupt)
+		return nil, fmt.Errorf("wrong record checksum: %w", ErrCorrupt)
 	}
 	return payload, nil
 }
 
-func (s *Store) takeRecord(payload []byte) error {
+func (s *Store) applyRecord(payload []byte) error {
 	var r record
 	if err := decoder.Unmarshal(payload, &r); err != nil {
-		return asCorrupt(err)
+		return wrapCorrupt(err)
 	}
 	if r.Hard != nil {
 		s.hard = *r.Hard
@@ -176,18 +178,19 @@
 	if r.Entry == nil {
 		return nil
 	}
-	return s.takeEntry(*r.Entry)
+	return s.applyEntry(*r.Entry)
 }
 
-// takeEntry adds e; entries at or past its index were replaced by it.
-func (s *Store) takeEntry(e quorum.Entry) error {
+// applyEntry appends e and removes loaded entries at or past its index, which e
+// replaces.
+func (s *Store) applyEntry(e quorum.Entry) error {
 	first := s.snap.Index + 1
 	if e.Index < first {
 		return nil
 	}
 	at := e.Index - first
 	if at > uint64(len(s.entries)) {
-		return fmt.Errorf("entry %d after %d: %w", e.Index, s.snap.Index+uint64(len(s.entries)), ErrCorrupt)
+		return fmt.Errorf("entry %d follows entry %d: %w", e.Index, s.snap.Index+uint64(len(s.entries)), ErrCorrupt)
 	}
 	s.entries = append(s.entries[:at], e)
 	return nil
--- a/disk/power_test.go
+++ b/disk/power_test.go
@@ -11,9 +11,8 @@
 	"rudderfork.example/rudderfork/quorum"
 )
 
-// watchSyncs notes the length up to which each file was synced, by its path, until the
-// test ends.
-func watchSyncs(t *testing.T) (synced map[string]int64) {
+// recordSyncs records the synced length of each file, by path, until the test ends.
+func recordSyncs(t *testing.T) (synced map[string]int64) {
 	t.Helper()
 	synced = map[string]int64{}
 	sync := fdatasync
@@ -33,14 +32,14 @@
 	return synced
 }
 
-// TestPowerLostAfterKill kills a replica between a write and its sync, starts it again
-// and has it lose power: all that Open gave out, which the replica may have
-// acknowledged since, must still be there.
-func TestPowerLostAfterKill(t *testing.T) {
+// TestPowerLossAfterKill kills a replica between a write and its sync, opens its folder
+// again and then loses power. Everything that Open had loaded must still be there, since
+// the replica may have acknowledged it meanwhile.
+func TestPowerLossAfterKill(t *testing.T) {
 	next, err := encodeRecords(nil, entries(11, 12, 1))
 	assert.NilError(t, err)
-	synced := watchSyncs(t)
-	for _, tail := range []bool{true, false} { // the mark of the synced length is kept or lost
+	synced := recordSyncs(t)
+	for _, tail := range []bool{true, false} { // the file tail is kept or lost
 		for n := range len(next) + 1 {
 			dir := filled(t)
 			path := filepath.Join(dir, "log-00000002")
@@ -48,7 +47,7 @@
 
 			s, err := Open(dir)
 			assert.NilError(t, err)
-			_, _, told := s.TakeLoaded()
+			_, _, loaded := s.TakeLoaded()
 			assert.NilError(t, s.Close())
 
 			assert.NilError(t, os.Truncate(path, synced[path]))
@@ -59,7 +58,7 @@
 			assert.NilError(t, err, "%d bytes were written", n)
 			_, snap, kept := s.TakeLoaded()
 			assert.Equal(t, snap.Index, uint64(5))
-			checkEntries(t, kept, told)
+			checkEntries(t, kept, loaded)
 			save(t, s, quorum.Ready{Entries: entries(uint64(6+len(kept)), 14, 1)})
 			assert.NilError(t, s.Close())
 		}
--- a/quorum/losses_test.go
+++ b/quorum/losses_test.go
@@ -9,22 +9,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// wantedVoters bear the loss of two.
+// wantedVoters is the size of a group that tolerates the loss of two replicas.
 const wantedVoters = 5
 
-// tendAll runs the group for a while; its leader, if there is one, brings in
-// every replica that lives and is no member, and repairs the group.
-func (g *group) tendAll(steps int) {
+// maintainAll runs the group for some steps. In each, the leader, if there is one, adds a
+// running replica that is not a member, or repairs the group.
+func (g *group) maintainAll(steps int) {
 	for range steps {
 		if l := g.leader(); l != nil {
-			g.tend(l, g.outsider(l), wantedVoters)
+			g.maintain(l, g.nonMember(l), wantedVoters)
 		}
 		g.step(nil)
 	}
 }
 
-// outsider returns a replica that lives and is no member, or a member.
-func (g *group) outsider(l *replica) Member {
+// nonMember returns a running replica that is not a member, or else the leader.
+func (g *group) nonMember(l *replica) Member {
 	for _, id := range g.order {
 		if _, ok := l.node.Member(id); !ok && g.replicas[id].node != nil {
 			return Member{ID: id, Name: string(id[:2])}
@@ -33,23 +33,23 @@
 	return Member{ID: l.id, Name: string(l.id[:2])}
 }
 
-// wipe ends a replica and starts an empty one of the same name in its place.
+// wipe kills a replica and starts an empty incarnation of the same name.
 func (g *group) wipe(id MemberID) {
 	g.crash(id)
-	g.replicas[id].frozen = true // that disk never comes back
-	life := len(g.order)
-	g.add(MemberID(fmt.Sprintf("%s#%d", id[:2], life)), Snapshot{})
+	g.replicas[id].frozen = true // its disk is lost for good
+	inc := len(g.order)
+	g.add(MemberID(fmt.Sprintf("%s#%d", id[:2], inc)), Snapshot{})
 }
 
-// assertWhole holds that the group has its wanted voters, that all of them live,
-// and that it has what was acknowledged and takes more.
-func (g *group) assertWhole(acked ...string) {
+// assertHealthy checks that the group has wantedVoters, that all of them run, that
+// everything acknowledged is committed, and that it commits a new command.
+func (g *group) assertHealthy(acked ...string) {
 	g.t.Helper()
 	l := g.waitLeader()
 	voters := l.node.voters()
 	assert.Equal(g.t, len(voters), wantedVoters, "voters %v", voters)
 	for _, id := range voters {
-		assert.Assert(g.t, g.replicas[id].node != nil && !g.replicas[id].frozen, "voter %s is gone", id)
+		assert.Assert(g.t, g.replicas[id].node != nil && !g.replicas[id].frozen, "voter %s is down", id)
 	}
 	_, ok := g.propose("more")
 	assert.Assert(g.t, ok)
@@ -59,7 +59,7 @@
 	}
 }
 
-// commit has the group acknowledge data.
+// commit proposes data and waits until it is committed.
 func (g *group) commit(data string) {
 	g.t.Helper()
 	g.waitLeader()
@@ -71,10 +71,10 @@
 		}
 		g.step(nil)
 	}
-	g.t.Fatalf("%q is not acknowledged", data)
+	g.t.Fatalf("%q was not committed", data)
 }
 
-// TestTwoLosses loses two disks of five, in each way that the users' faults do.
+// TestTwoLosses loses two disks of five in each order and timing that the users require.
 func TestTwoLosses(t *testing.T) {
 	for a := range wantedVoters {
 		for b := range a {
@@ -83,21 +83,21 @@
 				g.commit("acked")
 				g.wipe(g.order[a])
 				g.wipe(g.order[b])
-				g.tendAll(800)
-				g.assertWhole("acked")
+				g.maintainAll(800)
+				g.assertHealthy("acked")
 			})
 		}
 	}
-	t.Run("the leader and then its successor", func(t *testing.T) {
+	t.Run("the leader and then the next leader", func(t *testing.T) {
 		g := newGroup(t, wantedVoters, 61)
 		g.commit("first")
 		g.wipe(g.waitLeader().id)
 		g.commit("second")
 		g.wipe(g.waitLeader().id)
-		g.tendAll(800)
-		g.assertWhole("first", "second")
+		g.maintainAll(800)
+		g.assertHealthy("first", "second")
 	})
-	t.Run("in a row for long", func(t *testing.T) {
+	t.Run("repeatedly", func(t *testing.T) {
 		g := newGroup(t, wantedVoters, 62)
 		var acked []string
 		for i := range 5 {
@@ -107,53 +107,53 @@
 			voters := g.waitLeader().node.voters()
 			g.wipe(voters[i%wantedVoters])
 			g.wipe(voters[(i+2)%wantedVoters])
-			g.tendAll(800)
-			g.assertWhole(acked...)
+			g.maintainAll(800)
+			g.assertHealthy(acked...)
 		}
 	})
 	t.Run("while a replica joins", func(t *testing.T) {
 		g := newGroup(t, wantedVoters, 63)
 		g.commit("acked")
 		g.add("n1#1", Snapshot{})
-		g.tendAll(2)
+		g.maintainAll(2)
 		g.wipe(g.order[0])
 		g.wipe(g.order[1])
-		g.tendAll(800)
-		g.assertWhole("acked")
+		g.maintainAll(800)
+		g.assertHealthy("acked")
 	})
 	for steps := range 40 {
 		t.Run(fmt.Sprintf("the second during the repair of the first/%d", steps), func(t *testing.T) {
 			g := newGroup(t, wantedVoters, uint64(100+steps))
 			g.commit("acked")
 			g.wipe(g.order[0])
-			g.tendAll(5 * steps)
+			g.maintainAll(5 * steps)
 			g.wipe(g.order[1])
-			g.tendAll(800)
-			g.assertWhole("acked")
+			g.maintainAll(800)
+			g.assertHealthy("acked")
 		})
-		t.Run(fmt.Sprintf("two, and the others lose power/%d", steps), func(t *testing.T) {
+		t.Run(fmt.Sprintf("both, then the others lose power/%d", steps), func(t *testing.T) {
 			g := newGroup(t, wantedVoters, uint64(200+steps))
 			g.commit("acked")
 			g.wipe(g.order[2])
 			g.wipe(g.order[3])
-			g.tendAll(5 * steps)
-			g.goDark()
+			g.maintainAll(5 * steps)
+			g.powerOff()
 			g.powerOn()
-			g.tendAll(800)
-			g.assertWhole("acked")
+			g.maintainAll(800)
+			g.assertHealthy("acked")
 		})
 	}
 }
 
-// goDark ends all replicas at once; what is on its way is lost.
-func (g *group) goDark() {
+// powerOff kills all replicas at once; messages in flight are lost.
+func (g *group) powerOff() {
 	for _, id := range g.order {
 		g.crash(id)
 	}
 	g.net = nil
 }
 
-// powerOn starts the replicas whose disks are not lost.
+// powerOn starts all replicas that are not frozen.
 func (g *group) powerOn() {
 	for _, id := range g.order {
 		if !g.replicas[id].frozen {
@@ -162,35 +162,36 @@
 	}
 }
 
-// darkAfter returns a hook that ends all replicas when one has come that often to a
-// point between two steps of its work, and done, which tells whether it has.
-func (g *group) darkAfter(points int) (crash, done func() bool) {
-	dark := false
+// powerOffAfter returns a hook for points between two steps of a replica's work, which
+// kills all replicas when it is called that many times, and done, which reports whether
+// it has.
+func (g *group) powerOffAfter(points int) (crash, done func() bool) {
+	off := false
 	crash = func() bool {
 		if points--; points == 0 {
-			dark = true
-			g.goDark()
+			off = true
+			g.powerOff()
 		}
-		return dark
+		return off
 	}
-	return crash, func() bool { return dark }
+	return crash, func() bool { return off }
 }
 
-// runIntoDark runs the group until the hook has ended it, with the leader tending it
-// as wanted, and returns the commands that were acknowledged meanwhile.
-func (g *group) runIntoDark(points int, tend bool) (acked []string) {
-	crash, done := g.darkAfter(points)
+// runUntilPowerOff runs the group until the hook has killed it, with or without the
+// leader changing members, and returns the committed commands.
+func (g *group) runUntilPowerOff(points int, maintain bool) (acked []string) {
+	crash, done := g.powerOffAfter(points)
 	for i := 0; !done(); i++ {
 		if l := g.leader(); l != nil && i%2 == 0 {
 			l.node.Propose(fmt.Appendf(nil, "flight-%d", i), g.clock(l.id))
 			g.ready(l, crash)
 		}
-		if l := g.leader(); l != nil && tend {
-			g.tend(l, g.outsider(l), wantedVoters)
+		if l := g.leader(); l != nil && maintain {
+			g.maintain(l, g.nonMember(l), wantedVoters)
 		}
 		g.step(crash)
 	}
-	g.net = nil // what a step still put on its way
+	g.net = nil // messages that the last step still sent
 	for _, e := range g.committed {
 		if e.Kind == EntryCommand {
 			acked = append(acked, string(e.Data))
@@ -199,25 +200,25 @@
 	return acked
 }
 
-// TestDarkInFlight ends all replicas at each point between two steps of their work:
-// votes and acknowledgements are on disk and not told, or told and on their way. Two
-// disks are lost with it.
-func TestDarkInFlight(t *testing.T) {
+// TestPowerLossInFlight kills all replicas at each point between two steps of their work:
+// votes and acknowledgements are durable and not sent, or sent and in flight. Two disks
+// are lost as well.
+func TestPowerLossInFlight(t *testing.T) {
 	const points = 120
 	t.Run("commands", func(t *testing.T) {
 		for n := 1; n <= points; n++ {
 			g := newGroup(t, wantedVoters, uint64(300+n))
 			g.commit("acked")
-			g.loseInDark(n, false)
+			g.assertPowerLossSurvived(n, false)
 		}
 	})
 	t.Run("an election", func(t *testing.T) {
 		for n := 1; n <= points; n++ {
 			g := newGroup(t, wantedVoters, uint64(500+n))
 			g.commit("acked")
-			g.goDark()
+			g.powerOff()
 			g.powerOn()
-			g.loseInDark(n, false)
+			g.assertPowerLossSurvived(n, false)
 		}
 	})
 	t.Run("a replica joining", func(t *testing.T) {
@@ -225,32 +226,33 @@
 			g := newGroup(t, wantedVoters, uint64(700+n))
 			g.commit("acked")
 			g.wipe(g.order[n%wantedVoters])
-			g.loseInDark(n, true)
+			g.assertPowerLossSurvived(n, true)
 		}
 	})
-	t.Run("a standby taking a vote", func(t *testing.T) {
+	t.Run("a standby being promoted", func(t *testing.T) {
 		for n := 1; n <= points; n++ {
 			g := newGroup(t, wantedVoters, uint64(900+n))
 			for i := range 2 {
 				g.add(MemberID(fmt.Sprintf("n%d#1", i)), Snapshot{})
 			}
 			g.commit("acked")
-			g.tendAll(200)
+			g.maintainAll(200)
 			gone := g.order[n%wantedVoters]
 			g.crash(gone)
 			g.replicas[gone].frozen = true
-			g.tendAll(20 + 2*n)
+			g.maintainAll(20 + 2*n)
 			g.replicas[gone].frozen = false // its disk is kept
-			g.loseInDark(n, true)
+			g.assertPowerLossSurvived(n, true)
 		}
 	})
 }
 
-// loseInDark ends all replicas at a point of their work, loses disks up to two in
-// all, and holds that everything acknowledged is there after the restart.
-func (g *group) loseInDark(point int, tend bool) {
+// assertPowerLossSurvived kills all replicas at a point of their work, loses disks up to
+// two in all, and checks that the group is healthy after the restart and has everything
+// acknowledged.
+func (g *group) assertPowerLossSurvived(point int, maintain bool) {
 	g.t.Helper()
-	acked := g.runIntoDark(point, tend)
+	acked := g.runUntilPowerOff(point, maintain)
 	lost := 0
 	for _, r := range g.replicas {
 		if r.frozen {
@@ -266,38 +268,39 @@
 		lost++
 	}
 	g.powerOn()
-	g.tendAll(800)
-	g.assertWhole(acked...)
+	g.maintainAll(800)
+	g.assertHealthy(acked...)
 }
 
-// TestDarkWhileReplacing loses any two disks while all others lose power, at each step of
-// putting a standby in the place of a voter that is silent and keeps its disk: there are
-// two lost disks as ever, so that the group must come back when the silent one does.
-func TestDarkWhileReplacing(t *testing.T) {
+// TestPowerLossDuringReplacement loses any two disks while all others lose power, at each
+// step of replacing a silent voter that keeps its disk by a standby. Since only two disks
+// are lost, the group must recover when the silent voter returns.
+func TestPowerLossDuringReplacement(t *testing.T) {
 	const steps, standbys = 12, 2
-	const machines = wantedVoters + standbys
+	const hosts = wantedVoters + standbys
 	for step := range steps {
-		for a := range machines {
+		for a := range hosts {
 			for b := range a {
 				t.Run(fmt.Sprintf("%d/%d-%d", step, a, b), func(t *testing.T) {
 					g, silent := replacing(t, standbys)
-					g.tendAll(step)
-					g.goDark()
+					g.maintainAll(step)
+					g.powerOff()
 					g.replicas[silent].frozen = false
 					g.wipe(g.order[a])
 					g.wipe(g.order[b])
 					g.powerOn()
-					g.tendAll(800)
-					g.assertWhole("acked")
+					g.maintainAll(800)
+					g.assertHealthy("acked")
 				})
 			}
 		}
 	}
 }
 
-// TestSilentTogether cuts two voters and all standbys off at once. A standby that went
-// together with the voters must not be counted on: three of five go on all the while.
-func TestSilentTogether(t *testing.T) {
+// TestStandbysSilentWithVoters partitions two voters and all standbys at once. Such a
+// standby must not be promoted, or the three voters that are left would be no majority;
+// they must keep committing.
+func TestStandbysSilentWithVoters(t *testing.T) {
 	const standbys = 2
 	for seed := range uint64(60) {
 		g := newGroup(t, wantedVoters, 1300+seed)
@@ -305,7 +308,7 @@
 			g.add(MemberID(fmt.Sprintf("n%d#1", i)), Snapshot{})
 		}
 		g.commit("acked")
-		g.tendAll(200 + int(seed))
+		g.maintainAll(200 + int(seed))
 		left := g.waitLeader().node.voters()
 		left = slices.DeleteFunc(left, func(id MemberID) bool { return id == g.waitLeader().id })[:wantedVoters/2]
 		left = append(left, g.waitLeader().id)
@@ -313,20 +316,20 @@
 			g.replicas[id].frozen = !slices.Contains(left, id)
 		}
 		for i := range 20 {
-			g.tendAll(10)
+			g.maintainAll(10)
 			g.commit(fmt.Sprintf("meanwhile-%d", i))
 		}
 		for _, id := range g.order {
 			g.replicas[id].frozen = false
 		}
-		g.tendAll(400)
+		g.maintainAll(400)
 		l := g.waitLeader()
 		assert.Assert(t, l.node.Voters() >= wantedVoters, "seed %d: members %v", seed, l.node.Members())
 	}
 }
 
-// replacing returns a group with standbys that has just begun to replace a follower,
-// which is cut off.
+// replacing returns a group with standbys that has just started to replace a partitioned
+// follower.
 func replacing(t *testing.T, standbys int) (g *group, silent MemberID) {
 	t.Helper()
 	g = newGroup(t, wantedVoters, 13)
@@ -334,7 +337,7 @@
 		g.add(MemberID(fmt.Sprintf("n%d#1", i)), Snapshot{})
 	}
 	g.commit("acked")
-	g.tendAll(200)
+	g.maintainAll(200)
 	l := g.waitLeader()
 	members := l.node.Members()
 	assert.Equal(t, len(members), wantedVoters+standbys)
@@ -348,19 +351,19 @@
 		if !slices.Equal(g.waitLeader().node.Members(), members) {
 			return g, silent
 		}
-		g.tendAll(1)
+		g.maintainAll(1)
 	}
-	t.Fatal("a silent voter is not replaced")
+	t.Fatal("the silent voter is not replaced")
 	return nil, ""
 }
 
-// TestClocksAfterDark has replicas come back from the dark with clocks that are minutes
-// early or late, by themselves and against each other, and two disks lost.
-func TestClocksAfterDark(t *testing.T) {
+// TestClockSkewAfterPowerLoss restarts replicas after a power loss with two disks lost and
+// with clocks that jumped by up to ten minutes and differ from each other.
+func TestClockSkewAfterPowerLoss(t *testing.T) {
 	for seed := range uint64(20) {
 		g := newGroup(t, wantedVoters, 1100+seed)
 		g.commit("acked")
-		g.goDark()
+		g.powerOff()
 		for i, id := range g.order {
 			g.skew[id] = time.Duration(g.rng.Int64N(int64(20*time.Minute))) - 10*time.Minute
 			if i < 2 {
@@ -368,23 +371,23 @@
 			}
 		}
 		g.powerOn()
-		g.tendAll(800)
-		g.assertWhole("acked")
+		g.maintainAll(800)
+		g.assertHealthy("acked")
 		l := g.waitLeader()
 		for _, m := range l.node.Members() {
-			assert.Assert(t, !l.node.silent(m.ID, silentTimeouts, g.clock(l.id)), "seed %d: %s counts as silent", seed, m.ID)
+			assert.Assert(t, !l.node.silent(m.ID, silentTimeouts, g.clock(l.id)), "seed %d: %s is taken for silent", seed, m.ID)
 		}
 	}
 }
 
-// TestVotersThatBearLosses loses each pair of voters' disks and ends the others, which
-// keep theirs. With three or four voters those that are left are no majority: though
-// each of them and both empty replicas grant their votes, nobody is elected, whoever
-// asks, so that nothing is served or repaired for good. Five bear it.
-func TestVotersThatBearLosses(t *testing.T) {
+// TestVotersNeededForTwoLosses loses the disks of each pair of voters and restarts the
+// others. With three or four voters, the rest is no majority: no candidate is elected even
+// if all of them and both empty replicas grant their votes, so the group never recovers.
+// Five voters tolerate it.
+func TestVotersNeededForTwoLosses(t *testing.T) {
 	for _, x := range []struct {
 		voters int
-		bear   bool
+		elects bool
 	}{{3, false}, {4, false}, {wantedVoters, true}, {wantedVoters + 1, true}} {
 		t.Run(fmt.Sprint(x.voters), func(t *testing.T) {
 			for a := range x.voters {
@@ -393,15 +396,15 @@
 					g.commit("acked")
 					g.wipe(g.order[a])
 					g.wipe(g.order[b])
-					assert.Equal(t, g.elects(), x.bear, "voters %d and %d have lost their disks", a, b)
+					assert.Equal(t, g.elects(), x.elects, "voters %d and %d have lost their disks", a, b)
 				}
 			}
 		})
 	}
 }
 
-// elects reports whether some replica would lead that is ended, started again and
-// granted the vote of each replica that lives.
+// elects reports whether some replica with its disk would be elected if it were restarted
+// and granted the vote of every running replica.
 func (g *group) elects() (some bool) {
 	for _, id := range g.order {
 		r := g.replicas[id]
@@ -421,43 +424,43 @@
 	return some
 }
 
-// TestQuorumDuringRepair holds that a group never needs more answers while it is
-// repaired than it needs whole: with two of five lost, the three that are left
-// must be enough at each step.
+// TestQuorumDuringRepair checks that a group never needs a larger majority during its
+// repair than when healthy: with two of five lost, the three that are left must be enough
+// at each step.
 func TestQuorumDuringRepair(t *testing.T) {
 	g := newGroup(t, wantedVoters, 7)
 	g.commit("acked")
 	g.wipe(g.order[0])
 	g.wipe(g.order[1])
 	for range 800 {
-		g.tendAll(1)
+		g.maintainAll(1)
 		if l := g.leader(); l != nil {
 			voters := len(l.node.voters())
 			assert.Assert(t, voters == wantedVoters || voters == wantedVoters-1, "%d voters", voters)
 		}
 	}
-	g.assertWhole("acked")
+	g.assertHealthy("acked")
 }
 
-// TestStandby keeps replicas beyond the wanted voters without a vote, and has them
-// take the place of voters that are gone.
+// TestStandby checks that replicas beyond wantedVoters stay standbys and replace lost
+// voters, and that a standby that is down for long is removed.
 func TestStandby(t *testing.T) {
 	g := newGroup(t, 3, 8)
 	for i := range 5 {
 		g.add(MemberID(fmt.Sprintf("n%d#1", i)), Snapshot{})
 	}
-	g.tendAll(600)
-	g.assertWhole()
+	g.maintainAll(600)
+	g.assertHealthy()
 	assert.Equal(t, len(g.waitLeader().node.Members()), 8)
-	t.Run("after a while a lost voter's place is taken", func(*testing.T) {
+	t.Run("a lost voter is replaced after a while", func(*testing.T) {
 		for _, lost := range g.waitLeader().node.voters()[:2] {
 			g.crash(lost)
 			g.replicas[lost].frozen = true
 		}
-		g.tendAll(400)
-		g.assertWhole()
+		g.maintainAll(400)
+		g.assertHealthy()
 	})
-	t.Run("what is gone for long is forgotten", func(t *testing.T) {
+	t.Run("a standby that is down for long is removed", func(t *testing.T) {
 		var gone MemberID
 		for _, m := range g.waitLeader().node.Members() {
 			if !m.Voter {
@@ -466,14 +469,14 @@
 		}
 		g.crash(gone)
 		g.replicas[gone].frozen = true
-		g.tendAll(1_500)
+		g.maintainAll(1_500)
 		_, ok := g.waitLeader().node.Member(gone)
 		assert.Assert(t, !ok)
 	})
 }
 
-// TestRepairReasons loses a disk, then a replica for good beside a standby, and holds
-// what the leader says of each step.
+// TestRepairReasons checks the reason of each membership change after a disk loss, and
+// after a permanent loss of a voter with a standby present.
 func TestRepairReasons(t *testing.T) {
 	t.Run("a lost disk", func(t *testing.T) {
 		g := newGroup(t, wantedVoters, 74)
@@ -484,14 +487,14 @@
 		g := newGroup(t, wantedVoters, 75)
 		l := g.waitLeader()
 		g.add("c9#1", Snapshot{})
-		g.tendAll(100)
+		g.maintainAll(100)
 		g.crash(g.follower(l))
 		assert.DeepEqual(t, g.repairs(), []Reason{ReasonPromoted, ReasonVoterSilent})
 	})
 }
 
-// repairs has the leader bring in whoever lives and repair the group, and returns the
-// reasons in their order.
+// repairs has the leader add running replicas and repair the group, and returns the reasons
+// of the repairs in order.
 func (g *group) repairs() (whys []Reason) {
 	for range 800 {
 		l := g.leader()
@@ -499,13 +502,13 @@
 			g.step(nil)
 			continue
 		}
-		next, ok := l.node.Join(g.outsider(l), g.clock(l.id))
+		next, ok := l.node.Join(g.nonMember(l), g.clock(l.id))
 		why := ReasonJoined
 		if !ok {
 			next, why, ok = l.node.Repair(wantedVoters, g.now)
 		}
 		if ok {
-			if _, taken := l.node.ProposeMembers(next, g.now); taken && why != ReasonJoined {
+			if _, accepted := l.node.ProposeMembers(next, g.now); accepted && why != ReasonJoined {
 				whys = append(whys, why)
 			}
 		}
--- a/quorum/overlap_test.go
+++ b/quorum/overlap_test.go
@@ -9,42 +9,43 @@
 	"gotest.tools/v3/assert"
 )
 
-// site is a group whose machines keep their names over all lives of their disks.
-type site struct {
+// hostGroup is a group whose hosts keep their names over all incarnations of their
+// replicas.
+type hostGroup struct {
 	*group
 	names   []string
-	life    map[string]MemberID // the present one, by name
-	emptied map[string]bool     // since the group was last whole
+	current map[string]MemberID // ID of the current incarnation, by name
+	wiped   map[string]bool     // hosts that lost their disk since the group was last healthy
 }
 
-// newSite founds a group of the wanted voters with standbys, and waits until all
-// follow.
-func newSite(t *testing.T, machines int, seed uint64) *site {
+// newHostGroup founds a group of wantedVoters with the other hosts as standbys, and
+// waits until all are members.
+func newHostGroup(t *testing.T, hosts int, seed uint64) *hostGroup {
 	g := newGroup(t, wantedVoters, seed)
-	for i := range machines - wantedVoters {
+	for i := range hosts - wantedVoters {
 		g.add(MemberID(fmt.Sprintf("n%d#1", i)), Snapshot{})
 	}
-	s := &site{group: g, life: map[string]MemberID{}, emptied: map[string]bool{}}
+	s := &hostGroup{group: g, current: map[string]MemberID{}, wiped: map[string]bool{}}
 	for _, id := range g.order {
 		name := string(id[:2])
 		s.names = append(s.names, name)
-		s.life[name] = id
+		s.current[name] = id
 	}
 	g.commit("acked")
-	g.tendAll(200)
+	g.maintainAll(200)
 	return s
 }
 
-// empty loses a machine's disk.
-func (s *site) empty(name string) {
-	s.wipe(s.life[name])
-	s.life[name] = s.order[len(s.order)-1]
-	s.emptied[name] = true
+// wipeHost replaces a host's replica by a new incarnation with an empty disk.
+func (s *hostGroup) wipeHost(name string) {
+	s.wipe(s.current[name])
+	s.current[name] = s.order[len(s.order)-1]
+	s.wiped[name] = true
 }
 
-// back brings all machines back.
-func (s *site) back() {
-	for _, id := range s.life {
+// restartAll reconnects all hosts and restarts those that are down.
+func (s *hostGroup) restartAll() {
+	for _, id := range s.current {
 		s.replicas[id].frozen = false
 		if s.replicas[id].node == nil {
 			s.start(id)
@@ -52,88 +53,91 @@
 	}
 }
 
-// tendSite lets steps pass, with every machine that runs asking to join.
-func (s *site) tendSite(rng *rand.Rand, steps int) {
+// maintainHosts runs the group for some steps. In each, a random running host requests
+// to join, and the leader repairs the group.
+func (s *hostGroup) maintainHosts(rng *rand.Rand, steps int) {
 	for range steps {
 		if l := s.leader(); l != nil {
 			joining := Member{ID: l.id, Name: string(l.id[:2])}
 			name := s.names[rng.IntN(len(s.names))]
-			if r := s.replicas[s.life[name]]; r.node != nil && !r.frozen {
+			if r := s.replicas[s.current[name]]; r.node != nil && !r.frozen {
 				joining = Member{ID: r.id, Name: name}
 			}
-			s.tend(l, joining, wantedVoters)
+			s.maintain(l, joining, wantedVoters)
 		}
 		s.step(nil)
 	}
 }
 
-// whole reports whether the wanted voters run with all that is committed, so that
-// disks that were lost before count no longer.
-func (s *site) whole() bool {
+// healthy reports whether the wanted voters run and have everything committed, so that
+// earlier disk losses no longer count.
+func (s *hostGroup) healthy() bool {
 	l := s.leader()
 	if l == nil || l.node.Voters() < wantedVoters || l.node.changePending() {
 		return false
 	}
 	return !slices.ContainsFunc(l.node.voters(), func(id MemberID) bool {
 		r := s.replicas[id]
-		return s.life[string(id[:2])] != id || r.node == nil || r.frozen || r.node.CommitIndex() < l.node.CommitIndex()
+		return s.current[string(id[:2])] != id || r.node == nil || r.frozen || r.node.CommitIndex() < l.node.CommitIndex()
 	})
 }
 
-// strike does one thing of a bad day.
-func (s *site) strike(rng *rand.Rand) {
+// injectFault partitions hosts, restarts all, loses a disk, kills a replica or does
+// nothing.
+func (s *hostGroup) injectFault(rng *rand.Rand) {
 	name := s.names[rng.IntN(len(s.names))]
 	switch rng.IntN(8) {
 	case 0, 1, 2:
 		for range 1 + rng.IntN(4) {
-			s.replicas[s.life[s.names[rng.IntN(len(s.names))]]].frozen = true
+			s.replicas[s.current[s.names[rng.IntN(len(s.names))]]].frozen = true
 		}
 	case 3, 4:
-		s.back()
+		s.restartAll()
 	case 5:
-		if s.emptied[name] || len(s.emptied) < wantedVoters/2 {
-			s.empty(name)
+		if s.wiped[name] || len(s.wiped) < wantedVoters/2 {
+			s.wipeHost(name)
 		}
 	case 6:
-		s.crash(s.life[name])
+		s.crash(s.current[name])
 	}
 }
 
-// TestOverlappingLosses strikes at random: machines are cut off, killed and come back,
-// and as many lose their disks as are to be borne until the group is whole again. At
-// the end all lose power and come back, and the group must lead. (A voter that was
-// merely silent went before its successor had come; while the standbys were silent
-// too, two f voters stood for as long as that lasted, and f lost disks ended the group
-// for good although the silent one had kept its own.)
+// TestOverlappingLosses injects random faults: hosts are partitioned, killed and
+// restarted, and up to f of them lose their disks until the group is healthy again. At
+// the end all lose power and restart, and a leader must be elected. It guards against
+// removing a silent voter before its replacement is promoted: while the standbys are
+// silent too, 2f voters are left, and f lost disks then end the group permanently,
+// although the silent voter kept its disk.
 func TestOverlappingLosses(t *testing.T) {
-	const days, strikes, recovery = 100, 12, 1500
-	for _, machines := range []int{5, 6, 7, 9} {
-		t.Run(fmt.Sprint(machines), func(t *testing.T) {
-			for seed := range uint64(days) {
-				rng := rand.New(rand.NewPCG(seed, uint64(machines)))
-				s := newSite(t, machines, 9000+seed)
+	const schedules, strikes, recovery = 100, 12, 1500
+	for _, hosts := range []int{5, 6, 7, 9} {
+		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
+			for seed := range uint64(schedules) {
+				rng := rand.New(rand.NewPCG(seed, uint64(hosts)))
+				s := newHostGroup(t, hosts, 9000+seed)
 				for range strikes {
-					if s.whole() {
-						clear(s.emptied)
+					if s.healthy() {
+						clear(s.wiped)
 					}
-					s.strike(rng)
-					s.tendSite(rng, rng.IntN(150))
+					s.injectFault(rng)
+					s.maintainHosts(rng, rng.IntN(150))
 				}
-				s.goDark()
-				s.back()
-				s.tendSite(rng, recovery)
-				assert.Assert(t, s.leader() != nil, "day %d: nobody leads", seed)
+				s.powerOff()
+				s.restartAll()
+				s.maintainHosts(rng, recovery)
+				assert.Assert(t, s.leader() != nil, "schedule %d: no leader", seed)
 			}
 		})
 	}
 }
 
-// TestSilentWithStandbys cuts two voters and all standbys off. No voter may go while
-// nobody can take its place: those that are left bear two lost disks only with it.
-func TestSilentWithStandbys(t *testing.T) {
-	const days, machines, steps = 200, 9, 400
-	for seed := range uint64(days) {
-		s := newSite(t, machines, 5300+seed)
+// TestVotersStayWhileStandbysAreSilent partitions two voters and all standbys. No voter
+// may be removed while no standby can replace it: without it, the remaining voters do
+// not tolerate two lost disks.
+func TestVotersStayWhileStandbysAreSilent(t *testing.T) {
+	const schedules, hosts, steps = 200, 9, 400
+	for seed := range uint64(schedules) {
+		s := newHostGroup(t, hosts, 5300+seed)
 		voters := s.waitLeader().node.voters()
 		lead := s.waitLeader().id
 		voters = slices.DeleteFunc(voters, func(id MemberID) bool { return id == lead })
@@ -143,9 +147,9 @@
 			}
 		}
 		for range steps {
-			s.tendAll(1)
+			s.maintainAll(1)
 			if l := s.leader(); l != nil {
-				assert.Assert(t, l.node.Voters() >= wantedVoters, "day %d: %d voters", seed, l.node.Voters())
+				assert.Assert(t, l.node.Voters() >= wantedVoters, "schedule %d: %d voters", seed, l.node.Voters())
 			}
 		}
 	}
--- a/quorum/quorum_test.go
+++ b/quorum/quorum_test.go
@@ -13,14 +13,15 @@
 type replica struct {
 	id      MemberID
 	node    *Node // nil while crashed
-	frozen  bool
+	frozen  bool  // neither receives messages nor ticks; powerOn does not start it
 	hard    HardState
 	snap    Snapshot
 	entries []Entry // after snap
 	applied []Entry // commands, in order
 }
 
-// group runs replicas over a network that loses, doubles and reorders.
+// group runs replicas over a simulated network that loses, duplicates, delays and reorders
+// messages.
 type group struct {
 	t        *testing.T
 	rng      *rand.Rand
@@ -29,7 +30,7 @@
 	order    []MemberID
 	net      []Message
 	cut      map[[2]MemberID]bool
-	skew     map[MemberID]time.Duration // how far a replica's clock is ahead
+	skew     map[MemberID]time.Duration // of a replica's clock against now
 	loss     float64
 
 	committed map[uint64]Entry    // by index, as first applied anywhere
@@ -65,13 +66,13 @@
 		r.hard, r.snap, append([]Entry(nil), r.entries...), g.clock(id))
 }
 
-// clock is the time as a replica has it.
+// clock returns the time on a replica's clock.
 func (g *group) clock(id MemberID) time.Time { return g.now.Add(g.skew[id]) }
 
 func (g *group) crash(id MemberID) { g.replicas[id].node = nil }
 
-// ready does the work that a node asks for. crash, if not nil, may stop it
-// between two steps.
+// ready does a replica's pending work. crash, if not nil, is called between two steps and
+// reports whether the replica crashes there.
 func (g *group) ready(r *replica, crash func() bool) {
 	for r.node != nil {
 		rd := r.node.Ready()
@@ -90,7 +91,7 @@
 			return
 		}
 		g.net = append(g.net, rd.Messages...)
-		g.checkTold(r, rd)
+		g.checkDurable(r, rd)
 		r.node.Persisted(rd, g.clock(r.id))
 		g.apply(r, es)
 	}
@@ -120,12 +121,11 @@
 	}
 }
 
-// checkTold holds that what a replica promises is on its disk before anybody hears of
-// it: a vote, and the entries that it acknowledges. Nothing that goes out early
-// promises anything.
-func (g *group) checkTold(r *replica, rd Ready) {
+// checkDurable checks that votes and acknowledged entries are on the replica's disk before
+// the replies are sent, and that early messages are appends and snapshots only.
+func (g *group) checkDurable(r *replica, rd Ready) {
 	for _, m := range rd.EarlyMessages {
-		assert.Assert(g.t, m.Type == MsgAppend || m.Type == MsgSnapshot, "%s sends type %d before it is on disk", r.id, m.Type)
+		assert.Assert(g.t, m.Type == MsgAppend || m.Type == MsgSnapshot, "%s sends type %d as an early message", r.id, m.Type)
 	}
 	for _, m := range rd.Messages {
 		switch {
@@ -149,7 +149,7 @@
 	g.leaders[r.node.Term()] = r.id
 }
 
-// step advances the time by a little and delivers some messages.
+// step advances the time by 5 ms and delivers some of the messages in flight.
 func (g *group) step(crash func() bool) {
 	g.now = g.now.Add(5 * time.Millisecond)
 	g.rng.Shuffle(len(g.net), func(i, j int) { g.net[i], g.net[j] = g.net[j], g.net[i] })
@@ -160,10 +160,10 @@
 		case g.cut[[2]MemberID{m.From, m.To}] || g.rng.Float64() < g.loss:
 			continue
 		case g.rng.Float64() < 0.1:
-			g.net = append(g.net, m) // late
+			g.net = append(g.net, m) // delayed
 			continue
 		case g.rng.Float64() < g.loss:
-			g.net = append(g.net, m) // twice
+			g.net = append(g.net, m) // duplicated
 		}
 		if r := g.replicas[m.To]; r != nil && r.node != nil && !r.frozen {
 			r.node.Step(m, g.clock(m.To))
@@ -236,9 +236,9 @@
 	return false
 }
 
-// TestFaults drives groups through lost, doubled, late and reordered messages,
-// cuts, freezes and crashes between any two steps of the work, with fixed seeds.
-// apply and checkLeader hold the invariants at every step.
+// TestFaults runs groups with lost, duplicated, delayed and reordered messages, partitions,
+// frozen replicas and crashes between any two steps of the work, with fixed seeds. apply
+// and checkLeader check the invariants at every step.
 func TestFaults(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -259,8 +259,7 @@
 	}
 }
 
-// faults breaks things at random and returns what was applied by a leader, that
-// is, acknowledged.
+// faults injects random faults and returns the proposals that were committed.
 func faults(g *group, steps int) (acked []string) {
 	crash := func() bool { return g.rng.Float64() < 0.003 }
 	open := map[uint64]string{}
@@ -270,7 +269,7 @@
 		other := g.order[g.rng.IntN(len(g.order))]
 		switch g.rng.IntN(60) {
 		case 0:
-			g.cut[[2]MemberID{id, other}] = true // one way
+			g.cut[[2]MemberID{id, other}] = true // in one direction
 		case 1:
 			clear(g.cut)
 		case 2:
@@ -319,14 +318,13 @@
 	assert.Assert(t, ok)
 	g.run(50)
 
-	// c3 loses its disk and comes back under a new ID.
+	// c3 loses its disk and rejoins under a new ID.
 	g.crash("c3#1")
 	rejoin(g, "c3#2", "c3")
 	assert.Equal(t, voterCount(g), 3)
 	assert.Equal(t, g.replicas["c3#2"].node.CommitIndex(), g.waitLeader().node.CommitIndex())
 
-	// A second one is lost right after the repair: the two that are left go on
-	// and have lost nothing.
+	// c1 is lost right after the repair: the other two go on without loss.
 	g.crash("c1#1")
 	g.run(300)
 	_, ok = g.propose("after")
@@ -337,17 +335,17 @@
 	assert.Equal(t, voterCount(g), 3)
 }
 
-// rejoin adds an empty replica and lets the leader bring it in.
+// rejoin starts an empty replica and lets the leader add and promote it.
 func rejoin(g *group, id MemberID, name string) {
 	g.add(id, Snapshot{})
 	for range 400 {
-		g.tend(g.waitLeader(), Member{ID: id, Name: name}, 0)
+		g.maintain(g.waitLeader(), Member{ID: id, Name: name}, 0)
 		g.step(nil)
 	}
 }
 
-// tend has a leader bring in a replica that asks to join, and repair the group.
-func (g *group) tend(l *replica, joining Member, wanted int) {
+// maintain has a leader add the replica that requests to join, or else repair the group.
+func (g *group) maintain(l *replica, joining Member, wanted int) {
 	next, ok := l.node.Join(joining, g.clock(l.id))
 	if !ok {
 		next, _, ok = l.node.Repair(wanted, g.clock(l.id))
@@ -358,7 +356,8 @@
 	g.ready(l, nil)
 }
 
-// TestJoinUnderLoad brings a replica in while commands keep coming.
+// TestJoinUnderLoad adds a replica while commands are proposed all the time. It must
+// catch up and become a voter.
 func TestJoinUnderLoad(t *testing.T) {
 	g := newGroup(t, 3, 4)
 	g.waitLeader()
@@ -393,7 +392,7 @@
 	assert.Assert(t, g.leader() == nil, "a leader was elected with the vote of an empty replica")
 }
 
-func TestCutLeader(t *testing.T) {
+func TestPartitionedLeader(t *testing.T) {
 	g := newGroup(t, 3, 3)
 	old := g.waitLeader()
 	for _, id := range g.order {
@@ -414,7 +413,7 @@
 		assert.Assert(t, !old.node.QuorumContact(g.now).After(at))
 		assert.Assert(t, old.node.Role() != Leader, "it still leads after %v", g.now.Sub(at))
 	})
-	t.Run("it does not disturb the others when it is back", func(t *testing.T) {
+	t.Run("it does not disrupt the others on its return", func(t *testing.T) {
 		l := g.waitLeader()
 		term := l.node.Term()
 		clear(g.cut)
@@ -425,8 +424,8 @@
 	})
 }
 
-// TestContactBoundsElections shows what leases rest on: when a leader is
-// elected, no earlier leader's QuorumContact lies after the election.
+// TestContactBoundsElections checks the property that leases depend on: when a leader is
+// elected, no earlier leader's QuorumContact is later than the election.
 func TestContactBoundsElections(t *testing.T) {
 	for seed := range uint64(40) {
 		g := newGroup(t, 3, 100+seed)
@@ -457,10 +456,10 @@
 	}
 }
 
-// TestCutLeaderUnderReads keeps asking a cut-off leader to confirm itself. (Each
-// read put off the deadline at which a leader looks whether a quorum answers,
-// so that it never stepped down, and repairs waited until the reads ended.)
-func TestCutLeaderUnderReads(t *testing.T) {
+// TestPartitionedLeaderUnderReads calls ConfirmLeadership all the time on a partitioned
+// leader. It guards against reads that postpone the check for a quorum, so that the leader
+// never steps down and repairs wait until the reads end.
+func TestPartitionedLeaderUnderReads(t *testing.T) {
 	g := newGroup(t, 3, 6)
 	old := g.waitLeader()
 	for _, id := range g.order {
@@ -471,7 +470,7 @@
 		old.node.ConfirmLeadership(g.now)
 		g.step(nil)
 	}
-	assert.Assert(t, old.node.Role() != Leader, "it leads though nobody has answered for a second")
+	assert.Assert(t, old.node.Role() != Leader, "it leads though no replica has answered for a second")
 }
 
 func TestMembersOneAtATime(t *testing.T) {
@@ -482,13 +481,13 @@
 	_, ok = l.node.ProposeMembers(g.members[:2], g.now)
 	assert.Assert(t, ok)
 	_, ok = l.node.ProposeMembers(g.members, g.now)
-	assert.Assert(t, !ok, "a change was taken while another was under way")
+	assert.Assert(t, !ok, "a change was accepted while another was pending")
 }
 
-// TestReplacedForGood loses replicas for good, one after the other, each
-// replaced by an empty one of another name: every time the group must come back
-// to three voters that live, also while it is busy.
-func TestReplacedForGood(t *testing.T) {
+// TestPermanentReplacement loses replicas for good, one after the other, each replaced by
+// an empty one with another name. The group must return to three running voters each time,
+// also under load.
+func TestPermanentReplacement(t *testing.T) {
 	g := newGroup(t, 3, 7)
 	g.waitLeader()
 	const wanted = 3
@@ -504,19 +503,19 @@
 				_, ok := g.propose(fmt.Sprintf("busy-%d-%d", round, step))
 				assert.Assert(t, ok)
 			}
-			g.tend(l, Member{ID: id, Name: string(id[:2])}, wanted)
+			g.maintain(l, Member{ID: id, Name: string(id[:2])}, wanted)
 			g.step(nil)
 		}
 		assert.Equal(t, voterCount(g), wanted, "round %d", round)
 		for _, m := range g.waitLeader().node.Members() {
-			assert.Assert(t, m.ID != lost, "round %d: %s is gone for good and still a member", round, lost)
+			assert.Assert(t, m.ID != lost, "round %d: %s is lost for good and still a member", round, lost)
 		}
 	}
 }
 
-// TestTransfer has leaders hand their part on: another leads before any timeout
-// has passed, and nothing that was committed is lost.
-func TestTransfer(t *testing.T) {
+// TestLeadershipTransfer checks that another replica leads before any election timeout has
+// passed, and that nothing committed is lost.
+func TestLeadershipTransfer(t *testing.T) {
 	for seed := range uint64(20) {
 		g := newGroup(t, 3, 100+seed)
 		old := g.waitLeader()
@@ -531,7 +530,7 @@
 		g.ready(old, nil)
 		g.run(15) // 75 ms; the least timeout is 100 ms
 		l := g.leader()
-		assert.Assert(t, l != nil && l.id != old.id, "seed %d: nobody took over", seed)
+		assert.Assert(t, l != nil && l.id != old.id, "seed %d: no new leader", seed)
 		_, ok = g.propose("after")
 		assert.Assert(t, ok)
 		g.run(30)
@@ -539,9 +538,9 @@
 	}
 }
 
-// TestTransferToNobody keeps a leader whose followers are gone from giving up
-// its part to one of them.
-func TestTransferToNobody(t *testing.T) {
+// TestTransferWithoutLiveFollower checks that a leader keeps its role if all followers are
+// down.
+func TestTransferWithoutLiveFollower(t *testing.T) {
 	g := newGroup(t, 3, 5)
 	l := g.waitLeader()
 	for _, id := range g.order {
@@ -555,11 +554,10 @@
 	assert.Equal(t, l.node.Role(), Leader)
 }
 
-// TestSuspect has the followers of a dead leader hear that its connections have
-// ended: in most cases another leads before any timeout has passed; where both
-// campaign at once and split the votes, after one. A living leader is not
-// replaced for it.
-func TestSuspect(t *testing.T) {
+// TestLeaderDisconnect reports the end of a dead leader's connections to its followers. In
+// most cases another replica leads before any election timeout has passed, or after one if
+// both campaign at once and split the votes. A leader that still runs stays.
+func TestLeaderDisconnect(t *testing.T) {
 	const seeds, most = 40, 20
 	soon := 0
 	for seed := range uint64(seeds) {
@@ -569,7 +567,7 @@
 		g.crash(old.id)
 		for _, id := range g.order {
 			if id != old.id {
-				g.cut[[2]MemberID{old.id, id}] = true // a connection ends after what it carried
+				g.cut[[2]MemberID{old.id, id}] = true // a connection ends after its messages
 				g.replicas[id].node.HandleDisconnect(old.id, g.now)
 			}
 		}
@@ -580,7 +578,7 @@
 		assert.Assert(t, g.waitLeader().id != old.id)
 	}
 	assert.Assert(t, soon >= most, "only %d of %d groups had a leader before a timeout", soon, seeds)
-	t.Run("a living leader stays", func(t *testing.T) {
+	t.Run("a running leader stays", func(t *testing.T) {
 		g := newGroup(t, 3, 9)
 		old := g.waitLeader()
 		g.run(30)
@@ -597,7 +595,7 @@
 	})
 }
 
-// TestCompactByBytes keeps little behind a snapshot if entries are large.
+// TestCompactByBytes checks that few entries are kept behind a snapshot if they are large.
 func TestCompactByBytes(t *testing.T) {
 	l := newLog(Snapshot{}, nil)
 	const size, count = 1 << 20, 40
@@ -611,10 +609,10 @@
 	assert.Assert(t, ok && term == 1)
 }
 
-// TestRefusalsOfOldAppends brings a replica back that was cut off, and refuses all
-// that was on its way: the leader must send what it lacks about once. (It once
-// sent all of it for each refusal: 176 MB in a second.)
-func TestRefusalsOfOldAppends(t *testing.T) {
+// TestRejectionsOfStaleAppends reconnects a partitioned replica, which rejects all appends
+// that were in flight. It guards against a leader that sends all missing entries again for
+// each rejection, 176 MB in a second; it must send them about once.
+func TestRejectionsOfStaleAppends(t *testing.T) {
 	g := newGroup(t, 3, 3)
 	l := g.waitLeader()
 	g.run(50)
@@ -651,7 +649,7 @@
 		l.save(rd)
 		l.node.Persisted(rd, g.now)
 	}
-	assert.Assert(t, len(late) == waiting, "%d appends were on their way", len(late))
+	assert.Assert(t, len(late) == waiting, "%d appends were in flight", len(late))
 	assert.Assert(t, sent <= 2*lag, "%d entries were sent for a lag of %d", sent, lag)
 	g.replicas[back].frozen = false
 	g.run(200)
--- a/quorum/spread_test.go
+++ b/quorum/spread_test.go
@@ -10,15 +10,16 @@
 	"rudderfork.example/rudderfork"
 )
 
-// domains of a site, of which each machine stands in one by its place.
+// domains is a number of failure domains, to which the hosts of a group are assigned in
+// turn.
 type domains int
 
 func (d domains) of(place int) rudderfork.Domain {
 	return rudderfork.Domain(fmt.Sprint("domain", place%int(d)))
 }
 
-// tell tells every machine where all stand.
-func (s *site) tell(d domains) {
+// setDomains sets the failure domains of all hosts at every running replica.
+func (s *hostGroup) setDomains(d domains) {
 	for _, r := range s.replicas {
 		if r.node == nil {
 			continue
@@ -29,30 +30,31 @@
 	}
 }
 
-// tendSpread is tendSite with machines that know where they stand.
-func (s *site) tendSpread(rng *rand.Rand, d domains, steps int) {
+// maintainInDomains is maintainHosts with replicas that know all failure domains.
+func (s *hostGroup) maintainInDomains(rng *rand.Rand, d domains, steps int) {
 	for range steps {
-		s.tell(d)
-		s.tendSite(rng, 1)
+		s.setDomains(d)
+		s.maintainHosts(rng, 1)
 	}
 }
 
-// uneven says which domain has a vote too many, or "" where none has.
-func (s *site) uneven(d domains) string {
+// uneven describes two domains whose numbers of voters differ by more than one although
+// the smaller has a host for another, or returns "".
+func (s *hostGroup) uneven(d domains) string {
 	l := s.leader()
 	if l == nil {
-		return "nobody leads"
+		return "no leader"
 	}
-	votes, machines := map[rudderfork.Domain]int{}, map[rudderfork.Domain]int{}
+	votes, hosts := map[rudderfork.Domain]int{}, map[rudderfork.Domain]int{}
 	for i, name := range s.names {
-		machines[d.of(i)]++
-		if m, ok := l.node.Member(s.life[name]); ok && m.Voter {
+		hosts[d.of(i)]++
+		if m, ok := l.node.Member(s.current[name]); ok && m.Voter {
 			votes[d.of(i)]++
 		}
 	}
-	for crowded := range machines {
-		for other := range machines {
-			if votes[crowded]-votes[other] > 1 && machines[other] > votes[other] {
+	for crowded := range hosts {
+		for other := range hosts {
+			if votes[crowded]-votes[other] > 1 && hosts[other] > votes[other] {
 				return fmt.Sprintf("%d in %s, %d in %s", votes[crowded], crowded, votes[other], other)
 			}
 		}
@@ -60,27 +62,27 @@
 	return ""
 }
 
-// TestSpread founds groups whose voters stand where they came up, has machines lose
-// their disks one after the other, and expects the votes to be spread each time, with
-// never fewer than are wanted on the way.
+// TestSpread founds groups whose voters are placed without regard to failure domains and
+// wipes hosts one after the other. The voters must be spread evenly each time, and never
+// fall more than one below wantedVoters meanwhile.
 func TestSpread(t *testing.T) {
 	const seeds, settled = 4, 600
-	for _, machines := range []int{6, 7, 9} {
+	for _, hosts := range []int{6, 7, 9} {
 		for _, d := range []domains{2, 3, 5} {
-			t.Run(fmt.Sprintf("%d machines in %d domains", machines, d), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d hosts in %d domains", hosts, d), func(t *testing.T) {
 				for seed := range uint64(seeds) {
 					rng := rand.New(rand.NewPCG(seed, 1))
-					s := newSite(t, machines, 700+seed)
+					s := newHostGroup(t, hosts, 700+seed)
 					for range 3 {
 						for range settled {
-							s.tendSpread(rng, d, 1)
+							s.maintainInDomains(rng, d, 1)
 							if l := s.leader(); l != nil {
 								assert.Assert(t, l.node.Voters() >= wantedVoters-1, "seed %d: %d voters", seed, l.node.Voters())
 							}
 						}
 						assert.Equal(t, s.uneven(d), "", "seed %d", seed)
 						assert.Equal(t, s.waitLeader().node.Voters(), wantedVoters, "seed %d", seed)
-						s.empty(s.names[rng.IntN(machines)])
+						s.wipeHost(s.names[rng.IntN(hosts)])
 					}
 				}
 			})
@@ -88,26 +90,26 @@
 	}
 }
 
-// TestOverlappingLossesSpread is TestOverlappingLosses on machines that know where they
-// stand: moving votes must not cost the group what it is to bear.
+// TestOverlappingLossesSpread is TestOverlappingLosses with known failure domains:
+// spreading the voters must not reduce the losses that the group tolerates.
 func TestOverlappingLossesSpread(t *testing.T) {
-	const days, strikes, recovery = 12, 12, 1500
-	for _, machines := range []int{6, 7, 9} {
-		t.Run(fmt.Sprint(machines), func(t *testing.T) {
-			for seed := range uint64(days) {
-				rng := rand.New(rand.NewPCG(seed, uint64(machines)))
-				s, d := newSite(t, machines, 9000+seed), domains(2+rng.IntN(4))
+	const schedules, strikes, recovery = 12, 12, 1500
+	for _, hosts := range []int{6, 7, 9} {
+		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
+			for seed := range uint64(schedules) {
+				rng := rand.New(rand.NewPCG(seed, uint64(hosts)))
+				s, d := newHostGroup(t, hosts, 9000+seed), domains(2+rng.IntN(4))
 				for range strikes {
-					if s.whole() {
-						clear(s.emptied)
+					if s.healthy() {
+						clear(s.wiped)
 					}
-					s.strike(rng)
-					s.tendSpread(rng, d, rng.IntN(150))
+					s.injectFault(rng)
+					s.maintainInDomains(rng, d, rng.IntN(150))
 				}
-				s.goDark()
-				s.back()
-				s.tendSpread(rng, d, recovery)
-				assert.Assert(t, s.leader() != nil, "day %d: nobody leads", seed)
+				s.powerOff()
+				s.restartAll()
+				s.maintainInDomains(rng, d, recovery)
+				assert.Assert(t, s.leader() != nil, "schedule %d: no leader", seed)
 			}
 		})
 	}
--- a/quorum/view_test.go
+++ b/quorum/view_test.go
@@ -7,16 +7,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// assertAnswers holds what a replica knows of the answers to its campaigns.
-func assertAnswers(t *testing.T, n *Node, want map[MemberID]bool) {
+// assertVoteReplies checks the vote replies that a replica has recorded.
+func assertVoteReplies(t *testing.T, n *Node, want map[MemberID]bool) {
 	t.Helper()
-	got, asked := n.VoteReplies()
+	got, campaigned := n.VoteReplies()
 	assert.DeepEqual(t, got, want)
-	assert.Equal(t, asked, len(want) > 0)
+	assert.Equal(t, campaigned, len(want) > 0)
 }
 
-// assertHeardSince holds that just the given replicas were heard after at.
-func assertHeardSince(t *testing.T, n *Node, at time.Time, want ...MemberID) {
+// assertMessagesSince checks that n had messages after at from just the given members.
+func assertMessagesSince(t *testing.T, n *Node, at time.Time, want ...MemberID) {
 	t.Helper()
 	heard := map[MemberID]bool{}
 	for _, id := range want {
@@ -24,20 +24,20 @@
 	}
 	for _, m := range n.Members() {
 		if m.ID != n.ID() {
-			assert.Equal(t, n.LastMessageAt(m.ID).After(at), heard[m.ID], "%s was heard at %v", m.ID, n.LastMessageAt(m.ID))
+			assert.Equal(t, n.LastMessageAt(m.ID).After(at), heard[m.ID], "last message of %s at %v", m.ID, n.LastMessageAt(m.ID))
 		}
 	}
 }
 
-// TestAnswers lets campaigns fail in each way, and asks the campaigner for its view.
-func TestAnswers(t *testing.T) {
+// TestVoteReplies checks the recorded vote replies after campaigns that fail in each way.
+func TestVoteReplies(t *testing.T) {
 	t.Run("none without a campaign", func(t *testing.T) {
 		g := newGroup(t, 3, 70)
 		l := g.waitLeader()
 		g.run(100)
-		assertAnswers(t, l.node, map[MemberID]bool{})
+		assertVoteReplies(t, l.node, map[MemberID]bool{})
 		assert.Assert(t, l.node.Campaigns() > 0)
-		assertHeardSince(t, l.node, g.now.Add(-100*time.Millisecond), g.order...)
+		assertMessagesSince(t, l.node, g.now.Add(-100*time.Millisecond), g.order...)
 	})
 	t.Run("too few are left", func(t *testing.T) {
 		g := newGroup(t, 5, 71)
@@ -53,10 +53,10 @@
 		at, before := g.now, left[0].node.Campaigns()
 		g.run(1000)
 		assert.Assert(t, g.leader() == nil)
-		assert.Assert(t, left[0].node.Campaigns() > before+1, "a campaign that fails is begun again")
-		assertAnswers(t, left[0].node, map[MemberID]bool{left[1].id: true})
-		assertAnswers(t, left[1].node, map[MemberID]bool{left[0].id: true})
-		assertHeardSince(t, left[0].node, at.Add(100*time.Millisecond), left[1].id)
+		assert.Assert(t, left[0].node.Campaigns() > before+1, "a failed campaign is repeated")
+		assertVoteReplies(t, left[0].node, map[MemberID]bool{left[1].id: true})
+		assertVoteReplies(t, left[1].node, map[MemberID]bool{left[0].id: true})
+		assertMessagesSince(t, left[0].node, at.Add(100*time.Millisecond), left[1].id)
 	})
 	t.Run("a log that lags is refused", func(t *testing.T) {
 		g := newGroup(t, 3, 72)
@@ -80,9 +80,9 @@
 			}
 			g.step(nil)
 		}
-		assertAnswers(t, lagging, map[MemberID]bool{l.id: false})
+		assertVoteReplies(t, lagging, map[MemberID]bool{l.id: false})
 	})
-	t.Run("a leader ends them", func(t *testing.T) {
+	t.Run("a new leader clears them", func(t *testing.T) {
 		g := newGroup(t, 3, 73)
 		l := g.waitLeader()
 		other := g.follower(l)
@@ -94,13 +94,13 @@
 		g.run(100)
 		for _, id := range g.order {
 			if g.replicas[id].node != nil {
-				assertAnswers(t, g.replicas[id].node, map[MemberID]bool{})
+				assertVoteReplies(t, g.replicas[id].node, map[MemberID]bool{})
 			}
 		}
 	})
 }
 
-// follower returns a replica that is not l.
+// follower returns the ID of a replica that is not l.
 func (g *group) follower(l *replica) MemberID {
 	for _, id := range g.order {
 		if id != l.id {
@@ -111,8 +111,8 @@
 	return ""
 }
 
-// TestHeardBounded has many replicas that are no members speak.
-func TestHeardBounded(t *testing.T) {
+// TestTrackedSendersBounded sends messages from many replicas that are not members.
+func TestTrackedSendersBounded(t *testing.T) {
 	members := []Member{{ID: "c1#1", Voter: true}, {ID: "c2#1", Voter: true}}
 	now := time.Unix(1000, 0)
 	n := New(Config{ID: "c1#1", ElectionTimeout: time.Second}, HardState{}, Snapshot{Members: members}, nil, now)
@@ -120,7 +120,7 @@
 	for i := range 10 * maxTrackedSenders {
 		n.Step(Message{Type: MsgPreVote, From: MemberID(rune('a' + i)), To: "c1#1"}, now.Add(time.Second))
 	}
-	assert.Assert(t, len(n.view.lastMessageAt) <= maxTrackedSenders+len(members), "%d are remembered", len(n.view.lastMessageAt))
+	assert.Assert(t, len(n.view.lastMessageAt) <= maxTrackedSenders+len(members), "%d senders are tracked", len(n.view.lastMessageAt))
 	assert.Assert(t, n.LastMessageAt("c2#1").Equal(now))
 	assert.Assert(t, n.LastMessageAt("c3#1").IsZero())
 }
