--- a/session/session.go
+++ b/session/session.go
@@ -1,9 +1,9 @@
-// Package session keeps a queue session with the leader of the control
-// processes, for fronts and for the agents of VMs.
+// Package session maintains the connection of a front or of a VM's agent to the
+// leader of the control processes: the queue session.
 //
-// A process knows some addresses of control processes from its settings and
-// more from those that it has reached. It asks them in turn until one of them
-// leads, and starts again when that one falls silent.
+// A client has addresses of control processes from its settings, and more from the
+// control processes that it has reached. It tries them in turn until it reaches the
+// leader, and starts again when the leader stops answering.
 package session
 
 import (
@@ -21,62 +21,62 @@
 )
 
 const (
-	// pingEvery keeps a quiet session alive, and finds a silent leader.
-	pingEvery = 400 * time.Millisecond
-	// silenceLimit ends a session in which nothing came for so long: three
-	// pings. A leader that is cut off costs its nodes that long.
-	silenceLimit = 1_200 * time.Millisecond
-	// openTimeout bounds dialling and the leader's first word.
+	// pingInterval is the time between pings, whose answers keep an idle session open.
+	pingInterval = 400 * time.Millisecond
+	// receiveTimeout is the time without a message after which a session ends, three
+	// ping intervals. So long a client takes to leave a leader that was partitioned.
+	receiveTimeout = 1_200 * time.Millisecond
+	// openTimeout bounds dialling and the handshake together.
 	openTimeout = 600 * time.Millisecond
-	// redialPause is the rest after a failed attempt.
-	redialPause = 50 * time.Millisecond
-	// outQueue bounds the messages that wait for control.
-	outQueue = 1024
-	// maxKnown bounds the addresses that are remembered.
-	maxKnown = 32
+	// retryDelay is the wait after a failed attempt.
+	retryDelay = 50 * time.Millisecond
+	// sendQueueSize is the maximum number of messages that wait to be sent.
+	sendQueueSize = 1024
+	// maxMemberAddrs is the maximum number of member addresses that are kept.
+	maxMemberAddrs = 32
 )
 
 var (
-	// errMoved means that another process leads.
-	errMoved = errors.New("another control process leads")
-	// errNoLeader means that a process neither leads nor knows who does.
-	errNoLeader = errors.New("no leader is known there")
+	// errRedirected means that the process has named another one as the leader.
+	errRedirected = errors.New("another control process leads")
+	// errNoLeader means that the process does not lead and knows no leader.
+	errNoLeader = errors.New("control process knows no leader")
 )
 
-// Handler takes what control sends. Calls come from one goroutine, except that
-// Closed may come while the process ends.
+// Handler receives the events and messages of a session. Calls come from one
+// goroutine, except that Closed may be called while the process ends.
 type Handler interface {
 	Opened(w wire.QueueWelcome)
 	Handle(m wire.ToQueueNode)
 	Closed()
 }
 
-// Client keeps the session. It is safe for concurrent use.
+// Client maintains the session. It is safe for concurrent use.
 type Client struct {
 	process string
 	seeds   func() []string
 	h       Handler
 	log     zerolog.Logger
 
-	mu     sync.Mutex
-	prefer string   // the leader, as last heard
-	known  []string // members, as last heard
-	turn   int
+	mu          sync.Mutex
+	leaderAddr  string   // the leader, if a redirect has named it; used for one attempt
+	memberAddrs []string // control processes, as last received
+	nextIndex   int
 
 	out wire.Outbox[wire.FromNode]
 }
 
-// New returns a client. seeds returns the addresses in the settings at the
-// moment.
+// New returns a client for the process of this name. seeds returns the addresses that
+// are in the settings at the time of the call.
 func New(process string, seeds func() []string, h Handler, log zerolog.Logger) *Client {
-	return &Client{process: process, seeds: seeds, h: h, log: log, turn: firstTurn(process)}
+	return &Client{process: process, seeds: seeds, h: h, log: log, nextIndex: initialIndex(process)}
 }
 
-// firstTurn is where a process begins to ask in turn: a fleet that has lost its leader
-// spreads over the control processes.
-func firstTurn(process string) int {
+// initialIndex returns the index of the first address to try. It depends on the process
+// name, so that the clients of a fleet without a leader spread over the control processes.
+func initialIndex(process string) int {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(process)) // it never fails
+	_, _ = h.Write([]byte(process)) // never fails
 	return int(h.Sum32() >> 1)
 }
 
@@ -86,30 +86,30 @@
 // Serve implements suture.Service.
 func (c *Client) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		addr := c.next()
+		addr := c.nextAddr()
 		if addr == "" {
-			steady.Pause(ctx, redialPause)
+			steady.Pause(ctx, retryDelay)
 			continue
 		}
 		err := c.session(ctx, addr)
-		if !errors.Is(err, errMoved) {
+		if !errors.Is(err, errRedirected) {
 			c.log.Debug().Str("addr", addr).AnErr("error", err).Msg("control_unreachable")
-			steady.Pause(ctx, redialPause)
+			steady.Pause(ctx, retryDelay)
 		}
 	}
 	return ctx.Err()
 }
 
-// next returns the address to try: the leader if it is known, then the members
-// and the seeds in turn.
-func (c *Client) next() string {
+// nextAddr returns the address to try next: the leader if a redirect has named it, else
+// the members and the seeds in turn. It is "" if there are none.
+func (c *Client) nextAddr() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if a := c.prefer; a != "" {
-		c.prefer = ""
+	if a := c.leaderAddr; a != "" {
+		c.leaderAddr = ""
 		return a
 	}
-	all := slices.Clone(c.known)
+	all := slices.Clone(c.memberAddrs)
 	for _, a := range c.seeds() {
 		if !slices.Contains(all, a) {
 			all = append(all, a)
@@ -118,16 +118,16 @@
 	if len(all) == 0 {
 		return ""
 	}
-	c.turn++
-	return all[c.turn%len(all)]
+	c.nextIndex++
+	return all[c.nextIndex%len(all)]
 }
 
-func (c *Client) learn(prefer string, members []string) {
+func (c *Client) setAddrs(prefer string, members []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.prefer = prefer
+	c.leaderAddr = prefer
 	if len(members) > 0 {
-		c.known = members[:min(len(members), maxKnown)]
+		c.memberAddrs = members[:min(len(members), maxMemberAddrs)]
 	}
 }
 
@@ -139,8 +139,8 @@
 		return err
 	}
 	defer conn.Close()
-	c.learn("", welcome.Members)
-	out := make(chan wire.FromNode, outQueue)
+	c.setAddrs("", welcome.Members)
+	out := make(chan wire.FromNode, sendQueueSize)
 	go func() {
 		defer conn.Close()
 		defer cancel()
@@ -156,7 +156,7 @@
 	return err
 }
 
-// open dials, says hello and waits to be welcomed.
+// open dials addr and performs the handshake within openTimeout.
 func (c *Client) open(ctx context.Context, addr string) (*wire.Conn[wire.FromNode, wire.ToQueueNode], *wire.QueueWelcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
@@ -164,7 +164,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	w, err := c.greet(ctx, conn)
+	w, err := c.handshake(ctx, conn)
 	if err != nil {
 		conn.Close()
 		return nil, nil, err
@@ -172,8 +172,9 @@
 	return conn, w, nil
 }
 
-// greet says hello and waits for the leader's welcome.
-func (c *Client) greet(ctx context.Context, conn *wire.Conn[wire.FromNode, wire.ToQueueNode]) (*wire.QueueWelcome, error) {
+// handshake sends the hello and returns the leader's welcome. It fails with
+// errRedirected or errNoLeader if the process does not lead.
+func (c *Client) handshake(ctx context.Context, conn *wire.Conn[wire.FromNode, wire.ToQueueNode]) (*wire.QueueWelcome, error) {
 	if err := conn.Send(ctx, wire.FromNode{Hello: &wire.QueueHello{Version: wire.Version, Process: c.process}}); err != nil {
 		return nil, err
 	}
@@ -184,9 +185,9 @@
 	case m.Welcome != nil:
 		return m.Welcome, nil
 	case m.Redirect != nil:
-		c.learn(m.Redirect.Leader, m.Redirect.Members)
+		c.setAddrs(m.Redirect.Leader, m.Redirect.Members)
 		if m.Redirect.Leader != "" {
-			return nil, errMoved
+			return nil, errRedirected
 		}
 	}
 	return nil, errNoLeader
@@ -194,13 +195,13 @@
 
 func (c *Client) read(ctx context.Context, conn *wire.Conn[wire.FromNode, wire.ToQueueNode]) error {
 	for {
-		m, err := conn.ReceiveWithin(ctx, silenceLimit)
+		m, err := conn.ReceiveWithin(ctx, receiveTimeout)
 		if err != nil {
 			return err
 		}
 		if m.Redirect != nil {
-			c.learn(m.Redirect.Leader, m.Redirect.Members)
-			return errMoved
+			c.setAddrs(m.Redirect.Leader, m.Redirect.Members)
+			return errRedirected
 		}
 		if m.Pong == 0 {
 			c.h.Handle(m)
@@ -209,7 +210,7 @@
 }
 
 func write(ctx context.Context, conn *wire.Conn[wire.FromNode, wire.ToQueueNode], out chan wire.FromNode) {
-	tick := time.NewTicker(pingEvery)
+	tick := time.NewTicker(pingInterval)
 	defer tick.Stop()
 	pings := int64(0)
 	for {
@@ -231,5 +232,6 @@
 // Connected reports whether a leader is connected.
 func (c *Client) Connected() bool { return c.out.Connected() }
 
-// Send queues a message; false means that it was surely not sent.
+// Send queues a message and reports whether it was queued. If false, the message was
+// not sent; if true, it may still be lost.
 func (c *Client) Send(m wire.FromNode) bool { return c.out.Send(m) }
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -8,10 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestFirstAddresses has a fleet begin its search for a leader: no control process is asked
-// by many more than the others, and each node asks all of them in turn. (All nodes began at
-// the same one.)
-func TestFirstAddresses(t *testing.T) {
+// TestInitialAddressesAreSpread guards against all nodes of a fleet trying the same
+// control process first. It also checks that each node tries all of them in turn.
+func TestInitialAddressesAreSpread(t *testing.T) {
 	const nodes, addrs = 1_000, 5
 	var all []string
 	for i := range addrs {
@@ -20,14 +19,14 @@
 	first := map[string]int{}
 	for i := range nodes {
 		c := New(fmt.Sprintf("side-hall-%d", i), func() []string { return all }, nil, zerolog.Nop())
-		first[c.next()]++
+		first[c.nextAddr()]++
 		seen := map[string]bool{}
 		for range addrs {
-			seen[c.next()] = true
+			seen[c.nextAddr()] = true
 		}
 		assert.Equal(t, len(seen), addrs)
 	}
 	for addr, n := range first {
-		assert.Assert(t, n < 2*nodes/addrs, "%s is asked by %d of %d", addr, n, nodes)
+		assert.Assert(t, n < 2*nodes/addrs, "%s is tried first by %d of %d", addr, n, nodes)
 	}
 }
