--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,10 +1,11 @@
-// Package agent is the process beside each VM's upstreams and worker.
+// Package agent implements the agent, the process that runs on each VM beside its
+// upstreams and its worker.
 //
-// Towards entries it is the way to the upstream: it admits requests to the
-// upstream's slots, refuses what cannot be answered in time, and lets a claimed
-// request run once. Towards control it is the end of the VM's lease: it starts,
-// slows and stops tasks at the platform's worker and is the last check on what
-// the VM may run.
+// Entries send requests for the VM's upstreams to the agent. It admits them to the
+// upstream's slots, refuses those that cannot be answered in time, and runs a
+// request with a claim at most once. Control grants the agent a lease for the VM.
+// Under the lease the agent starts, throttles and stops tasks at the platform's
+// worker; it makes the last check of what the VM may run.
 package agent
 
 import (
@@ -30,21 +31,22 @@
 )
 
 const (
-	// timelineSize is how many events an agent keeps.
+	// timelineSize is the number of events that the timeline retains.
 	timelineSize = 8192
-	// headerTimeout bounds how long an entry may take to send its headers.
+	// headerTimeout bounds the time for reading the headers of a request.
 	headerTimeout = 5 * time.Second
-	// idleTimeout bounds how long an entry's connection is kept without a request. It
-	// is twice as long as entries keep one (keptFor there), so that they close first:
-	// what is sent as the other side closes may or may not be read.
+	// idleTimeout closes a connection that had no request for that long. It is twice
+	// the idle timeout of entries (keptFor there), so that they close first: a request
+	// sent while the other side closes the connection may or may not be read.
 	idleTimeout = 2 * time.Minute
-	// quietPause is how often a stopping agent looks whether it is idle.
-	quietPause = 50 * time.Millisecond
-	// quietLimit bounds how long an agent with nothing in progress waits for
-	// entries to say that they send no more. An entry may hold a request that it
-	// has chosen this agent for while it asks control for the claim, twice for 3 s
-	// at most (claimTimeout there); the rest is for the way.
-	quietLimit = 10 * time.Second
+	// drainPollInterval is the time between two checks of a stopping agent whether it
+	// is idle.
+	drainPollInterval = 50 * time.Millisecond
+	// entryDrainTimeout bounds how long an agent with no request in progress waits
+	// until entries report that they send no more. An entry that has chosen this
+	// agent for a request may first ask control for the claim, twice for at most 3 s
+	// (claimTimeout there); the remaining time is for transmission.
+	entryDrainTimeout = 10 * time.Second
 )
 
 // Process is an agent, ready to serve.
@@ -52,7 +54,7 @@
 	cfg    Settings
 	log    zerolog.Logger
 	boot   string
-	addr   string // for requests, as entries reach it
+	addr   string // at which entries send requests
 	admin  string
 	table  *node.Table
 	client *node.Client
@@ -76,10 +78,10 @@
 		p.addr = cfg.Advertise
 	}
 	p.table = node.NewTable()
-	p.client = node.NewClient(cfg.Control, cfg.Beat, p.table, p, log)
+	p.client = node.NewClient(cfg.Control, cfg.HeartbeatInterval, p.table, p, log)
 	p.front = newFront(cfg, p.boot, p.table, log, ring)
 	p.tasks = newTasks(cfg, p.client, p.front, log, ring)
-	p.srv = &http.Server{Handler: p.front.handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ConnState: p.front.conns.note}
+	p.srv = &http.Server{Handler: p.front.handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ConnState: p.front.conns.handleState}
 	adm := admin.New(adminLn, ring, p.ready)
 	adm.Registry().MustRegister(newCollector(p))
 	p.sup = daemon.Supervisor("agent", log)
@@ -94,51 +96,51 @@
 func (p *Process) ready() error {
 	switch {
 	case !p.table.Known():
-		return errors.New("the table is not known yet")
+		return errors.New("no table received yet")
 	case p.front.isLeaving():
 		return errors.New("leaving")
 	}
 	return nil
 }
 
-// Run serves until ctx ends. Then it takes no new requests, finishes those in
-// progress, feeds included, waits until entries send no more, and only then
-// closes connections and ends. Tasks go on at the worker until their lease ends;
-// an agent that is back by then takes them up again.
+// Run serves until ctx is cancelled. Then it refuses new requests, finishes those
+// in progress, feeds included, waits until entries send no more, and closes its
+// connections. Tasks run on at the worker until their lease ends; an agent that is
+// restarted by then takes them over.
 func (p *Process) Run(ctx context.Context) (err error) {
 	defer errs.Annotate(&err, "agent %s", p.cfg.Name)
 	return daemon.Run(ctx, p.sup, p.srv, p.ln, func(context.Context) error {
 		p.drain()
-		_ = p.srv.Close() // nothing is in progress or on its way
+		_ = p.srv.Close() // no request is in progress or in transit
 		p.log.Info().Msg("stopped")
 		return nil
 	})
 }
 
-// drain waits until nothing is in progress, or the settings' limit has passed;
-// and then until no request can be on its way, or quietLimit has passed. A
-// connection that is closed earlier may hold a request that was never read, of
-// which its entry cannot tell whether it ran.
+// drain waits until no request is in progress, for at most DrainLimit, and then
+// until none can be in transit, for at most entryDrainTimeout. A connection that is
+// closed earlier may hold a request that was never read; its entry then cannot know
+// whether the request ran.
 func (p *Process) drain() {
 	p.log.Info().Msg("stopping")
-	p.front.leave("the agent is stopping")
+	p.front.stopAccepting("the agent is stopping")
 	limit := steady.Now().Add(p.cfg.DrainLimit)
-	if !await(p.front.idle, limit) {
+	if !waitUntil(p.front.idle, limit) {
 		p.log.Warn().Int("in_progress", p.front.inProgress()).Msg("stopped_with_requests")
 		return
 	}
-	if !await(p.front.quiet, steady.Now().Add(quietLimit)) {
+	if !waitUntil(p.front.noneInTransit, steady.Now().Add(entryDrainTimeout)) {
 		p.log.Warn().Msg("stopped_before_entries_were_quiet")
 	}
 }
 
-// await looks again and again whether cond holds; false if it does not by limit.
-func await(cond func() bool, limit time.Time) bool {
+// waitUntil polls cond until it holds. It returns false if it does not by limit.
+func waitUntil(cond func() bool, limit time.Time) bool {
 	for !cond() {
 		if steady.Now().After(limit) {
 			return false
 		}
-		time.Sleep(quietPause)
+		time.Sleep(drainPollInterval)
 	}
 	return true
 }
@@ -146,7 +148,7 @@
 // Hello implements node.Handler.
 func (p *Process) Hello() wire.Hello {
 	h := wire.Hello{Kind: wire.KindAgent, Process: p.cfg.Name, Place: p.cfg.Place, Boot: p.boot, Admin: p.admin}
-	if p.tasks.workerSeen() {
+	if p.tasks.workerReachable() {
 		h.Register = &state.Register{
 			Place: p.cfg.Place, Addr: p.addr, Capacity: p.cfg.Capacity, Reserved: p.cfg.Reserved,
 			Services: p.cfg.services(), Boot: p.boot,
@@ -157,7 +159,7 @@
 
 // Heartbeat implements node.Handler.
 func (p *Process) Heartbeat() wire.Heartbeat {
-	b := p.tasks.beat()
+	b := p.tasks.heartbeat()
 	b.Services = p.front.usage()
 	b.Leaving = p.front.isLeaving()
 	return b
@@ -175,7 +177,7 @@
 	p.tasks.handle(m)
 }
 
-// services returns the names of the services here.
+// services returns the names of the VM's services.
 func (s Settings) services() []rudderfork.Service {
 	var names []rudderfork.Service
 	for _, u := range s.Upstreams {
--- a/agent/claim.go
+++ b/agent/claim.go
@@ -12,26 +12,27 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// claimRef is the claim of one request while it runs. A nil claimRef is that of
-// a request without one.
-type claimRef struct {
+// activeClaim is the claim of a request that is being handled. It is nil for a
+// request without a claim.
+type activeClaim struct {
 	key     state.ClaimKey
 	token   rudderfork.Token
 	boot    string
 	expires time.Time
 
-	front  *front
-	fate   wire.RequestState
-	answer *relay.Capture
-	status int
-	ctype  string
+	front       *front
+	state       wire.RequestState
+	capture     *relay.Capture
+	status      int
+	contentType string
 }
 
-// parseClaim reads the claim that the entry obtained; nil if there is none.
-func parseClaim(r *http.Request) (c *claimRef, err error) {
+// parseClaim reads the claim from a request's headers. It returns nil if there is
+// none.
+func parseClaim(r *http.Request) (c *activeClaim, err error) {
 	v := r.Header.Get(relay.HeaderClaim)
 	if v == "" {
-		return nil, nil //nolint:nilnil // no claim is no error
+		return nil, nil //nolint:nilnil // a request without a claim is valid
 	}
 	token, err := strconv.ParseUint(v, 10, 64)
 	if err != nil {
@@ -41,47 +42,47 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", relay.HeaderExpires, err)
 	}
-	return &claimRef{
+	return &activeClaim{
 		key:   state.ClaimKey{Service: rudderfork.Service(r.Header.Get(relay.HeaderService)), Key: r.Header.Get(relay.HeaderKey)},
 		token: rudderfork.Token(token), boot: r.Header.Get(relay.HeaderBoot),
-		expires: rudderfork.FromMillis(ms), fate: wire.RequestUnknown,
+		expires: rudderfork.FromMillis(ms), state: wire.RequestUnknown,
 	}, nil
 }
 
-// notRun notes that the request did not reach the upstream.
-func (c *claimRef) notRun() {
+// setNotRun records that the request was not sent to the upstream.
+func (c *activeClaim) setNotRun() {
 	if c != nil {
-		c.fate = wire.RequestNever
+		c.state = wire.RequestNever
 	}
 }
 
-// answered starts to take down the answer.
-func (c *claimRef) answered(resp *http.Response) *relay.Capture {
+// captureAnswer returns the capture to which the body of the answer is copied.
+func (c *activeClaim) captureAnswer(resp *http.Response) *relay.Capture {
 	if c == nil {
 		return nil
 	}
-	c.status, c.ctype = resp.StatusCode, resp.Header.Get("Content-Type")
-	c.answer = relay.NewCapture(state.MaxAnswerBytes)
-	return c.answer
+	c.status, c.contentType = resp.StatusCode, resp.Header.Get("Content-Type")
+	c.capture = relay.NewCapture(state.MaxAnswerBytes)
+	return c.capture
 }
 
-// whole notes that the answer came to its end.
-func (c *claimRef) whole() {
+// setDone records that the answer is complete.
+func (c *activeClaim) setDone() {
 	if c != nil {
-		c.fate = wire.RequestDone
+		c.state = wire.RequestDone
 	}
 }
 
-// settle writes down how the request ended.
-func (c *claimRef) settle() {
+// recordResult stores the outcome of the request in the store of claims.
+func (c *activeClaim) recordResult() {
 	c.front.mu.Lock()
 	defer c.front.mu.Unlock()
-	switch c.fate {
+	switch c.state {
 	case wire.RequestNever:
 		c.front.claims.NotRun(c.key, c.token)
 	case wire.RequestDone:
 		c.front.claims.Done(c.key, c.token, &state.Answer{
-			Status: c.status, ContentType: c.ctype, Body: c.answer.Body(), Partial: c.answer.Partial(),
+			Status: c.status, ContentType: c.contentType, Body: c.capture.Body(), Partial: c.capture.Partial(),
 		})
 	default:
 		c.front.claims.Unknown(c.key, c.token)
--- a/agent/entries.go
+++ b/agent/entries.go
@@ -14,52 +14,53 @@
 // entrySession is the session of one entry.
 type entrySession = wire.Conn[wire.ToEntry, wire.ToAgent]
 
-// entries are the sessions of entries, and which of them have said, after the
-// agent told them that it stops, that no request of theirs is on its way.
+// entries holds the sessions of entries. When the agent stops it tells them; each
+// answers once it has no request in transit to this agent, and is then drained.
 type entries struct {
 	stopping chan struct{} // closed when the agent stops
 
-	mu    sync.Mutex
-	quiet map[*entrySession]bool // of the open sessions
+	mu      sync.Mutex
+	drained map[*entrySession]bool // by open session
 }
 
 func newEntries() *entries {
-	return &entries{stopping: make(chan struct{}), quiet: map[*entrySession]bool{}}
+	return &entries{stopping: make(chan struct{}), drained: map[*entrySession]bool{}}
 }
 
 func (e *entries) add(s *entrySession) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.quiet[s] = false
+	e.drained[s] = false
 }
 
 func (e *entries) remove(s *entrySession) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.quiet, s)
+	delete(e.drained, s)
 }
 
-// setQuiet notes that a session's entry sends no more requests.
-func (e *entries) setQuiet(s *entrySession) {
+// setDrained records that the entry of a session sends no more requests.
+func (e *entries) setDrained(s *entrySession) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.quiet[s] = true
+	e.drained[s] = true
 }
 
-// allQuiet reports whether no entry with a session sends requests any more.
-func (e *entries) allQuiet() bool {
+// allDrained reports whether all entries with a session have stopped sending
+// requests.
+func (e *entries) allDrained() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, quiet := range e.quiet {
-		if !quiet {
+	for _, drained := range e.drained {
+		if !drained {
 			return false
 		}
 	}
 	return true
 }
 
-// tell tells an entry that the agent stops, once it does.
-func (e *entries) tell(ctx context.Context, s *entrySession) error {
+// announceStop waits until the agent stops and then tells the entry.
+func (e *entries) announceStop(ctx context.Context, s *entrySession) error {
 	select {
 	case <-e.stopping:
 		return s.Send(ctx, wire.ToEntry{Stopping: true})
@@ -68,25 +69,25 @@
 	}
 }
 
-// settledSpan is for how long no connection may have been opened or used before
-// a stopping agent takes its connections for unused. It is more than twice the
-// rest of an entry between two dials of its session (redialPause, 200 ms): an
-// entry without a session has one by then, and is waited for.
-const settledSpan = 500 * time.Millisecond
+// connUnusedAfter is how long no connection may have been opened or used before a
+// stopping agent treats its connections as unused. It is more than twice the pause
+// between two dials of an entry's session (redialPause there, 200 ms), so that an
+// entry without a session has opened one by then and is waited for.
+const connUnusedAfter = 500 * time.Millisecond
 
-// conns are the connections on which requests come, sessions left out.
+// conns tracks the connections that carry requests; sessions are not among them.
 type conns struct {
-	mu        sync.Mutex
-	active    map[net.Conn]bool // a request is read, served or answered there
-	settledAt time.Time         // when they count as unused, if nothing happens
+	mu       sync.Mutex
+	active   map[net.Conn]bool // those that read, serve or answer a request
+	unusedAt time.Time         // when all count as unused if no state changes
 }
 
 func newConns() *conns { return &conns{active: map[net.Conn]bool{}} }
 
-// note takes a change of a connection's state from the server. A connection is
-// active until the last byte of the answer was written, which is after the
-// request's handler has returned.
-func (c *conns) note(nc net.Conn, state http.ConnState) {
+// handleState implements http.Server's ConnState hook. A connection is active until
+// the last byte of the answer was written, which is after the request's handler has
+// returned.
+func (c *conns) handleState(nc net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if state == http.StateActive {
@@ -94,7 +95,7 @@
 	} else {
 		delete(c.active, nc)
 	}
-	c.settledAt = steady.Now().Add(settledSpan)
+	c.unusedAt = steady.Now().Add(connUnusedAfter)
 }
 
 // idle reports whether no connection is active.
@@ -104,9 +105,9 @@
 	return len(c.active) == 0
 }
 
-// settled reports whether no connection is active or has been lately.
-func (c *conns) settled(now time.Time) bool {
+// unused reports whether no connection is active or was within connUnusedAfter.
+func (c *conns) unused(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.active) == 0 && !now.Before(c.settledAt)
+	return len(c.active) == 0 && !now.Before(c.unusedAt)
 }
--- a/agent/forward.go
+++ b/agent/forward.go
@@ -14,15 +14,15 @@
 	"rudderfork.example/rudderfork/relay"
 )
 
-// onceBody hides everything of a body but Read and Close, so that the standard
-// client finds no way to send it a second time.
+// onceBody hides all methods of a body but Read and Close, so that net/http cannot
+// rewind the body and send the request a second time.
 type onceBody struct{ io.ReadCloser }
 
-// forward passes an admitted request to the upstream and its answer back.
-func (f *front) forward(ctx context.Context, w http.ResponseWriter, r *http.Request, s *service, adm *admitted, c *claimRef) {
+// forward sends an admitted request to the upstream and copies its answer back.
+func (f *front) forward(ctx context.Context, w http.ResponseWriter, r *http.Request, s *service, adm *admitted, c *activeClaim) {
 	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+s.addr+r.URL.RequestURI(), nil)
 	if err != nil {
-		c.notRun()
+		c.setNotRun()
 		f.refuse(w, r, http.StatusBadRequest, "malformed", err.Error(), time.Time{})
 		return
 	}
@@ -36,7 +36,7 @@
 	adm.started = steady.Now()
 	resp, err := s.transport(c != nil).RoundTrip(req)
 	if err != nil {
-		relay.Renew(s.hc, err)
+		relay.Renew(s.pooled, err)
 		f.forwardFailed(w, r, c, err)
 		return
 	}
@@ -45,35 +45,35 @@
 	if c != nil {
 		crash.Point(crash.AgentForwarded)
 	}
-	resp.Header.Del(problem.Header) // only agents and entries vouch
+	resp.Header.Del(problem.Header) // only agents and entries may say whether a request ran
 	w.Header().Set(relay.HeaderLoad, relay.EncodeLoad(f.load(s)))
-	f.setLast(w)
-	cp := c.answered(resp)
+	f.closeConnIfStopping(w)
+	cp := c.captureAnswer(resp)
 	if cp == nil {
 		relay.WriteAnswer(w, resp, nil)
 	} else {
 		relay.WriteAnswer(w, resp, cp)
 	}
-	c.whole()
+	c.setDone()
 	f.event("answered", r, resp.Status)
 }
 
-// forwardFailed answers for an upstream that gave no answer. Only a connection
-// that was never made shows that the request did not run.
-func (f *front) forwardFailed(w http.ResponseWriter, r *http.Request, c *claimRef, err error) {
+// forwardFailed answers a request to which the upstream did not answer. The request
+// is known not to have run only if no connection was made.
+func (f *front) forwardFailed(w http.ResponseWriter, r *http.Request, c *activeClaim, err error) {
 	if relay.NotSent(err) {
-		c.notRun()
+		c.setNotRun()
 		w.Header().Set(relay.HeaderLoad, relay.EncodeLoad(rudderfork.Load{Down: true}))
-		f.refuse(w, r, http.StatusServiceUnavailable, "upstream-down", "the upstream does not listen", steady.Now().Add(retryPause))
+		f.refuse(w, r, http.StatusServiceUnavailable, "upstream-down", "the upstream does not accept connections", steady.Now().Add(retryDelay))
 		return
 	}
 	status, kind := http.StatusBadGateway, "upstream-failed"
 	if errors.Is(err, context.DeadlineExceeded) {
 		status, kind = http.StatusGatewayTimeout, "deadline"
 	}
-	p := problem.New(status, kind, "the upstream gave no answer", rudderfork.RanUnknown)
+	p := problem.New(status, kind, "the upstream did not answer", rudderfork.RanUnknown)
 	p.Request = r.Header.Get(relay.HeaderRequest)
-	p.RetryAt = steady.Now().Add(retryPause)
+	p.RetryAt = steady.Now().Add(retryDelay)
 	problem.Write(w, p)
 	f.event("failed", r, err.Error())
 }
--- a/agent/front.go
+++ b/agent/front.go
@@ -18,7 +18,7 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// front takes requests from entries.
+// front serves requests and sessions of entries.
 type front struct {
 	cfg      Settings
 	boot     string
@@ -30,10 +30,10 @@
 	conns    *conns
 
 	mu       sync.Mutex
-	stopping string // why; "" if not
+	stopping string // the reason; "" if the agent isn't stopping
 	draining bool
 	claims   *claim.Store
-	progress int
+	requests int
 }
 
 func newFront(cfg Settings, boot string, t *node.Table, log zerolog.Logger, rec rudderfork.Recorder) *front {
@@ -58,12 +58,12 @@
 // String names the service in the supervisor's log.
 func (f *front) String() string { return "front" }
 
-// Serve implements suture.Service: it refuses waiting requests that have become
-// too late. While none waits it sleeps.
+// Serve implements suture.Service: it refuses queued requests that can no longer
+// meet their deadline.
 func (f *front) Serve(ctx context.Context) error {
 	var wg sync.WaitGroup
 	for _, s := range f.services {
-		wg.Go(func() { s.watch(ctx) })
+		wg.Go(func() { s.expireLoop(ctx) })
 	}
 	wg.Wait()
 	<-ctx.Done()
@@ -76,12 +76,12 @@
 	}
 }
 
-// leave makes the agent refuse new requests for good, and tells the entries. It
-// must be called once.
-func (f *front) leave(why string) {
+// stopAccepting makes the agent refuse all new requests, and tells the entries. It
+// must be called only once.
+func (f *front) stopAccepting(reason string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.stopping = why
+	f.stopping = reason
 	close(f.entries.stopping)
 }
 
@@ -91,9 +91,9 @@
 	f.draining = v
 }
 
-func (f *front) isLeaving() bool { return f.leavingWhy() != "" }
+func (f *front) isLeaving() bool { return f.leavingReason() != "" }
 
-func (f *front) leavingWhy() string {
+func (f *front) leavingReason() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.stopping == "" && f.draining {
@@ -105,21 +105,21 @@
 func (f *front) inProgress() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.progress
+	return f.requests
 }
 
-// idle reports whether nothing is in progress: no request is served, and all
-// answers were written to the last byte.
+// idle reports whether no request is in progress and all answers have been written
+// completely.
 func (f *front) idle() bool { return f.inProgress() == 0 && f.conns.idle() }
 
-// quiet reports, of a front that is left, whether no request can be on its way:
-// every entry with a session has said so, and one without has sent nothing for
-// long enough.
-func (f *front) quiet() bool { return f.entries.allQuiet() && f.conns.settled(steady.Now()) }
+// noneInTransit reports, after stopAccepting, whether no request can be in transit:
+// every entry with a session is drained, and no connection was used for
+// connUnusedAfter.
+func (f *front) noneInTransit() bool { return f.entries.allDrained() && f.conns.unused(steady.Now()) }
 
-// setLast lets the answer be the last one on its connection if the agent is
-// stopping, so that no request can follow it there.
-func (f *front) setLast(w http.ResponseWriter) {
+// closeConnIfStopping closes the connection after this answer if the agent is
+// stopping, so that no request can follow on it.
+func (f *front) closeConnIfStopping(w http.ResponseWriter) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.stopping != "" {
@@ -127,9 +127,10 @@
 	}
 }
 
-// enter counts a request in, unless the agent is leaving. Both happen under one
-// lock, so that a stop that has seen no request in progress misses none.
-func (f *front) enter() (why string) {
+// beginRequest counts a request, or returns the reason to refuse it if the agent is
+// leaving. Check and count happen under one lock, so that a stopping agent doesn't
+// overlook a request.
+func (f *front) beginRequest() (reason string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
@@ -138,23 +139,23 @@
 	case f.draining:
 		return "the VM is leaving"
 	}
-	f.progress++
+	f.requests++
 	return ""
 }
 
-func (f *front) exit() {
+func (f *front) endRequest() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.progress--
+	f.requests--
 }
 
-// refuse answers that the request did not run.
+// refuse answers with a problem that says that the request did not run.
 func (f *front) refuse(w http.ResponseWriter, r *http.Request, status int, kind, detail string, retryAt time.Time) {
 	p := problem.New(status, kind, detail, rudderfork.RanNo)
 	p.RetryAt = retryAt
 	p.Request = r.Header.Get(relay.HeaderRequest)
 	p.Version = f.table.Revision()
-	f.setLast(w)
+	f.closeConnIfStopping(w)
 	problem.Write(w, p)
 	f.event("refused", r, detail)
 }
@@ -165,8 +166,9 @@
 	})
 }
 
-// retryPause is when to come back after a refusal that no queue explains.
-const retryPause = 500 * time.Millisecond
+// retryDelay is the delay until a retry after a refusal for which no queue gives an
+// estimate.
+const retryDelay = 500 * time.Millisecond
 
 func (f *front) request(w http.ResponseWriter, r *http.Request) {
 	w, stop := relay.GiveSigns(w, r)
@@ -174,17 +176,17 @@
 	defer relay.BoundBody(w, r)()
 	s := f.services[rudderfork.Service(r.Header.Get(relay.HeaderService))]
 	if s == nil {
-		f.refuse(w, r, http.StatusNotFound, "no-service", "no such service here", time.Time{})
+		f.refuse(w, r, http.StatusNotFound, "no-service", "this agent does not have the service", time.Time{})
 		return
 	}
-	if why := f.enter(); why != "" {
+	if reason := f.beginRequest(); reason != "" {
 		w.Header().Set(relay.HeaderLoad, relay.EncodeLoad(rudderfork.Load{Leaving: true}))
-		f.refuse(w, r, http.StatusServiceUnavailable, "leaving", why, steady.Now().Add(retryPause))
+		f.refuse(w, r, http.StatusServiceUnavailable, "leaving", reason, steady.Now().Add(retryDelay))
 		return
 	}
-	defer f.exit()
+	defer f.endRequest()
 	if !f.table.Known() {
-		f.refuse(w, r, http.StatusServiceUnavailable, "no-table", "the table is not known here yet", steady.Now().Add(retryPause))
+		f.refuse(w, r, http.StatusServiceUnavailable, "no-table", "the agent has not received the table yet", steady.Now().Add(retryDelay))
 		return
 	}
 	c, err := parseClaim(r)
@@ -199,10 +201,10 @@
 	f.serveClaimed(w, r, s, c)
 }
 
-// serveClaimed runs a claimed request if its token was not seen.
-func (f *front) serveClaimed(w http.ResponseWriter, r *http.Request, s *service, c *claimRef) {
+// serveClaimed runs a request with a claim if its token was not used before.
+func (f *front) serveClaimed(w http.ResponseWriter, r *http.Request, s *service, c *activeClaim) {
 	if c.boot != f.boot {
-		f.refuse(w, r, http.StatusConflict, "other-boot", "the claim names an earlier start of this agent", time.Time{})
+		f.refuse(w, r, http.StatusConflict, "other-boot", "the claim is for an earlier start of this agent", time.Time{})
 		return
 	}
 	f.mu.Lock()
@@ -214,15 +216,15 @@
 	}
 	crash.Point(crash.AgentBegun)
 	c.front = f
-	defer c.settle() // also when the copy of the answer is cut
+	defer c.recordResult() // also when copying the answer is aborted
 	f.serve(w, r, s, c)
 }
 
-// serve admits a request and passes it to the upstream.
-func (f *front) serve(w http.ResponseWriter, r *http.Request, s *service, c *claimRef) {
+// serve admits a request and forwards it to the upstream.
+func (f *front) serve(w http.ResponseWriter, r *http.Request, s *service, c *activeClaim) {
 	deadline, err := relay.Deadline(r.Header)
 	if err != nil {
-		c.notRun()
+		c.setNotRun()
 		f.refuse(w, r, http.StatusBadRequest, "malformed", err.Error(), time.Time{})
 		return
 	}
@@ -234,7 +236,7 @@
 	}
 	adm, ref := s.admit(ctx, r, deadline)
 	if ref != nil {
-		c.notRun()
+		c.setNotRun()
 		w.Header().Set(relay.HeaderLoad, relay.EncodeLoad(f.load(s)))
 		f.refuse(w, r, http.StatusServiceUnavailable, ref.kind, ref.reason, ref.retryAt)
 		return
@@ -244,14 +246,14 @@
 	f.forward(ctx, w, r, s, adm, c)
 }
 
-// load is what entries are told of a service.
+// load returns the load of a service as reported to entries.
 func (f *front) load(s *service) rudderfork.Load {
 	l := s.load()
 	l.Leaving = f.isLeaving()
 	return l
 }
 
-// session answers probes and fences of one entry.
+// session serves the session of one entry: it answers probes and fences.
 func (f *front) session(w http.ResponseWriter, r *http.Request) {
 	conn, err := wire.Accept[wire.ToEntry, wire.ToAgent](w, r, wire.ProbeSession)
 	if err != nil {
@@ -262,12 +264,12 @@
 	f.entries.add(conn)
 	defer f.entries.remove(conn)
 	if conn.Send(r.Context(), wire.ToEntry{InterimAnswers: true}) != nil {
-		return // the entry opens another
+		return // the entry opens another session
 	}
 	go func() {
-		if err := f.entries.tell(r.Context(), conn); err != nil {
+		if err := f.entries.announceStop(r.Context(), conn); err != nil {
 			f.log.Warn().Err(err).Msg("entry_not_told")
-			conn.Close() // it opens another, and is told there
+			conn.Close() // the entry opens another session and is told there
 		}
 	}()
 	for {
@@ -285,7 +287,7 @@
 		case m.Fence != nil:
 			out.Fenced = f.fence(*m.Fence)
 		case m.Drained:
-			f.entries.setQuiet(conn)
+			f.entries.setDrained(conn)
 			continue
 		default:
 			continue
@@ -309,7 +311,7 @@
 	return out
 }
 
-// usage sums up the services since the last call.
+// usage returns the usage of each service since the last call.
 func (f *front) usage() []wire.ServiceUsage {
 	var us []wire.ServiceUsage
 	for _, s := range f.services {
@@ -318,7 +320,8 @@
 	return us
 }
 
-// pressure is the worst tail latency over its target, over the newest window.
+// pressure returns the highest ratio of tail latency to target among the services,
+// in the newest window.
 func (f *front) pressure() float64 {
 	worst := 0.0
 	for _, s := range f.services {
--- a/agent/service.go
+++ b/agent/service.go
@@ -17,71 +17,71 @@
 )
 
 const (
-	// dialTimeout bounds a connection to the upstream, on the same VM.
+	// dialTimeout bounds the dial to the upstream, which is on the same VM.
 	dialTimeout = time.Second
-	// expirePause is how often waiting requests are checked against their
-	// deadlines.
-	expirePause = 5 * time.Millisecond
-	// maxIdle bounds the kept connections to the upstream; at most 64 slots.
-	maxIdle = 64
-	// maxSamples bounds the latencies kept for one window.
+	// expireInterval is the time between two checks of the deadlines of queued
+	// requests.
+	expireInterval = 5 * time.Millisecond
+	// maxIdleConns bounds the idle connections kept to the upstream.
+	maxIdleConns = 64
+	// maxSamples bounds the latencies kept for one heartbeat or pressure window.
 	maxSamples = 512
-	// pressureWindow is the time over which pressure is taken.
+	// pressureWindow is the time over which pressure is measured.
 	pressureWindow = time.Second
 )
 
-// service is one upstream: its slots, its connections and its latencies.
+// service is the upstream of one service: its slots, connections and latencies.
 type service struct {
-	name   rudderfork.Service
-	addr   string
-	table  *node.Table
-	hc     *http.Transport
-	once   *http.Transport // opens a connection for each request
-	queued chan struct{}   // a request waits
+	name          rudderfork.Service
+	addr          string
+	table         *node.Table
+	pooled        *http.Transport
+	unpooled      *http.Transport // opens a connection for each request
+	requestQueued chan struct{}   // signals expireLoop that a request was queued
 
-	mu      sync.Mutex
-	queue   *admission.Queue
-	waiters map[uint64]chan admission.Decision
-	nextID  uint64
-	feeds   int
-	feedMax int
+	mu       sync.Mutex
+	queue    *admission.Queue
+	waiters  map[uint64]chan admission.Decision
+	nextID   uint64
+	feeds    int
+	maxFeeds int
 
-	samples  []time.Duration // since the last beat
-	refused  int
-	busySum  float64
-	busyN    int
-	window   []time.Duration // of the present pressure window
-	windowAt time.Time
-	level    float64
+	samples        []time.Duration // since the last heartbeat
+	refused        int
+	busySum        float64
+	busySamples    int
+	window         []time.Duration // in the current pressure window
+	windowStart    time.Time
+	windowPressure float64
 }
 
 func newService(u UpstreamAddr, t *node.Table) *service {
 	s := &service{
 		name: u.Service, addr: u.Addr, table: t, waiters: map[uint64]chan admission.Decision{},
-		queue: admission.New(admission.Limits{}, 1), queued: make(chan struct{}, 1),
+		queue: admission.New(admission.Limits{}, 1), requestQueued: make(chan struct{}, 1),
 	}
-	s.hc = &http.Transport{
-		DisableCompression: true, MaxIdleConnsPerHost: maxIdle,
+	s.pooled = &http.Transport{
+		DisableCompression: true, MaxIdleConnsPerHost: maxIdleConns,
 		DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext,
 	}
-	s.once = s.hc.Clone()
-	s.once.DisableKeepAlives = true
+	s.unpooled = s.pooled.Clone()
+	s.unpooled.DisableKeepAlives = true
 	s.setLimits()
 	return s
 }
 
-// transport returns what carries a request to the upstream. A claimed one goes on a
-// connection of its own, which has just been made: on a kept one that has gone
-// silent, or that the upstream is closing, nobody could tell whether it ran, and its
-// key would be lost to its caller.
+// transport returns the transport for a request to the upstream. A request with a
+// claim gets a new connection. On a pooled one that has become unresponsive, or that
+// the upstream is closing, it would be unknown whether the request ran, and the
+// client could not use its key again.
 func (s *service) transport(claimed bool) *http.Transport {
 	if claimed {
-		return s.once
+		return s.unpooled
 	}
-	return s.hc
+	return s.pooled
 }
 
-// setLimits takes the limits from the table.
+// setLimits applies the limits in the table.
 func (s *service) setLimits() {
 	cell := func(col string) int { return int(s.table.Service(s.name, col)) }
 	s.mu.Lock()
@@ -91,10 +91,10 @@
 		Slots: min(slots, conns), Queue: cell(rudderfork.ColQueue),
 		MaxWait: time.Duration(cell(rudderfork.ColTargetMS)) * time.Millisecond,
 	})
-	s.feedMax = max(0, conns-slots) // feeds never take what slots need
+	s.maxFeeds = max(0, conns-slots) // feeds get only connections that no slot needs
 }
 
-// refusal says why a request was not admitted.
+// refusal is the reason why a request was not admitted.
 type refusal struct {
 	kind    string
 	reason  string
@@ -109,7 +109,7 @@
 	headerAt time.Time
 }
 
-// admit waits for a slot.
+// admit waits for a slot; a feed gets a connection at once or is refused.
 func (s *service) admit(ctx context.Context, r *http.Request, deadline time.Time) (*admitted, *refusal) {
 	if relay.Feed(r.Header) {
 		return s.admitFeed()
@@ -121,74 +121,75 @@
 	id := s.nextID
 	s.waiters[id] = ch
 	s.busySum += float64(s.queue.InFlight())
-	s.busyN++
-	s.rule(s.queue.Offer(admission.Request{
+	s.busySamples++
+	s.deliver(s.queue.Offer(admission.Request{
 		ID: id, Team: team, Weight: s.table.TeamWeight(team), Deadline: deadline,
 	}, steady.Now()))
 	s.mu.Unlock()
 	select {
-	case ru := <-ch:
-		return s.ruled(id, ru)
+	case d := <-ch:
+		return s.resolve(id, d)
 	case <-ctx.Done():
 	}
-	return s.gaveUp(id, ch)
+	return s.abandon(id, ch)
 }
 
 func (s *service) admitFeed() (*admitted, *refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.feeds >= s.feedMax {
-		return nil, &refusal{"overload", "all connections for feeds are taken", steady.Now().Add(time.Second)}
+	if s.feeds >= s.maxFeeds {
+		return nil, &refusal{"overload", "all connections for feeds are in use", steady.Now().Add(time.Second)}
 	}
 	s.feeds++
 	return &admitted{s: s}, nil
 }
 
-func (s *service) ruled(id uint64, ru admission.Decision) (*admitted, *refusal) {
-	if ru.Verdict == admission.Start {
+func (s *service) resolve(id uint64, d admission.Decision) (*admitted, *refusal) {
+	if d.Verdict == admission.Start {
 		return &admitted{s: s, id: id}, nil
 	}
-	return nil, &refusal{"overload", ru.Reason, ru.RetryAt}
+	return nil, &refusal{"overload", d.Reason, d.RetryAt}
 }
 
-// gaveUp handles a caller that left, or whose deadline passed, while it waited.
-func (s *service) gaveUp(id uint64, ch chan admission.Decision) (*admitted, *refusal) {
+// abandon withdraws a queued request whose caller has gone or whose deadline has
+// passed.
+func (s *service) abandon(id uint64, ch chan admission.Decision) (*admitted, *refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.waiters, id)
 	if !s.queue.Cancel(id) {
 		select {
-		case ru := <-ch:
-			if ru.Verdict == admission.Start {
-				s.rule(s.queue.Done(id, 0, steady.Now())) // the slot came too late
+		case d := <-ch:
+			if d.Verdict == admission.Start {
+				s.deliver(s.queue.Done(id, 0, steady.Now())) // returns the slot, which was granted too late
 			}
 		default:
 		}
 	}
-	return nil, &refusal{"deadline", "the deadline passed while it waited", s.queue.RetryAt(steady.Now())}
+	return nil, &refusal{"deadline", "the deadline passed while the request was queued", s.queue.RetryAt(steady.Now())}
 }
 
-// rule passes decisions to those that wait. s.mu is held.
-func (s *service) rule(rs []admission.Decision) {
-	for _, ru := range rs {
-		if ru.Verdict == admission.Wait {
+// deliver passes decisions to the waiting requests. The caller must hold s.mu.
+func (s *service) deliver(decisions []admission.Decision) {
+	for _, d := range decisions {
+		if d.Verdict == admission.Wait {
 			select {
-			case s.queued <- struct{}{}:
+			case s.requestQueued <- struct{}{}:
 			default:
 			}
 			continue
 		}
-		if ru.Verdict == admission.Refuse {
+		if d.Verdict == admission.Refuse {
 			s.refused++
 		}
-		if ch := s.waiters[ru.ID]; ch != nil {
-			delete(s.waiters, ru.ID)
-			ch <- ru
+		if ch := s.waiters[d.ID]; ch != nil {
+			delete(s.waiters, d.ID)
+			ch <- d
 		}
 	}
 }
 
-// release gives the slot back and notes how long the upstream took.
+// release returns the slot and records the latency of the upstream.
 func (a *admitted) release() {
 	s := a.s
 	s.mu.Lock()
@@ -201,17 +202,17 @@
 	var took time.Duration
 	if !a.headerAt.IsZero() {
 		took = now.Sub(a.started)
-		s.note(took, now)
+		s.recordLatency(took, now)
 	}
-	s.rule(s.queue.Done(a.id, took, now))
+	s.deliver(s.queue.Done(a.id, took, now))
 }
 
-// note takes down one latency. s.mu is held.
-func (s *service) note(took time.Duration, now time.Time) {
+// recordLatency records one latency. The caller must hold s.mu.
+func (s *service) recordLatency(took time.Duration, now time.Time) {
 	if len(s.samples) < maxSamples {
 		s.samples = append(s.samples, took)
 	}
-	if now.Sub(s.windowAt) > pressureWindow {
+	if now.Sub(s.windowStart) > pressureWindow {
 		s.closeWindow(now)
 	}
 	if len(s.window) < maxSamples {
@@ -221,40 +222,42 @@
 
 func (s *service) closeWindow(now time.Time) {
 	target := time.Duration(s.table.Service(s.name, rudderfork.ColTargetMS)) * time.Millisecond
-	s.level = 0
+	s.windowPressure = 0
 	if len(s.window) > 0 {
-		s.level = float64(quantile(s.window, 0.95)) / float64(target)
+		s.windowPressure = float64(quantile(s.window, 0.95)) / float64(target)
 	}
-	s.window, s.windowAt = s.window[:0], now
+	s.window, s.windowStart = s.window[:0], now
 }
 
-// pressure is the 95th percentile over the target in the last whole window.
+// pressure returns the ratio of the 95th percentile of latency to the target, in the
+// last complete window.
 func (s *service) pressure() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now := steady.Now(); now.Sub(s.windowAt) > pressureWindow {
+	if now := steady.Now(); now.Sub(s.windowStart) > pressureWindow {
 		s.closeWindow(now)
 	}
-	return s.level
+	return s.windowPressure
 }
 
-// expire refuses what waits in vain, and reports whether something still waits.
+// expire refuses queued requests that cannot meet their deadline. It reports whether
+// any request is still queued.
 func (s *service) expire() (more bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rule(s.queue.Expire(steady.Now()))
+	s.deliver(s.queue.Expire(steady.Now()))
 	return s.queue.Queued() > 0
 }
 
-// watch calls expire again and again while requests wait.
-func (s *service) watch(ctx context.Context) {
+// expireLoop calls expire periodically while requests are queued.
+func (s *service) expireLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.queued:
+		case <-s.requestQueued:
 		}
-		tick := time.NewTicker(expirePause)
+		tick := time.NewTicker(expireInterval)
 		for ctx.Err() == nil && s.expire() {
 			<-tick.C
 		}
@@ -271,7 +274,7 @@
 	}
 }
 
-// usage sums up the time since the last call.
+// usage returns the usage since the last call.
 func (s *service) usage() wire.ServiceUsage {
 	slots := max(1, s.table.Service(s.name, rudderfork.ColSlots))
 	s.mu.Lock()
@@ -284,9 +287,9 @@
 		}
 		u.MeanUS = (sum / time.Duration(len(s.samples))).Microseconds()
 		u.TailUS = quantile(s.samples, 0.95).Microseconds()
-		u.Busy = s.busySum / float64(max(1, s.busyN)) / float64(slots)
+		u.Busy = s.busySum / float64(max(1, s.busySamples)) / float64(slots)
 	}
-	s.samples, s.refused, s.busySum, s.busyN = s.samples[:0], 0, 0, 0
+	s.samples, s.refused, s.busySum, s.busySamples = s.samples[:0], 0, 0, 0
 	return u
 }
 
--- a/agent/tasks.go
+++ b/agent/tasks.go
@@ -20,19 +20,19 @@
 )
 
 const (
-	// workerPause is how often the worker is asked while nothing changes.
-	workerPause = 250 * time.Millisecond
-	// idlePause is the same while no task is wanted or seen.
-	idlePause = time.Second
-	// reportPause is the rest before a report that control has not acted on is
-	// sent again.
-	reportPause = 500 * time.Millisecond
-	// workerLimit is after how much silence the worker counts as gone. The VM
-	// then asks for no lease, so that its tasks are freed.
-	workerLimit = 2 * time.Second
+	// busyPollInterval is the time between two polls of the worker.
+	busyPollInterval = 250 * time.Millisecond
+	// idlePollInterval is the same while the VM has no tasks.
+	idlePollInterval = time.Second
+	// reportRetryDelay is the delay before a report is sent again that control has
+	// not acted on.
+	reportRetryDelay = 500 * time.Millisecond
+	// workerTimeout is how long after its last answer the worker counts as lost. The
+	// agent then requests no lease, so that the tasks of the VM are freed.
+	workerTimeout = 2 * time.Second
 )
 
-// tasks brings the worker in line with the leases that control grants.
+// tasks reconciles the attempts at the worker with the leases that control grants.
 type tasks struct {
 	cfg    Settings
 	client *node.Client
@@ -42,22 +42,22 @@
 	rec    rudderfork.Recorder
 	woken  wakeup.Signal
 
-	mu        sync.Mutex
-	holder    *lease.Holder
-	throttler throttle.Controller
-	levels    map[rudderfork.TaskID]int
-	renewed   time.Time // the deadline that the worker was last given
-	seenAt    time.Time // when the worker last answered
-	reportID  uint64
-	notes     []wire.DecisionRecord
-	reported  map[lease.AttemptRef]time.Time // when to report again
+	mu               sync.Mutex
+	holder           *lease.Holder
+	throttler        throttle.Controller
+	levels           map[rudderfork.TaskID]int
+	renewedDeadline  time.Time // the newest deadline that the worker has confirmed
+	workerAnsweredAt time.Time // time of the worker's last answer
+	reportID         uint64
+	decisions        []wire.DecisionRecord
+	nextReportAt     map[lease.AttemptRef]time.Time // when to send a report again
 }
 
 func newTasks(cfg Settings, c *node.Client, f *front, log zerolog.Logger, rec rudderfork.Recorder) *tasks {
 	t := &tasks{
 		cfg: cfg, client: c, front: f, log: log, rec: rec, woken: wakeup.New(),
 		holder: lease.NewHolder(cfg.Capacity.Sub(cfg.Reserved)), levels: map[rudderfork.TaskID]int{},
-		reported: map[lease.AttemptRef]time.Time{},
+		nextReportAt: map[lease.AttemptRef]time.Time{},
 	}
 	if cfg.Worker != "" {
 		t.worker = worker.New(cfg.Worker)
@@ -68,14 +68,15 @@
 // String names the service in the supervisor's log.
 func (t *tasks) String() string { return "tasks" }
 
-// workerSeen reports whether the worker answers; true without a worker.
-func (t *tasks) workerSeen() bool {
+// workerReachable reports whether the worker has answered within workerTimeout. It
+// is true without a worker.
+func (t *tasks) workerReachable() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.worker == nil || steady.Now().Sub(t.seenAt) < workerLimit
+	return t.worker == nil || steady.Now().Sub(t.workerAnsweredAt) < workerTimeout
 }
 
-// handle takes what control says about leases.
+// handle handles messages of control about leases.
 func (t *tasks) handle(m wire.ToNode) {
 	if m.ReportsAck != nil {
 		crash.Point(crash.AgentReported)
@@ -101,9 +102,9 @@
 	}
 	for ctx.Err() == nil {
 		busy := t.round(ctx)
-		wait := idlePause
+		wait := idlePollInterval
 		if busy {
-			wait = workerPause
+			wait = busyPollInterval
 		}
 		timer := time.NewTimer(wait)
 		select {
@@ -116,20 +117,21 @@
 	return ctx.Err()
 }
 
-// round renews, observes and acts once. It reports whether there are tasks.
+// round renews the deadline at the worker, reads its attempts and carries out the
+// next actions. It reports whether the VM is busy or the worker did not answer.
 func (t *tasks) round(ctx context.Context) (busy bool) {
-	seen := t.workerSeen()
+	seen := t.workerReachable()
 	t.renew(ctx)
 	boot, list, err := t.worker.List(ctx)
 	if err != nil {
-		if seen && !t.workerSeen() {
+		if seen && !t.workerReachable() {
 			t.log.Warn().Err(err).Msg("worker_gone")
-			t.client.Reconnect() // without a registration: no more leases
+			t.client.Reconnect() // the new hello has no registration, so no more leases are granted
 		}
 		return true
 	}
 	t.mu.Lock()
-	t.seenAt = steady.Now()
+	t.workerAnsweredAt = steady.Now()
 	t.holder.Observe(boot, list)
 	t.throttle()
 	actions := t.holder.NextActions(steady.Now())
@@ -137,23 +139,23 @@
 	t.mu.Unlock()
 	if !seen {
 		t.log.Info().Msg("worker_seen")
-		t.client.Reconnect() // with a registration
+		t.client.Reconnect() // the new hello has the registration
 	}
 	t.act(ctx, actions, deadline)
 	return len(list) > 0 || len(actions) > 0
 }
 
-// renew passes a new deadline on.
+// renew sends a new deadline to the worker.
 func (t *tasks) renew(ctx context.Context) {
 	t.mu.Lock()
-	d, old := t.holder.Deadline(), t.renewed
+	d, old := t.holder.Deadline(), t.renewedDeadline
 	t.mu.Unlock()
 	if !d.After(old) {
 		return
 	}
 	if t.worker.Renew(ctx, d) == nil {
 		t.mu.Lock()
-		t.renewed = d
+		t.renewedDeadline = d
 		t.mu.Unlock()
 	}
 }
@@ -164,12 +166,12 @@
 		var err error
 		switch {
 		case a.Report != nil:
-			if t.dueReport(*a.Report) {
+			if t.reportDue(*a.Report) {
 				reports = append(reports, *a.Report)
 			}
 		case a.Forget != nil:
 			crash.Point(crash.AgentForget)
-			delete(t.reported, *a.Forget)
+			delete(t.nextReportAt, *a.Forget)
 			err = t.worker.Forget(ctx, *a.Forget)
 		case a.Stop != nil:
 			t.event("stopping", a.Stop.Task, fmt.Sprintf("token %d", a.Stop.Token))
@@ -185,7 +187,7 @@
 			crash.Point(crash.AgentStarted)
 		}
 		if err != nil {
-			// The next round sees what became of it.
+			// The next round reads the resulting state.
 			t.log.Warn().Err(err).Msg("worker_call_failed")
 		}
 	}
@@ -196,13 +198,14 @@
 	}
 }
 
-// dueReport reports whether a report was not sent yet, or long ago.
-func (t *tasks) dueReport(r rudderfork.Report) bool {
+// reportDue reports whether a report has to be sent: it was not sent yet, or at
+// least reportRetryDelay ago.
+func (t *tasks) reportDue(r rudderfork.Report) bool {
 	ref, now := lease.AttemptRef{Task: r.Task, Token: r.Token}, steady.Now()
-	if now.Before(t.reported[ref]) {
+	if now.Before(t.nextReportAt[ref]) {
 		return false
 	}
-	t.reported[ref] = now.Add(reportPause)
+	t.nextReportAt[ref] = now.Add(reportRetryDelay)
 	return true
 }
 
@@ -210,7 +213,8 @@
 	t.rec.Record(rudderfork.Event{Kind: kind, Subject: string(task), Text: text})
 }
 
-// throttle sets the tasks' throttle levels by the services' pressure. t.mu is held.
+// throttle sets the throttle levels of the tasks from the pressure of the services.
+// The caller must hold t.mu.
 func (t *tasks) throttle() {
 	running := t.holder.Running()
 	p := t.front.pressure()
@@ -225,9 +229,9 @@
 		if level == t.levels[id] {
 			continue
 		}
-		text := fmt.Sprintf("level %d to %d of %d: the services here are at %.0f%% of their targets", t.levels[id], level, throttle.MaxLevel, 100*p)
+		text := fmt.Sprintf("level %d to %d of %d: the services of this VM are at %.0f%% of their targets", t.levels[id], level, throttle.MaxLevel, 100*p)
 		t.event("throttled", id, text)
-		t.notes = append(t.notes, wire.DecisionRecord{At: rudderfork.Millis(steady.Now()), Task: id, What: "throttled", Reason: text})
+		t.decisions = append(t.decisions, wire.DecisionRecord{At: rudderfork.Millis(steady.Now()), Task: id, What: "throttled", Reason: text})
 		t.levels[id] = level
 	}
 	if len(ts) == 0 {
@@ -235,9 +239,10 @@
 	}
 }
 
-// beat reports the usage of tasks; notes go with it.
-func (t *tasks) beat() wire.Heartbeat {
-	seen := t.workerSeen()
+// heartbeat returns a heartbeat with the usage of tasks, and sends the decisions
+// recorded since the last one.
+func (t *tasks) heartbeat() wire.Heartbeat {
+	seen := t.workerReachable()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var b wire.Heartbeat
@@ -251,8 +256,8 @@
 		})
 	}
 	b.Exhausted = t.throttler.Exhausted(steady.Now())
-	if len(t.notes) > 0 && t.client.Send(wire.ToControl{Decisions: t.notes}) {
-		t.notes = nil
+	if len(t.decisions) > 0 && t.client.Send(wire.ToControl{Decisions: t.decisions}) {
+		t.decisions = nil
 	}
 	return b
 }
--- a/entry/stop_test.go
+++ b/entry/stop_test.go
@@ -272,7 +272,7 @@
 	logs := &logBook{}
 	p, err := agent.New(agent.Settings{
 		Name: "agent-" + string(name), Place: v.place(), Listen: "127.0.0.1:0", Admin: "127.0.0.1:0",
-		Control: []string{c.addr}, Beat: beat, DrainLimit: waitLimit,
+		Control: []string{c.addr}, HeartbeatInterval: beat, DrainLimit: waitLimit,
 		Upstreams: []agent.UpstreamAddr{{Service: tickets, Addr: v.link.Addr()}},
 	}, zerolog.New(logs))
 	assert.NilError(t, err)
