--- a/agent/settings.go
+++ b/agent/settings.go
@@ -64,7 +64,7 @@
 		MemoryMB: f.Int("worker", "reserved_memory_mb", 0, 0, maxResource),
 	}
 	if !cfg.Reserved.Fits(cfg.Capacity) {
-		f.Wrong("worker", "reserved_cpu_milli", "and reserved_memory_mb exceed the capacity of the VM; want at most cpu_milli and memory_mb")
+		f.AddError("worker", "reserved_cpu_milli", "and reserved_memory_mb exceed the capacity of the VM; want at most cpu_milli and memory_mb")
 	}
 	return cfg, f.Err()
 }
--- a/control/settings.go
+++ b/control/settings.go
@@ -59,10 +59,10 @@
 		self = self || p[0] == cfg.Name
 	}
 	if !self && cfg.Name != "" {
-		f.Wrong("control", "peers", "does not list this process; want it to contain "+cfg.Name+"=address")
+		f.AddError("control", "peers", "does not list this process; want it to contain "+cfg.Name+"=address")
 	}
 	if cfg.Heartbeat*2 > cfg.ElectionTimeout {
-		f.Wrong("control", "heartbeat", "is too long; want at most half of election_timeout")
+		f.AddError("control", "heartbeat", "is too long; want at most half of election_timeout")
 	}
 	cfg.Dial = map[string]string{}
 	if f.Optional("control", "dial", "") != "" {
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -44,7 +44,7 @@
 		Picker:     f.Optional("entry", "picker", pickerProbing),
 	}
 	if newPicker(cfg, 1) == nil {
-		f.Wrong("entry", "picker", "is unknown; want probing, random, round-robin or least-in-flight")
+		f.AddError("entry", "picker", "is unknown; want probing, random, round-robin or least-in-flight")
 	}
 	return cfg, f.Err()
 }
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -1,8 +1,8 @@
-// Package operator is the client of the operators' API, for the operator program
-// and for tests.
+// Package operator is a client of the operators' API, for rudderctl and for tests.
 //
-// It tries the control processes in turn until one answers as the leader. A
-// change carries an id, so that it is safe to send again when an answer is lost.
+// It tries the control processes in turn until one answers as the leader. Each
+// change carries an id or can be repeated, so that it is safe to send it again when
+// an answer is lost.
 package operator
 
 import (
@@ -30,10 +30,10 @@
 const (
 	// callTimeout bounds one call to one control process.
 	callTimeout = 5 * time.Second
-	// retryPause is the rest after all control processes failed.
-	retryPause = 100 * time.Millisecond
-	// maxAnswer bounds an answer, in bytes.
-	maxAnswer = 64 << 20
+	// retryDelay is the delay after all control processes have failed.
+	retryDelay = 100 * time.Millisecond
+	// maxAnswerBytes bounds the part of an answer that is read.
+	maxAnswerBytes = 64 << 20
 )
 
 // Client calls the operators' API. It is safe for concurrent use.
@@ -48,35 +48,35 @@
 	return &Client{addrs: addrs, hc: &http.Client{Timeout: callTimeout, CheckRedirect: noRedirect}}
 }
 
-// request is one call, which may be sent several times.
+// request is a call of the API. It may be sent several times.
 type request struct {
 	method, path string
 	header       http.Header
 	body         []byte
 }
 
-// do sends q until a leader answers it or ctx ends. A request whose fate is
-// unknown is sent again: all changes carry an id or can be repeated.
+// do sends q until a leader answers it or ctx is cancelled. A request whose outcome
+// is unknown is sent again: all changes carry an id or can be repeated.
 func (c *Client) do(ctx context.Context, q request, out any) (err error) {
 	defer errs.Annotate(&err, "%s %s", q.method, q.path)
 	for {
 		for _, addr := range c.addrs {
-			var again bool
-			again, err = c.try(ctx, addr, q, out)
-			if !again {
+			var retry bool
+			retry, err = c.try(ctx, addr, q, out)
+			if !retry {
 				return err
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(retryPause):
+		case <-time.After(retryDelay):
 		}
 	}
 }
 
-// try sends q to one process. again is true if another should be tried.
-func (c *Client) try(ctx context.Context, addr string, q request, out any) (again bool, err error) {
+// try sends q to one process. retry is true if another process should be tried.
+func (c *Client) try(ctx context.Context, addr string, q request, out any) (retry bool, err error) {
 	req, err := http.NewRequestWithContext(ctx, q.method, "http://"+addr+q.path, bytes.NewReader(q.body))
 	if err != nil {
 		return false, err
@@ -90,14 +90,14 @@
 		return true, err
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		relay.Renew(c.hc, err)
 		return true, err
 	}
 	switch {
 	case resp.StatusCode == http.StatusTemporaryRedirect:
-		return true, errors.New("it sends to another leader")
+		return true, errors.New("the process redirects to another leader")
 	case resp.StatusCode >= http.StatusBadRequest:
 		return resp.StatusCode >= http.StatusInternalServerError, readProblem(resp.Status, data)
 	case out == nil:
@@ -136,16 +136,17 @@
 	return cell, err
 }
 
-// Cells lists the cells of a kind of row, or of all kinds if it is empty.
+// Cells lists the cells of rows of a kind, or of all kinds if kind is empty.
 func (c *Client) Cells(ctx context.Context, kind rudderfork.RowKind) (cells []rudderfork.Cell, err error) {
 	err = c.get(ctx, "/v1/cells?kind="+url.QueryEscape(string(kind)), &cells)
 	return cells, err
 }
 
-// NewID returns an id for an edit.
+// NewID returns a random id for an edit.
 func NewID() string { return rand.Text() }
 
-// Set sets a cell if its revision is still ifRev.
+// Set sets a cell if its revision is still ifRev. A retry of the same change must
+// have the same id.
 func (c *Client) Set(ctx context.Context, k rudderfork.CellKey, value int64, ifRev rudderfork.Revision, id string) (res state.Result, err error) {
 	body, err := json.Marshal(map[string]int64{"value": value})
 	if err != nil {
@@ -155,7 +156,7 @@
 	return res, err
 }
 
-// Unset removes a cell, so that its default counts, if its revision is still
+// Unset removes a cell, so that its default applies, if its revision is still
 // ifRev.
 func (c *Client) Unset(ctx context.Context, k rudderfork.CellKey, ifRev rudderfork.Revision, id string) (res state.Result, err error) {
 	err = c.do(ctx, request{http.MethodDelete, cellPath(k), editHeader(ifRev, id), nil}, &res)
@@ -169,7 +170,7 @@
 	return h
 }
 
-// Edit changes several cells, all or none.
+// Edit changes several cells atomically.
 func (c *Client) Edit(ctx context.Context, e state.Edit) (res state.Result, err error) {
 	err = c.post(ctx, "/v1/edits", e, &res)
 	return res, err
@@ -187,9 +188,9 @@
 }
 
 // Jobs lists the jobs.
-func (c *Client) Jobs(ctx context.Context) (js []control.JobView, err error) {
-	err = c.get(ctx, "/v1/jobs", &js)
-	return js, err
+func (c *Client) Jobs(ctx context.Context) (jobs []control.JobView, err error) {
+	err = c.get(ctx, "/v1/jobs", &jobs)
+	return jobs, err
 }
 
 // JobDetail is a job with its tasks.
@@ -215,19 +216,19 @@
 	return c.post(ctx, "/v1/vms/"+url.PathEscape(string(vm))+"/drain", map[string]bool{"off": off}, nil)
 }
 
-// Nodes lists entries and agents with the table revision in force there.
-func (c *Client) Nodes(ctx context.Context) (ns []control.Node, err error) {
-	err = c.get(ctx, "/v1/nodes", &ns)
-	return ns, err
+// Nodes lists entries and agents with the table revision that each has applied.
+func (c *Client) Nodes(ctx context.Context) (nodes []control.Node, err error) {
+	err = c.get(ctx, "/v1/nodes", &nodes)
+	return nodes, err
 }
 
-// Explain gives the reasons for what was decided about a task, job or VM.
+// Explain returns the reasons for the decisions about a task, job or VM.
 func (c *Client) Explain(ctx context.Context, subject string) (e control.Explanation, err error) {
 	err = c.get(ctx, "/v1/explain?subject="+url.QueryEscape(subject), &e)
 	return e, err
 }
 
-// Status asks one control process for its view of the group.
+// Status reads the replication status of one control process.
 func (c *Client) Status(ctx context.Context, addr string) (st replica.Status, err error) {
 	_, err = c.try(ctx, addr, request{method: http.MethodGet, path: "/v1/status"}, &st)
 	return st, err
@@ -236,14 +237,15 @@
 // Addrs returns the addresses of the control processes.
 func (c *Client) Addrs() []string { return c.addrs }
 
-// Timeline asks the process with the given admin address for its events.
-func (c *Client) Timeline(ctx context.Context, admin, subject string, after time.Time, limit int) (es []rudderfork.Event, err error) {
+// Timeline reads the events of the process with the given admin address: at most
+// limit events about subject that are later than after.
+func (c *Client) Timeline(ctx context.Context, admin, subject string, after time.Time, limit int) (events []rudderfork.Event, err error) {
 	path := fmt.Sprintf("/timeline?subject=%s&after=%d&limit=%d", url.QueryEscape(subject), after.UnixMicro(), limit)
-	_, err = c.try(ctx, admin, request{method: http.MethodGet, path: path}, &es)
-	return es, err
+	_, err = c.try(ctx, admin, request{method: http.MethodGet, path: path}, &events)
+	return events, err
 }
 
-// ExplainRequest asks an entry why it did what it did with a request.
+// ExplainRequest returns the reasons for the decisions of an entry about a request.
 func (c *Client) ExplainRequest(ctx context.Context, admin, id string) (e control.Explanation, err error) {
 	_, err = c.try(ctx, admin, request{method: http.MethodGet, path: "/explain?subject=" + url.QueryEscape(id)}, &e)
 	return e, err
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -15,16 +15,17 @@
 	"rudderfork.example/rudderfork/operator"
 )
 
-// standInControl answers each read of a cell with its own value, if it leads.
-type standInControl struct {
+// fakeControl answers each read of a cell with its own value if it leads, and else
+// with a redirect.
+type fakeControl struct {
 	value int64
 	leads atomic.Bool
 	link  *faultlink.Proxy
 }
 
-func newStandIn(t *testing.T, value int64) *standInControl {
+func newFakeControl(t *testing.T, value int64) *fakeControl {
 	t.Helper()
-	c := &standInControl{value: value}
+	c := &fakeControl{value: value}
 	c.leads.Store(true)
 	srv := httptest.NewServer(c)
 	t.Cleanup(srv.Close)
@@ -36,7 +37,7 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (c *standInControl) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (c *fakeControl) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	if !c.leads.Load() {
 		w.WriteHeader(http.StatusTemporaryRedirect)
 		return
@@ -44,23 +45,23 @@
 	fmt.Fprintf(w, `{"value": %d}`, c.value)
 }
 
-func assertReads(t *testing.T, c *operator.Client, want int64) {
+func assertCellValue(t *testing.T, c *operator.Client, want int64) {
 	t.Helper()
 	cell, err := c.Cell(t.Context(), rudderfork.CellKey{Kind: rudderfork.RowTeam, Row: "r", Column: rudderfork.ColWeight})
 	assert.NilError(t, err)
 	assert.Equal(t, cell.Value, want)
 }
 
-// TestSilentControls silences the kept connections to two control processes. The
-// time-out at the first is the only one that is waited out.
-func TestSilentControls(t *testing.T) {
-	first, second := newStandIn(t, 1), newStandIn(t, 2)
+// When the idle connections to two control processes have become unresponsive, only
+// the first call times out; the other process is reached on a new connection.
+func TestUnresponsiveControlsCostOneTimeout(t *testing.T) {
+	first, second := newFakeControl(t, 1), newFakeControl(t, 2)
 	c := operator.New([]string{first.link.Addr(), second.link.Addr()})
 	first.leads.Store(false)
-	assertReads(t, c, 2)
+	assertCellValue(t, c, 2)
 	first.leads.Store(true)
-	for _, s := range []*standInControl{first, second} {
+	for _, s := range []*fakeControl{first, second} {
 		s.link.Silence(faultlink.Forth, faultlink.Back)
 	}
-	assertReads(t, c, 2)
+	assertCellValue(t, c, 2)
 }
--- a/operator/queues.go
+++ b/operator/queues.go
@@ -10,38 +10,39 @@
 	"rudderfork.example/rudderfork/scheduler"
 )
 
-// PutQueues replaces the document of queues; an older version changes nothing.
+// PutQueues replaces the document of queues. A document of an older version has no
+// effect.
 func (c *Client) PutQueues(ctx context.Context, d queue.Document) error {
 	return c.send(ctx, http.MethodPut, "/v1/queues", d)
 }
 
 // Queues lists the queues.
-func (c *Client) Queues(ctx context.Context) (qs []scheduler.QueueView, err error) {
-	return qs, c.do(ctx, request{method: http.MethodGet, path: "/v1/queues"}, &qs)
+func (c *Client) Queues(ctx context.Context) (queues []scheduler.QueueView, err error) {
+	return queues, c.do(ctx, request{method: http.MethodGet, path: "/v1/queues"}, &queues)
 }
 
-// QueueVMs lists the VMs that run the queues' tasks.
+// QueueVMs lists the VMs that run tasks of queues.
 func (c *Client) QueueVMs(ctx context.Context) (vms []scheduler.VMView, err error) {
 	return vms, c.do(ctx, request{method: http.MethodGet, path: "/v1/queue-vms"}, &vms)
 }
 
-// QueueJobs lists the queues' jobs that are not finished.
-func (c *Client) QueueJobs(ctx context.Context) (js []scheduler.JobView, err error) {
-	return js, c.do(ctx, request{method: http.MethodGet, path: "/v1/queue-jobs"}, &js)
+// QueueJobs lists the unfinished jobs of queues.
+func (c *Client) QueueJobs(ctx context.Context) (jobs []scheduler.JobView, err error) {
+	return jobs, c.do(ctx, request{method: http.MethodGet, path: "/v1/queue-jobs"}, &jobs)
 }
 
-// QueueJob returns a job with its tasks and its story.
+// QueueJob returns a job with its tasks and events.
 func (c *Client) QueueJob(ctx context.Context, id string) (j scheduler.JobView, err error) {
 	return j, c.do(ctx, request{method: http.MethodGet, path: "/v1/queue-jobs/" + url.PathEscape(id)}, &j)
 }
 
-// SubmitToQueue hands in a job of steps; again with the same path changes
-// nothing.
+// SubmitToQueue submits a job of steps. Submitting it again with the same path has no
+// effect.
 func (c *Client) SubmitToQueue(ctx context.Context, b scheduler.SubmitBody) error {
 	return c.send(ctx, http.MethodPost, "/v1/queue-jobs", b)
 }
 
-// CancelInQueue cancels a job.
+// CancelInQueue cancels a job of a queue.
 func (c *Client) CancelInQueue(ctx context.Context, b scheduler.JobPathBody) error {
 	return c.send(ctx, http.MethodPost, "/v1/queue-jobs/cancel", b)
 }
@@ -51,12 +52,13 @@
 	return list, c.do(ctx, request{method: http.MethodGet, path: "/v1/queue-suspects"}, &list)
 }
 
-// Evacuations returns the failure domains in which nothing more is started.
+// Evacuations returns the failure domains in which no task is started.
 func (c *Client) Evacuations(ctx context.Context) (list []scheduler.EvacuationView, err error) {
 	return list, c.do(ctx, request{method: http.MethodGet, path: evacuationsPath}, &list)
 }
 
-// Evacuate orders that nothing more is started in a failure domain, or takes that back.
+// Evacuate starts the evacuation of a failure domain, in which no task is started then,
+// or ends it.
 func (c *Client) Evacuate(ctx context.Context, domain string, end bool) error {
 	method := http.MethodPut
 	if end {
@@ -67,7 +69,7 @@
 
 const evacuationsPath = "/v1/queue-evacuations"
 
-// ClearSuspect takes back what a task, named as job.time.step.index, is suspected of.
+// ClearSuspect clears the suspicion against a task, named as job.time.step.index.
 func (c *Client) ClearSuspect(ctx context.Context, task string) error {
 	return c.send(ctx, http.MethodPost, "/v1/queue-clear", scheduler.TaskBody{Task: task})
 }
--- a/proof/input_test.go
+++ b/proof/input_test.go
@@ -47,7 +47,7 @@
 		for _, args := range [][]string{{"rudder-entry", "run", "-settings", bad}, {"rudder-entry", "check", "-settings", bad}, {"rudderctl", "check", "entry", bad}} {
 			code, out := runProgram(t, args[0], args[1:]...)
 			assert.Equal(t, code, 2, "%v", args)
-			checkLine(t, out, "bad.ini: [place] vm", "bad.ini: [place] domain: is missing", `[entry] listen: "here" is no address`, `[entry] beat: "-1s"`, "[entry] admin", "[entry] control")
+			checkLine(t, out, "bad.ini: [place] vm", "bad.ini: [place] domain: is missing", `[entry] listen: "here" is not an address`, `[entry] beat: "-1s"`, "[entry] admin", "[entry] control")
 		}
 	})
 	t.Run("unreachable control", func(t *testing.T) {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,9 +1,9 @@
-// Package settings reads INI files and reports every mistake at once.
+// Package settings reads INI files and reports all errors at once.
 //
-// A File is asked for each key that a process knows, with what is valid there.
-// It remembers mistakes instead of returning them one by one; Err then reports
-// all, each with file, section, key and what would be valid, and also every
-// section and key that nobody asked for.
+// A process requests each of its keys from a File, with the range of valid values.
+// The File collects errors instead of returning them one by one. Err then reports
+// all of them, each with file, section, key and the valid values, and also every
+// key in the file that was not requested.
 package settings
 
 import (
@@ -21,42 +21,41 @@
 	"rudderfork.example/rudderfork"
 )
 
-// File is a settings file being read.
+// File is a settings file that is being read.
 type File struct {
-	path     string
-	ini      *ini.File
-	known    map[string]bool // section NUL key
-	mistakes []error
+	path      string
+	ini       *ini.File
+	requested map[string]bool // by section NUL key
+	errs      []error
 }
 
-// Open reads path. A file that cannot be read or parsed is a mistake that Err
-// reports.
+// Open reads path. If the file cannot be read or parsed, Err reports it.
 func Open(path string) *File {
-	f := &File{path: path, known: map[string]bool{}}
+	f := &File{path: path, requested: map[string]bool{}}
 	var err error
 	f.ini, err = ini.LoadSources(ini.LoadOptions{AllowShadows: true, IgnoreInlineComment: true}, path)
 	if err != nil {
-		f.mistakes = append(f.mistakes, fmt.Errorf("%s: %w", filepath.Base(path), err))
+		f.errs = append(f.errs, fmt.Errorf("%s: %w", filepath.Base(path), err))
 		f.ini = ini.Empty()
 	}
 	return f
 }
 
-func (f *File) wrong(section, key, format string, args ...any) {
+func (f *File) addErrorf(section, key, format string, args ...any) {
 	where := fmt.Sprintf("%s: [%s] %s: ", filepath.Base(f.path), section, key)
-	f.mistakes = append(f.mistakes, fmt.Errorf(where+format, args...))
+	f.errs = append(f.errs, fmt.Errorf(where+format, args...))
 }
 
-// value returns the key's text; ok is false if it is missing or empty.
+// value returns the text of a key. ok is false if it is missing or empty.
 func (f *File) value(section, key string) (v string, ok bool) {
-	f.known[section+"\x00"+key] = true
+	f.requested[section+"\x00"+key] = true
 	s, err := f.ini.GetSection(section)
 	if err != nil || !s.HasKey(key) {
 		return "", false
 	}
 	k := s.Key(key)
 	if len(k.ValueWithShadows()) > 1 {
-		f.wrong(section, key, "is given %d times; want it once", len(k.ValueWithShadows()))
+		f.addErrorf(section, key, "is set %d times; want it once", len(k.ValueWithShadows()))
 	}
 	v = strings.TrimSpace(k.Value())
 	return v, v != ""
@@ -70,28 +69,27 @@
 	return def
 }
 
-// Text returns a text that must be there.
+// Text returns a required text. The error for a missing one says what is valid.
 func (f *File) Text(section, key, valid string) string {
 	v, ok := f.value(section, key)
 	if !ok {
-		f.wrong(section, key, "is missing; want %s", valid)
+		f.addErrorf(section, key, "is missing; want %s", valid)
 	}
 	return v
 }
 
-// Name returns a name that must be there.
+// Name returns a required name.
 func (f *File) Name(section, key string) string {
 	v := f.Text(section, key, "a name")
 	if v != "" {
 		if err := rudderfork.CheckName(v); err != nil {
-			f.wrong(section, key, "%v", err)
+			f.addErrorf(section, key, "%v", err)
 		}
 	}
 	return v
 }
 
-// Addr returns an address host:port that must be there. The host is an IP
-// number.
+// Addr returns a required address host:port. The host is an IP address.
 func (f *File) Addr(section, key string) string {
 	v := f.Text(section, key, "an address, as in 127.0.0.1:7100")
 	if v != "" {
@@ -109,27 +107,27 @@
 	return v
 }
 
-// Addrs returns a list of addresses, separated by commas, that must be there.
+// Addrs returns a required list of addresses separated by commas.
 func (f *File) Addrs(section, key string) []string {
 	v := f.Text(section, key, "addresses separated by commas")
-	var as []string
+	var addrs []string
 	for a := range strings.SplitSeq(v, ",") {
 		if a = strings.TrimSpace(a); a != "" {
 			f.checkAddr(section, key, a)
-			as = append(as, a)
+			addrs = append(addrs, a)
 		}
 	}
-	return as
+	return addrs
 }
 
 func (f *File) checkAddr(section, key, v string) {
 	host, port, err := net.SplitHostPort(v)
-	n, perr := strconv.Atoi(port)
+	n, portErr := strconv.Atoi(port)
 	switch {
 	case err != nil, net.ParseIP(host) == nil:
-		f.wrong(section, key, "%q is no address; want an IP number and a port, as in 127.0.0.1:7100", v)
-	case perr != nil || n < 0 || n > 65_535:
-		f.wrong(section, key, "%q has no valid port; want 0 to 65535", v)
+		f.addErrorf(section, key, "%q is not an address; want an IP address and a port, as in 127.0.0.1:7100", v)
+	case portErr != nil || n < 0 || n > 65_535:
+		f.addErrorf(section, key, "%q has no valid port; want 0 to 65535", v)
 	}
 }
 
@@ -141,13 +139,13 @@
 	}
 	n, err := strconv.ParseInt(v, 10, 64)
 	if err != nil || n < lo || n > hi {
-		f.wrong(section, key, "%q is not valid; want a whole number from %d to %d", v, lo, hi)
+		f.addErrorf(section, key, "%q is not valid; want a whole number from %d to %d", v, lo, hi)
 		return def
 	}
 	return n
 }
 
-// Duration returns a time span from lo to hi, or def if it is missing.
+// Duration returns a duration from lo to hi, or def if it is missing.
 func (f *File) Duration(section, key string, def, lo, hi time.Duration) time.Duration {
 	v, ok := f.value(section, key)
 	if !ok {
@@ -155,13 +153,13 @@
 	}
 	d, err := time.ParseDuration(v)
 	if err != nil || d < lo || d > hi {
-		f.wrong(section, key, "%q is not valid; want a time span from %v to %v, as in 500ms or 10s", v, lo, hi)
+		f.addErrorf(section, key, "%q is not valid; want a duration from %v to %v, as in 500ms or 10s", v, lo, hi)
 		return def
 	}
 	return d
 }
 
-// Pairs returns the pairs of a list such as "a=x, b=y", in their order.
+// Pairs returns the pairs of a required list such as "a=x, b=y", in their order.
 func (f *File) Pairs(section, key string) (pairs [][2]string) {
 	v := f.Text(section, key, "pairs name=value separated by commas")
 	for p := range strings.SplitSeq(v, ",") {
@@ -170,7 +168,7 @@
 			continue
 		}
 		if !ok {
-			f.wrong(section, key, "%q is no pair; want name=value", p)
+			f.addErrorf(section, key, "%q is not a pair; want name=value", p)
 			continue
 		}
 		pairs = append(pairs, [2]string{strings.TrimSpace(name), strings.TrimSpace(val)})
@@ -186,17 +184,17 @@
 			continue
 		}
 		if err := rudderfork.CheckName(n); err != nil {
-			f.wrong(section, key, "%v", err)
+			f.addErrorf(section, key, "%v", err)
 		}
 		names = append(names, n)
 	}
 	return names
 }
 
-// Wrong adds a mistake that only the caller can see.
-func (f *File) Wrong(section, key, text string) { f.wrong(section, key, "%s", text) }
+// AddError adds an error that the caller has found.
+func (f *File) AddError(section, key, text string) { f.addErrorf(section, key, "%s", text) }
 
-// Place reads the section [place], which every process has.
+// Place reads the section [place], which every settings file has.
 func (f *File) Place() rudderfork.Place {
 	return rudderfork.Place{
 		VM:     rudderfork.VMID(f.Name("place", "vm")),
@@ -206,24 +204,25 @@
 	}
 }
 
-// Err reports every mistake, or nil.
+// Err returns all errors, joined, or nil. It must be called after all keys were
+// requested.
 func (f *File) Err() error {
 	for _, s := range f.ini.Sections() {
 		for _, k := range s.Keys() {
-			if !f.known[s.Name()+"\x00"+k.Name()] {
-				f.wrong(s.Name(), k.Name(), "is unknown; want one of %s", f.keysOf(s.Name()))
+			if !f.requested[s.Name()+"\x00"+k.Name()] {
+				f.addErrorf(s.Name(), k.Name(), "is unknown; want one of %s", f.keysOf(s.Name()))
 			}
 		}
 	}
-	err := errors.Join(f.mistakes...)
-	f.mistakes = nil
+	err := errors.Join(f.errs...)
+	f.errs = nil
 	return err
 }
 
 func (f *File) keysOf(section string) string {
 	var keys []string
-	for sk := range f.known {
-		if s, k, _ := strings.Cut(sk, "\x00"); s == section {
+	for sectionKey := range f.requested {
+		if s, k, _ := strings.Cut(sectionKey, "\x00"); s == section {
 			keys = append(keys, k)
 		}
 	}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -17,7 +17,7 @@
 	return path
 }
 
-func TestAllMistakesAtOnce(t *testing.T) {
+func TestAllErrorsReported(t *testing.T) {
 	f := Open(write(t, `[a]
 addr = nowhere
 port = 127.0.0.1:99999
@@ -35,10 +35,10 @@
 	f.Name("a", "name")
 	f.Text("a", "gone", "a text")
 	want := []string{
-		`x.ini: [a] addr: "nowhere" is no address; want an IP number and a port, as in 127.0.0.1:7100`,
+		`x.ini: [a] addr: "nowhere" is not an address; want an IP address and a port, as in 127.0.0.1:7100`,
 		`x.ini: [a] port: "127.0.0.1:99999" has no valid port; want 0 to 65535`,
 		`x.ini: [a] n: "12" is not valid; want a whole number from 1 to 10`,
-		`x.ini: [a] d: "soon" is not valid; want a time span from 1ms to 1h0m0s, as in 500ms or 10s`,
+		`x.ini: [a] d: "soon" is not valid; want a duration from 1ms to 1h0m0s, as in 500ms or 10s`,
 		`x.ini: [a] name: name "b@d": character '@' is not allowed; want letters, digits, '-', '_' or '.'`,
 		`x.ini: [a] gone: is missing; want a text`,
 		`x.ini: [a] tpyo: is unknown; want one of addr, d, gone, n, name, port`,
@@ -47,7 +47,7 @@
 	assert.Equal(t, f.Err().Error(), strings.Join(want, "\n"))
 }
 
-func TestGood(t *testing.T) {
+func TestValidFile(t *testing.T) {
 	f := Open(write(t, "[a]\nlist = x=1.2.3.4:5, y=1.2.3.4:6\nnames = p, q\n"))
 	assert.DeepEqual(t, f.Pairs("a", "list"), [][2]string{{"x", "1.2.3.4:5"}, {"y", "1.2.3.4:6"}})
 	assert.DeepEqual(t, f.Names("a", "names"), []string{"p", "q"})
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -1,12 +1,12 @@
-// Package worker is the client of the platform's worker: HTTP with JSON, as
-// docs/API.md gives it.
+// Package worker is a client of the platform's worker. The worker's API is JSON over
+// HTTP; docs/API.md describes it.
 //
-//	GET  /tasks     the worker's boot and all attempts it remembers
-//	POST /start     start an attempt; repeated with the same token, no change
-//	POST /renew     run until the deadline, then stop every task
-//	POST /stop      checkpoint and stop an attempt, and refuse it from now on
-//	POST /throttle  slow an attempt: 0 for full speed to 3 for a standstill
-//	POST /forget    drop the record of an attempt that has ended
+//	GET  /tasks     the worker's boot id and all attempts that it has a record of
+//	POST /start     start an attempt; a repetition with the same token has no effect
+//	POST /renew     set the deadline at which all attempts are stopped
+//	POST /stop      checkpoint and stop an attempt, and refuse its start from now on
+//	POST /throttle  throttle an attempt, from 0 (full speed) to 3 (standstill)
+//	POST /forget    delete the record of an attempt that has ended
 package worker
 
 import (
@@ -27,10 +27,11 @@
 // callTimeout bounds one call to the worker, which is on the same VM.
 const callTimeout = 2 * time.Second
 
-// maxAnswer bounds an answer of the worker, in bytes.
-const maxAnswer = 16 << 20
+// maxAnswerBytes bounds the part of an answer that is read.
+const maxAnswerBytes = 16 << 20
 
-// Task is an attempt as the worker reports it.
+// Task is an attempt as the worker reports it. Checkpoint and Progress are in units
+// of work; At is the time at which Used was measured, in Unix milliseconds.
 type Task struct {
 	Task       rudderfork.TaskID    `json:"task"`
 	Token      rudderfork.Token     `json:"token"`
@@ -50,7 +51,7 @@
 	Tasks []Task `json:"tasks"`
 }
 
-// Start is the body of POST /start. Times are Unix milliseconds.
+// Start is the body of POST /start. Deadline is in Unix milliseconds.
 type Start struct {
 	Task       rudderfork.TaskID    `json:"task"`
 	Token      rudderfork.Token     `json:"token"`
@@ -61,7 +62,8 @@
 	Deadline   int64                `json:"deadline"`
 }
 
-// Change is the body of the other calls.
+// Change is the body of the other POST requests; each uses some of the fields.
+// Deadline is in Unix milliseconds.
 type Change struct {
 	Task       rudderfork.TaskID `json:"task,omitempty"`
 	Token      rudderfork.Token  `json:"token,omitempty"`
@@ -81,20 +83,20 @@
 	return &Client{url: "http://" + addr, hc: &http.Client{Timeout: callTimeout}}
 }
 
-// List asks for the worker's attempts.
-func (c *Client) List(ctx context.Context) (boot string, ts []lease.WorkerTask, err error) {
+// List returns the worker's boot id and its attempts.
+func (c *Client) List(ctx context.Context) (boot string, tasks []lease.WorkerTask, err error) {
 	defer errs.Annotate(&err, "list tasks")
-	var l List
-	if err := c.call(ctx, http.MethodGet, "/tasks", nil, &l); err != nil {
+	var list List
+	if err := c.call(ctx, http.MethodGet, "/tasks", nil, &list); err != nil {
 		return "", nil, err
 	}
-	for _, t := range l.Tasks {
-		ts = append(ts, lease.WorkerTask(t))
+	for _, t := range list.Tasks {
+		tasks = append(tasks, lease.WorkerTask(t))
 	}
-	return l.Boot, ts, nil
+	return list.Boot, tasks, nil
 }
 
-// Start starts an attempt that runs until the deadline at most.
+// Start starts an attempt, which the worker stops at the deadline.
 func (c *Client) Start(ctx context.Context, l rudderfork.Lease, deadline time.Time) (err error) {
 	defer errs.Annotate(&err, "start %s", l.Task)
 	return c.call(ctx, http.MethodPost, "/start", Start{
@@ -103,25 +105,25 @@
 	}, nil)
 }
 
-// Renew moves the deadline of all attempts.
+// Renew sets a new deadline for all attempts.
 func (c *Client) Renew(ctx context.Context, deadline time.Time) (err error) {
 	defer errs.Annotate(&err, "renew")
 	return c.call(ctx, http.MethodPost, "/renew", Change{Deadline: rudderfork.Millis(deadline)}, nil)
 }
 
-// Stop ends an attempt.
+// Stop stops an attempt and makes the worker refuse a later start of it.
 func (c *Client) Stop(ctx context.Context, s lease.StopTask) (err error) {
 	defer errs.Annotate(&err, "stop %s", s.Task)
 	return c.call(ctx, http.MethodPost, "/stop", Change{Task: s.Task, Token: s.Token, Checkpoint: s.Checkpoint}, nil)
 }
 
-// Throttle slows an attempt.
+// Throttle sets the throttle level of an attempt.
 func (c *Client) Throttle(ctx context.Context, s lease.SetThrottle) (err error) {
 	defer errs.Annotate(&err, "throttle %s", s.Task)
 	return c.call(ctx, http.MethodPost, "/throttle", Change{Task: s.Task, Token: s.Token, Level: s.Level}, nil)
 }
 
-// Forget drops an attempt that has ended.
+// Forget deletes the worker's record of an attempt that has ended.
 func (c *Client) Forget(ctx context.Context, r lease.AttemptRef) (err error) {
 	defer errs.Annotate(&err, "forget %s", r.Task)
 	return c.call(ctx, http.MethodPost, "/forget", Change{Task: r.Task, Token: r.Token}, nil)
@@ -145,7 +147,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return err
 	}
