--- a/agent/front.go
+++ b/agent/front.go
@@ -33,7 +33,7 @@
 	stopping string // the reason; "" if the agent isn't stopping
 	draining bool
 	claims   *claim.Store
-	requests int
+	requests int // in progress
 }
 
 func newFront(cfg Settings, boot string, t *node.Table, log zerolog.Logger, rec rudderfork.Recorder) *front {
--- a/agent/service.go
+++ b/agent/service.go
@@ -22,7 +22,8 @@
 	// expireInterval is the time between two checks of the deadlines of queued
 	// requests.
 	expireInterval = 5 * time.Millisecond
-	// maxIdleConns bounds the idle connections kept to the upstream.
+	// maxIdleConns bounds the idle connections kept to the upstream: one for each
+	// slot, of which a service has at most 64.
 	maxIdleConns = 64
 	// maxSamples bounds the latencies kept for one heartbeat or pressure window.
 	maxSamples = 512
@@ -48,11 +49,11 @@
 
 	samples        []time.Duration // since the last heartbeat
 	refused        int
-	busySum        float64
+	busySum        float64 // sum of the slots in use, one sample per request
 	busySamples    int
 	window         []time.Duration // in the current pressure window
 	windowStart    time.Time
-	windowPressure float64
+	windowPressure float64 // of the last complete window
 }
 
 func newService(u UpstreamAddr, t *node.Table) *service {
--- a/control/client.go
+++ b/control/client.go
@@ -9,10 +9,10 @@
 	"rudderfork.example/rudderfork/replica"
 )
 
-// askTimeout bounds a status request to another control process.
+// statusTimeout bounds a status request to another control process.
 const statusTimeout = time.Second
 
-// askStatus reads the replication status of the control process at addr.
+// fetchStatus reads the replication status of the control process at addr.
 func fetchStatus(ctx context.Context, addr string) (st replica.Status, err error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
--- a/control/control.go
+++ b/control/control.go
@@ -36,7 +36,7 @@
 // timelineSize is the number of events that the timeline retains.
 const timelineSize = 8192
 
-// keepStatus is how long the status of a finished queue job can be read, so
+// queueStatusRetention is how long the status of a finished queue job can be read, so
 // that an operator can still look it up afterwards.
 const queueStatusRetention = 10 * time.Minute
 
--- a/control/hub.go
+++ b/control/hub.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	// pushPause is how long changes are collected before they are pushed.
+	// pushDelay is how long changes are collected before they are pushed.
 	pushDelay = 5 * time.Millisecond
 	// helloTimeout bounds the wait for the hello of a new session, and for the
 	// barrier that follows.
 	helloTimeout = 5 * time.Second
 	// silenceLimit ends a session in which nothing was received for that long.
 	silenceLimit = 15 * time.Second
-	// showLost is how long the upstreams of a VM stay listed after its
+	// lostUpstreamRetention is how long the upstreams of a VM stay listed after its
 	// lease has expired. The service may still be up, and entries probe it.
 	lostUpstreamRetention = 10 * time.Minute
 )
@@ -45,17 +45,17 @@
 	mu            sync.Mutex
 	term          uint64 // in which sessions are accepted
 	lessor        *lease.Lessor
-	expiring      map[rudderfork.VMID]bool
+	expiring      map[rudderfork.VMID]bool // granted no lease until they register again
 	sessions      map[*session]bool
 	nodes         map[string]Node // by process
 	connections   uint64          // number of the newest connection
 	registrations map[rudderfork.VMID]*agentRegistration
 }
 
-// agentTurn is the newest registration of a VM's agent.
+// agentRegistration is the newest registration of a VM's agent.
 type agentRegistration struct {
 	connNumber uint64 // of the newest connection that registered the VM
-	inProgress bool
+	inProgress bool   // its commit has not ended
 }
 
 // Node is an entry or agent, as operators see it.
@@ -95,7 +95,7 @@
 	clear(h.registrations)
 }
 
-// closeAll closes all sessions.
+// closeSessions closes all sessions.
 func (h *hub) closeSessions() {
 	h.mu.Lock()
 	open := slices.Collect(maps.Keys(h.sessions))
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -238,7 +238,7 @@
 func (c *Client) Addrs() []string { return c.addrs }
 
 // Timeline reads the events of the process with the given admin address: at most
-// limit events about subject that are later than after.
+// limit events that are later than after and whose subject contains subject.
 func (c *Client) Timeline(ctx context.Context, admin, subject string, after time.Time, limit int) (events []rudderfork.Event, err error) {
 	path := fmt.Sprintf("/timeline?subject=%s&after=%d&limit=%d", url.QueryEscape(subject), after.UnixMicro(), limit)
 	_, err = c.try(ctx, admin, request{method: http.MethodGet, path: path}, &events)
