--- a/bench/dark.go
+++ b/bench/dark.go
@@ -122,7 +122,7 @@
 			return d.status(ctx, http.MethodPost, d.FrontAddr(0), "/rosters/feed", feed) == http.StatusOK
 		}},
 		{"its task is at work", d.atWork},
-		{"the group is whole", d.Whole},
+		{"the group is whole", d.HasAllVoters},
 		{"a control process leads", func() bool { return d.Leader(ctx) >= 0 }},
 	} {
 		if err := d.until(ctx, x.what, x.ok); err != nil {
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -184,7 +184,7 @@
 func (s *site) loseDisks(list []int, others []program) (back func()) {
 	s.disks.Lock()
 	defer s.disks.Unlock()
-	whole := s.Whole()
+	whole := s.HasAllVoters()
 	back = s.kill(append(s.corePrograms(list), others...))
 	for _, i := range list {
 		if whole {
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -113,7 +113,7 @@
 		}); err != nil {
 			return err
 		}
-		s.Runners[i].Mute()
+		s.Runners[i].HangFailedCalls()
 		s.watch.up(i, true)
 	}
 	return nil
@@ -169,7 +169,7 @@
 		return
 	}
 	m.up = true
-	s.Runners[m.index].Mute()
+	s.Runners[m.index].HangFailedCalls()
 	s.watch.up(m.index, true)
 }
 
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -171,7 +171,7 @@
 			}
 		}
 	}
-	return s.Whole()
+	return s.HasAllVoters()
 }
 
 func until(t *testing.T, what string, ok func(ctx context.Context) bool) {
