--- a/quorum/election.go
+++ b/quorum/election.go
@@ -85,7 +85,7 @@
 	return n.transferee != "" && now.Before(n.transferDeadline)
 }
 
-func (n *Node) onTransfer(m Message, now time.Time) {
+func (n *Node) onTimeoutNow(m Message, now time.Time) {
 	if n.role == Follower && n.leader == m.From && n.isVoter() {
 		n.transferCampaign = true
 		n.campaign(Candidate, now)
--- a/quorum/leader.go
+++ b/quorum/leader.go
@@ -111,7 +111,7 @@
 	if len(es) == 0 && !force {
 		return
 	}
-	n.out.EarlyMessages = append(n.out.EarlyMessages, Message{
+	n.pending.EarlyMessages = append(n.pending.EarlyMessages, Message{
 		Type: MsgAppend, From: n.cfg.ID, To: id, Term: n.hard.Term,
 		LogIndex: p.next - 1, LogTerm: prevTerm, Commit: n.commit, Entries: es, SentNS: now.UnixNano(),
 	})
@@ -125,7 +125,7 @@
 	}
 	p.nextSnapshotAt = now.Add(n.cfg.ElectionTimeout)
 	s := n.log.snap
-	n.out.EarlyMessages = append(n.out.EarlyMessages, Message{
+	n.pending.EarlyMessages = append(n.pending.EarlyMessages, Message{
 		Type: MsgSnapshot, From: n.cfg.ID, To: id, Term: n.hard.Term, Snapshot: &s, Commit: n.commit, SentNS: now.UnixNano(),
 	})
 }
@@ -204,7 +204,7 @@
 	if s.Index > n.commit {
 		n.log.reset(*s)
 		n.commit, n.applied, n.stable = s.Index, s.Index, s.Index
-		n.out.Snapshot = s
+		n.pending.Snapshot = s
 	}
 	reply.Match = n.commit
 	n.send(reply)
@@ -285,11 +285,12 @@
 		return
 	}
 	n.commit = idx
-	n.afterCommit(now)
+	n.stepDownIfRemoved(now)
 }
 
-// afterCommit makes a leader step down that is no longer a member.
-func (n *Node) afterCommit(now time.Time) {
+// stepDownIfRemoved makes a leader step down once its removal from the members is
+// committed.
+func (n *Node) stepDownIfRemoved(now time.Time) {
 	if _, ok := n.Member(n.cfg.ID); !ok && n.commit >= n.log.configs[len(n.log.configs)-1].index {
 		n.becomeFollower(n.hard.Term, "", now)
 	}
--- a/quorum/losses_test.go
+++ b/quorum/losses_test.go
@@ -237,11 +237,11 @@
 			}
 			g.commit("acked")
 			g.maintainAll(200)
-			gone := g.order[n%wantedVoters]
-			g.crash(gone)
-			g.replicas[gone].frozen = true
+			silent := g.order[n%wantedVoters]
+			g.crash(silent)
+			g.replicas[silent].frozen = true
 			g.maintainAll(20 + 2*n)
-			g.replicas[gone].frozen = false // its disk is kept
+			g.replicas[silent].frozen = false // its disk is kept
 			g.assertPowerLossSurvived(n, true)
 		}
 	})
@@ -461,16 +461,16 @@
 		g.assertHealthy()
 	})
 	t.Run("a standby that is down for long is removed", func(t *testing.T) {
-		var gone MemberID
+		var standby MemberID
 		for _, m := range g.waitLeader().node.Members() {
 			if !m.Voter {
-				gone = m.ID
+				standby = m.ID
 			}
 		}
-		g.crash(gone)
-		g.replicas[gone].frozen = true
+		g.crash(standby)
+		g.replicas[standby].frozen = true
 		g.maintainAll(1_500)
-		_, ok := g.waitLeader().node.Member(gone)
+		_, ok := g.waitLeader().node.Member(standby)
 		assert.Assert(t, !ok)
 	})
 }
--- a/quorum/members.go
+++ b/quorum/members.go
@@ -118,18 +118,18 @@
 func (n *Node) Repair(size int, now time.Time) (next []Member, why Reason, ok bool) {
 	voters := n.Voters()
 	standby := n.standby(now)
-	lost := n.supersededVoter()
-	odd, spare := voters%2 == 1, size > 0 && voters > size
+	superseded := n.supersededVoter()
+	odd, surplus := voters%2 == 1, size > 0 && voters > size
 	switch {
-	case lost >= 0 && (odd || spare):
-		next, ok = n.withoutMember(lost, now)
+	case superseded >= 0 && (odd || surplus):
+		next, ok = n.withoutMember(superseded, now)
 		return next, ReasonSuperseded, ok
-	case standby >= 0 && (size == 0 || voters < size || lost >= 0):
+	case standby >= 0 && (size == 0 || voters < size || superseded >= 0):
 		return n.withVoter(standby), ReasonPromoted, true
 	}
 	if silent := n.silentMember(true, silentTimeouts, now); silent >= 0 {
 		switch {
-		case spare:
+		case surplus:
 			next, ok = n.withoutMember(silent, now)
 			return next, ReasonVoterSilent, ok
 		case size > 0 && odd && standby >= 0:
@@ -137,8 +137,8 @@
 			return next, ReasonPromoted, ok
 		}
 	}
-	if gone := n.silentMember(false, removeTimeouts, now); gone >= 0 {
-		next, ok = n.withoutMember(gone, now)
+	if nonVoter := n.silentMember(false, removeTimeouts, now); nonVoter >= 0 {
+		next, ok = n.withoutMember(nonVoter, now)
 		return next, ReasonNonVoterSilent, ok
 	}
 	if size > 0 {
--- a/quorum/node.go
+++ b/quorum/node.go
@@ -41,11 +41,11 @@
 
 	// Leader only.
 	peers         map[MemberID]*progress
-	heartbeatAt   time.Time // next appends to all; ConfirmLeadership moves it back
+	heartbeatAt   time.Time // next appends to all; ConfirmLeadership postpones it
 	quorumCheckAt time.Time // next check that a quorum answers
 	termStart     uint64    // index of the first entry of the leader's own term
 
-	out       Ready
+	pending   Ready
 	hardDirty bool
 
 	transferCampaign bool // the leader requested the campaign
@@ -211,7 +211,7 @@
 	case MsgPreVoteReply, MsgVoteReply:
 		n.onVoteReply(m, now)
 	case MsgTimeoutNow:
-		n.onTransfer(m, now)
+		n.onTimeoutNow(m, now)
 	}
 }
 
@@ -278,13 +278,13 @@
 	if m.Term == 0 {
 		m.Term = n.hard.Term
 	}
-	n.out.Messages = append(n.out.Messages, m)
+	n.pending.Messages = append(n.pending.Messages, m)
 }
 
 // Ready returns the pending work and clears it.
 func (n *Node) Ready() Ready {
-	rd := n.out
-	n.out = Ready{}
+	rd := n.pending
+	n.pending = Ready{}
 	if n.hardDirty {
 		hs := n.hard
 		rd.HardState = &hs
@@ -305,7 +305,7 @@
 	if n.hardDirty {
 		return nil
 	}
-	ms, n.out.EarlyMessages = n.out.EarlyMessages, nil
+	ms, n.pending.EarlyMessages = n.pending.EarlyMessages, nil
 	return ms
 }
 
--- a/quorum/overlap_test.go
+++ b/quorum/overlap_test.go
@@ -109,13 +109,13 @@
 // silent too, 2f voters are left, and f lost disks then end the group permanently,
 // although the silent voter kept its disk.
 func TestOverlappingLosses(t *testing.T) {
-	const schedules, strikes, recovery = 100, 12, 1500
+	const schedules, injections, recovery = 100, 12, 1500
 	for _, hosts := range []int{5, 6, 7, 9} {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
 			for seed := range uint64(schedules) {
 				rng := rand.New(rand.NewPCG(seed, uint64(hosts)))
 				s := newHostGroup(t, hosts, 9000+seed)
-				for range strikes {
+				for range injections {
 					if s.healthy() {
 						clear(s.wiped)
 					}
--- a/quorum/spread_test.go
+++ b/quorum/spread_test.go
@@ -93,13 +93,13 @@
 // TestOverlappingLossesSpread is TestOverlappingLosses with known failure domains:
 // spreading the voters must not reduce the losses that the group tolerates.
 func TestOverlappingLossesSpread(t *testing.T) {
-	const schedules, strikes, recovery = 12, 12, 1500
+	const schedules, injections, recovery = 12, 12, 1500
 	for _, hosts := range []int{6, 7, 9} {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
 			for seed := range uint64(schedules) {
 				rng := rand.New(rand.NewPCG(seed, uint64(hosts)))
 				s, d := newHostGroup(t, hosts, 9000+seed), domains(2+rng.IntN(4))
-				for range strikes {
+				for range injections {
 					if s.healthy() {
 						clear(s.wiped)
 					}
--- a/quorum/view_test.go
+++ b/quorum/view_test.go
@@ -18,13 +18,13 @@
 // assertMessagesSince checks that n had messages after at from just the given members.
 func assertMessagesSince(t *testing.T, n *Node, at time.Time, want ...MemberID) {
 	t.Helper()
-	heard := map[MemberID]bool{}
+	wanted := map[MemberID]bool{}
 	for _, id := range want {
-		heard[id] = true
+		wanted[id] = true
 	}
 	for _, m := range n.Members() {
 		if m.ID != n.ID() {
-			assert.Equal(t, n.LastMessageAt(m.ID).After(at), heard[m.ID], "last message of %s at %v", m.ID, n.LastMessageAt(m.ID))
+			assert.Equal(t, n.LastMessageAt(m.ID).After(at), wanted[m.ID], "last message of %s at %v", m.ID, n.LastMessageAt(m.ID))
 		}
 	}
 }
--- a/session/session.go
+++ b/session/session.go
@@ -24,7 +24,7 @@
 	// pingInterval is the time between pings, whose answers keep an idle session open.
 	pingInterval = 400 * time.Millisecond
 	// receiveTimeout is the time without a message after which a session ends, three
-	// ping intervals. So long a client takes to leave a leader that was partitioned.
+	// ping intervals. A client takes that long to leave a partitioned leader.
 	receiveTimeout = 1_200 * time.Millisecond
 	// openTimeout bounds dialling and the handshake together.
 	openTimeout = 600 * time.Millisecond
@@ -46,9 +46,9 @@
 // Handler receives the events and messages of a session. Calls come from one
 // goroutine, except that Closed may be called while the process ends.
 type Handler interface {
-	Opened(w wire.QueueWelcome)
-	Handle(m wire.ToQueueNode)
-	Closed()
+	Opened(w wire.QueueWelcome) // a session with the leader has started
+	Handle(m wire.ToQueueNode)  // a message other than a pong or redirect
+	Closed()                    // the session has ended
 }
 
 // Client maintains the session. It is safe for concurrent use.
