--- a/node/client.go
+++ b/node/client.go
@@ -13,57 +13,59 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// ErrNoControl means that no leader of control is connected; nothing was asked.
+// ErrNoControl means that no leader of the control processes is connected; the request was not
+// sent.
 var ErrNoControl = errors.New("control cannot be reached")
 
-// errStale means that the session said hello before Reconnect was called.
-var errStale = errors.New("the hello is out of date")
+// errStaleHello means that the session sent its hello before Reconnect was called.
+var errStaleHello = errors.New("the hello of the session is out of date")
 
-// ErrOutcomeUnknown means that the answer of control did not come; what was asked may
-// have been done.
+// ErrOutcomeUnknown means that no answer came; the request may have been carried out.
 var ErrOutcomeUnknown = errors.New("control did not answer")
 
 const (
-	// redialPause is the rest after a failed attempt, for each address.
-	redialPause = 50 * time.Millisecond
-	// silenceBeats is how many beats without an answer end a session.
-	silenceBeats = 3
-	// outQueue bounds the messages that wait for control.
+	// redialInterval is the pause after each session or failed attempt to connect.
+	redialInterval = 50 * time.Millisecond
+	// maxSilentHeartbeats is how many heartbeat intervals without a message end a session.
+	maxSilentHeartbeats = 3
+	// outQueue bounds the messages queued for the control process.
 	outQueue = 1024
 )
 
-// Handler takes what control pushes. Calls come from one goroutine.
+// Handler handles what the control process sends. Hello, Handle and the Heartbeat after an update
+// are called by the goroutine of the session, the periodic Heartbeat by another.
 type Handler interface {
 	// Hello describes this process at the start of a session.
 	Hello() wire.Hello
-	// Heartbeat describes its state, once a beat.
+	// Heartbeat returns the state of this process, for each heartbeat.
 	Heartbeat() wire.Heartbeat
-	// Handle takes a message that is neither an update nor a result.
+	// Handle handles a message: a welcome, an applied update, or one without a case of its own
+	// here.
 	Handle(m wire.ToNode)
 }
 
-// Client keeps a session with the leader of control. It is safe for concurrent
+// Client maintains a session with the leader of the control processes. It is safe for concurrent
 // use.
 type Client struct {
-	addrs []string
-	every time.Duration
-	table *Table
-	h     Handler
-	log   zerolog.Logger
+	addrs             []string
+	heartbeatInterval time.Duration
+	table             *Table
+	h                 Handler
+	log               zerolog.Logger
 
 	out   wire.Outbox[wire.ToControl]
 	calls *wire.Calls[wire.CommandResult]
 
-	mu     sync.Mutex
-	next   int
-	kick   context.CancelFunc
-	hellos uint64 // rises with each call of Reconnect
+	mu              sync.Mutex
+	next            int
+	endSession      context.CancelFunc
+	helloGeneration uint64 // rises with each call of Reconnect
 }
 
-// NewClient returns a client of the control processes at addrs, which beats at
-// the given interval.
-func NewClient(addrs []string, every time.Duration, t *Table, h Handler, log zerolog.Logger) *Client {
-	return &Client{addrs: addrs, every: every, table: t, h: h, log: log, calls: wire.NewCalls[wire.CommandResult]()}
+// NewClient returns a client of the control processes at addrs, which sends heartbeats at the given
+// interval.
+func NewClient(addrs []string, interval time.Duration, t *Table, h Handler, log zerolog.Logger) *Client {
+	return &Client{addrs: addrs, heartbeatInterval: interval, table: t, h: h, log: log, calls: wire.NewCalls[wire.CommandResult]()}
 }
 
 // String names the service in the supervisor's log.
@@ -73,29 +75,29 @@
 func (c *Client) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		addr := c.addrs[c.next%len(c.addrs)]
-		err := c.session(ctx, addr)
+		err := c.runSession(ctx, addr)
 		c.log.Debug().Str("addr", addr).AnErr("error", err).Msg("control_session_ended")
 		c.next++
-		steady.Pause(ctx, redialPause)
+		steady.Pause(ctx, redialInterval)
 	}
 	return ctx.Err()
 }
 
-// Reconnect ends the session, so that the next one says hello anew. A session
-// that is being set up, and may have said hello already, ends too.
+// Reconnect ends the session, so that the next one sends a new hello. A session that is being set
+// up, and may have sent its hello already, ends too.
 func (c *Client) Reconnect() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.hellos++
-	if c.kick != nil {
-		c.kick()
+	c.helloGeneration++
+	if c.endSession != nil {
+		c.endSession()
 	}
 }
 
 // Connected reports whether a leader is connected.
 func (c *Client) Connected() bool { return c.out.Connected() }
 
-func (c *Client) session(ctx context.Context, addr string) error {
+func (c *Client) runSession(ctx context.Context, addr string) error {
 	conn, err := wire.Dial[wire.ToControl, wire.ToNode](ctx, "ws://"+addr+"/node", wire.NodeSession)
 	if err != nil {
 		return err
@@ -104,7 +106,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	c.mu.Lock()
-	hellos := c.hellos
+	generation := c.helloGeneration
 	c.mu.Unlock()
 	hello := c.h.Hello()
 	hello.Version = wire.Version
@@ -119,12 +121,12 @@
 		c.write(ctx, conn, out)
 	}()
 	defer c.close()
-	return c.read(ctx, conn, link{out, cancel, hellos})
+	return c.read(ctx, conn, pendingSession{out, cancel, generation})
 }
 
-func (c *Client) read(ctx context.Context, conn *wire.Conn[wire.ToControl, wire.ToNode], l link) error {
+func (c *Client) read(ctx context.Context, conn *wire.Conn[wire.ToControl, wire.ToNode], s pendingSession) error {
 	for {
-		m, err := conn.ReceiveWithin(ctx, silenceBeats*c.every)
+		m, err := conn.ReceiveWithin(ctx, maxSilentHeartbeats*c.heartbeatInterval)
 		if err != nil {
 			return err
 		}
@@ -133,15 +135,15 @@
 			c.prefer(m.Redirect.Addr)
 			return ErrNoControl
 		case m.Welcome != nil:
-			if !c.open(l) {
-				return errStale
+			if !c.open(s) {
+				return errStaleHello
 			}
 			c.h.Handle(m)
 		case m.Update != nil:
 			if c.table.Apply(*m.Update) {
 				c.log.Info().Uint64("revision", uint64(m.Update.To)).Int("cells", len(m.Update.Cells)).Msg("table_in_force")
 				c.h.Handle(m)
-				c.beat(l.out) // confirm at once
+				c.sendHeartbeat(s.out) // confirm the revision at once
 			}
 		case m.Result != nil:
 			c.calls.Answer(m.Result.ID, *m.Result)
@@ -151,7 +153,7 @@
 	}
 }
 
-// prefer tries the leader's address next, if it is one of the settings.
+// prefer makes the next session go to the leader's address, if it is a configured one.
 func (c *Client) prefer(addr string) {
 	for i, a := range c.addrs {
 		if a == addr {
@@ -161,7 +163,7 @@
 }
 
 func (c *Client) write(ctx context.Context, conn *wire.Conn[wire.ToControl, wire.ToNode], out chan wire.ToControl) {
-	tick := time.NewTicker(c.every)
+	tick := time.NewTicker(c.heartbeatInterval)
 	defer tick.Stop()
 	for {
 		var m wire.ToControl
@@ -170,7 +172,7 @@
 			return
 		case m = <-out:
 		case <-tick.C:
-			m = c.beatMessage()
+			m = c.heartbeatMessage()
 		}
 		if conn.Send(ctx, m) != nil {
 			return
@@ -178,65 +180,65 @@
 	}
 }
 
-func (c *Client) beatMessage() wire.ToControl {
+func (c *Client) heartbeatMessage() wire.ToControl {
 	b := c.h.Heartbeat()
 	b.TableRevision = c.table.Revision()
 	return wire.ToControl{Heartbeat: &b}
 }
 
-func (c *Client) beat(out chan wire.ToControl) {
+func (c *Client) sendHeartbeat(out chan wire.ToControl) {
 	select {
-	case out <- c.beatMessage():
+	case out <- c.heartbeatMessage():
 	default:
 	}
 }
 
-// link is a session being set up.
-type link struct {
-	out    chan wire.ToControl
-	kick   context.CancelFunc
-	hellos uint64 // when hello was said
+// pendingSession is a session that is being set up.
+type pendingSession struct {
+	out             chan wire.ToControl
+	end             context.CancelFunc
+	helloGeneration uint64 // when the hello was made
 }
 
-// open makes the session the one in use, unless its hello is out of date.
-func (c *Client) open(l link) bool {
+// open makes the session the current one, unless its hello is out of date.
+func (c *Client) open(s pendingSession) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if l.hellos != c.hellos {
+	if s.helloGeneration != c.helloGeneration {
 		return false
 	}
-	c.out.Open(l.out)
-	c.kick = l.kick
+	c.out.Open(s.out)
+	c.endSession = s.end
 	return true
 }
 
-// close ends the session; what was asked in it gets no answer.
+// close ends the session. Its open calls end without an answer.
 func (c *Client) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.kick = nil
+	c.endSession = nil
 	c.out.Close()
 	c.calls.End()
 }
 
-// Send queues a message; false means that it was surely not sent.
+// Send queues a message. If it returns false, the message was certainly not sent.
 func (c *Client) Send(m wire.ToControl) bool { return c.out.Send(m) }
 
-// Claim asks for a claim.
+// Claim requests a claim.
 func (c *Client) Claim(ctx context.Context, a state.Acquire) (state.Result, error) {
-	return c.ask(ctx, func(id uint64) wire.ToControl {
+	return c.call(ctx, func(id uint64) wire.ToControl {
 		return wire.ToControl{Claim: &wire.ClaimRequest{ID: id, Claim: a}}
 	})
 }
 
-// Settle records how a claimed request ended.
+// Settle records the answer to a claimed request, or releases its claim.
 func (c *Client) Settle(ctx context.Context, s state.Settle) (state.Result, error) {
-	return c.ask(ctx, func(id uint64) wire.ToControl {
+	return c.call(ctx, func(id uint64) wire.ToControl {
 		return wire.ToControl{Settle: &wire.SettleRequest{ID: id, Settle: s}}
 	})
 }
 
-func (c *Client) ask(ctx context.Context, build func(id uint64) wire.ToControl) (res state.Result, err error) {
+func (c *Client) call(ctx context.Context, build func(id uint64) wire.ToControl) (res state.Result, err error) {
 	id, answer := c.calls.Open()
 	defer c.calls.Forget(id)
 	if !c.Send(build(id)) {
--- a/node/client_test.go
+++ b/node/client_test.go
@@ -17,15 +17,15 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// process is a node that registers once its worker was seen.
+// process is a node whose hello contains a registration once its worker was seen.
 type process struct {
-	seen    atomic.Bool
-	onHello func()
+	workerSeen atomic.Bool
+	onHello    func()
 }
 
 func (p *process) Hello() wire.Hello {
 	h := wire.Hello{Kind: wire.KindAgent, Process: "a1"}
-	if p.seen.Load() {
+	if p.workerSeen.Load() {
 		h.Register = &state.Register{}
 	}
 	if p.onHello != nil {
@@ -35,11 +35,10 @@
 }
 
 func (p *process) Heartbeat() wire.Heartbeat { return wire.Heartbeat{} }
-func (p *process) Handle(wire.ToNode)   {}
+func (p *process) Handle(wire.ToNode)        {}
 
-// TestReconnectDuringHello calls Reconnect after the hello was made and before
-// control has welcomed it. (An agent came up so, without a registration, and
-// stayed so.)
+// TestReconnectDuringHello guards against an agent that stays unregistered because Reconnect is
+// called after the hello was made and before the welcome arrives.
 func TestReconnectDuringHello(t *testing.T) {
 	registered := make(chan bool, 16)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -62,7 +61,7 @@
 	p := &process{}
 	c := NewClient([]string{strings.TrimPrefix(srv.URL, "http://")}, time.Minute, NewTable(), p, zerolog.Nop())
 	p.onHello = func() {
-		if !p.seen.Swap(true) {
+		if !p.workerSeen.Swap(true) {
 			c.Reconnect()
 		}
 	}
@@ -80,7 +79,7 @@
 	return wire.Update{From: from, To: to, Cells: []rudderfork.Cell{{Key: k, Value: value, Revision: to}}}
 }
 
-func TestTableOnlyRises(t *testing.T) {
+func TestTableRevisionOnlyIncreases(t *testing.T) {
 	tab := NewTable()
 	check := func(t *testing.T, slots int64, rev rudderfork.Revision) {
 		t.Helper()
@@ -88,7 +87,7 @@
 		assert.Equal(t, tab.Revision(), rev)
 	}
 	assert.Assert(t, !tab.Known())
-	assert.Assert(t, tab.Apply(wire.Update{}), "the first update counts also if the table is empty")
+	assert.Assert(t, tab.Apply(wire.Update{}), "the first update is a change even if the table is empty")
 	assert.Assert(t, tab.Known())
 	assert.Assert(t, tab.Apply(update(0, 5, 3)))
 	check(t, 3, 5)
@@ -100,7 +99,7 @@
 		assert.Assert(t, !tab.Apply(update(6, 7, 9)))
 		check(t, 3, 5)
 	})
-	t.Run("an overlapping one counts", func(t *testing.T) {
+	t.Run("an overlapping one is applied", func(t *testing.T) {
 		assert.Assert(t, tab.Apply(update(2, 8, 4)))
 		check(t, 4, 8)
 	})
--- a/node/table.go
+++ b/node/table.go
@@ -1,11 +1,11 @@
-// Package node is the common part of entries and agents: the session with
-// control and the copy of the table that is in force here.
+// Package node holds what entries and agents share: the session with the control processes and the
+// local copy of the table.
 //
-// The copy's revision only rises. A process that has just started has no copy
-// and serves nothing until control's leader, confirmed by a quorum after the
-// process asked, has sent the whole; so a restart falls back neither to an older
-// revision nor to defaults. While control cannot be reached, a running process
-// goes on with the copy it has.
+// The revision of the copy only increases. A process that has just started has no copy and serves
+// nothing until the leader of the control processes, confirmed by a quorum after the session
+// started, has sent the whole table. A restart therefore falls back neither to an older revision
+// nor to defaults. While no control process can be reached, a running process continues with its
+// copy.
 package node
 
 import (
@@ -15,8 +15,8 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// Table is the copy of the table that is in force in this process. It is safe
-// for concurrent use, and implements rudderfork.Table.
+// Table is this process's copy of the table. It is safe for concurrent use, and implements
+// rudderfork.Table.
 type Table struct {
 	mu       sync.RWMutex
 	cells    map[rudderfork.CellKey]rudderfork.Cell
@@ -24,11 +24,11 @@
 	known    bool
 }
 
-// NewTable returns a table that is not known yet.
+// NewTable returns a table that has not been received yet.
 func NewTable() *Table { return &Table{cells: map[rudderfork.CellKey]rudderfork.Cell{}} }
 
-// Apply takes an update and reports whether it changed anything. Updates that
-// start after the revision held, or end at or before it, are refused.
+// Apply applies an update and reports whether it changed the copy. Updates that start after the
+// copy's revision, or end at or before it, are refused.
 func (t *Table) Apply(u wire.Update) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -68,12 +68,12 @@
 	return t.known
 }
 
-// Service reads a cell of a service's row.
+// Service returns the value of a cell in a service's row.
 func (t *Table) Service(s rudderfork.Service, column string) int64 {
 	return t.Value(rudderfork.CellKey{Kind: rudderfork.RowService, Row: string(s), Column: column})
 }
 
-// TeamWeight reads a team's weight.
+// TeamWeight returns a team's weight.
 func (t *Table) TeamWeight(team rudderfork.Team) int64 {
 	return t.Value(rudderfork.CellKey{Kind: rudderfork.RowTeam, Row: string(team), Column: rudderfork.ColWeight})
 }
