--- a/bench/dark.go
+++ b/bench/dark.go
@@ -104,7 +104,7 @@
 	}
 	for range darkSides {
 		room := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 8000}
-		if err := d.StartSide(executor.Config{Now: steady.Now, Room: room}); err != nil {
+		if err := d.StartSide(executor.Config{Now: steady.Now, Capacity: room}); err != nil {
 			return err
 		}
 	}
--- a/cmd/demo-queues/main.go
+++ b/cmd/demo-queues/main.go
@@ -89,7 +89,7 @@
 	}
 	for range sides {
 		room := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 8000}
-		if err := d.site.StartSide(executor.Config{Now: steady.Now, Room: room}); err != nil {
+		if err := d.site.StartSide(executor.Config{Now: steady.Now, Capacity: room}); err != nil {
 			return err
 		}
 	}
--- a/entry/link_test.go
+++ b/entry/link_test.go
@@ -101,7 +101,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- l.session(t.Context()) }()
 	<-opened
-	p.Silence(faultlink.Forth, faultlink.Back)
+	p.Blackhole(faultlink.ToTarget, faultlink.ToDialer)
 	err = <-ended
 	assert.Assert(t, fellSilent(err), "%v", err)
 }
--- a/entry/silence_test.go
+++ b/entry/silence_test.go
@@ -49,9 +49,9 @@
 
 // directions are the ways in which a connection can fall silent.
 var directions = map[string][]faultlink.Direction{
-	"forth": {faultlink.Forth},
-	"back":  {faultlink.Back},
-	"both":  {faultlink.Forth, faultlink.Back},
+	"forth": {faultlink.ToTarget},
+	"back":  {faultlink.ToDialer},
+	"both":  {faultlink.ToTarget, faultlink.ToDialer},
 }
 
 // TestSilentBefore sends requests without a deadline on kept connections that have
@@ -64,14 +64,14 @@
 			t.Run("repeatable", func(t *testing.T) {
 				t.Parallel()
 				s := newSite(t)
-				s.link.Silence(dirs...)
+				s.link.Blackhole(dirs...)
 				a := within(t, s.sending(http.MethodGet, ""))
 				assert.Equal(t, a.status, http.StatusOK, a.body)
 			})
 			t.Run("not repeatable", func(t *testing.T) {
 				t.Parallel()
 				s := newSite(t)
-				s.link.Silence(dirs...)
+				s.link.Blackhole(dirs...)
 				assertUnknown(t, within(t, s.sending(http.MethodPost, "")))
 				assert.Assert(t, s.vm.runs(seatPath) <= 1)
 				a := within(t, s.sending(http.MethodPost, ""))
@@ -80,7 +80,7 @@
 			t.Run("keyed", func(t *testing.T) {
 				t.Parallel()
 				s := newSite(t)
-				s.link.Silence(dirs...)
+				s.link.Blackhole(dirs...)
 				a := within(t, s.sending(http.MethodPost, "key-1"))
 				assert.Equal(t, a.status, http.StatusOK, a.body)
 				assert.Equal(t, s.vm.runs(seatPath), 1)
@@ -99,7 +99,7 @@
 		s.vm.gate(t, seatPath)
 		answered := s.sending(http.MethodPost, "")
 		wait(t, func() bool { return s.vm.runs(seatPath) == 1 })
-		s.link.Silence(both...)
+		s.link.Blackhole(both...)
 		assertUnknown(t, within(t, answered))
 	})
 	t.Run("keyed", func(t *testing.T) {
@@ -108,7 +108,7 @@
 		open := s.vm.gate(t, seatPath)
 		answered := s.sending(http.MethodPost, "key-1")
 		wait(t, func() bool { return s.vm.runs(seatPath) == 1 })
-		s.link.Silence(both...)
+		s.link.Blackhole(both...)
 		open()
 		a := within(t, answered)
 		assert.Equal(t, a.status, http.StatusOK, a.body)
@@ -122,7 +122,7 @@
 func TestSilentUpstream(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
-	s.vm.link.Silence(directions["both"]...)
+	s.vm.link.Blackhole(directions["both"]...)
 	a := within(t, s.sending(http.MethodPost, "key-1"))
 	assert.Equal(t, a.status, http.StatusOK, a.body)
 	assert.Equal(t, s.vm.runs(seatPath), 1)
--- a/internal/faultlink/faultlink.go
+++ b/internal/faultlink/faultlink.go
@@ -1,7 +1,7 @@
-// Package faultlink is a TCP proxy for tests whose open connections can fall
-// silent for good while new ones work, as when a stateful device on the way
-// forgets them: bytes are taken and dropped, and no end hears that the other has
-// closed.
+// Package faultlink is a TCP proxy for tests that can blackhole its open
+// connections while new ones work, as when a stateful firewall or NAT drops their
+// state: bytes are accepted and discarded, and no peer learns that the other one
+// has closed the connection.
 package faultlink
 
 import (
@@ -11,16 +11,17 @@
 	"sync/atomic"
 )
 
-// Direction is one way through a proxy, seen from the process that dialled.
+// Direction is a direction of the traffic through a proxy.
 type Direction int
 
 // The directions.
 const (
-	Forth Direction = iota // to the target
-	Back                   // to the one that dialled
+	ToTarget Direction = iota // from the process that dialled to the target
+	ToDialer                  // from the target to the process that dialled
 )
 
-// Proxy passes connections on to a target until it is closed.
+// Proxy forwards connections to a target until it is closed. It is safe for
+// concurrent use.
 type Proxy struct {
 	ln   net.Listener
 	done sync.WaitGroup
@@ -31,7 +32,7 @@
 	closed bool
 }
 
-// New returns a running proxy to a target on a loopback port of its own.
+// New starts a proxy to the target address on a free loopback port.
 func New(target string) (*Proxy, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -42,18 +43,18 @@
 	return p, nil
 }
 
-// Addr returns where the proxy takes connections.
+// Addr returns the address that the proxy listens on.
 func (p *Proxy) Addr() string { return p.ln.Addr().String() }
 
-// Target returns where the proxy leads.
+// Target returns the address to which new connections are forwarded.
 func (p *Proxy) Target() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.target
 }
 
-// Lead points the proxy at another target; connections made before are closed.
-func (p *Proxy) Lead(target string) {
+// SetTarget changes the target of new connections and closes the open ones.
+func (p *Proxy) SetTarget(target string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.target = target
@@ -67,25 +68,26 @@
 	}
 }
 
-// Silence makes all open connections silent in the given directions.
-func (p *Proxy) Silence(dirs ...Direction) {
+// Blackhole discards all bytes, and the end, of the open connections in the given
+// directions. It can't be undone and doesn't affect new connections.
+func (p *Proxy) Blackhole(dirs ...Direction) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
 		for _, d := range dirs {
-			c.silent[d].Store(true)
+			c.blackholed[d].Store(true)
 		}
 	}
 }
 
-// Open returns how many connections were taken and have not ended.
-func (p *Proxy) Open() int {
+// OpenConns returns the number of accepted connections that have not ended.
+func (p *Proxy) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.conns)
 }
 
-// Close ends the proxy and all its connections, and waits for them.
+// Close stops the proxy, closes its connections and waits for its goroutines.
 func (p *Proxy) Close() {
 	_ = p.ln.Close()
 	p.mu.Lock()
@@ -116,7 +118,7 @@
 	}
 }
 
-// add notes an open connection; false means that the proxy is closed.
+// add registers an open connection; it returns false if the proxy is closed.
 func (p *Proxy) add(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -127,22 +129,22 @@
 	return true
 }
 
-// serve carries bytes both ways until both have ended.
+// serve forwards bytes in both directions until both have ended.
 func (p *Proxy) serve(c *conn) {
-	var ways sync.WaitGroup
-	ways.Go(func() { c.carry(Forth) })
-	ways.Go(func() { c.carry(Back) })
-	ways.Wait()
+	var wg sync.WaitGroup
+	wg.Go(func() { c.forward(ToTarget) })
+	wg.Go(func() { c.forward(ToDialer) })
+	wg.Wait()
 	c.close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, c)
 }
 
-// conn is a connection with its other half.
+// conn is a connection to the proxy and the one to its target.
 type conn struct {
-	from, to net.Conn
-	silent   [2]atomic.Bool // by Direction
+	from, to   net.Conn
+	blackholed [2]atomic.Bool // by Direction
 }
 
 func (c *conn) close() {
@@ -150,16 +152,16 @@
 	_ = c.to.Close()
 }
 
-// carry passes one direction on. The end of a silent direction stays unheard.
-func (c *conn) carry(d Direction) {
+// forward copies one direction. The end of a blackholed direction is not passed on.
+func (c *conn) forward(d Direction) {
 	src, dst := c.from, c.to
-	if d == Back {
+	if d == ToDialer {
 		src, dst = dst, src
 	}
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := src.Read(buf)
-		if c.silent[d].Load() {
+		if c.blackholed[d].Load() {
 			if err == nil {
 				continue
 			}
--- a/internal/faultlink/faultlink_test.go
+++ b/internal/faultlink/faultlink_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// startEcho returns the address of a server that sends back what it gets.
+// startEcho starts an echo server and returns its address.
 func startEcho(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,7 +37,7 @@
 	return c
 }
 
-// assertEchoes asserts that a byte comes back.
+// assertEchoes asserts that a byte sent on c is echoed.
 func assertEchoes(t *testing.T, c net.Conn) {
 	t.Helper()
 	_, err := c.Write([]byte{7})
@@ -48,16 +48,16 @@
 	assert.Equal(t, b[0], byte(7))
 }
 
-func TestSilence(t *testing.T) {
+func TestBlackhole(t *testing.T) {
 	p, err := New(startEcho(t))
 	assert.NilError(t, err)
 	t.Cleanup(p.Close)
-	old := dial(t, p)
-	assertEchoes(t, old)
-	p.Silence(Forth)
-	_, err = old.Write([]byte{1})
-	assert.NilError(t, err, "bytes are taken")
-	fresh := dial(t, p)
-	assertEchoes(t, fresh)
-	assert.Equal(t, p.Open(), 2, "the silent connection stays open")
+	oldConn := dial(t, p)
+	assertEchoes(t, oldConn)
+	p.Blackhole(ToTarget)
+	_, err = oldConn.Write([]byte{1})
+	assert.NilError(t, err, "bytes are accepted")
+	newConn := dial(t, p)
+	assertEchoes(t, newConn)
+	assert.Equal(t, p.OpenConns(), 2, "the blackholed connection stays open")
 }
--- a/internal/harness/link.go
+++ b/internal/harness/link.go
@@ -43,12 +43,12 @@
 // lead points the link at a target; connections made before are closed.
 func (l *Link) lead(target string) {
 	if l.tail.Target() != target {
-		l.tail.Lead(target)
+		l.tail.SetTarget(target)
 	}
 }
 
 // Silence makes the open connections silent both ways, for good. New ones work.
-func (l *Link) Silence() { l.tail.Silence(faultlink.Forth, faultlink.Back) }
+func (l *Link) Silence() { l.tail.Blackhole(faultlink.ToTarget, faultlink.ToDialer) }
 
 // Cut drops all bytes both ways, in silence.
 func (l *Link) Cut() { l.CutOneWay(true); l.CutOneWay(false) }
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -61,7 +61,7 @@
 	assertCellValue(t, c, 2)
 	first.leads.Store(true)
 	for _, s := range []*fakeControl{first, second} {
-		s.link.Silence(faultlink.Forth, faultlink.Back)
+		s.link.Blackhole(faultlink.ToTarget, faultlink.ToDialer)
 	}
 	assertCellValue(t, c, 2)
 }
--- a/replica/silence_test.go
+++ b/replica/silence_test.go
@@ -103,7 +103,7 @@
 func (g *proxiedGroup) silence(pick func(from, to int) bool, dirs ...faultlink.Direction) {
 	for key, p := range g.links {
 		if pick(key[0], key[1]) {
-			p.Silence(dirs...)
+			p.Blackhole(dirs...)
 		}
 	}
 }
@@ -159,7 +159,7 @@
 func everyLink(int, int) bool { return true }
 
 // bothDirections is both directions of a link.
-var bothDirections = []faultlink.Direction{faultlink.Forth, faultlink.Back}
+var bothDirections = []faultlink.Direction{faultlink.ToTarget, faultlink.ToDialer}
 
 // TestSilentLinks guards against links that go silent without being closed, as when a device on the
 // way loses their state, while new connections work. A replica wrote to such links for ever, and
@@ -181,13 +181,13 @@
 	t.Run("from the dialling end", func(t *testing.T) {
 		g := startProxied(t, 3, 0)
 		g.assertCommits(g.reps...)
-		g.silence(everyLink, faultlink.Forth)
+		g.silence(everyLink, faultlink.ToTarget)
 		g.assertCommits(g.reps...)
 	})
 	t.Run("to the dialling end", func(t *testing.T) {
 		g := startProxied(t, 3, 0)
 		g.assertCommits(g.reps...)
-		g.silence(everyLink, faultlink.Back)
+		g.silence(everyLink, faultlink.ToDialer)
 		g.assertCommits(g.reps...)
 		assertSilentLinksClosed(t, g)
 	})
@@ -235,7 +235,7 @@
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for key, p := range g.links {
-			if n := p.Open(); n > 1 {
+			if n := p.OpenConns(); n > 1 {
 				return poll.Continue("%d links from %d to %d at %v", n, key[0], key[1], steady.Now())
 			}
 		}
--- a/runner/runner_test.go
+++ b/runner/runner_test.go
@@ -105,7 +105,7 @@
 // startAgent runs an agent with the stand-in executor.
 func startAgent(t *testing.T, l *leader) *Agent {
 	room := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
-	a := New("vm1", l.seeds, executor.New("life-1", executor.Config{Now: steady.Now, Room: room}), zerolog.Nop())
+	a := New("vm1", l.seeds, executor.New("life-1", executor.Config{Now: steady.Now, Capacity: room}), zerolog.Nop())
 	for _, s := range a.Services() {
 		go func() { _ = s.Serve(t.Context()) }() // it ends with the test
 	}
--- a/runner/stale_model_test.go
+++ b/runner/stale_model_test.go
@@ -82,7 +82,7 @@
 		Now: func() time.Time { return time.Unix(1000, 0) },
 		Fate: func(string) executor.Fate {
 			if m.mute {
-				return executor.Unheard
+				return executor.RequestLost
 			}
 			return executor.Answered
 		},
--- a/runs/cancel_test.go
+++ b/runs/cancel_test.go
@@ -56,7 +56,7 @@
 	c.leaseLength, c.callTimeout, c.pollSteps = maxLease, callTimeout, pollSteps
 	for _, v := range c.vms {
 		v.exec = executor.New(v.nextIncarnation(), executor.Config{
-			Now: func() time.Time { return c.now }, Rate: 1 - 0.02*c.rng.Float64(), StopTime: stopLimit, Forgets: forgets,
+			Now: func() time.Time { return c.now }, ClockRate: 1 - 0.02*c.rng.Float64(), StopTime: stopLimit, ForgetsStops: forgets,
 			Fate: c.fate,
 			Delay: func(string) time.Duration {
 				return minDelay + time.Duration(c.rng.Int64N(int64(maxDelay-minDelay)))
@@ -74,12 +74,12 @@
 	switch call {
 	case "start":
 		if c.rng.IntN(2) == 0 {
-			return executor.Postponed
+			return executor.Delayed
 		}
 	case "stop":
 		c.stopCalls[c.callRef]++
 		if c.stopCalls[c.callRef]%2 == 1 {
-			return []executor.Fate{executor.Unheard, executor.Lost, executor.Postponed}[c.rng.IntN(3)]
+			return []executor.Fate{executor.RequestLost, executor.ResponseLost, executor.Delayed}[c.rng.IntN(3)]
 		}
 	}
 	return executor.Answered
@@ -201,7 +201,7 @@
 			var started, ended time.Time
 			v := s.vms[0]
 			v.exec = executor.New(v.nextIncarnation(), executor.Config{
-				Now: func() time.Time { return s.now }, Rate: 0.98,
+				Now: func() time.Time { return s.now }, ClockRate: 0.98,
 				Delay:   func(string) time.Duration { return x.delay },
 				OnStart: func(rudderfork.RunRef) { started = s.now }, OnFinish: func(rudderfork.RunRef, string) { ended = s.now },
 			})
@@ -211,9 +211,9 @@
 				if call == "start" {
 					if sent.IsZero() {
 						sent = s.now
-						return executor.Postponed
+						return executor.Delayed
 					}
-					return executor.Unheard
+					return executor.RequestLost
 				}
 				return executor.Answered
 			})
--- a/runs/model_test.go
+++ b/runs/model_test.go
@@ -131,7 +131,7 @@
 			s: s, capacity: fullCapacity, reportedCapacity: fullCapacity,
 		}
 		v.exec = executor.New(v.nextIncarnation(), executor.Config{
-			Now: func() time.Time { return s.now }, Rate: 1 - 0.02*s.rng.Float64(), Fate: v.fate,
+			Now: func() time.Time { return s.now }, ClockRate: 1 - 0.02*s.rng.Float64(), Fate: v.fate,
 			OnStart:  func(r rudderfork.RunRef) { s.recordStart(v, r) },
 			OnFinish: func(r rudderfork.RunRef, how string) { s.recordEnd(v, r, how) },
 		})
@@ -180,11 +180,11 @@
 	}
 	switch v.s.rng.IntN(20) {
 	case 0:
-		return executor.Unheard
+		return executor.RequestLost
 	case 1:
-		return executor.Lost
+		return executor.ResponseLost
 	case 2, 3:
-		return executor.Postponed
+		return executor.Delayed
 	}
 	return executor.Answered
 }
@@ -196,7 +196,7 @@
 	}
 	v.reconciler = runs.New()
 	v.reconciler.SetTerm(term * 0) // a new process has not met any leader
-	v.reconciler.Reset(v.exec.Life())
+	v.reconciler.Reset(v.exec.Incarnation())
 	v.reconciler.SetCapacity(rudderfork.Resources{CPUMilli: v.reportedCapacity})
 	v.ackedSeq, v.crash, v.starts, v.uncommittedEnds = 0, nil, nil, nil
 	v.closeSession()
@@ -262,7 +262,7 @@
 // crashExecutor crashes and restarts the executor.
 func (v *vm) crashExecutor() {
 	if v.s.sameIDs {
-		v.exec.StartAgain()
+		v.exec.RestartSameID()
 		return
 	}
 	v.exec.Restart(v.nextIncarnation())
@@ -481,7 +481,7 @@
 	}
 	if errors.Is(err, rudderfork.ErrStaleIncarnation) {
 		v.recordCrash()
-		v.reconciler.Reset(v.exec.Life())
+		v.reconciler.Reset(v.exec.Incarnation())
 		v.reconciler.SetCapacity(rudderfork.Resources{CPUMilli: v.reportedCapacity})
 		v.ackedSeq, v.uncommittedEnds = 0, nil
 		return
--- a/scheduler/fault_vm_test.go
+++ b/scheduler/fault_vm_test.go
@@ -54,11 +54,11 @@
 	}
 	switch v.randomDuration(24) {
 	case 0:
-		return executor.Unheard
+		return executor.RequestLost
 	case 1:
-		return executor.Lost
+		return executor.ResponseLost
 	case 2:
-		return executor.Postponed
+		return executor.Delayed
 	}
 	return executor.Answered
 }
@@ -86,7 +86,7 @@
 		a := v.agent
 		v.mu.Unlock()
 		capacity := rudderfork.Resources{CPUMilli: v.cpuMilli.Load(), MemoryMB: 1000}
-		a.HandleDescription(queue.VM{ID: rudderfork.VMID(v.name), Domain: domainOf(v.name), Incarnation: v.exec.Life(), Service: "desk", Capacity: capacity}, false, 0)
+		a.HandleDescription(queue.VM{ID: rudderfork.VMID(v.name), Domain: domainOf(v.name), Incarnation: v.exec.Incarnation(), Service: "desk", Capacity: capacity}, false, 0)
 		steady.Pause(v.cluster.ctx, 50*time.Millisecond)
 	}
 }
--- a/scheduler/faults_test.go
+++ b/scheduler/faults_test.go
@@ -87,7 +87,7 @@
 	v := &faultVM{cluster: c, name: name, link: link, rng: rand.New(rand.NewPCG(seed, uint64(len(c.vmList))))}
 	v.cpuMilli.Store(vmCPUMilli)
 	v.exec = executor.New(v.nextIncarnation(), executor.Config{
-		Now: steady.Now, Room: rudderfork.Resources{CPUMilli: vmCPUMilli, MemoryMB: 1000}, Rate: 0.99, StopTime: 100 * time.Millisecond,
+		Now: steady.Now, Capacity: rudderfork.Resources{CPUMilli: vmCPUMilli, MemoryMB: 1000}, ClockRate: 0.99, StopTime: 100 * time.Millisecond,
 		Fate: v.drawFate, Delay: func(string) time.Duration { return v.randomDuration(3 * time.Second) },
 	})
 	c.vmList = append(c.vmList, v)
@@ -103,13 +103,13 @@
 	case 0, 1:
 		v.startAgent()
 	case 2, 3:
-		v.link.Lead(c.addr) // closes open connections
+		v.link.SetTarget(c.addr) // closes open connections
 	case 4:
-		v.link.Silence(faultlink.Forth)
+		v.link.Blackhole(faultlink.ToTarget)
 	case 5:
-		v.link.Silence(faultlink.Back)
+		v.link.Blackhole(faultlink.ToDialer)
 	case 6:
-		v.link.Silence(faultlink.Forth, faultlink.Back)
+		v.link.Blackhole(faultlink.ToTarget, faultlink.ToDialer)
 	case 7:
 		v.exec.Flush()
 	case 8, 9:
@@ -152,7 +152,7 @@
 		return
 	}
 	if c.rng.IntN(2) == 0 {
-		v.exec.StartAgain()
+		v.exec.RestartSameID()
 		return
 	}
 	v.exec.Restart(v.nextIncarnation())
@@ -217,7 +217,7 @@
 		for _, v := range c.vmList {
 			info, vm := c.sched.fleet.vm(rudderfork.VMID(v.name)), st.Queues().VM(rudderfork.VMID(v.name))
 			list = append(list, fmt.Sprintf("%s: usable %v, unresponsive %v, heartbeat %v ago, leased %v, session %v, state %+v, agent %q, executor %q",
-				v.name, info.usable(now), info.heartbeat.Unresponsive, now.Sub(info.heartbeatAt), info.lease.Leased(now), info.session != nil, vm, v.agent.Incarnation(), v.exec.Life()))
+				v.name, info.usable(now), info.heartbeat.Unresponsive, now.Sub(info.heartbeatAt), info.lease.Leased(now), info.session != nil, vm, v.agent.Incarnation(), v.exec.Incarnation()))
 		}
 	})
 	return list
--- a/scheduler/incarnation_test.go
+++ b/scheduler/incarnation_test.go
@@ -73,9 +73,9 @@
 // addRestartableVM is addVM with an executor whose incarnation names contain its start time, so that
 // it may restart under the same id: a call for the id alone would reach its next incarnation.
 func (s *testCluster) addRestartableVM(cfg executor.Config) *executor.Executor {
-	cfg.Now, cfg.Room = steady.Now, rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
+	cfg.Now, cfg.Capacity = steady.Now, rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
 	e := executor.New(firstIncarnation, cfg)
-	s.addAgent("vm1", e, e.Life, cfg.Room)
+	s.addAgent("vm1", e, e.Incarnation, cfg.Capacity)
 	return e
 }
 
@@ -96,12 +96,12 @@
 	s.waitUntil("the lasting task runs", running(1))
 	s.submit("before", "work=1ms", queue.Step{Count: 3})
 	s.waitForStatus("before", queue.Completed)
-	e.StartAgain()
+	e.RestartSameID()
 	s.waitUntil("the lasting task runs again", running(2))
 	s.submit("after", "work=1ms", queue.Step{Count: 3})
 	s.waitForStatus("after", queue.Completed)
 	assert.Equal(t, starts.Load(), int32(2+3+3))
-	s.sched.rep.View(func(st *state.State) { assert.Equal(t, st.Queues().VM("vm1").Incarnation, e.Life()) })
+	s.sched.rep.View(func(st *state.State) { assert.Equal(t, st.Queues().VM("vm1").Incarnation, e.Incarnation()) })
 }
 
 // ackBlockingExecutor holds back one poll that acknowledges ended runs until it is released.
@@ -128,15 +128,15 @@
 	s := newTestCluster(t, nil)
 	var starts atomic.Int32
 	capacity := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
-	cfg := executor.Config{Now: steady.Now, Room: capacity, OnStart: func(rudderfork.RunRef) { starts.Add(1) }}
+	cfg := executor.Config{Now: steady.Now, Capacity: capacity, OnStart: func(rudderfork.RunRef) { starts.Add(1) }}
 	e := &ackBlockingExecutor{Executor: executor.New(firstIncarnation, cfg), held: make(chan struct{}), release: make(chan struct{})}
 	e.blockFrom.Store(3)
-	s.addAgent("vm1", e, e.Life, capacity)
+	s.addAgent("vm1", e, e.Incarnation, capacity)
 	s.putDocument(nil)
 	s.submit("before", "work=1ms", queue.Step{Count: 3})
 	s.waitForStatus("before", queue.Completed)
 	<-e.held
-	e.StartAgain()
+	e.RestartSameID()
 	close(e.release)
 	s.submit("after", "work=1ms", queue.Step{Count: 3})
 	s.waitForStatus("after", queue.Completed)
--- a/scheduler/readopted_test.go
+++ b/scheduler/readopted_test.go
@@ -17,19 +17,19 @@
 // when the VM's agent has taken the executor's incarnation for ended and resumed it.
 func (s *testCluster) addInterruptibleVM() (e *executor.Executor, interrupt func()) {
 	capacity := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
-	e = executor.New("vm1-life-1", executor.Config{Now: steady.Now, Room: capacity})
-	a := s.addAgent("vm1", e, e.Life, capacity)
+	e = executor.New("vm1-life-1", executor.Config{Now: steady.Now, Capacity: capacity})
+	a := s.addAgent("vm1", e, e.Incarnation, capacity)
 	return e, func() {
 		s.t.Helper()
 		var answered atomic.Bool
 		e.SetFate(func(call string) executor.Fate {
 			if call == "look" && answered.CompareAndSwap(false, true) {
-				return executor.Disowned
+				return executor.RejectedAsStale
 			}
 			return executor.Answered
 		})
 		s.waitUntil("the agent takes the incarnation for ended", func() bool { return a.Incarnation() == "" })
-		s.waitUntil("the agent resumes the incarnation", func() bool { return a.Incarnation() == e.Life() })
+		s.waitUntil("the agent resumes the incarnation", func() bool { return a.Incarnation() == e.Incarnation() })
 	}
 }
 
--- a/scheduler/refusal_test.go
+++ b/scheduler/refusal_test.go
@@ -159,7 +159,7 @@
 	}
 	wg.Go(func() {
 		for ctx.Err() == nil {
-			a.HandleDescription(queue.VM{ID: rudderfork.VMID(name), Domain: domainOf(name), Incarnation: e.Life(), Service: "desk", Capacity: e.Room()}, false, 0)
+			a.HandleDescription(queue.VM{ID: rudderfork.VMID(name), Domain: domainOf(name), Incarnation: e.Incarnation(), Service: "desk", Capacity: e.Capacity()}, false, 0)
 			steady.Pause(ctx, 50*time.Millisecond)
 		}
 	})
@@ -190,7 +190,7 @@
 	for _, name := range []string{"vm1", "vm2"} {
 		s.executors[name] = &noRoomExecutor{
 			Executor: executor.New(name+"-life", executor.Config{
-				Now: steady.Now, Room: rudderfork.Resources{CPUMilli: 4_000, MemoryMB: 1_000},
+				Now: steady.Now, Capacity: rudderfork.Resources{CPUMilli: 4_000, MemoryMB: 1_000},
 				OnStart: func(rudderfork.RunRef) { s.recordStart(name) },
 			}),
 			refusesStart: func() bool { return s.refuseFirst(name) },
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -127,10 +127,10 @@
 // addVM adds a VM with a stand-in executor and an agent.
 func (s *testCluster) addVM(cfg executor.Config) *executor.Executor {
 	name := fmt.Sprintf("vm%d", s.vmsAdded+1)
-	cfg.Now, cfg.Room = steady.Now, rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
+	cfg.Now, cfg.Capacity = steady.Now, rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
 	e := executor.New(name+"-life-1", cfg)
 	s.executors = append(s.executors, e)
-	s.addAgent(name, e, e.Life, cfg.Room)
+	s.addAgent(name, e, e.Incarnation, cfg.Capacity)
 	return e
 }
 
@@ -271,7 +271,7 @@
 	defer p.mu.Unlock()
 	for i, e := range p.cluster.executors {
 		name := fmt.Sprintf("m%d", i+1)
-		list = append(list, rudderfork.Machine{Name: name, Up: time.Since(p.downAt[name]) > upkeepDuration, Executor: e.Life()})
+		list = append(list, rudderfork.Machine{Name: name, Up: time.Since(p.downAt[name]) > upkeepDuration, Executor: e.Incarnation()})
 	}
 	return list, nil
 }
@@ -407,7 +407,7 @@
 	s.putDocument(nil)
 	s.submit("feed", "", queue.Step{Count: 1, Size: smallStep.Size, Lasting: true})
 	s.waitUntil("the lasting task runs", func() bool { return len(first.Running()) == 1 })
-	first.SetFate(func(string) executor.Fate { return executor.Unheard })
+	first.SetFate(func(string) executor.Fate { return executor.RequestLost })
 	second := s.addVM(cfg())
 	s.waitUntil("the task runs elsewhere", func() bool {
 		first.Running()
@@ -438,7 +438,7 @@
 func TestExecutorLeaves(t *testing.T) {
 	capacity := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
 	countStarts := func(n *atomic.Int32) executor.Config {
-		return executor.Config{Now: steady.Now, Room: capacity, OnStart: func(rudderfork.RunRef) { n.Add(1) }}
+		return executor.Config{Now: steady.Now, Capacity: capacity, OnStart: func(rudderfork.RunRef) { n.Add(1) }}
 	}
 	// A completed task ran again when its end was listed before the shutdown notice and read after
 	// it.
@@ -447,7 +447,7 @@
 		var starts atomic.Int32
 		cfg := countStarts(&starts)
 		e := &heldPollExecutor{Executor: executor.New("vm1-life-1", cfg), listed: make(chan struct{}), release: make(chan struct{})}
-		a := s.addAgent("vm1", e, e.Life, capacity)
+		a := s.addAgent("vm1", e, e.Incarnation, capacity)
 		s.putDocument(nil)
 		s.submit("roster", "work=50ms", smallStep)
 		<-e.listed
@@ -462,7 +462,7 @@
 		s := newTestClusterWithLease(t, nil, time.Hour)
 		var starts atomic.Int32
 		e := executor.New("vm1-life-1", countStarts(&starts))
-		a := s.addAgent("vm1", e, e.Life, capacity)
+		a := s.addAgent("vm1", e, e.Incarnation, capacity)
 		s.putDocument(nil)
 		s.submit("feed", "", queue.Step{Count: 1, Size: smallStep.Size, Lasting: true})
 		s.waitUntil("the lasting task runs", func() bool { return len(e.Running()) == 1 })
--- a/scheduler/unanswered_start_test.go
+++ b/scheduler/unanswered_start_test.go
@@ -14,7 +14,7 @@
 	s := newTestCluster(t, nil)
 	s.addVM(executor.Config{Fate: func(call string) executor.Fate {
 		if call == "start" {
-			return executor.Unheard
+			return executor.RequestLost
 		}
 		return executor.Answered
 	}})
--- a/scheduler/waiting_test.go
+++ b/scheduler/waiting_test.go
@@ -15,7 +15,7 @@
 // loseStarts loses the calls that start runs, and answers all others.
 func loseStarts(call string) executor.Fate {
 	if call == "start" {
-		return executor.Unheard
+		return executor.RequestLost
 	}
 	return executor.Answered
 }
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -267,7 +267,7 @@
 func (s *site) holdBack(m *machine) {
 	s.Execs[m.index].SetFate(func(call string) executor.Fate {
 		if call == "start" || call == "stop" {
-			return executor.Postponed
+			return executor.Delayed
 		}
 		return executor.Answered
 	})
@@ -279,7 +279,7 @@
 	var done atomic.Bool
 	s.Execs[m.index].SetFate(func(call string) executor.Fate {
 		if done.CompareAndSwap(false, true) {
-			return executor.Disowned
+			return executor.RejectedAsStale
 		}
 		return usual(call)
 	})
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -104,7 +104,7 @@
 		m := &machine{index: i, agent: fmt.Sprintf("side-%d", i+1), up: true}
 		s.machines = append(s.machines, m)
 		if err := s.StartSide(executor.Config{
-			Now: steady.Now, Room: rudderfork.Resources{CPUMilli: cpuRoom, MemoryMB: 8000}, Sizes: size,
+			Now: steady.Now, Capacity: rudderfork.Resources{CPUMilli: cpuRoom, MemoryMB: 8000}, Sizes: size,
 			Behave:   func(ref rudderfork.RunRef, payload string) string { return s.behave(m, ref, payload) },
 			OnStart:  func(ref rudderfork.RunRef) { s.watch.started(i, ref) },
 			OnFinish: func(ref rudderfork.RunRef, how string) { s.watch.finished(i, ref, how) },
@@ -124,7 +124,7 @@
 	if call != "start" && call != "stop" || rand.IntN(100) >= *lossy {
 		return executor.Answered
 	}
-	return []executor.Fate{executor.Unheard, executor.Lost, executor.Postponed}[rand.IntN(3)]
+	return []executor.Fate{executor.RequestLost, executor.ResponseLost, executor.Delayed}[rand.IntN(3)]
 }
 
 // size is what a payload says in its word cpu.
--- a/standin/executor/executor.go
+++ b/standin/executor/executor.go
@@ -1,11 +1,13 @@
-// Package executor is a stand-in for what runs the queues' tasks on a VM. It
-// keeps the contract of rudderfork.Executor, with the awkward parts: a steady
-// clock that may run slow, leases that lapse, orders that are carried out late
-// or whose answers are lost, and tasks that fail or hang.
+// Package executor is a test double of the executor that runs the queues' tasks
+// on a VM. It follows the contract of rudderfork.Executor and simulates its
+// faults: a monotonic clock that runs slow, leases that expire, requests that
+// are lost or carried out late, responses that are lost, and tasks that fail or
+// hang.
 //
-// What a task does stands in its payload: words separated by spaces, of which
-// "work=500ms" sets how long it works, "fail" makes it fail at the end of that,
-// and "hang" makes it stand still.
+// The payload of a task says how it behaves, in words separated by spaces:
+// "work=500ms" is its work time at full speed, "fail" makes it fail after that
+// time, and "hang" makes it run until it is stopped or the lease expires. A task
+// without a work time runs until then too.
 package executor
 
 import (
@@ -20,104 +22,109 @@
 	"rudderfork.example/rudderfork"
 )
 
-// ErrNoAnswer is what a call whose answer is lost comes back with.
+// ErrNoAnswer is returned by a call to which no response arrives.
 var ErrNoAnswer = errors.New("no answer")
 
-// lookStep is how often a waiting look checks for ends.
-const lookStep = 5 * time.Millisecond
+// pollInterval is the time between two checks for ended runs while a poll waits.
+const pollInterval = 5 * time.Millisecond
 
-// Fate is what becomes of a call.
+// Fate says how a call to the executor is delivered.
 type Fate int
 
-// The fates.
+// The fates of a call.
 const (
-	Answered  Fate = iota
-	Unheard        // it is not carried out, and not answered
-	Lost           // it is carried out, and not answered
-	Postponed      // it is not answered, and carried out once its Delay is over, or with the next Flush
-	Disowned       // it is not carried out, and answered as another life answers
+	Answered        Fate = iota // it is carried out and answered
+	RequestLost                 // it is not carried out; the caller gets ErrNoAnswer
+	ResponseLost                // it is carried out; the caller gets ErrNoAnswer
+	Delayed                     // the caller gets ErrNoAnswer; it is carried out after Config.Delay or by Flush
+	RejectedAsStale             // it is not carried out; the caller gets rudderfork.ErrStaleIncarnation
 )
 
-// Executor is one VM's stand-in. It is safe for concurrent use.
+// Executor is the executor of one VM. It is safe for concurrent use.
 type Executor struct {
-	now  func() time.Time
-	rate float64 // of its clock
-
-	mu       sync.Mutex
-	born     time.Time
-	id       string
-	bornMS   int64 // what it says of when its life began; 0 if it says nothing
-	until    int64
-	fence    uint64
-	room     rudderfork.Resources
-	used     rudderfork.Resources
-	running  map[rudderfork.TaskID]*run
-	barred   map[rudderfork.TaskID]uint32 // highest run stopped or ended
-	ended    []rudderfork.EndedRun
-	seq      uint64
-	acked    uint64 // ends up to this one are listed no more, nor those that come yet
-	fate     func(call string) Fate
-	delay    func(call string) time.Duration
-	stopTime time.Duration
-	forgets  bool
-	late     []lateCall
-	sizes    func(payload string) rudderfork.Resources
-	behave   func(ref rudderfork.RunRef, payload string) string
-	onStart  func(rudderfork.RunRef)
-	onFinish func(rudderfork.RunRef, string)
+	now       func() time.Time
+	clockRate float64
+
+	mu         sync.Mutex
+	startedAt  time.Time // of the current incarnation, by now
+	id         string
+	startMS    int64 // start time in the incarnation's name; 0 if the name has none
+	leaseEndMS int64 // by the executor's clock
+	fence      uint64
+	capacity   rudderfork.Resources
+	used       rudderfork.Resources
+	running    map[rudderfork.TaskID]*run
+	barred     map[rudderfork.TaskID]uint32 // highest run number that was stopped or has ended; it can't start again
+	ended      []rudderfork.EndedRun
+	seq        uint64
+	acked      uint64 // ended runs up to this number are acknowledged and no longer listed, also those that end later
+	fate       func(call string) Fate
+	delay      func(call string) time.Duration
+	stopTime   time.Duration
+	forgets    bool
+	delayed    []delayedCall
+	sizes      func(payload string) rudderfork.Resources
+	behave     func(ref rudderfork.RunRef, payload string) string
+	onStart    func(rudderfork.RunRef)
+	onFinish   func(rudderfork.RunRef, string)
 }
 
-// lateCall is a call that is held back.
-type lateCall struct {
+// delayedCall is a call that is carried out later.
+type delayedCall struct {
 	at time.Time // when it is carried out; zero means only by Flush
 	do func()
 }
 
-// run is one run at work.
+// run is a run in progress.
 type run struct {
-	ref     rudderfork.RunRef
-	size    rudderfork.Resources
-	workMS  int64
-	fails   bool
-	hangs   bool
-	percent int
-	pacedMS float64 // work done, in ms at full speed
-	pacedAt int64
-	stopAt  time.Time // when a stop ends it; zero without one
+	ref      rudderfork.RunRef
+	size     rudderfork.Resources
+	workMS   int64
+	fails    bool
+	hangs    bool
+	percent  int
+	workedMS float64   // work done, in ms at full speed
+	workedAt int64     // when workedMS was updated, by the executor's clock
+	stopAt   time.Time // when it ends after a stop; zero if it was not stopped
 }
 
-// Config sets up an Executor. Only Now and Room are needed.
+// Config configures an Executor. Only Now and Capacity are required.
 type Config struct {
-	Now  func() time.Time
-	Room rudderfork.Resources
-	// Rate is of its steady clock; 0 means 1. The contract allows 0.98.
-	Rate float64
-	// Sizes tells what a task takes, by its payload; nil means nothing.
+	Now      func() time.Time
+	Capacity rudderfork.Resources
+	// ClockRate is the speed of the executor's clock relative to Now; 0 means 1.
+	// The contract allows 0.98.
+	ClockRate float64
+	// Sizes returns the resources that a task takes, by its payload; nil means none.
 	Sizes func(payload string) rudderfork.Resources
-	// Behave returns the words that a run goes by; nil means its payload.
+	// Behave returns the words that define how a run behaves; nil means its payload.
 	Behave func(ref rudderfork.RunRef, payload string) string
-	// Fate decides what becomes of each call; nil means that all are answered.
+	// Fate decides how each call is delivered; nil means that all are answered.
+	// The names of the calls are "start", "stop", "pace" and "look" (a poll).
 	Fate func(call string) Fate
-	// Delay tells how long a postponed call is held back; nil means until Flush.
+	// Delay returns the delay of a call with the fate Delayed; nil means until Flush.
 	Delay func(call string) time.Duration
-	// StopTime is how long a run that is stopped is at work yet.
+	// StopTime is how long a run keeps running after it is stopped.
 	StopTime time.Duration
-	// Forgets breaks the contract in one thing: a stop of a run that is not there
-	// leaves no trace, so that a start that is held back still begins it.
-	Forgets bool
-	// OnStart and OnFinish hear of each run's begin and end, under the lock.
+	// ForgetsStops breaks the contract: a stop of a run that isn't there is not
+	// recorded, so that a delayed start of this run still starts it.
+	ForgetsStops bool
+	// OnStart and OnFinish are called at the start and the end of each run, with
+	// the executor's lock held. OnFinish gets "done", "failed", "stopped", "lapsed"
+	// (the lease expired) or "crashed" (the incarnation ended).
 	OnStart  func(rudderfork.RunRef)
-	OnFinish func(r rudderfork.RunRef, how string)
+	OnFinish func(r rudderfork.RunRef, outcome string)
 }
 
-// New returns an executor with an incarnation, as named by rudderfork.IncarnationName.
-func New(life string, cfg Config) *Executor {
+// New returns an executor whose first incarnation has the given name, in the
+// format of rudderfork.IncarnationName.
+func New(inc string, cfg Config) *Executor {
 	e := &Executor{
-		now: cfg.Now, rate: cfg.Rate, room: cfg.Room, fate: cfg.Fate, delay: cfg.Delay, stopTime: cfg.StopTime,
-		forgets: cfg.Forgets, sizes: cfg.Sizes, behave: cfg.Behave, onStart: cfg.OnStart, onFinish: cfg.OnFinish,
+		now: cfg.Now, clockRate: cfg.ClockRate, capacity: cfg.Capacity, fate: cfg.Fate, delay: cfg.Delay, stopTime: cfg.StopTime,
+		forgets: cfg.ForgetsStops, sizes: cfg.Sizes, behave: cfg.Behave, onStart: cfg.OnStart, onFinish: cfg.OnFinish,
 	}
-	if e.rate == 0 {
-		e.rate = 1
+	if e.clockRate == 0 {
+		e.clockRate = 1
 	}
 	if e.fate == nil {
 		e.fate = func(string) Fate { return Answered }
@@ -128,77 +135,77 @@
 	if e.sizes == nil {
 		e.sizes = func(string) rudderfork.Resources { return rudderfork.Resources{} }
 	}
-	e.Restart(life)
+	e.Restart(inc)
 	return e
 }
 
-// Restart begins a new life, which runs nothing, has seen no token, and holds none of the
-// calls that were held back.
-func (e *Executor) Restart(life string) {
+// Restart ends the current incarnation as a crash does, and starts the given one. The
+// new one has no runs, no fencing token and no delayed calls.
+func (e *Executor) Restart(inc string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, r := range e.running {
-		e.tell(r.ref, "crashed")
+		e.notifyFinish(r.ref, "crashed")
 	}
-	e.id, e.bornMS = rudderfork.SplitIncarnation(life)
-	e.born = e.now()
-	e.until, e.fence, e.seq, e.acked = 0, 0, 0, 0
+	e.id, e.startMS = rudderfork.SplitIncarnation(inc)
+	e.startedAt = e.now()
+	e.leaseEndMS, e.fence, e.seq, e.acked = 0, 0, 0, 0
 	e.used = rudderfork.Resources{}
 	e.running, e.barred, e.ended = map[rudderfork.TaskID]*run{}, map[rudderfork.TaskID]uint32{}, nil
-	e.late = nil
+	e.delayed = nil
 }
 
-// StartAgain begins a new life under the same id. Only an executor that tells when it
-// began may do so: callers know any other by its id alone.
-func (e *Executor) StartAgain() {
-	id, born := rudderfork.SplitIncarnation(e.Life())
-	if born == 0 {
-		panic("an executor that does not tell when it began starts again under its id")
+// RestartSameID starts a new incarnation with the same id and a later start time. It
+// panics if the current name has no start time: callers could not tell the two apart.
+func (e *Executor) RestartSameID() {
+	id, start := rudderfork.SplitIncarnation(e.Incarnation())
+	if start == 0 {
+		panic("restart with the same id needs an incarnation name with a start time")
 	}
-	e.Restart(rudderfork.IncarnationName(id, born+1))
+	e.Restart(rudderfork.IncarnationName(id, start+1))
 }
 
-// Life returns the present life.
-func (e *Executor) Life() string {
+// Incarnation returns the name of the current incarnation.
+func (e *Executor) Incarnation() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return rudderfork.IncarnationName(e.id, e.bornMS)
+	return rudderfork.IncarnationName(e.id, e.startMS)
 }
 
-// meant reports whether a call that is meant for a life reaches the present one, as one
-// that names the id alone does in every life. The caller holds mu.
-func (e *Executor) meant(life string) bool {
-	id, born := rudderfork.SplitIncarnation(life)
-	return id == e.id && (born == 0 || born == e.bornMS)
+// isCurrent reports whether inc names the current incarnation. A name without a start
+// time matches every incarnation with this id. The caller holds mu.
+func (e *Executor) isCurrent(inc string) bool {
+	id, start := rudderfork.SplitIncarnation(inc)
+	return id == e.id && (start == 0 || start == e.startMS)
 }
 
-// Room returns what the executor has room for.
-func (e *Executor) Room() rudderfork.Resources { return e.room }
+// Capacity returns the resources that the runs share.
+func (e *Executor) Capacity() rudderfork.Resources { return e.capacity }
 
-// SetFate replaces what becomes of calls.
+// SetFate replaces Config.Fate.
 func (e *Executor) SetFate(f func(call string) Fate) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fate = f
 }
 
-// Flush carries out the calls that were postponed, the newest first.
+// Flush carries out all delayed calls, the newest first.
 func (e *Executor) Flush() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	late := e.late
-	e.late = nil
-	for i := len(late) - 1; i >= 0; i-- {
-		late[i].do()
+	delayed := e.delayed
+	e.delayed = nil
+	for i := len(delayed) - 1; i >= 0; i-- {
+		delayed[i].do()
 	}
 }
 
-// catchUp carries out the calls whose delay is over, as the executor's other calls
-// and looks come by. The caller holds mu.
-func (e *Executor) catchUp() {
+// doDelayed carries out the calls whose delay is over. No timer runs for them: each
+// other call does it first. The caller holds mu.
+func (e *Executor) doDelayed() {
 	now := e.now()
-	var due []lateCall
-	e.late = slices.DeleteFunc(e.late, func(c lateCall) bool {
+	var due []delayedCall
+	e.delayed = slices.DeleteFunc(e.delayed, func(c delayedCall) bool {
 		ready := !c.at.IsZero() && !now.Before(c.at)
 		if ready {
 			due = append(due, c)
@@ -210,11 +217,11 @@
 	}
 }
 
-// Running returns the runs at work.
+// Running returns the runs in progress.
 func (e *Executor) Running() (refs []rudderfork.RunRef) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.catchUp()
+	e.doDelayed()
 	e.advance()
 	for _, r := range e.running {
 		refs = append(refs, r.ref)
@@ -222,33 +229,35 @@
 	return refs
 }
 
-// ClockMS is the executor's steady clock, in ms.
+// ClockMS returns the time since the start of the incarnation by the executor's
+// monotonic clock, in ms.
 func (e *Executor) ClockMS() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.clock()
 }
 
-// clock is the executor's steady clock, in ms. The caller holds mu.
+// clock is ClockMS for a caller that holds mu.
 func (e *Executor) clock() int64 {
-	return int64(float64(e.now().Sub(e.born).Milliseconds())*e.rate) + 1
+	return int64(float64(e.now().Sub(e.startedAt).Milliseconds())*e.clockRate) + 1
 }
 
-// advance ends what is due. The caller holds mu.
+// advance updates the work done by each run and ends the runs that are due to end: by
+// the lease, a stop, or their work time. The caller holds mu.
 func (e *Executor) advance() {
 	now := e.clock()
 	for _, id := range slices.Sorted(maps.Keys(e.running)) {
 		r := e.running[id]
-		r.pacedMS += float64(now-r.pacedAt) * float64(r.percent) / 100
-		r.pacedAt = now
+		r.workedMS += float64(now-r.workedAt) * float64(r.percent) / 100
+		r.workedAt = now
 		switch {
-		case now >= e.until:
+		case now >= e.leaseEndMS:
 			e.end(r, "lapsed")
 		case !r.stopAt.IsZero():
 			if !e.now().Before(r.stopAt) {
 				e.end(r, "stopped")
 			}
-		case r.hangs || r.workMS == 0 || r.pacedMS < float64(r.workMS):
+		case r.hangs || r.workMS == 0 || r.workedMS < float64(r.workMS):
 		case r.fails:
 			e.end(r, "failed")
 		default:
@@ -257,52 +266,53 @@
 	}
 }
 
-// end lists the end of a run. The caller holds mu.
-func (e *Executor) end(r *run, how string) {
+// end removes a run and lists it as ended. The caller holds mu.
+func (e *Executor) end(r *run, outcome string) {
 	delete(e.running, r.ref.Task)
 	e.used = e.used.Sub(r.size)
 	e.barred[r.ref.Task] = max(e.barred[r.ref.Task], r.ref.Run)
 	e.seq++
 	if e.seq > e.acked {
-		e.ended = append(e.ended, rudderfork.EndedRun{Seq: e.seq, RunRef: r.ref, Outcome: how})
+		e.ended = append(e.ended, rudderfork.EndedRun{Seq: e.seq, RunRef: r.ref, Outcome: outcome})
 	}
-	e.tell(r.ref, how)
+	e.notifyFinish(r.ref, outcome)
 }
 
-func (e *Executor) tell(ref rudderfork.RunRef, how string) {
+func (e *Executor) notifyFinish(ref rudderfork.RunRef, outcome string) {
 	if e.onFinish != nil {
-		e.onFinish(ref, how)
+		e.onFinish(ref, outcome)
 	}
 }
 
-// call lets fate decide over a call. do carries it out, under the lock.
-func (e *Executor) call(name, life string, do func()) error {
+// call delivers a call to the given incarnation as its fate says. do carries it out
+// with mu held.
+func (e *Executor) call(name, inc string, do func()) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.catchUp()
+	e.doDelayed()
 	e.advance()
-	if !e.meant(life) {
+	if !e.isCurrent(inc) {
 		return rudderfork.ErrStaleIncarnation
 	}
 	switch e.fate(name) {
-	case Unheard:
+	case RequestLost:
 		return ErrNoAnswer
-	case Lost:
+	case ResponseLost:
 		do()
 		return ErrNoAnswer
-	case Postponed:
-		c := lateCall{do: func() {
+	case Delayed:
+		c := delayedCall{do: func() {
 			e.advance()
-			if e.meant(life) {
+			if e.isCurrent(inc) {
 				do()
 			}
 		}}
 		if e.delay != nil {
 			c.at = e.now().Add(e.delay(name))
 		}
-		e.late = append(e.late, c)
+		e.delayed = append(e.delayed, c)
 		return ErrNoAnswer
-	case Disowned:
+	case RejectedAsStale:
 		return rudderfork.ErrStaleIncarnation
 	case Answered:
 	}
@@ -311,9 +321,9 @@
 }
 
 // Start implements rudderfork.Executor.
-func (e *Executor) Start(_ context.Context, life string, s rudderfork.RunStart) (rudderfork.StartOutcome, error) {
-	var out rudderfork.StartOutcome // not to be read without an answer: a postponed call sets it later
-	if err := e.call("start", life, func() { out = e.start(s) }); err != nil {
+func (e *Executor) Start(_ context.Context, inc string, s rudderfork.RunStart) (rudderfork.StartOutcome, error) {
+	var out rudderfork.StartOutcome // not read after an error: a delayed call may write to it later
+	if err := e.call("start", inc, func() { out = e.start(s) }); err != nil {
 		return 0, err
 	}
 	return out, nil
@@ -325,24 +335,24 @@
 	}
 	e.fence = s.Fence
 	if r := e.running[s.Task]; r != nil && r.ref == s.RunRef {
-		e.until = max(e.until, s.UntilMS)
+		e.leaseEndMS = max(e.leaseEndMS, s.UntilMS)
 		return rudderfork.Started
 	}
 	now := e.clock()
 	switch {
 	case e.running[s.Task] != nil || s.Run <= e.barred[s.Task]:
-		e.until = max(e.until, s.UntilMS)
+		e.leaseEndMS = max(e.leaseEndMS, s.UntilMS)
 		return rudderfork.StartEnded
 	case s.UntilMS <= now:
 		return rudderfork.StartExpired
 	}
-	e.until = max(e.until, s.UntilMS)
+	e.leaseEndMS = max(e.leaseEndMS, s.UntilMS)
 	size := e.sizes(s.Payload)
-	if !e.used.Add(size).Fits(e.room) {
+	if !e.used.Add(size).Fits(e.capacity) {
 		return rudderfork.StartNoCapacity
 	}
-	r := &run{ref: s.RunRef, size: size, pacedAt: now, percent: 100}
-	r.read(e.behave(s.RunRef, s.Payload))
+	r := &run{ref: s.RunRef, size: size, workedAt: now, percent: 100}
+	r.parse(e.behave(s.RunRef, s.Payload))
 	e.running[s.Task] = r
 	e.used = e.used.Add(size)
 	if e.onStart != nil {
@@ -351,8 +361,8 @@
 	return rudderfork.Started
 }
 
-// read takes what a task does from its payload.
-func (r *run) read(payload string) {
+// parse sets how a run behaves from the words of its payload.
+func (r *run) parse(payload string) {
 	for word := range strings.FieldsSeq(payload) {
 		key, val, _ := strings.Cut(word, "=")
 		switch key {
@@ -369,8 +379,8 @@
 }
 
 // Stop implements rudderfork.Executor.
-func (e *Executor) Stop(_ context.Context, life string, ref rudderfork.RunRef, fence uint64) error {
-	return e.call("stop", life, func() {
+func (e *Executor) Stop(_ context.Context, inc string, ref rudderfork.RunRef, fence uint64) error {
+	return e.call("stop", inc, func() {
 		if fence < e.fence {
 			return
 		}
@@ -384,7 +394,7 @@
 	})
 }
 
-// stop ends a run once its time to stop is over. The caller holds mu.
+// stop ends a run, after stopTime if there is one. The caller holds mu.
 func (e *Executor) stop(r *run) {
 	if e.stopTime == 0 {
 		e.end(r, "stopped")
@@ -394,8 +404,8 @@
 }
 
 // Pace implements rudderfork.Executor.
-func (e *Executor) Pace(_ context.Context, life string, ref rudderfork.RunRef, percent int, fence uint64) error {
-	return e.call("pace", life, func() {
+func (e *Executor) Pace(_ context.Context, inc string, ref rudderfork.RunRef, percent int, fence uint64) error {
+	return e.call("pace", inc, func() {
 		if r := e.running[ref.Task]; r != nil && r.ref == ref && fence >= e.fence {
 			r.percent = percent
 		}
@@ -403,59 +413,61 @@
 }
 
 // Poll implements rudderfork.Executor.
-func (e *Executor) Poll(ctx context.Context, life string, req rudderfork.PollRequest) (look rudderfork.ExecutorStatus, err error) {
+func (e *Executor) Poll(ctx context.Context, inc string, req rudderfork.PollRequest) (status rudderfork.ExecutorStatus, err error) {
 	deadline := e.now().Add(time.Duration(req.WaitMS) * time.Millisecond)
-	var asked string // the life that was
-	err = e.call("look", life, func() {
-		asked = rudderfork.IncarnationName(e.id, e.bornMS)
-		e.hold(req)
+	var polled string // the incarnation that received the poll
+	err = e.call("look", inc, func() {
+		polled = rudderfork.IncarnationName(e.id, e.startMS)
+		e.renew(req)
 	})
 	for err == nil {
-		if look, err = e.account(asked); err != nil {
-			return look, err
+		if status, err = e.status(polled); err != nil {
+			return status, err
 		}
-		if len(look.Ended) > 0 || !e.now().Before(deadline) {
-			return look, nil
+		if len(status.Ended) > 0 || !e.now().Before(deadline) {
+			return status, nil
 		}
 		select {
 		case <-ctx.Done():
-			return look, ctx.Err()
-		case <-time.After(lookStep):
+			return status, ctx.Err()
+		case <-time.After(pollInterval):
 		}
 	}
-	return look, err
+	return status, err
 }
 
-// hold extends the lease and drops what was taken note of. The caller holds mu.
-func (e *Executor) hold(req rudderfork.PollRequest) {
+// renew extends the lease and drops the ended runs that are acknowledged. A poll with an
+// older fencing token does neither. The caller holds mu.
+func (e *Executor) renew(req rudderfork.PollRequest) {
 	if req.Fence < e.fence {
 		return
 	}
 	e.fence = req.Fence
-	e.until = max(e.until, req.UntilMS)
+	e.leaseEndMS = max(e.leaseEndMS, req.UntilMS)
 	e.acked = max(e.acked, req.AckedUpTo)
 	for len(e.ended) > 0 && e.ended[0].Seq <= e.acked {
 		e.ended = e.ended[1:]
 	}
 }
 
-// account returns what the life says that was asked; one that is over says nothing.
-func (e *Executor) account(asked string) (look rudderfork.ExecutorStatus, err error) {
+// status returns the executor status of the polled incarnation, or ErrNoAnswer if that
+// one has ended.
+func (e *Executor) status(polled string) (status rudderfork.ExecutorStatus, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if asked != rudderfork.IncarnationName(e.id, e.bornMS) {
-		return look, ErrNoAnswer
+	if polled != rudderfork.IncarnationName(e.id, e.startMS) {
+		return status, ErrNoAnswer
 	}
-	e.catchUp()
+	e.doDelayed()
 	e.advance()
-	look.ClockMS = e.clock()
-	look.Ended = append(look.Ended, e.ended...)
+	status.ClockMS = e.clock()
+	status.Ended = append(status.Ended, e.ended...)
 	for _, r := range e.running {
-		row := rudderfork.RunStatus{RunRef: r.ref, Percent: 100}
+		rs := rudderfork.RunStatus{RunRef: r.ref, Percent: 100}
 		if r.workMS > 0 {
-			row.Percent = int(100 * r.pacedMS / float64(r.workMS))
+			rs.Percent = int(100 * r.workedMS / float64(r.workMS))
 		}
-		look.Running = append(look.Running, row)
+		status.Running = append(status.Running, rs)
 	}
-	return look, nil
+	return status, nil
 }
--- a/wire/liveness_test.go
+++ b/wire/liveness_test.go
@@ -82,14 +82,14 @@
 func TestSilentConnection(t *testing.T) {
 	t.Run("both directions", func(t *testing.T) {
 		dialled, accepted, p := connect(t)
-		p.Silence(faultlink.Forth, faultlink.Back)
+		p.Blackhole(faultlink.ToTarget, faultlink.ToDialer)
 		a, b := receive(dialled), receive(accepted)
 		assertSilent(t, a)
 		assertSilent(t, b)
 	})
 	t.Run("towards the accepting end", func(t *testing.T) {
 		dialled, accepted, p := connect(t)
-		p.Silence(faultlink.Forth)
+		p.Blackhole(faultlink.ToTarget)
 		a, b := receive(dialled), receive(accepted)
 		assertSilent(t, b)
 		accepted.Close()
@@ -97,7 +97,7 @@
 	})
 	t.Run("towards the dialling end", func(t *testing.T) {
 		dialled, accepted, p := connect(t)
-		p.Silence(faultlink.Back)
+		p.Blackhole(faultlink.ToDialer)
 		a, b := receive(dialled), receive(accepted)
 		assertSilent(t, a)
 		dialled.Close()
@@ -107,7 +107,7 @@
 		dialled, accepted, _ := connect(t)
 		a, b := receive(dialled), receive(accepted)
 		silent, other, p := connect(t)
-		p.Silence(faultlink.Forth, faultlink.Back)
+		p.Blackhole(faultlink.ToTarget, faultlink.ToDialer)
 		assertSilent(t, receive(silent)) // the first connection has been idle for as long
 		other.Close()
 		assert.NilError(t, dialled.Send(t.Context(), message{"forth"}))
