--- a/agent/forward.go
+++ b/agent/forward.go
@@ -36,7 +36,7 @@
 	adm.started = steady.Now()
 	resp, err := s.transport(c != nil).RoundTrip(req)
 	if err != nil {
-		relay.Renew(s.pooled, err)
+		relay.CloseIdleAfter(s.pooled, err)
 		f.forwardFailed(w, r, c, err)
 		return
 	}
@@ -50,9 +50,9 @@
 	f.closeConnIfStopping(w)
 	cp := c.captureAnswer(resp)
 	if cp == nil {
-		relay.WriteAnswer(w, resp, nil)
+		relay.WriteResponse(w, resp, nil)
 	} else {
-		relay.WriteAnswer(w, resp, cp)
+		relay.WriteResponse(w, resp, cp)
 	}
 	c.setDone()
 	f.event("answered", r, resp.Status)
--- a/agent/front.go
+++ b/agent/front.go
@@ -171,9 +171,9 @@
 const retryDelay = 500 * time.Millisecond
 
 func (f *front) request(w http.ResponseWriter, r *http.Request) {
-	w, stop := relay.GiveSigns(w, r)
+	w, stop := relay.SendInterim(w, r)
 	defer stop()
-	defer relay.BoundBody(w, r)()
+	defer relay.LimitBodyReads(w, r)()
 	s := f.services[rudderfork.Service(r.Header.Get(relay.HeaderService))]
 	if s == nil {
 		f.refuse(w, r, http.StatusNotFound, "no-service", "this agent does not have the service", time.Time{})
--- a/agent/service.go
+++ b/agent/service.go
@@ -112,7 +112,7 @@
 
 // admit waits for a slot; a feed gets a connection at once or is refused.
 func (s *service) admit(ctx context.Context, r *http.Request, deadline time.Time) (*admitted, *refusal) {
-	if relay.Feed(r.Header) {
+	if relay.IsFeed(r.Header) {
 		return s.admitFeed()
 	}
 	team := rudderfork.Team(r.Header.Get(relay.HeaderTeam))
--- a/bench/fleet.go
+++ b/bench/fleet.go
@@ -148,7 +148,7 @@
 		})
 	}
 	put.Queues[1].Priority = 2
-	if ans := p.fronts[0].Ask(ctx, wire.QueueRequest{Put: put}, time.Minute); ans.Code != queue.OK {
+	if ans := p.fronts[0].Do(ctx, wire.QueueRequest{Put: put}, time.Minute); ans.Code != queue.OK {
 		return fmt.Errorf("document: %+v", ans)
 	}
 	p.awaitLeases(ctx, 0)
@@ -282,7 +282,7 @@
 	p.submits[id] = began
 	f := p.fronts[p.rng.IntN(len(p.fronts))]
 	p.wg.Go(func() {
-		f.Ask(ctx, wire.QueueRequest{Submit: &queue.Submit{Host: fleetHost, Path: "/" + queueName + "/" + string(id), Spec: queue.Spec{Steps: steps}}}, 3*time.Second)
+		f.Do(ctx, wire.QueueRequest{Submit: &queue.Submit{Host: fleetHost, Path: "/" + queueName + "/" + string(id), Spec: queue.Spec{Steps: steps}}}, 3*time.Second)
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.figures.Answers = append(p.figures.Answers, steady.Now().Sub(began))
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -14,23 +14,23 @@
 	"rudderfork.example/rudderfork/relay"
 )
 
-// maxProblem bounds an agent's refusal, in bytes.
+// maxProblem bounds the body of an agent's refusal, in bytes.
 const maxProblem = 64 << 10
 
-// attempt is one try at one upstream: an answer, or a problem that says whether
-// the request ran.
+// attempt is one attempt to send a request to one upstream. It ends with a response,
+// or with a problem that says whether the request ran.
 type attempt struct {
 	c       *call
 	vm      rudderfork.VMID
 	start   time.Time
 	resp    *http.Response
 	problem *rudderfork.Problem
-	final   bool // no other upstream would do better
-	signs   *signs
-	silent  bool // the agent gave no signs of life, or none that came here
+	final   bool // another upstream would give the same result
+	watcher *interimWatcher
+	silent  bool // no interim responses of the agent were received
 }
 
-// send passes the request to a VM's agent. cl is nil without a claim.
+// send forwards the request to a VM's agent. cl is nil for a request without a claim.
 func (c *call) send(vm rudderfork.VMID, cl *claimed) *attempt {
 	a := &attempt{c: c, vm: vm, start: steady.Now()}
 	info, ok := c.h.fleet.info(vm)
@@ -46,30 +46,30 @@
 		a.final = true
 		return a
 	}
-	c.fill(req, cl)
-	req, a.signs = watchSigns(req, func() bool { return c.h.fleet.link(vm).givesSigns() })
+	c.prepare(req, cl)
+	req, a.watcher = watchInterim(req, func() bool { return c.h.fleet.link(vm).sendsInterim() })
 	resp, err := c.h.fleet.hc.RoundTrip(req)
-	if a.silent = a.signs.end(); a.silent && err == nil {
-		err = errors.Join(errNoSigns, resp.Body.Close()) // it came as the attempt was given up
+	if a.silent = a.watcher.stop(); a.silent && err == nil {
+		err = errors.Join(errNoInterim, resp.Body.Close()) // the response came while the attempt was being given up
 	}
 	if err != nil {
-		a.signs.cancel(nil)
-		a.failed(err)
+		a.watcher.cancel(nil)
+		a.setFailure(err)
 		return a
 	}
 	if l, ok := relay.DecodeLoad(resp.Header.Get(relay.HeaderLoad)); ok {
 		c.pool.observe(vm, l)
 	}
 	if resp.Header.Get(problem.Header) != "" {
-		a.refused(resp)
+		a.setRefusal(resp)
 		return a
 	}
 	a.resp = resp
 	return a
 }
 
-// fill sets the headers and the body of a request to an agent.
-func (c *call) fill(req *http.Request, cl *claimed) {
+// prepare sets the headers and the body of the request to an agent.
+func (c *call) prepare(req *http.Request, cl *claimed) {
 	relay.CopyHeader(req.Header, c.r.Header)
 	req.Header.Set(relay.HeaderService, string(c.service))
 	req.Header.Set(relay.HeaderRequest, c.id)
@@ -87,13 +87,13 @@
 	c.body.attach(req)
 }
 
-// failed notes an attempt that got no answer.
-func (a *attempt) failed(err error) {
+// setFailure records the problem of an attempt that got no response.
+func (a *attempt) setFailure(err error) {
 	c := a.c
 	switch {
 	case a.silent:
 		c.pool.done(a.vm, 0, true)
-		relay.Renew(c.h.fleet.hc, errNoSigns)
+		relay.CloseIdleAfter(c.h.fleet.hc, errNoInterim)
 		c.h.metrics.silent.Inc()
 		c.h.log.Warn().Str("request", c.id).Str("node_vm", string(a.vm)).Msg("request_silent")
 		a.problem = problem.New(http.StatusBadGateway, "upstream-failed", "the agent of "+string(a.vm)+" fell silent before an answer came", rudderfork.RanUnknown)
@@ -103,8 +103,8 @@
 		a.problem = c.unavailable("unreachable", "the upstream "+string(a.vm)+" cannot be reached")
 	case deadlinePassed(err):
 		c.pool.done(a.vm, steady.Now().Sub(a.start), false)
-		if a.signs.doubtful() {
-			relay.Renew(c.h.fleet.hc, err)
+		if a.watcher.maybeSilent() {
+			relay.CloseIdleAfter(c.h.fleet.hc, err)
 		}
 		a.problem = problem.New(http.StatusGatewayTimeout, "deadline", "no answer came by the deadline", rudderfork.RanUnknown)
 		a.problem.RetryAt = steady.Now().Add(retryPause)
@@ -116,9 +116,9 @@
 	}
 }
 
-// refused reads an agent's refusal.
-func (a *attempt) refused(resp *http.Response) {
-	defer a.signs.cancel(nil)
+// setRefusal records the problem of an attempt that the agent refused.
+func (a *attempt) setRefusal(resp *http.Response) {
+	defer a.watcher.cancel(nil)
 	defer resp.Body.Close()
 	a.problem = &rudderfork.Problem{}
 	err := json.NewDecoder(io.LimitReader(resp.Body, maxProblem)).Decode(a.problem)
@@ -128,14 +128,14 @@
 	a.final = a.problem.Status == http.StatusBadRequest || a.problem.Status == http.StatusNotFound
 	kind := a.problem.Type
 	broken := kind == problem.TypeBase+"upstream-down" || kind == problem.TypeBase+"upstream-failed"
-	a.c.pool.done(a.vm, 0, broken) // a quick refusal is not a quick upstream
+	a.c.pool.done(a.vm, 0, broken) // the time of a refusal says nothing about the upstream's latency
 }
 
-// close ends an attempt that was answered. It must be called after the body was
-// read, also if that broke off.
+// close ends an attempt that got a response, and reports it to the picker. It must be
+// called after the body was read, also if reading failed.
 func (a *attempt) close() {
-	_ = a.resp.Body.Close() // an answer that broke off is cut for the caller too
-	a.signs.cancel(nil)
+	_ = a.resp.Body.Close() // a response that is cut off has been aborted for the caller too
+	a.watcher.cancel(nil)
 	took := steady.Now().Sub(a.start)
 	if a.c.feed {
 		took = 0
--- a/entry/body.go
+++ b/entry/body.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// maxReplay bounds a body that is kept for another attempt, in bytes.
+	// maxReplay bounds a body that is kept for retries, in bytes.
 	maxReplay = 64 << 10
-	// maxKeyed bounds the body of a keyed request, which is read whole for its
-	// digest, in bytes.
+	// maxKeyed bounds the body of a request with an idempotency key, in bytes. Such a
+	// body is read whole, because its digest is part of the claim.
 	maxKeyed = 1 << 20
 )
 
-// body is a request's body: short ones are kept, long ones stream once.
+// body is a request's body. Short bodies are kept in memory, long ones can be sent
+// only once.
 type body struct {
-	src    io.ReadCloser
-	length int64
-	kept   []byte
-	whole  bool // kept holds all of it
-	used   bool
+	src      io.ReadCloser
+	length   int64
+	kept     []byte
+	whole    bool // kept holds all of it
+	streamed bool // the body has been passed to an attempt without being kept
 }
 
 func newBody(r *http.Request) *body {
@@ -29,7 +30,7 @@
 	if r.ContentLength == 0 || r.Body == nil {
 		b.whole = true
 	} else if r.ContentLength > 0 && r.ContentLength <= maxReplay {
-		// A body that breaks off is noticed when it is sent.
+		// A body that is cut off fails when it is sent.
 		if kept, err := io.ReadAll(r.Body); err == nil {
 			b.kept, b.whole = kept, true
 		} else {
@@ -39,14 +40,15 @@
 	return b
 }
 
-// errReader fails.
+// errReader returns err on every read.
 type errReader struct{ err error }
 
 // Read implements io.Reader.
 func (e *errReader) Read([]byte) (int, error) { return 0, e.err }
 
-// keep reads the body whole; an error if it is larger than maxKeyed.
-func (b *body) keep() error {
+// buffer reads the whole body into memory. It returns errTooLarge if the body is larger
+// than maxKeyed.
+func (b *body) buffer() error {
 	if b.whole {
 		return nil
 	}
@@ -63,11 +65,11 @@
 
 var errTooLarge = errors.New("the body is too large")
 
-// replayable reports whether the body can be sent (again).
-func (b *body) replayable() bool { return b.whole || !b.used }
+// replayable reports whether the body can be sent, for the first time or again.
+func (b *body) replayable() bool { return b.whole || !b.streamed }
 
-// attach gives the body to a request. It never sets GetBody, so that the
-// standard client cannot repeat the request by itself.
+// attach sets the body of a request. It never sets GetBody, so that net/http's client
+// cannot repeat the request by itself.
 func (b *body) attach(req *http.Request) {
 	switch {
 	case b.whole && len(b.kept) == 0:
@@ -75,7 +77,7 @@
 		req.Body = io.NopCloser(bytes.NewReader(b.kept))
 		req.ContentLength = int64(len(b.kept))
 	default:
-		b.used = true
+		b.streamed = true
 		req.Body = struct{ io.ReadCloser }{b.src}
 		req.ContentLength = b.length
 	}
--- a/entry/claimed.go
+++ b/entry/claimed.go
@@ -19,25 +19,26 @@
 )
 
 const (
-	// claimTimeout bounds the wait for control.
+	// claimTimeout bounds the wait for control's answer.
 	claimTimeout = 3 * time.Second
-	// settleTries is how often the outcome is offered to control.
+	// settleTries is how often the outcome is sent to control until it is accepted.
 	settleTries = 10
-	// settlePause is the rest between two tries.
+	// settlePause is the pause between two such tries, and between two queries of an
+	// agent.
 	settlePause = 300 * time.Millisecond
-	// maxKey bounds a caller's key, in bytes.
+	// maxKey bounds a caller's idempotency key, in bytes.
 	maxKey = 256
 )
 
-// claimed is a keyed request for which this entry holds the claim.
+// claimed is a request with an idempotency key for which this entry holds the claim.
 type claimed struct {
 	claim *state.Claim
 }
 
-// runClaimed serves a request that must run at most once: it goes to an
-// upstream only under a claim that control has committed for that VM.
+// runClaimed serves a request with an idempotency key, which must run at most once. It
+// is sent to an upstream only after control has committed a claim for that VM.
 func (c *call) runClaimed(key string) {
-	ask, p := c.newAsk(key)
+	acq, p := c.newAcquire(key)
 	if p != nil {
 		c.fail(p)
 		return
@@ -50,51 +51,51 @@
 		if !ok {
 			break
 		}
-		next, done := c.obtain(ask, vm)
+		next, done := c.acquireClaim(acq, vm)
 		if done {
-			link.sent()
+			link.release()
 			c.pool.done(vm, 0, false)
 			return // answered
 		}
 		cl = next
-		c.vouched = true
+		c.knownNotRun = true
 		c.event("claimed", fmt.Sprintf("token %d for %s: %s", cl.claim.Token, vm, why))
 		crash.Point(crash.EntryClaimed)
 		last = c.send(vm, cl)
-		link.sent()
+		link.release()
 		tried = append(tried, vm)
 		if last.resp != nil {
-			c.answerClaimed(last, cl)
+			c.writeClaimed(last, cl)
 			return
 		}
 		if last.problem.Type == problem.TypeBase+"claim-used" {
-			// Someone fenced this token off and took over.
+			// Another entry has fenced this token off and taken over the claim.
 			c.fail(c.running("another entry works on this key"))
 			return
 		}
-		if last.silent && c.afterSilence(last, cl.claim) {
+		if last.silent && c.resolveSilence(last, cl.claim) {
 			return // answered
 		}
 		if last.problem.Ran != rudderfork.RanNo {
-			break // the claim stays; who asks again learns what became of it
+			break // the claim stays; a repeated request finds out what became of this one
 		}
-		ask.After = cl.claim.Token // it did not run: the next attempt takes over
+		acq.After = cl.claim.Token // the request did not run: the next attempt takes over the claim
 		if c.ctx.Err() != nil || !c.mayRetry(last) {
 			break
 		}
 	}
 	if last != nil && last.problem.Ran == rudderfork.RanNo {
-		c.giveBack(cl)
+		c.releaseClaim(cl)
 	}
 	c.giveUp(last)
 }
 
-// newAsk reads the body whole and prepares the claim.
-func (c *call) newAsk(key string) (*state.Acquire, *rudderfork.Problem) {
+// newAcquire reads the whole body and returns the command that acquires the claim.
+func (c *call) newAcquire(key string) (*state.Acquire, *rudderfork.Problem) {
 	if len(key) > maxKey {
 		return nil, problem.New(http.StatusBadRequest, "malformed", fmt.Sprintf("Idempotency-Key is longer than %d bytes", maxKey), rudderfork.RanNo)
 	}
-	err := c.body.keep()
+	err := c.body.buffer()
 	if errors.Is(err, errTooLarge) {
 		return nil, problem.New(http.StatusRequestEntityTooLarge, "too-large", fmt.Sprintf("the body of a request with a key is larger than %d bytes", maxKeyed), rudderfork.RanNo)
 	}
@@ -111,21 +112,21 @@
 	}, nil
 }
 
-// obtain gets the claim for a VM. done is true if the caller was answered.
-func (c *call) obtain(ask *state.Acquire, vm rudderfork.VMID) (cl *claimed, done bool) {
+// acquireClaim acquires the claim for a VM. done is true if the caller was answered.
+func (c *call) acquireClaim(acq *state.Acquire, vm rudderfork.VMID) (cl *claimed, done bool) {
 	info, ok := c.h.fleet.info(vm)
 	if !ok {
 		c.fail(c.unavailable("no-upstream", "the upstream has left"))
 		return nil, true
 	}
-	// Twice is enough: the second ask takes over what the first one met.
+	// Two rounds suffice: the second takes over a claim that the first has found.
 	for range 2 {
-		ask.VM, ask.Boot = vm, info.Boot
+		acq.VM, acq.Boot = vm, info.Boot
 		ctx, cancel := context.WithTimeout(c.ctx, claimTimeout)
-		res, err := c.h.client.Claim(ctx, *ask)
+		res, err := c.h.client.Claim(ctx, *acq)
 		cancel()
 		if err != nil {
-			c.fail(c.noClaim(err))
+			c.fail(c.claimUnavailable(err))
 			return nil, true
 		}
 		if res.Granted {
@@ -135,7 +136,7 @@
 			c.fail(c.unavailable("claim-expired", "the claim ran out; nothing ran now"))
 			return nil, true
 		}
-		if !c.takeOver(ask, res.Claim) {
+		if !c.takeOver(acq, res.Claim) {
 			return nil, true
 		}
 	}
@@ -143,9 +144,10 @@
 	return nil, true
 }
 
-// noClaim answers when control did not. This entry sent the request to no
-// upstream, but under the same key it may run elsewhere, or may have run.
-func (c *call) noClaim(err error) *rudderfork.Problem {
+// claimUnavailable returns the problem for a claim that control did not answer. This
+// entry has sent the request to no upstream, but a request with the same key may be
+// running elsewhere, or may have run.
+func (c *call) claimUnavailable(err error) *rudderfork.Problem {
 	p := c.unavailable("no-claim", "control cannot be asked for the right to run it once; it was not sent now, but may have run before")
 	if errors.Is(err, node.ErrOutcomeUnknown) {
 		p.Detail = "control did not answer in time; it was not sent now, but may have run before"
@@ -153,17 +155,18 @@
 	return p
 }
 
+// running returns the problem for a request whose key is in use.
 func (c *call) running(detail string) *rudderfork.Problem {
 	p := problem.New(http.StatusConflict, "still-running", detail, rudderfork.RanUnknown)
 	p.RetryAt = steady.Now().Add(retryPause)
 	return p
 }
 
-// takeOver deals with a claim that someone else obtained. It returns true if
-// the request surely did not run, and ask is ready to take the claim over; else
-// the caller was answered.
-func (c *call) takeOver(ask *state.Acquire, held *state.Claim) bool {
-	if string(held.Digest) != string(ask.Digest) {
+// takeOver handles a claim that an earlier request with the same key acquired. It
+// returns true if that request certainly did not run; acq then takes the claim over.
+// Else the caller was answered.
+func (c *call) takeOver(acq *state.Acquire, held *state.Claim) bool {
+	if string(held.Digest) != string(acq.Digest) {
 		c.fail(problem.New(http.StatusUnprocessableEntity, "key-reused", "the key was used for another request", rudderfork.RanNo))
 		return false
 	}
@@ -171,11 +174,11 @@
 		c.replay(held.Answer)
 		return false
 	}
-	fate, answer := c.fate(held)
-	c.event("claim_met", fmt.Sprintf("token %d on %s: %s", held.Token, held.VM, fate))
-	switch fate {
+	reqState, answer := c.requestState(held)
+	c.event("claim_met", fmt.Sprintf("token %d on %s: %s", held.Token, held.VM, reqState))
+	switch reqState {
 	case wire.RequestNever:
-		ask.After = held.Token
+		acq.After = held.Token
 		return true
 	case wire.RequestDone:
 		c.h.settle(state.Settle{Key: held.Key, Token: held.Token, Answer: answer})
@@ -190,19 +193,20 @@
 	return false
 }
 
-// sessionSpan bounds how long an agent whose connections fell silent is asked for a
-// request's fate, while it cannot be asked: until the session's silence has been
-// noticed (4/3 of wire.ProbeSession's limit of 5 s), and another one dialled, after
-// redialPause and within wire.DialTimeout (2 s).
-const sessionSpan = 10 * time.Second
+// stateQueryTimeout bounds how long queries of an agent may fail after its connections
+// have gone silent. It covers the time until the session is recognised as silent (4/3
+// of wire.ProbeSession's limit of 5 s) and a new one is open, after redialPause and
+// within wire.DialTimeout (2 s).
+const stateQueryTimeout = 10 * time.Second
 
-// afterSilence finds out, on the session, what became of a request whose agent fell
-// silent, and waits for its answer if it is running. It returns true if the caller
-// was answered; else the problem of the attempt says what is known.
-func (c *call) afterSilence(a *attempt, cl *state.Claim) (answered bool) {
-	limit := steady.Now().Add(sessionSpan)
+// resolveSilence queries the agent, over its session, for the state of a request whose
+// connection went silent, and waits for the result while the request is running. It
+// returns true if the caller was answered; else the problem of the attempt says what
+// is known.
+func (c *call) resolveSilence(a *attempt, cl *state.Claim) (answered bool) {
+	limit := steady.Now().Add(stateQueryTimeout)
 	for c.ctx.Err() == nil {
-		f, err := c.askFate(cl)
+		f, err := c.queryState(cl)
 		switch {
 		case err != nil && steady.Now().After(limit):
 			c.event("fate_unknown", err.Error())
@@ -223,16 +227,18 @@
 	return false
 }
 
-// fate asks the agent that the claim names.
-func (c *call) fate(held *state.Claim) (wire.RequestState, *state.Answer) {
-	f, err := c.askFate(held)
+// requestState returns the state of a claimed request, as the agent that the claim
+// names reports it.
+func (c *call) requestState(held *state.Claim) (wire.RequestState, *state.Answer) {
+	f, err := c.queryState(held)
 	if err != nil {
 		return wire.RequestUnknown, nil
 	}
 	return f.State, f.Answer
 }
 
-func (c *call) askFate(held *state.Claim) (wire.Fenced, error) {
+// queryState fences a claimed request off at its agent and returns the request's state.
+func (c *call) queryState(held *state.Claim) (wire.Fenced, error) {
 	l := c.h.fleet.link(held.VM)
 	if l == nil {
 		return wire.Fenced{}, errNoAgent
@@ -240,7 +246,7 @@
 	return l.fence(c.ctx, held)
 }
 
-// replay gives the first answer again.
+// replay answers the caller with the recorded response.
 func (c *call) replay(a *state.Answer) {
 	if a == nil || a.Partial {
 		c.fail(problem.New(http.StatusConflict, "ran", "it ran; its answer was too large to keep", rudderfork.RanYes))
@@ -254,31 +260,31 @@
 	h.Set(relay.HeaderRequest, c.id)
 	h.Set(relay.HeaderReplayed, "yes")
 	c.w.WriteHeader(a.Status)
-	_, _ = c.w.Write(a.Body) // a caller that is gone asks again
+	_, _ = c.w.Write(a.Body) // a caller whose connection is closed repeats the request
 }
 
-// answerClaimed passes the answer on and records it. It is recorded only when it
-// came whole; else the agent knows more.
-func (c *call) answerClaimed(a *attempt, cl *claimed) {
+// writeClaimed forwards the response to the caller and has control record it. A
+// response that is cut off isn't recorded; the agent may still have all of it.
+func (c *call) writeClaimed(a *attempt, cl *claimed) {
 	crash.Point(crash.EntrySent)
 	cp := relay.NewCapture(state.MaxAnswerBytes)
 	status, ctype := a.resp.StatusCode, a.resp.Header.Get("Content-Type")
-	c.answer(a, cp)
+	c.writeResponse(a, cp)
 	crash.Point(crash.EntryAnswered)
 	c.h.settle(state.Settle{Key: cl.claim.Key, Token: cl.claim.Token, Answer: &state.Answer{
 		Status: status, ContentType: ctype, Body: cp.Body(), Partial: cp.Partial(),
 	}})
 }
 
-// giveBack lets go of a claim under which nothing ran.
-func (c *call) giveBack(cl *claimed) {
+// releaseClaim releases a claim under which nothing ran.
+func (c *call) releaseClaim(cl *claimed) {
 	c.h.settle(state.Settle{Key: cl.claim.Key, Token: cl.claim.Token, NotRun: true})
 }
 
-// settle tells control how a claimed request ended, without holding up the
-// caller. If control cannot be told, the agent still knows.
+// settle reports to control in the background how a claimed request ended. If control
+// cannot be reached, the agent still has the result.
 func (h *handler) settle(s state.Settle) {
-	h.fleet.pending.Go(func() {
+	h.fleet.settlements.Go(func() {
 		for range settleTries {
 			ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 			_, err := h.client.Settle(ctx, s)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,9 +1,10 @@
-// Package entry is the process that callers speak to. It chooses an upstream
-// for each request, passes the request to that VM's agent, tries again elsewhere
-// where that is safe, and sees to it that a keyed request runs at most once.
+// Package entry implements the process that receives clients' requests. It chooses an
+// upstream for each request, forwards the request to the agent of that VM, retries at
+// another upstream where that is safe, and ensures that a request with an idempotency
+// key (a keyed request) runs at most once.
 //
-// Entries share no memory. All that a request needs to survive an entry stands
-// in control's claims or at the agent.
+// Entries share no state. What must outlast the failure of an entry is kept in
+// control's claims or at the agent.
 package entry
 
 import (
@@ -28,13 +29,14 @@
 )
 
 const (
-	// timelineSize is how many events an entry keeps.
+	// timelineSize is how many events an entry keeps for explanations.
 	timelineSize = 16_384
 	// headerTimeout bounds how long a caller may take to send its headers.
 	headerTimeout = 10 * time.Second
 	// idleTimeout bounds how long a caller's connection is kept without a request.
-	// It is twice the 90 s for which net/http's clients keep one, so that they close
-	// first: what is sent as the other side closes may or may not be read.
+	// It is twice the 90 s for which net/http's clients keep one, so that the client
+	// closes first: a request that is sent while the entry closes the connection may
+	// or may not be read.
 	idleTimeout = 3 * time.Minute
 	// maxHeader bounds a caller's headers, in bytes.
 	maxHeader = 64 << 10
@@ -55,7 +57,7 @@
 	leaving atomic.Bool
 }
 
-// New opens the listeners.
+// New opens the listeners of an entry and returns it, ready to Run.
 func New(cfg Settings, log zerolog.Logger) (p *Process, err error) {
 	defer errs.Annotate(&err, "entry %s", cfg.Name)
 	ln, adminLn, err := daemon.Listen(cfg.Listen, cfg.Admin)
@@ -65,7 +67,7 @@
 	ring := timeline.NewRing(cfg.Name, cfg.Place, timelineSize, steady.Now)
 	p = &Process{cfg: cfg, log: log, boot: rand.Text(), ln: ln, admin: adminLn.Addr().String()}
 	p.table = node.NewTable()
-	p.client = node.NewClient(cfg.Control, cfg.Beat, p.table, p, log)
+	p.client = node.NewClient(cfg.Control, cfg.HeartbeatInterval, p.table, p, log)
 	p.fleet = newFleet(cfg, log)
 	m := newMetrics()
 	h := newHandler(cfg, p.table, p.client, p.fleet, m, ring, log)
@@ -81,7 +83,7 @@
 	return p, nil
 }
 
-// ready tells the platform's balancer whether to send callers here.
+// ready returns an error while the load balancer should send no requests here.
 func (p *Process) ready() error {
 	switch {
 	case p.leaving.Load():
@@ -94,15 +96,15 @@
 	return nil
 }
 
-// Run serves until ctx ends. Then it first stops to be ready, so that the
-// balancer sends no more callers, goes on serving those it still sends, and
-// ends when all requests in progress have ended, feeds included.
+// Run serves until ctx ends. Then it first reports that it is not ready, so that the
+// load balancer sends no new requests, still serves those that come meanwhile, and
+// returns when all requests in progress have ended, feeds included.
 func (p *Process) Run(ctx context.Context) (err error) {
 	defer errs.Annotate(&err, "entry %s", p.cfg.Name)
 	return daemon.Run(ctx, p.sup, p.srv, p.ln, p.stop)
 }
 
-// stop leaves the balancer and ends what is in progress.
+// stop drains the entry: it reports not ready and waits for the requests in progress.
 func (p *Process) stop(ctx context.Context) error {
 	p.log.Info().Msg("stopping")
 	p.leaving.Store(true)
@@ -110,7 +112,7 @@
 	ctx, cancel := context.WithTimeout(ctx, p.cfg.DrainLimit)
 	defer cancel()
 	err := p.srv.Shutdown(ctx)
-	p.fleet.settled()
+	p.fleet.waitSettled()
 	p.log.Info().AnErr("error", err).Msg("stopped")
 	return err
 }
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	// dialTimeout bounds a connection to an agent.
+	// dialTimeout bounds the time to open a connection to an agent.
 	dialTimeout = time.Second
-	// maxIdle bounds the kept connections to one agent.
+	// maxIdle bounds the number of idle connections to one agent.
 	maxIdle = 64
-	// keptFor bounds how long a connection to an agent is kept without a request.
-	keptFor = time.Minute
-	// probeBusy and probeIdle are the pauses between probes of an agent, with
-	// and without requests in the last second.
+	// idleConnTimeout bounds how long a connection to an agent is kept idle.
+	idleConnTimeout = time.Minute
+	// probeBusy and probeIdle are the intervals between probes of an agent, with and
+	// without requests in the last second.
 	probeBusy = 200 * time.Millisecond
 	probeIdle = 3 * time.Second
-	// retryShare is how many retries a request earns.
-	retryShare = 0.1
+	// retriesPerRequest is how many retries each request adds to the retry budget.
+	retriesPerRequest = 0.1
 )
 
-// The pickers that settings can name.
+// The names of pickers in the settings.
 const (
 	pickerProbing    = "probing"
 	pickerRandom     = "random"
@@ -39,7 +39,8 @@
 	pickerLeast      = "least-in-flight"
 )
 
-// newPicker returns the picker that the settings name, or nil.
+// newPicker returns the picker that the settings name, or nil if there is none of that
+// name.
 func newPicker(cfg Settings, seed uint64) rudderfork.Picker {
 	switch cfg.Picker {
 	case pickerProbing:
@@ -54,34 +55,34 @@
 	return nil
 }
 
-// fleet is what an entry knows of the upstreams of all services.
+// fleet holds the upstreams of all services, with the links to their agents.
 type fleet struct {
 	cfg Settings
 	log zerolog.Logger
 	hc  *http.Transport
 
-	mu       sync.Mutex
-	revision rudderfork.Revision
-	infos    map[rudderfork.VMID]wire.UpstreamInfo
-	pools    map[rudderfork.Service]*pool
-	links    map[rudderfork.VMID]*agentLink
-	ctx      context.Context //nolint:containedctx // of Serve, for links made later
-	pending  sync.WaitGroup  // settlements under way
+	mu          sync.Mutex
+	revision    rudderfork.Revision
+	infos       map[rudderfork.VMID]wire.UpstreamInfo
+	pools       map[rudderfork.Service]*pool
+	links       map[rudderfork.VMID]*agentLink
+	ctx         context.Context //nolint:containedctx // the context of Serve, for links that are opened later
+	settlements sync.WaitGroup  // settlements in progress
 }
 
-// pool is the upstreams of one service.
+// pool holds the upstreams of one service.
 type pool struct {
-	mu     sync.Mutex
-	picker rudderfork.Picker
-	budget *routing.RetryBudget
-	busyAt time.Time // of the newest request
+	mu            sync.Mutex
+	picker        rudderfork.Picker
+	budget        *routing.RetryBudget
+	lastRequestAt time.Time // time of the newest request
 }
 
 func newFleet(cfg Settings, log zerolog.Logger) *fleet {
 	return &fleet{
 		cfg: cfg, log: log,
 		hc: &http.Transport{
-			DisableCompression: true, MaxIdleConnsPerHost: maxIdle, IdleConnTimeout: keptFor,
+			DisableCompression: true, MaxIdleConnsPerHost: maxIdle, IdleConnTimeout: idleConnTimeout,
 			DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		},
 		infos: map[rudderfork.VMID]wire.UpstreamInfo{}, pools: map[rudderfork.Service]*pool{},
@@ -92,7 +93,7 @@
 // String names the service in the supervisor's log.
 func (f *fleet) String() string { return "fleet" }
 
-// Serve implements suture.Service; the links to agents live as long as it does.
+// Serve implements suture.Service. The links to agents are closed when it returns.
 func (f *fleet) Serve(ctx context.Context) error {
 	f.mu.Lock()
 	f.ctx = ctx
@@ -102,8 +103,8 @@
 	return ctx.Err()
 }
 
-// settled waits for settlements under way.
-func (f *fleet) settled() { f.pending.Wait() }
+// waitSettled waits for the settlements in progress.
+func (f *fleet) waitSettled() { f.settlements.Wait() }
 
 func (f *fleet) empty() bool {
 	f.mu.Lock()
@@ -111,7 +112,7 @@
 	return len(f.infos) == 0
 }
 
-// set takes a list of upstreams that is newer than the one held.
+// set replaces the list of upstreams, unless the new list is older.
 func (f *fleet) set(u wire.Upstreams) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -142,13 +143,12 @@
 	f.log.Info().Uint64("revision", uint64(u.Revision)).Int("upstreams", len(u.List)).Msg("upstreams")
 }
 
-// pool returns the pool of a service, made when first named by control. f.mu is
-// held.
+// pool returns the pool of a service, and creates it if there is none. f.mu is held.
 func (f *fleet) pool(s rudderfork.Service) *pool {
 	p := f.pools[s]
 	if p == nil {
 		seed := uint64(steady.Now().UnixNano())
-		p = &pool{picker: newPicker(f.cfg, seed), budget: routing.NewRetryBudget(retryShare)}
+		p = &pool{picker: newPicker(f.cfg, seed), budget: routing.NewRetryBudget(retriesPerRequest)}
 		f.pools[s] = p
 	}
 	return p
@@ -161,7 +161,7 @@
 	return f.pools[s]
 }
 
-// info returns what control says of a VM.
+// info returns control's information about a VM's agent.
 func (f *fleet) info(vm rudderfork.VMID) (i wire.UpstreamInfo, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -176,7 +176,8 @@
 	return f.links[vm]
 }
 
-// syncLinks makes the links match the list. f.mu is held.
+// syncLinks opens and closes links so that they match the list of upstreams. f.mu is
+// held.
 func (f *fleet) syncLinks() {
 	if f.ctx == nil {
 		return
@@ -204,7 +205,7 @@
 	p.picker.SetUpstreams(us, steady.Now())
 }
 
-// pick chooses an upstream and counts the request there.
+// pick chooses an upstream and counts the request as sent to it.
 func (p *pool) pick(tried []rudderfork.VMID) (vm rudderfork.VMID, why string, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -228,12 +229,12 @@
 	p.picker.Observe(vm, l, steady.Now())
 }
 
-// request counts a request for the retry budget.
-func (p *pool) request() {
+// addRequest adds a request to the retry budget.
+func (p *pool) addRequest() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.busyAt = steady.Now()
-	p.budget.AddRequest(p.busyAt)
+	p.lastRequestAt = steady.Now()
+	p.budget.AddRequest(p.lastRequestAt)
 }
 
 // mayRetry takes a retry from the budget.
@@ -243,13 +244,14 @@
 	return p.budget.TryRetry(steady.Now())
 }
 
+// busy reports whether there was a request in the last second.
 func (p *pool) busy(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now.Sub(p.busyAt) < time.Second
+	return now.Sub(p.lastRequestAt) < time.Second
 }
 
-// services returns the pools of the named services.
+// poolsOf returns the pools of the named services.
 func (f *fleet) poolsOf(names []rudderfork.Service) map[rudderfork.Service]*pool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -22,13 +22,14 @@
 	"rudderfork.example/rudderfork/timeline"
 )
 
-// pathPrefix is how callers name a service: /svc/SERVICE/path.
+// pathPrefix starts the path of every request: /svc/SERVICE/path.
 const pathPrefix = "/svc/"
 
-// retryPause is when to come back after a refusal that no queue explains.
+// retryPause is the time after which a caller may retry, for refusals that are not due
+// to a queue.
 const retryPause = 500 * time.Millisecond
 
-// handler serves callers.
+// handler serves the requests of callers.
 type handler struct {
 	cfg     Settings
 	table   *node.Table
@@ -43,12 +44,12 @@
 	return &handler{cfg, t, c, f, m, ring, log}
 }
 
-// call is one request of a caller.
+// call is one request of a caller while it is handled.
 type call struct {
 	h        *handler
 	w        http.ResponseWriter
 	r        *http.Request
-	ctx      context.Context //nolint:containedctx // it lives as long as the call
+	ctx      context.Context //nolint:containedctx // it ends with the call
 	id       string
 	service  rudderfork.Service
 	pool     *pool
@@ -57,15 +58,15 @@
 	feed     bool
 	body     *body
 
-	// A keyed request may have run before, under the same key. vouched is set
-	// once a claim shows that it has not.
-	keyed   bool
-	vouched bool
+	// A keyed request may have run before, with the same key. knownNotRun is set once
+	// an acquired claim proves that it has not.
+	keyed       bool
+	knownNotRun bool
 }
 
 // ServeHTTP implements http.Handler.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	defer relay.BoundBody(w, r)()
+	defer relay.LimitBodyReads(w, r)()
 	c, p := h.parse(w, r)
 	if p != nil {
 		c.fail(p)
@@ -80,7 +81,7 @@
 	defer func() {
 		h.metrics.seconds.WithLabelValues(string(c.service)).Observe(steady.Now().Sub(start).Seconds())
 	}()
-	c.pool.request()
+	c.pool.addRequest()
 	c.event("received", r.Method+" "+c.url.Path)
 	if c.keyed {
 		c.runClaimed(r.Header.Get(relay.HeaderKey))
@@ -89,13 +90,13 @@
 	c.run()
 }
 
-// parse reads what the entry must know of a request.
+// parse reads the service, key, deadline and body of a request.
 func (h *handler) parse(w http.ResponseWriter, r *http.Request) (c *call, p *rudderfork.Problem) {
-	c = &call{h: h, w: w, r: r, ctx: r.Context(), id: r.Header.Get(relay.HeaderRequest), feed: relay.Feed(r.Header)}
+	c = &call{h: h, w: w, r: r, ctx: r.Context(), id: r.Header.Get(relay.HeaderRequest), feed: relay.IsFeed(r.Header)}
 	if c.id == "" || len(c.id) > maxID {
 		c.id = rand.Text()
 	}
-	c.keyed = r.Header.Get(relay.HeaderKey) != "" && !relay.Safe(r.Method)
+	c.keyed = r.Header.Get(relay.HeaderKey) != "" && !relay.IsSafe(r.Method)
 	rest, ok := strings.CutPrefix(r.URL.Path, pathPrefix)
 	name, path, _ := strings.Cut(rest, "/")
 	if !ok || name == "" {
@@ -123,10 +124,11 @@
 // maxID bounds a caller's request id, in bytes.
 const maxID = 128
 
-// unavailable refuses a request that this entry has sent nowhere.
+// unavailable returns the problem for a request that this entry has sent to no
+// upstream.
 func (c *call) unavailable(kind, detail string) *rudderfork.Problem {
 	ran := rudderfork.RanNo
-	if c.keyed && !c.vouched {
+	if c.keyed && !c.knownNotRun {
 		ran = rudderfork.RanUnknown
 	}
 	p := problem.New(http.StatusServiceUnavailable, kind, detail, ran)
@@ -138,7 +140,7 @@
 	c.h.ring.Record(rudderfork.Event{Kind: kind, Subject: c.id, Revision: c.h.table.Revision(), Text: text})
 }
 
-// fail answers with a problem, at once.
+// fail answers the caller with a problem.
 func (c *call) fail(p *rudderfork.Problem) {
 	p.Request = c.id
 	p.Version = c.h.table.Revision()
@@ -149,7 +151,7 @@
 
 // run serves a request without a claim.
 func (c *call) run() {
-	repeatable := relay.Safe(c.r.Method) || c.r.Header.Get(relay.HeaderRepeatable) == "yes"
+	repeatable := relay.IsSafe(c.r.Method) || c.r.Header.Get(relay.HeaderRepeatable) == "yes"
 	var tried []rudderfork.VMID
 	var last *attempt
 	for range maxAttempts {
@@ -159,10 +161,10 @@
 		}
 		c.event("chosen", string(vm)+": "+why)
 		a := c.send(vm, nil)
-		link.sent()
+		link.release()
 		tried = append(tried, vm)
 		if a.resp != nil {
-			c.answer(a, nil)
+			c.writeResponse(a, nil)
 			return
 		}
 		last = a
@@ -174,15 +176,15 @@
 	c.giveUp(last)
 }
 
-// pick chooses an upstream whose agent is not stopping. The request counts as on
-// its way there until link.sent is called; link may be nil.
+// pick chooses an upstream whose agent is not stopping. The request counts as in
+// flight to that agent until link.release is called; link may be nil.
 func (c *call) pick(tried []rudderfork.VMID) (vm rudderfork.VMID, link *agentLink, why string, ok bool) {
 	tried = slices.Clone(tried)
 	for {
 		if vm, why, ok = c.pool.pick(tried); !ok {
 			return vm, nil, why, false
 		}
-		if link = c.h.fleet.link(vm); link.take() {
+		if link = c.h.fleet.link(vm); link.acquire() {
 			return vm, link, why, true
 		}
 		c.pool.done(vm, 0, false)
@@ -190,8 +192,9 @@
 	}
 }
 
-// pickAfter chooses an upstream after the last attempt, if there was one. A VM whose
-// agent fell silent is taken again if no other is left: a new connection may work.
+// pickAfter chooses an upstream for the attempt after last, which is nil at first. If
+// none is left but the connection of last went silent, VMs that were tried may be
+// chosen again: a new connection may work.
 func (c *call) pickAfter(last *attempt, tried []rudderfork.VMID) (vm rudderfork.VMID, link *agentLink, why string, ok bool) {
 	vm, link, why, ok = c.pick(tried)
 	if !ok && last != nil && last.silent {
@@ -200,10 +203,11 @@
 	return vm, link, why, ok
 }
 
-// maxAttempts bounds how often one request is tried.
+// maxAttempts bounds the attempts for one request.
 const maxAttempts = 3
 
-// mayRetry reports whether another attempt fits the budget.
+// mayRetry reports whether another attempt after a makes sense, and takes it from the
+// retry budget.
 func (c *call) mayRetry(a *attempt) bool {
 	if a.final {
 		return false
@@ -216,7 +220,7 @@
 	return ok
 }
 
-// giveUp answers with what the last attempt met.
+// giveUp answers the caller with the problem of the last attempt.
 func (c *call) giveUp(last *attempt) {
 	if last == nil {
 		c.fail(c.unavailable("no-upstream", "no upstream of the service can take a request now"))
@@ -225,8 +229,9 @@
 	c.fail(last.problem)
 }
 
-// answer passes an upstream's answer on.
-func (c *call) answer(a *attempt, cp *relay.Capture) {
+// writeResponse forwards an upstream's response to the caller. cp, if not nil, gets a
+// copy of the body.
+func (c *call) writeResponse(a *attempt, cp *relay.Capture) {
 	defer a.close()
 	c.w.Header().Set(relay.HeaderRequest, c.id)
 	c.w.Header().Set(relay.HeaderUpstream, string(a.vm))
@@ -237,13 +242,13 @@
 	}
 	c.event("answering", fmt.Sprintf("%s: %d from %s", kind, a.resp.StatusCode, a.vm))
 	if cp == nil {
-		relay.WriteAnswer(c.w, a.resp, nil)
+		relay.WriteResponse(c.w, a.resp, nil)
 		return
 	}
-	relay.WriteAnswer(c.w, a.resp, cp)
+	relay.WriteResponse(c.w, a.resp, cp)
 }
 
-// explain gives the reasons for what was decided about a request.
+// explain serves the recorded events of one request as sentences.
 func (h *handler) explain(w http.ResponseWriter, r *http.Request) {
 	id := r.FormValue("subject")
 	var lines []string
@@ -260,5 +265,5 @@
 	admin.WriteJSON(w, map[string]any{"subject": id, "sentences": lines})
 }
 
-// deadlinePassed reports whether the caller's deadline has.
+// deadlinePassed reports whether err means that the caller's deadline has passed.
 func deadlinePassed(err error) bool { return errors.Is(err, context.DeadlineExceeded) }
--- a/entry/link.go
+++ b/entry/link.go
@@ -13,43 +13,45 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// errNoAgent means that the agent could not be asked, or did not answer.
+// errNoAgent means that the agent could not be reached, or did not answer.
 var errNoAgent = errors.New("the agent cannot be reached")
 
 const (
-	// redialPause is the rest after a broken link.
+	// redialPause is the pause before a session that ended is opened again.
 	redialPause = 200 * time.Millisecond
-	// probeTimeout is after how long without an answer the link is given up.
+	// probeTimeout is how long an answer of the agent may take. A session without an
+	// answer to a probe is then closed.
 	probeTimeout = 2 * time.Second
 )
 
-// agentLink is the session with one agent, for probes and fences.
+// agentLink is the session with one agent. It carries probes of the agent's load, and
+// queries that fence a claimed request off.
 type agentLink struct {
-	fleet  *fleet
-	vm     rudderfork.VMID
-	addr   string
-	boot   string
-	names  []rudderfork.Service
-	cancel context.CancelFunc
+	fleet    *fleet
+	vm       rudderfork.VMID
+	addr     string
+	boot     string
+	services []rudderfork.Service
+	cancel   context.CancelFunc
 
 	calls *wire.Calls[wire.Fenced]
 
-	mu       sync.Mutex
-	out      chan wire.ToAgent // nil without a connection
-	stopping bool              // the agent said so: no request goes there
-	asked    bool              // in this session, to say when none is on its way
-	signs    bool              // the agent said in this session that it gives signs of life
-	sending  int               // requests between the choice of this agent and its answer
+	mu             sync.Mutex
+	out            chan wire.ToAgent // nil without a session
+	stopping       bool              // the agent has reported that it is stopping: no request is sent there
+	drainRequested bool              // the agent has asked, in this session, to be told when no request is in flight
+	interim        bool              // the agent has reported, in this session, that it sends interim responses
+	inFlight       int               // requests for which the agent was chosen and has not yet responded
 }
 
 func newAgentLink(f *fleet, i wire.UpstreamInfo, cancel context.CancelFunc) *agentLink {
 	return &agentLink{
-		fleet: f, vm: i.Place.VM, addr: i.Addr, boot: i.Boot, names: i.Services, cancel: cancel,
+		fleet: f, vm: i.Place.VM, addr: i.Addr, boot: i.Boot, services: i.Services, cancel: cancel,
 		calls: wire.NewCalls[wire.Fenced](),
 	}
 }
 
-// run keeps the session up until ctx ends.
+// run keeps a session open until ctx ends.
 func (l *agentLink) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := l.session(ctx)
@@ -57,15 +59,15 @@
 			l.report(rudderfork.Load{Down: true})
 		}
 		if fellSilent(err) {
-			relay.Renew(l.fleet.hc, err) // requests' connections most likely fell silent too
+			relay.CloseIdleAfter(l.fleet.hc, err) // connections of requests have most likely gone silent too
 		}
 		steady.Pause(ctx, redialPause)
 	}
 }
 
-// take counts a request for which the agent was chosen, until sent is called; ok
-// is false if the agent is stopping. Without a link nothing is known against it.
-func (l *agentLink) take() (ok bool) {
+// acquire counts a request in flight to the agent, until release is called. ok is
+// false if the agent is stopping. A nil link accepts every request.
+func (l *agentLink) acquire() (ok bool) {
 	if l == nil {
 		return true
 	}
@@ -74,82 +76,83 @@
 	if l.stopping {
 		return false
 	}
-	l.sending++
+	l.inFlight++
 	return true
 }
 
-// sent notes that the agent has begun to answer a request, or that the request
-// is given up or will not be sent.
-func (l *agentLink) sent() {
+// release counts a request as no longer in flight: the agent has begun to respond, or
+// the request was given up or will not be sent.
+func (l *agentLink) release() {
 	if l == nil {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sending--
-	l.sayQuiet()
+	l.inFlight--
+	l.sendDrained()
 }
 
-// stop notes that the agent is stopping.
-func (l *agentLink) stop() {
+// markStopping records that the agent is stopping.
+func (l *agentLink) markStopping() {
 	l.report(rudderfork.Load{Leaving: true})
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.stopping, l.asked = true, true
-	l.sayQuiet()
+	l.stopping, l.drainRequested = true, true
+	l.sendDrained()
 }
 
-// restarted notes that an agent that serves is at the address (again).
-func (l *agentLink) restarted() {
+// clearStopping records that an agent that accepts requests is at the address (again).
+func (l *agentLink) clearStopping() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stopping = false
 }
 
-// sayQuiet tells an agent that asked once that no request is on its way. l.mu is
-// held.
-func (l *agentLink) sayQuiet() {
-	if !l.asked || l.sending > 0 {
+// sendDrained tells an agent that is stopping, once, that no request to it is in
+// flight. l.mu is held.
+func (l *agentLink) sendDrained() {
+	if !l.drainRequested || l.inFlight > 0 {
 		return
 	}
-	l.asked = false
+	l.drainRequested = false
 	select {
 	case l.out <- wire.ToAgent{Drained: true}:
 	default:
-		l.fleet.log.Warn().Str("node_vm", string(l.vm)).Msg("quiet_not_said") // it ends without
+		l.fleet.log.Warn().Str("node_vm", string(l.vm)).Msg("quiet_not_said") // the agent then ends without the message
 	}
 }
 
-// givesSigns reports whether the agent has said that it gives signs of life. It does
-// not without a session: another agent may be at the address by then.
-func (l *agentLink) givesSigns() bool {
+// sendsInterim reports whether the agent has reported that it sends interim responses.
+// It is false without a session, since another agent may be at the address by then.
+func (l *agentLink) sendsInterim() bool {
 	if l == nil {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.signs
+	return l.interim
 }
 
-func (l *agentLink) setSigns() {
+func (l *agentLink) setInterim() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.signs = true
+	l.interim = true
 }
 
-// fellSilent reports whether a session ended because the agent answered no probe, or
-// sent nothing at all.
+// fellSilent reports whether err ended a session because the agent answered no probe,
+// or sent nothing at all.
 func fellSilent(err error) bool {
 	return errors.Is(err, wire.ErrSilent) || errors.Is(err, context.DeadlineExceeded)
 }
 
-// report tells the pickers of all services here.
+// report passes a load on to the pickers of all services of the agent.
 func (l *agentLink) report(load rudderfork.Load) {
-	for _, p := range l.fleet.poolsOf(l.names) {
+	for _, p := range l.fleet.poolsOf(l.services) {
 		p.observe(l.vm, load)
 	}
 }
 
+// session runs one session and returns the error that ended it.
 func (l *agentLink) session(ctx context.Context) error {
 	c, err := wire.Dial[wire.ToAgent, wire.ToEntry](ctx, "ws://"+l.addr+"/rudderfork/session", wire.ProbeSession)
 	if err != nil {
@@ -166,7 +169,7 @@
 		defer cancel()
 		l.write(ctx, c, out)
 	}()
-	stopping := false // it said so in this session
+	stopping := false // the agent has reported it in this session
 	for {
 		m, err := c.ReceiveWithin(ctx, probeIdle+probeTimeout)
 		if err != nil {
@@ -174,13 +177,13 @@
 		}
 		switch {
 		case m.InterimAnswers:
-			l.setSigns()
+			l.setInterim()
 		case m.Stopping:
 			stopping = true
-			l.stop()
+			l.markStopping()
 		case m.Load != nil:
 			if load := m.Load.Load; !stopping && !load.Leaving && !load.Down {
-				l.restarted()
+				l.clearStopping()
 			}
 			if p := l.fleet.lookup(m.Load.Service); p != nil {
 				p.observe(l.vm, m.Load.Load)
@@ -191,7 +194,7 @@
 	}
 }
 
-// write sends probes, more often while there are requests.
+// write sends the messages of out, and probes: more often while there are requests.
 func (l *agentLink) write(ctx context.Context, c *wire.Conn[wire.ToAgent, wire.ToEntry], out chan wire.ToAgent) {
 	tick := time.NewTicker(probeBusy)
 	defer tick.Stop()
@@ -206,7 +209,7 @@
 			}
 		case <-tick.C:
 			now := steady.Now()
-			for s, p := range l.fleet.poolsOf(l.names) {
+			for s, p := range l.fleet.poolsOf(l.services) {
 				if !p.busy(now) && now.Sub(probed) < probeIdle {
 					continue
 				}
@@ -228,11 +231,12 @@
 func (l *agentLink) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.out, l.asked, l.signs = nil, false, false
+	l.out, l.drainRequested, l.interim = nil, false, false
 	l.calls.End()
 }
 
-// fence asks the agent what became of a claimed request.
+// fence fences a claimed request off at the agent, which answers with the state of the
+// request. It returns errNoAgent if no answer comes within probeTimeout.
 func (l *agentLink) fence(ctx context.Context, c *state.Claim) (out wire.Fenced, err error) {
 	l.mu.Lock()
 	if l.out == nil {
--- a/entry/link_test.go
+++ b/entry/link_test.go
@@ -20,66 +20,66 @@
 	return l, out
 }
 
-// assertSaid checks what was said to the agent since the last call.
-func assertSaid(t *testing.T, out chan wire.ToAgent, want ...wire.ToAgent) {
+// assertMessages asserts which messages were sent to the agent since the last call.
+func assertMessages(t *testing.T, out chan wire.ToAgent, want ...wire.ToAgent) {
 	t.Helper()
-	var said []wire.ToAgent
+	var got []wire.ToAgent
 	for len(out) > 0 {
-		said = append(said, <-out)
+		got = append(got, <-out)
 	}
-	assert.DeepEqual(t, said, want)
+	assert.DeepEqual(t, got, want)
 }
 
-// TestQuiet follows a link to an agent that stops.
-func TestQuiet(t *testing.T) {
-	quiet := wire.ToAgent{Drained: true}
-	t.Run("none on its way", func(t *testing.T) {
+// TestDrainedMessage checks when a stopping agent is told that no request to it is in
+// flight.
+func TestDrainedMessage(t *testing.T) {
+	drained := wire.ToAgent{Drained: true}
+	t.Run("none in flight", func(t *testing.T) {
 		l, out := newTestLink()
-		l.stop()
-		assertSaid(t, out, quiet)
-		assert.Assert(t, !l.take())
+		l.markStopping()
+		assertMessages(t, out, drained)
+		assert.Assert(t, !l.acquire())
 	})
-	t.Run("two on their way", func(t *testing.T) {
+	t.Run("two in flight", func(t *testing.T) {
 		l, out := newTestLink()
 		for range 2 {
-			assert.Assert(t, l.take())
+			assert.Assert(t, l.acquire())
 		}
-		l.stop()
-		l.sent()
-		assertSaid(t, out)
-		l.sent()
-		assertSaid(t, out, quiet)
+		l.markStopping()
+		l.release()
+		assertMessages(t, out)
+		l.release()
+		assertMessages(t, out, drained)
 	})
 	t.Run("never asked", func(t *testing.T) {
 		l, out := newTestLink()
-		assert.Assert(t, l.take())
-		l.sent()
-		assertSaid(t, out)
+		assert.Assert(t, l.acquire())
+		l.release()
+		assertMessages(t, out)
 	})
 	t.Run("asked in an earlier session", func(t *testing.T) {
 		l, out := newTestLink()
-		assert.Assert(t, l.take())
-		l.stop()
+		assert.Assert(t, l.acquire())
+		l.markStopping()
 		l.close()
 		l.open(out)
-		l.sent()
-		assertSaid(t, out)
-		assert.Assert(t, !l.take(), "it is still stopping")
-		l.stop()
-		assertSaid(t, out, quiet)
+		l.release()
+		assertMessages(t, out)
+		assert.Assert(t, !l.acquire(), "the agent is still stopping")
+		l.markStopping()
+		assertMessages(t, out, drained)
 	})
-	t.Run("back", func(t *testing.T) {
+	t.Run("restarted", func(t *testing.T) {
 		l, _ := newTestLink()
-		l.stop()
-		l.restarted()
-		assert.Assert(t, l.take())
+		l.markStopping()
+		l.clearStopping()
+		assert.Assert(t, l.acquire())
 	})
 }
 
-// TestSilentSession has the session with an agent fall silent. Its end must say so,
-// since the kept connections of requests are dropped then. (It ended by the wait for
-// an answer to a probe, which is shorter than the connection's own bound, and that was
-// taken for no silence.)
+// TestSilentSession guards against a silent session that isn't recognised as silent, so
+// that the idle connections of requests stay open. The session then ends by the time-out
+// of a probe, which is shorter than the connection's own limit.
 func TestSilentSession(t *testing.T) {
 	opened := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -6,7 +6,7 @@
 	"rudderfork.example/rudderfork/node"
 )
 
-// metrics are an entry's figures.
+// metrics are the metrics of an entry.
 type metrics struct {
 	requests *prometheus.CounterVec
 	retries  *prometheus.CounterVec
--- a/entry/signs.go
+++ b/entry/signs.go
@@ -13,114 +13,117 @@
 	"rudderfork.example/rudderfork/relay"
 )
 
-// errNoSigns means that an agent that gives signs of life gave none for a request.
-var errNoSigns = errors.New("the agent gives no signs of life")
+// errNoInterim means that no interim responses came for a request, though its agent
+// sends them.
+var errNoInterim = errors.New("no interim responses came from the agent")
 
-// signs watches one attempt for the signs of life of its agent, until the answer's
-// headers have come. It is safe for concurrent use.
-type signs struct {
-	given  func() bool // the agent says that it gives signs
-	cancel context.CancelCauseFunc
+// interimWatcher watches for interim responses to one attempt, until the headers of the
+// final response have come, and cancels the attempt if too many in a row are missing.
+// It is safe for concurrent use.
+type interimWatcher struct {
+	supported func() bool // whether the agent has reported that it sends interim responses
+	cancel    context.CancelCauseFunc
 
-	mu     sync.Mutex
-	timer  *time.Timer
-	over   bool
-	silent bool // the attempt was given up
-	heard  bool // since the last tick
-	seen   bool // a sign has come
-	body   bool // the caller is being waited for, for more of the body
-	missed int
+	mu           sync.Mutex
+	timer        *time.Timer
+	ended        bool // watching has ended
+	silent       bool // the attempt was given up
+	received     bool // an interim response has come since the last tick
+	everReceived bool // an interim response has come
+	awaitingBody bool // the entry is waiting for more of the body from the caller
+	missed       int  // intervals in a row without an interim response
 }
 
-// watchSigns lets ctx, which is the request's from then on, end with errNoSigns when
-// the agent falls silent. cancel must be called once the answer was read.
-func watchSigns(req *http.Request, given func() bool) (*http.Request, *signs) {
+// watchInterim returns a request whose context is cancelled with errNoInterim when the
+// agent goes silent. The watcher's cancel must be called once the response was read.
+func watchInterim(req *http.Request, supported func() bool) (*http.Request, *interimWatcher) {
 	ctx, cancel := context.WithCancelCause(req.Context())
-	s := &signs{given: given, cancel: cancel}
-	req.Header.Set(relay.HeaderSigns, "yes")
-	req.Header.Del("Expect") // the body is asked for here, when it is read
+	w := &interimWatcher{supported: supported, cancel: cancel}
+	req.Header.Set(relay.HeaderInterim, "yes")
+	req.Header.Del("Expect") // the entry's server sends 100 Continue when the body is read
 	if req.Body != nil {
-		req.Body = &watchedBody{req.Body, s}
+		req.Body = &watchedBody{req.Body, w}
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.timer = time.AfterFunc(relay.SignPause, s.pass)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.timer = time.AfterFunc(relay.InterimInterval, w.handleTimer)
 	return req.WithContext(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		Got1xxResponse: func(int, textproto.MIMEHeader) error { s.hear(); return nil },
-	})), s
+		Got1xxResponse: func(int, textproto.MIMEHeader) error { w.recordInterim(); return nil },
+	})), w
 }
 
-// hear notes a sign.
-func (s *signs) hear() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.heard, s.seen = true, true
+// recordInterim records an interim response.
+func (w *interimWatcher) recordInterim() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.received, w.everReceived = true, true
 }
 
-// pass ends a pause, and the attempt if it is silent.
-func (s *signs) pass() {
-	given := s.given()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.over {
+// handleTimer ends an interval, and cancels the attempt if the agent is silent.
+func (w *interimWatcher) handleTimer() {
+	supported := w.supported()
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.ended {
 		return
 	}
-	if s.tick(given) {
-		s.silent = true
-		s.cancel(errNoSigns)
+	if w.tick(supported) {
+		w.silent = true
+		w.cancel(errNoInterim)
 		return
 	}
-	s.timer.Reset(relay.SignPause)
+	w.timer.Reset(relay.InterimInterval)
 }
 
-// tick reports whether the agent has been silent for too long. It does not count
-// against an agent that gives no signs, nor while the caller is waited for and no
-// sign has come: the headers may still be waiting here for more of the body. s.mu
-// is held.
-func (s *signs) tick(given bool) (silent bool) {
-	if s.heard || !s.seen && (s.body || !given) {
-		s.missed = 0
+// tick ends an interval and reports whether the agent has been silent for too long. An
+// interval does not count if the agent sends no interim responses, nor while the body
+// is awaited from the caller: the headers may then still be in the client's buffer.
+// Once an interim response has come, every interval counts. w.mu is held.
+func (w *interimWatcher) tick(supported bool) (silent bool) {
+	if w.received || !w.everReceived && (w.awaitingBody || !supported) {
+		w.missed = 0
 	} else {
-		s.missed++
+		w.missed++
 	}
-	s.heard = false
-	return s.missed >= relay.MissedSigns
+	w.received = false
+	return w.missed >= relay.MaxMissedInterim
 }
 
-// end watches no more, and reports whether the attempt was given up.
-func (s *signs) end() (silent bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.over = true
-	s.timer.Stop()
-	return s.silent
+// stop ends watching, and reports whether the attempt was given up.
+func (w *interimWatcher) stop() (silent bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.ended = true
+	w.timer.Stop()
+	return w.silent
 }
 
-// doubtful reports, of an attempt that its deadline ended, whether the connection may
-// have been silent: a sign was missed, or the agent gives none.
-func (s *signs) doubtful() bool {
-	given := s.given()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.missed > 0 || !given && !s.seen
+// maybeSilent reports whether the connection of an attempt that ran into its deadline
+// may have been silent: an interim response is missing, or the agent sends none.
+func (w *interimWatcher) maybeSilent() bool {
+	supported := w.supported()
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.missed > 0 || !supported && !w.everReceived
 }
 
-// waiting notes whether the caller is waited for.
-func (s *signs) waiting(v bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.body = v
+// setAwaitingBody records whether the entry is waiting for the caller.
+func (w *interimWatcher) setAwaitingBody(v bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.awaitingBody = v
 }
 
-// watchedBody is a body that is sent while signs are watched for.
+// watchedBody is the body of a watched request. It tells the watcher about reads that
+// wait for the caller.
 type watchedBody struct {
 	io.ReadCloser
-	signs *signs
+	watcher *interimWatcher
 }
 
 // Read implements io.Reader.
 func (b *watchedBody) Read(p []byte) (int, error) {
-	b.signs.waiting(true)
-	defer b.signs.waiting(false)
+	b.watcher.setAwaitingBody(true)
+	defer b.watcher.setAwaitingBody(false)
 	return b.ReadCloser.Read(p)
 }
--- a/entry/signs_test.go
+++ b/entry/signs_test.go
@@ -12,68 +12,70 @@
 	"rudderfork.example/rudderfork/relay"
 )
 
-// assertPasses asserts that an attempt outlives many pauses without a sign.
-func assertPasses(t *testing.T, s *signs, given bool) {
+// assertNeverSilent asserts that an attempt goes on through many intervals without an
+// interim response.
+func assertNeverSilent(t *testing.T, s *interimWatcher, given bool) {
 	t.Helper()
-	for range 10 * relay.MissedSigns {
+	for range 10 * relay.MaxMissedInterim {
 		assert.Assert(t, !s.tick(given))
 	}
 }
 
-// assertGivenUp asserts that an attempt is given up after the missed signs, and not
-// before.
-func assertGivenUp(t *testing.T, s *signs, given bool) {
+// assertSilentAfterMax asserts that an attempt is given up after MaxMissedInterim
+// intervals, and not before.
+func assertSilentAfterMax(t *testing.T, s *interimWatcher, given bool) {
 	t.Helper()
-	for range relay.MissedSigns - 1 {
+	for range relay.MaxMissedInterim - 1 {
 		assert.Assert(t, !s.tick(given))
 	}
 	assert.Assert(t, s.tick(given))
 }
 
 func TestTick(t *testing.T) {
-	t.Run("an agent that gives signs", func(t *testing.T) { assertGivenUp(t, &signs{}, true) })
-	t.Run("an agent of an earlier release", func(t *testing.T) { assertPasses(t, &signs{}, false) })
-	t.Run("the session is away, and signs have come", func(t *testing.T) {
-		s := &signs{}
-		s.hear()
+	t.Run("the agent sends interim responses", func(t *testing.T) { assertSilentAfterMax(t, &interimWatcher{}, true) })
+	t.Run("the agent of an earlier release sends none", func(t *testing.T) { assertNeverSilent(t, &interimWatcher{}, false) })
+	t.Run("no session, but an interim response has come", func(t *testing.T) {
+		s := &interimWatcher{}
+		s.recordInterim()
 		assert.Assert(t, !s.tick(false))
-		assertGivenUp(t, s, false)
+		assertSilentAfterMax(t, s, false)
 	})
-	t.Run("a sign late", func(t *testing.T) {
-		s := &signs{}
+	t.Run("late interim responses", func(t *testing.T) {
+		s := &interimWatcher{}
 		for range 10 {
 			assert.Assert(t, !s.tick(true))
 			assert.Assert(t, !s.tick(true))
-			s.hear()
+			s.recordInterim()
 			assert.Assert(t, !s.tick(true))
 		}
-		assertGivenUp(t, s, true)
+		assertSilentAfterMax(t, s, true)
 	})
-	t.Run("a slow body, whose headers may wait for it", func(t *testing.T) {
-		s := &signs{}
-		s.waiting(true)
-		assertPasses(t, s, true)
-		s.waiting(false)
-		assertGivenUp(t, s, true)
+	t.Run("a slow body, for which the headers may wait", func(t *testing.T) {
+		s := &interimWatcher{}
+		s.setAwaitingBody(true)
+		assertNeverSilent(t, s, true)
+		s.setAwaitingBody(false)
+		assertSilentAfterMax(t, s, true)
 	})
-	t.Run("a slow body, after a sign", func(t *testing.T) {
-		s := &signs{}
-		s.waiting(true)
-		s.hear()
+	t.Run("a slow body, after an interim response", func(t *testing.T) {
+		s := &interimWatcher{}
+		s.setAwaitingBody(true)
+		s.recordInterim()
 		assert.Assert(t, !s.tick(true))
-		assertGivenUp(t, s, true)
+		assertSilentAfterMax(t, s, true)
 	})
 }
 
-// TestWatchedBody follows the body of a watched request.
+// TestWatchedBody checks that the body of a watched request is sent whole, without an
+// Expect header.
 func TestWatchedBody(t *testing.T) {
 	r, w := io.Pipe()
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://a1/", r)
 	assert.NilError(t, err)
 	req.Header.Set("Expect", "100-continue")
-	req, s := watchSigns(req, func() bool { return false })
+	req, s := watchInterim(req, func() bool { return false })
 	defer s.cancel(nil)
-	defer s.end()
+	defer s.stop()
 	assert.Equal(t, req.Header.Get("Expect"), "")
 	done := make(chan string)
 	go func() {
@@ -84,5 +86,5 @@
 	assert.NilError(t, err)
 	assert.NilError(t, w.Close())
 	assert.Equal(t, <-done, "row 7")
-	assert.Assert(t, !s.body)
+	assert.Assert(t, !s.awaitingBody)
 }
--- a/entry/silence_test.go
+++ b/entry/silence_test.go
@@ -14,24 +14,24 @@
 	"rudderfork.example/rudderfork/relay"
 )
 
-// noTimeout is longer than any test: no deadline ends a request.
+// noTimeout is longer than any test, so that no deadline ends a request.
 const noTimeout = time.Hour
 
 const seatPath = "/seat"
 
-// site is an entry and a VM whose agent has answered it before, on a connection
-// that is kept and can fall silent.
-type site struct {
+// testSite is an entry and a VM. The VM's agent has answered a request of the entry on a
+// connection that is kept open and can be silenced.
+type testSite struct {
 	vm    *vm
 	link  *faultlink.Proxy // from the entry to the agent
-	entry *door
+	entry *testEntry
 }
 
-func newSite(t *testing.T) *site {
+func newSite(t *testing.T) *testSite {
 	t.Helper()
 	c := newControl(t)
 	v := newVM(t, c, "vm1")
-	s := &site{vm: v, link: newLink(t, v.addr)}
+	s := &testSite{vm: v, link: newLink(t, v.addr)}
 	c.list(v.info(s.link.Addr()))
 	s.entry = newEntryWithin(t, c, noTimeout)
 	wait(t, func() bool { return s.entry.knows(1) })
@@ -40,23 +40,23 @@
 	return s
 }
 
-// sending sends a request whose answer may be long in coming.
-func (s *site) sending(method, key string) chan answer {
+// sendAsync sends a request without waiting for its response.
+func (s *testSite) sendAsync(method, key string) chan answer {
 	answered := make(chan answer, 1)
 	go func() { answered <- s.entry.send(method, seatPath, key) }()
 	return answered
 }
 
-// directions are the ways in which a connection can fall silent.
+// directions are the ways in which a connection can go silent.
 var directions = map[string][]faultlink.Direction{
 	"forth": {faultlink.ToTarget},
 	"back":  {faultlink.ToDialer},
 	"both":  {faultlink.ToTarget, faultlink.ToDialer},
 }
 
-// TestSilentBefore sends requests without a deadline on kept connections that have
-// fallen silent.
-func TestSilentBefore(t *testing.T) {
+// TestConnectionSilentBeforeRequest sends requests without a deadline on kept
+// connections that have gone silent. Without interim responses they would never end.
+func TestConnectionSilentBeforeRequest(t *testing.T) {
 	t.Parallel()
 	for name, dirs := range directions {
 		t.Run(name, func(t *testing.T) {
@@ -65,23 +65,23 @@
 				t.Parallel()
 				s := newSite(t)
 				s.link.Blackhole(dirs...)
-				a := within(t, s.sending(http.MethodGet, ""))
+				a := within(t, s.sendAsync(http.MethodGet, ""))
 				assert.Equal(t, a.status, http.StatusOK, a.body)
 			})
 			t.Run("not repeatable", func(t *testing.T) {
 				t.Parallel()
 				s := newSite(t)
 				s.link.Blackhole(dirs...)
-				assertUnknown(t, within(t, s.sending(http.MethodPost, "")))
+				assertUnknown(t, within(t, s.sendAsync(http.MethodPost, "")))
 				assert.Assert(t, s.vm.runs(seatPath) <= 1)
-				a := within(t, s.sending(http.MethodPost, ""))
-				assert.Equal(t, a.status, http.StatusOK, "the next one goes on a new connection: %s", a.body)
+				a := within(t, s.sendAsync(http.MethodPost, ""))
+				assert.Equal(t, a.status, http.StatusOK, "the next request uses a new connection: %s", a.body)
 			})
 			t.Run("keyed", func(t *testing.T) {
 				t.Parallel()
 				s := newSite(t)
 				s.link.Blackhole(dirs...)
-				a := within(t, s.sending(http.MethodPost, "key-1"))
+				a := within(t, s.sendAsync(http.MethodPost, "key-1"))
 				assert.Equal(t, a.status, http.StatusOK, a.body)
 				assert.Equal(t, s.vm.runs(seatPath), 1)
 			})
@@ -89,15 +89,16 @@
 	}
 }
 
-// TestSilentMeanwhile silences connections while a request runs in the upstream.
-func TestSilentMeanwhile(t *testing.T) {
+// TestConnectionSilentDuringRequest silences connections while a request runs in the
+// upstream.
+func TestConnectionSilentDuringRequest(t *testing.T) {
 	t.Parallel()
 	both := directions["both"]
 	t.Run("not repeatable", func(t *testing.T) {
 		t.Parallel()
 		s := newSite(t)
 		s.vm.gate(t, seatPath)
-		answered := s.sending(http.MethodPost, "")
+		answered := s.sendAsync(http.MethodPost, "")
 		wait(t, func() bool { return s.vm.runs(seatPath) == 1 })
 		s.link.Blackhole(both...)
 		assertUnknown(t, within(t, answered))
@@ -106,7 +107,7 @@
 		t.Parallel()
 		s := newSite(t)
 		open := s.vm.gate(t, seatPath)
-		answered := s.sending(http.MethodPost, "key-1")
+		answered := s.sendAsync(http.MethodPost, "key-1")
 		wait(t, func() bool { return s.vm.runs(seatPath) == 1 })
 		s.link.Blackhole(both...)
 		open()
@@ -117,49 +118,49 @@
 	})
 }
 
-// TestSilentUpstream silences the kept connections between an agent and its
-// upstream, where nothing tells a slow upstream from a silent one.
+// TestSilentUpstream silences the kept connections between an agent and its upstream,
+// where a slow upstream cannot be told from a silent connection.
 func TestSilentUpstream(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
 	s.vm.link.Blackhole(directions["both"]...)
-	a := within(t, s.sending(http.MethodPost, "key-1"))
+	a := within(t, s.sendAsync(http.MethodPost, "key-1"))
 	assert.Equal(t, a.status, http.StatusOK, a.body)
 	assert.Equal(t, s.vm.runs(seatPath), 1)
 }
 
-// assertUnknown asserts that the caller was told that nobody knows whether its
-// request ran.
+// assertUnknown asserts that the caller was told that it is unknown whether its request
+// ran.
 func assertUnknown(t *testing.T, a answer) {
 	t.Helper()
 	assert.Equal(t, a.status, http.StatusBadGateway, a.body)
 	assert.Equal(t, a.ran, "unknown")
 }
 
-// TestSignsStayInside asserts that signs of life go from agents to entries, and not
-// to callers.
-func TestSignsStayInside(t *testing.T) {
+// TestInterimNotForwarded asserts that interim responses go from agents to entries, and
+// not on to callers.
+func TestInterimNotForwarded(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
 	open := s.vm.gate(t, seatPath)
-	ofCaller, callers := traced(t, "http://"+s.entry.addr+"/svc/"+string(tickets)+seatPath)
-	ofEntry, entries := traced(t, "http://"+s.vm.addr+seatPath)
-	ofEntry.Header.Set(relay.HeaderService, string(tickets))
-	ofEntry.Header.Set(relay.HeaderSigns, "yes")
+	callerReq, callerInterim := traced(t, "http://"+s.entry.addr+"/svc/"+string(tickets)+seatPath)
+	entryReq, entryInterim := traced(t, "http://"+s.vm.addr+seatPath)
+	entryReq.Header.Set(relay.HeaderService, string(tickets))
+	entryReq.Header.Set(relay.HeaderInterim, "yes")
 	answered := make(chan answer, 2)
-	go func() { answered <- ask(ofCaller) }()
+	go func() { answered <- do(callerReq) }()
 	wait(t, func() bool { return s.vm.runs(seatPath) == 1 })
-	go func() { answered <- ask(ofEntry) }()
-	wait(t, func() bool { return entries.Load() > relay.MissedSigns })
+	go func() { answered <- do(entryReq) }()
+	wait(t, func() bool { return entryInterim.Load() > relay.MaxMissedInterim })
 	open()
 	for range 2 {
 		a := within(t, answered)
 		assert.Equal(t, a.status, http.StatusOK, a.body)
 	}
-	assert.Equal(t, callers.Load(), int64(0))
+	assert.Equal(t, callerInterim.Load(), int64(0))
 }
 
-// traced returns a request, and the number of interim answers to it.
+// traced returns a request, and a counter of the interim responses to it.
 func traced(t *testing.T, url string) (*http.Request, *atomic.Int64) {
 	t.Helper()
 	n := &atomic.Int64{}
--- a/entry/stop_test.go
+++ b/entry/stop_test.go
@@ -28,19 +28,19 @@
 )
 
 const (
-	// waitLimit ends a wait for a condition that does not come true.
-	waitLimit = 20 * time.Second
-	beat      = 100 * time.Millisecond
-	tickets   = rudderfork.Service("tickets")
-	heldPath  = "/held"
-	// heldFor is how many times the stopping agent must write to the entry's
-	// session before the request reaches it: it has looked whether it is idle more
-	// than once, and nothing has come on its connections meanwhile.
-	heldFor = 4
+	// waitLimit bounds every wait of a test.
+	waitLimit         = 20 * time.Second
+	heartbeatInterval = 100 * time.Millisecond
+	tickets           = rudderfork.Service("tickets")
+	heldPath          = "/held"
+	// minAgentReads is how many messages the stopping agent must have sent on the
+	// entry's session before the request reaches it. By then it has checked more than
+	// once whether it is idle, while no request has come on its connections.
+	minAgentReads = 4
 )
 
-// TestStopWithRequestOnItsWay stops an agent as planned while a request for it
-// is still on its way. The request runs once, at the other VM.
+// TestStopWithRequestOnItsWay stops an agent while a request to it has left the entry and
+// not yet reached the agent. The request runs once, at the other VM.
 func TestStopWithRequestOnItsWay(t *testing.T) {
 	for _, kept := range []bool{true, false} {
 		t.Run(fmt.Sprint("kept=", kept), func(t *testing.T) {
@@ -49,7 +49,7 @@
 			link := newSlowLink(t, first.addr)
 			c.list(first.info(link.addr()))
 			e := newEntry(t, c)
-			wait(t, func() bool { return e.knows(1) && link.told.Load() > 0 })
+			wait(t, func() bool { return e.knows(1) && link.agentReads.Load() > 0 })
 			if kept {
 				assert.Equal(t, e.post("/warm").status, http.StatusOK)
 			}
@@ -61,9 +61,9 @@
 			c.list(first.info(link.addr()), second.info(second.addr))
 			wait(t, func() bool { return e.knows(2) })
 
-			told := link.told.Load()
+			told := link.agentReads.Load()
 			first.stop()
-			wait(t, func() bool { return first.ended() || link.told.Load() >= told+heldFor })
+			wait(t, func() bool { return first.ended() || link.agentReads.Load() >= told+minAgentReads })
 			close(held.release)
 			a := within(t, answered)
 			assert.Equal(t, a.status, http.StatusOK, a.body)
@@ -83,31 +83,32 @@
 	}, poll.WithTimeout(waitLimit), poll.WithDelay(time.Millisecond))
 }
 
+// within returns the next value of ch, and fails the test if none comes in time.
 func within[T any](t *testing.T, ch <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-ch:
 	case <-time.After(waitLimit):
-		t.Fatal("it did not come")
+		t.Fatal("nothing was received in time")
 	}
 	return v
 }
 
-// logBook keeps what a process logs.
-type logBook struct {
+// logBuffer holds the log of a process.
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (l *logBook) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(p)
 }
 
-// lines returns the lines with a message.
-func (l *logBook) lines(msg string) (lines []map[string]any) {
+// lines returns the log lines with the given message.
+func (l *logBuffer) lines(msg string) (lines []map[string]any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, text := range strings.Split(l.buf.String(), "\n") {
@@ -119,8 +120,8 @@
 	return lines
 }
 
-// started returns where a process listens.
-func (l *logBook) started(t *testing.T) string {
+// started returns the address on which the process listens.
+func (l *logBuffer) started(t *testing.T) string {
 	t.Helper()
 	lines := l.lines("started")
 	assert.Equal(t, len(lines), 1)
@@ -154,7 +155,7 @@
 	}
 }
 
-// control stands in for control: it has one table and a list of upstreams.
+// control is a fake of the control process, with one table and a list of upstreams.
 type control struct {
 	addr string
 
@@ -206,7 +207,8 @@
 	}
 }
 
-// claim grants what is asked for if nobody holds it, or who does is taken over.
+// claim grants a claim if nobody holds it, or if the request takes over the current
+// holder's.
 func (c *control) claim(q wire.ClaimRequest) *wire.CommandResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -234,7 +236,7 @@
 	return &wire.CommandResult{ID: q.ID}
 }
 
-// list tells the entries of all upstreams.
+// list sets the list of upstreams and sends it to the entries.
 func (c *control) list(infos ...wire.UpstreamInfo) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -243,7 +245,7 @@
 	c.push()
 }
 
-// push sends the list. c.mu is held.
+// push sends the list to the entries. c.mu is held.
 func (c *control) push() {
 	for _, e := range c.entries {
 		_ = e.Send(context.Background(), wire.ToNode{Upstreams: &wire.Upstreams{Revision: c.revision, List: c.infos}})
@@ -258,21 +260,21 @@
 	boot string
 	link *faultlink.Proxy // from the agent to the upstream
 
-	mu    sync.Mutex
-	seen  map[string]int           // by path
-	gates map[string]chan struct{} // by path: a request there waits until it closes
+	mu         sync.Mutex
+	runsByPath map[string]int           // number of requests, by path
+	gates      map[string]chan struct{} // by path: requests wait until it is closed
 }
 
 func newVM(t *testing.T, c *control, name rudderfork.VMID) *vm {
 	t.Helper()
-	v := &vm{name: name, seen: map[string]int{}, gates: map[string]chan struct{}{}}
+	v := &vm{name: name, runsByPath: map[string]int{}, gates: map[string]chan struct{}{}}
 	up := httptest.NewServer(v)
 	t.Cleanup(up.Close)
 	v.link = newLink(t, strings.TrimPrefix(up.URL, "http://"))
-	logs := &logBook{}
+	logs := &logBuffer{}
 	p, err := agent.New(agent.Settings{
 		Name: "agent-" + string(name), Place: v.place(), Listen: "127.0.0.1:0", Admin: "127.0.0.1:0",
-		Control: []string{c.addr}, HeartbeatInterval: beat, DrainLimit: waitLimit,
+		Control: []string{c.addr}, HeartbeatInterval: heartbeatInterval, DrainLimit: waitLimit,
 		Upstreams: []agent.UpstreamAddr{{Service: tickets, Addr: v.link.Addr()}},
 	}, zerolog.New(logs))
 	assert.NilError(t, err)
@@ -291,7 +293,7 @@
 // ServeHTTP implements http.Handler for the upstream.
 func (v *vm) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	v.mu.Lock()
-	v.seen[r.URL.Path]++
+	v.runsByPath[r.URL.Path]++
 	gate := v.gates[r.URL.Path]
 	v.mu.Unlock()
 	if gate != nil {
@@ -300,7 +302,7 @@
 	_, _ = io.WriteString(w, "done")
 }
 
-// gate makes requests of a path wait until the returned function is called.
+// gate makes requests to a path wait until the returned function is called.
 func (v *vm) gate(t *testing.T, path string) (open func()) {
 	gate := make(chan struct{})
 	v.mu.Lock()
@@ -314,34 +316,34 @@
 func (v *vm) runs(path string) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.seen[path]
+	return v.runsByPath[path]
 }
 
-// answer is what a caller got.
+// answer is the response that a caller got.
 type answer struct {
 	status int
 	body   string
-	ran    string // what a refusal says
+	ran    string // value of Rudderfork-Ran, on refusals
 }
 
-// door is an entry as callers see it.
-type door struct {
+// testEntry is a running entry.
+type testEntry struct {
 	*process
 	addr string
-	logs *logBook
+	logs *logBuffer
 }
 
-func newEntry(t *testing.T, c *control) *door {
+func newEntry(t *testing.T, c *control) *testEntry {
 	t.Helper()
 	return newEntryWithin(t, c, waitLimit)
 }
 
 // newEntryWithin starts an entry with a time-out for requests without a deadline.
-func newEntryWithin(t *testing.T, c *control, timeout time.Duration) *door {
+func newEntryWithin(t *testing.T, c *control, timeout time.Duration) *testEntry {
 	t.Helper()
-	d := &door{logs: &logBook{}}
+	d := &testEntry{logs: &logBuffer{}}
 	p, err := entry.New(entry.Settings{
-		Name: "e1", Listen: "127.0.0.1:0", Admin: "127.0.0.1:0", Control: []string{c.addr}, Beat: beat,
+		Name: "e1", Listen: "127.0.0.1:0", Admin: "127.0.0.1:0", Control: []string{c.addr}, HeartbeatInterval: heartbeatInterval,
 		DrainLimit: waitLimit, Timeout: timeout, Picker: "probing",
 	}, zerolog.New(d.logs))
 	assert.NilError(t, err)
@@ -350,8 +352,8 @@
 	return d
 }
 
-// knows reports whether the entry was told of n upstreams.
-func (d *door) knows(n int) bool {
+// knows reports whether the entry has logged a list of n upstreams.
+func (d *testEntry) knows(n int) bool {
 	for _, l := range d.logs.lines("upstreams") {
 		if fmt.Sprint(l["upstreams"]) == fmt.Sprint(n) {
 			return true
@@ -360,27 +362,27 @@
 	return false
 }
 
-// post sends a request that must not run twice.
-func (d *door) post(path string) answer { return d.send(http.MethodPost, path, "") }
+// post sends a request that is not repeatable.
+func (d *testEntry) post(path string) answer { return d.send(http.MethodPost, path, "") }
 
-// send sends a request, with a key if that is not empty.
-func (d *door) send(method, path, key string) answer {
+// send sends a request, with an idempotency key if key is not empty.
+func (d *testEntry) send(method, path, key string) answer {
 	req, err := http.NewRequest(method, "http://"+d.addr+"/svc/"+string(tickets)+path, nil)
 	if err != nil {
 		return answer{body: err.Error()}
 	}
 	if method == http.MethodPost {
-		req.Body = io.NopCloser(strings.NewReader("row 7")) // which the client cannot repeat
+		req.Body = io.NopCloser(strings.NewReader("row 7")) // a body that net/http's client cannot send again
 		req.ContentLength = int64(len("row 7"))
 	}
 	if key != "" {
 		req.Header.Set("Idempotency-Key", key)
 	}
-	return ask(req)
+	return do(req)
 }
 
-// ask sends a request and reads its answer whole.
-func ask(req *http.Request) answer {
+// do sends a request and reads the whole response.
+func do(req *http.Request) answer {
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return answer{body: err.Error()}
@@ -393,7 +395,7 @@
 	return answer{resp.StatusCode, string(body), resp.Header.Get("Rudderfork-Ran")}
 }
 
-// newLink returns a way to an address whose open connections can fall silent.
+// newLink returns a proxy to an address whose open connections can be silenced.
 func newLink(t *testing.T, target string) *faultlink.Proxy {
 	t.Helper()
 	link, err := faultlink.New(target)
@@ -402,16 +404,15 @@
 	return link
 }
 
-// slowLink is the way to an agent. It holds back one request.
+// slowLink is a proxy to an agent that delays one request.
 type slowLink struct {
-	ln     net.Listener
-	target string
-	held   chan heldRequest
-	told   atomic.Int64 // reads from the agent on entries' sessions
+	ln         net.Listener
+	target     string
+	held       chan heldRequest
+	agentReads atomic.Int64 // reads from the agent on sessions of entries
 }
 
-// heldRequest is a request whose bytes have left the entry and not reached the
-// agent.
+// heldRequest is a request that has left the entry and not reached the agent.
 type heldRequest struct {
 	used    bool // the connection has carried a request before
 	release chan struct{}
@@ -437,7 +438,7 @@
 
 func (l *slowLink) addr() string { return l.ln.Addr().String() }
 
-// carry passes a connection on, both ways.
+// carry forwards one connection in both directions.
 func (l *slowLink) carry(c net.Conn) {
 	defer c.Close()
 	to, err := net.Dial("tcp", l.target)
@@ -452,7 +453,7 @@
 		for {
 			n, err := to.Read(buf)
 			if session.Load() && n > 0 {
-				l.told.Add(1)
+				l.agentReads.Add(1)
 			}
 			if _, werr := c.Write(buf[:n]); err != nil || werr != nil {
 				return
--- a/front/front.go
+++ b/front/front.go
@@ -1,9 +1,10 @@
-// Package front asks the leader for its clients: it takes a call, carries it to
-// the leader over the process's queue session, and brings back the answer.
+// Package front sends requests about queues to the leader of the control processes,
+// over the queue session of the calling process, and returns the leader's responses.
 //
-// A call that may be repeated (all of them may: a job keeps its ID) is sent
-// again to the next leader until it is answered or its deadline passes. What is
-// said when it passes is true: NotTaken only if no leader can have taken it.
+// All requests may be repeated, since a job keeps its ID. So a request is sent again,
+// to the next leader if need be, until there is a response or the deadline passes.
+// After the deadline, NotTaken is reported only if no leader can have accepted the
+// request, else Unsure.
 package front
 
 import (
@@ -19,21 +20,22 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// retryPause is between two tries to reach a leader.
+// retryPause is the pause between two attempts to reach a leader.
 const retryPause = 20 * time.Millisecond
 
-// Client carries calls to the leader. It is safe for concurrent use.
+// Client sends requests to the leader. It is safe for concurrent use.
 type Client struct {
 	session *session.Client
 
 	calls *wire.Calls[wire.QueueResponse]
 
 	mu     sync.Mutex
-	opened chan struct{} // closed while a session stands
+	opened chan struct{} // closed while a session is open
 	isOpen bool
 }
 
-// New returns a client of the control processes that seeds names.
+// New returns a client of the control processes whose addresses seeds returns. process
+// is the name of the calling process.
 func New(process string, seeds func() []string, log zerolog.Logger) *Client {
 	c := &Client{calls: wire.NewCalls[wire.QueueResponse](), opened: make(chan struct{})}
 	c.session = session.New(process, seeds, c, log)
@@ -46,7 +48,7 @@
 // Serve implements suture.Service.
 func (c *Client) Serve(ctx context.Context) error { return c.session.Serve(ctx) }
 
-// Connected reports whether a leader is connected.
+// Connected reports whether there is a session with a leader.
 func (c *Client) Connected() bool { return c.session.Connected() }
 
 // Opened implements session.Handler.
@@ -66,7 +68,7 @@
 	}
 }
 
-// Closed implements session.Handler: what was asked gets no answer any more.
+// Closed implements session.Handler. Pending requests get no response.
 func (c *Client) Closed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,16 +79,18 @@
 	c.calls.End()
 }
 
-// errLost means that a call was sent and its answer will not come.
-var errLost = errors.New("the session ended before the answer")
+// errNoResponse means that a request could not be sent, or that the session ended before
+// its response.
+var errNoResponse = errors.New("the session ended before the response")
 
-// Ask carries a call to the leader. patience bounds the wait for a leader as
-// long as the call was not sent; the deadline of ctx bounds all.
-func (c *Client) Ask(ctx context.Context, a wire.QueueRequest, patience time.Duration) (ans wire.QueueResponse) {
-	giveUpAt := steady.Now().Add(patience)
+// Do sends a request to the leader and returns its response. leaderTimeout bounds the
+// waits for a session as long as no leader may have accepted the request. The deadline of
+// ctx bounds the whole call.
+func (c *Client) Do(ctx context.Context, a wire.QueueRequest, leaderTimeout time.Duration) (ans wire.QueueResponse) {
+	giveUpAt := steady.Now().Add(leaderTimeout)
 	unsure := false
 	for {
-		if !c.await(ctx, giveUpAt, unsure) {
+		if !c.awaitSession(ctx, giveUpAt, unsure) {
 			return wire.QueueResponse{Unsure: unsure, NotTaken: !unsure, Text: "no leader could be reached in time"}
 		}
 		got, sent, err := c.try(ctx, a)
@@ -100,8 +104,9 @@
 	}
 }
 
-// await waits for a session; false means that the call is given up.
-func (c *Client) await(ctx context.Context, giveUpAt time.Time, unsure bool) bool {
+// awaitSession waits for a session. It returns false if the request is given up: ctx has
+// ended, or giveUpAt has passed and unsure is false.
+func (c *Client) awaitSession(ctx context.Context, giveUpAt time.Time, unsure bool) bool {
 	if ctx.Err() != nil {
 		return false
 	}
@@ -121,18 +126,18 @@
 	}
 }
 
-// try sends the call once; sent says whether it may have reached the leader.
+// try sends the request once. sent reports whether it may have reached the leader.
 func (c *Client) try(ctx context.Context, a wire.QueueRequest) (ans wire.QueueResponse, sent bool, err error) {
 	id, answer := c.calls.Open()
 	defer c.calls.Forget(id)
 	a.ID = id
 	if !c.session.Send(wire.FromNode{Request: &a}) {
-		return ans, false, errLost
+		return ans, false, errNoResponse
 	}
 	select {
 	case ans, ok := <-answer:
 		if !ok {
-			return ans, true, errLost
+			return ans, true, errNoResponse
 		}
 		return ans, true, nil
 	case <-ctx.Done():
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -16,7 +16,8 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// leader answers calls as the test says; without an answer it ends the session.
+// leader responds to requests by calling answer; if that returns nil, it ends the
+// session.
 type leader struct {
 	addr     string
 	sessions atomic.Int64
@@ -66,8 +67,8 @@
 	}
 }
 
-// ask calls through a client of the given leaders.
-func ask(t *testing.T, limit, patience time.Duration, addrs ...string) wire.QueueResponse {
+// do sends a request through a client of the given leaders.
+func do(t *testing.T, limit, patience time.Duration, addrs ...string) wire.QueueResponse {
 	t.Helper()
 	c := New("front", func() []string { return addrs }, zerolog.Nop())
 	ctx, cancel := context.WithCancel(t.Context())
@@ -77,7 +78,7 @@
 	defer cancel()
 	callCtx, cancelCall := context.WithTimeout(ctx, limit)
 	defer cancelCall()
-	return c.Ask(callCtx, wire.QueueRequest{Submit: &queue.Submit{Path: "/q/j"}}, patience)
+	return c.Do(callCtx, wire.QueueRequest{Submit: &queue.Submit{Path: "/q/j"}}, patience)
 }
 
 const (
@@ -85,38 +86,38 @@
 	short = 300 * time.Millisecond
 )
 
-func TestAsk(t *testing.T) {
-	t.Run("an answer is carried back", func(t *testing.T) {
+func TestDo(t *testing.T) {
+	t.Run("the response is returned", func(t *testing.T) {
 		l := newLeader(t, func(int64, wire.QueueRequest) *wire.QueueResponse { return &wire.QueueResponse{Code: queue.NoQueue} })
-		assert.Equal(t, ask(t, long, long, l.addr).Code, queue.NoQueue)
+		assert.Equal(t, do(t, long, long, l.addr).Code, queue.NoQueue)
 	})
-	t.Run("a call whose session ends is sent again", func(t *testing.T) {
+	t.Run("a request whose session ends is sent again", func(t *testing.T) {
 		l := newLeader(t, func(session int64, _ wire.QueueRequest) *wire.QueueResponse {
 			if session < 3 {
 				return nil
 			}
 			return &wire.QueueResponse{Code: queue.OK}
 		})
-		assert.Equal(t, ask(t, long, long, l.addr).Code, queue.OK)
+		assert.Equal(t, do(t, long, long, l.addr).Code, queue.OK)
 		assert.Equal(t, l.sessions.Load(), int64(3))
 	})
-	t.Run("without a leader the call was surely not taken", func(t *testing.T) {
-		ans := ask(t, long, short, "127.0.0.1:1")
+	t.Run("without a leader the request was certainly not accepted", func(t *testing.T) {
+		ans := do(t, long, short, "127.0.0.1:1")
 		assert.Assert(t, ans.NotTaken && !ans.Unsure)
 	})
-	t.Run("a leader that refuses has not taken it", func(t *testing.T) {
+	t.Run("a leader that refuses the request has not accepted it", func(t *testing.T) {
 		l := newLeader(t, func(int64, wire.QueueRequest) *wire.QueueResponse { return &wire.QueueResponse{NotTaken: true} })
-		ans := ask(t, long, short, l.addr)
+		ans := do(t, long, short, l.addr)
 		assert.Assert(t, ans.NotTaken && !ans.Unsure)
 	})
-	t.Run("once a leader may have taken it, a refusal does not undo that", func(t *testing.T) {
+	t.Run("a refusal does not undo that an earlier leader may have accepted the request", func(t *testing.T) {
 		l := newLeader(t, func(session int64, _ wire.QueueRequest) *wire.QueueResponse {
 			if session == 1 {
 				return nil
 			}
 			return &wire.QueueResponse{NotTaken: true}
 		})
-		ans := ask(t, short, short, l.addr)
+		ans := do(t, short, short, l.addr)
 		assert.Assert(t, ans.Unsure && !ans.NotTaken)
 	})
 }
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -86,13 +86,13 @@
 	}
 	resp, err := c.hc.Do(req)
 	if err != nil {
-		relay.Renew(c.hc, err)
+		relay.CloseIdleAfter(c.hc, err)
 		return true, err
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
-		relay.Renew(c.hc, err)
+		relay.CloseIdleAfter(c.hc, err)
 		return true, err
 	}
 	switch {
--- a/relay/capture.go
+++ b/relay/capture.go
@@ -13,14 +13,14 @@
 
 // Write implements io.Writer.
 func (c *Capture) Write(p []byte) (int, error) {
-	room := c.limit - len(c.body)
-	c.partial = c.partial || len(p) > room
-	c.body = append(c.body, p[:min(len(p), room)]...)
+	free := c.limit - len(c.body)
+	c.partial = c.partial || len(p) > free
+	c.body = append(c.body, p[:min(len(p), free)]...)
 	return len(p), nil
 }
 
-// Body returns what was kept.
+// Body returns the bytes that were kept.
 func (c *Capture) Body() []byte { return c.body }
 
-// Partial reports whether there was more.
+// Partial reports whether the body was longer than the limit.
 func (c *Capture) Partial() bool { return c.partial }
--- a/relay/pool.go
+++ b/relay/pool.go
@@ -5,17 +5,18 @@
 	"errors"
 )
 
-// Pool keeps connections for reuse, as an http.Transport or an http.Client does.
+// Pool keeps idle connections for reuse, as an http.Transport or an http.Client does.
 type Pool interface {
 	CloseIdleConnections()
 }
 
-// Renew drops the kept connections of a pool after a call that got no whole answer.
-// Where one of them has gone silent, so have those that were opened before, and each
-// would cost a call its time-out: in TestSilentPool the second call waited out its
-// 30 s, and now it is answered at once. A caller who left says nothing of the
-// connection, and one that was never made says nothing of the kept ones.
-func Renew(p Pool, err error) {
+// CloseIdleAfter closes the idle connections of a pool after a call that ended with
+// err before its whole response was read. If one connection no longer delivers
+// anything, the older ones most likely don't either, and without this each would
+// cost a further call its full time-out, 30 s for example. Errors that say nothing
+// about the idle connections are ignored: the caller cancelled the call, or no
+// connection could be made.
+func CloseIdleAfter(p Pool, err error) {
 	if !errors.Is(err, context.Canceled) && !NotSent(err) {
 		p.CloseIdleConnections()
 	}
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,10 +1,10 @@
-// Package relay passes one HTTP request on and its answer back: from entry to
-// agent, and from agent to upstream.
+// Package relay has what entries and agents share to forward one HTTP request
+// and its response: from entry to agent, and from agent to upstream.
 //
-// Every request has a connection to itself while it runs (HTTP/1.1), so an
-// answer cannot reach another caller. Bodies stream with back-pressure: the copy
-// reads no more than the other side has taken. An answer that breaks off is
-// broken off towards the caller too, never closed as if it were whole.
+// Every request has a connection to itself while it runs (HTTP/1.1), so a
+// response cannot reach another caller. Bodies stream with back-pressure: the copy
+// reads no more than the other side has accepted. A response that is cut off is
+// cut off towards the caller too, never ended as if it were complete.
 package relay
 
 import (
@@ -24,24 +24,24 @@
 // The headers between callers, entries and agents; docs/API.md describes them.
 const (
 	HeaderDeadline   = "Rudderfork-Deadline"   // Unix ms or RFC 3339
-	HeaderTeam       = "Rudderfork-Team"       // whose share it counts against
-	HeaderRepeatable = "Rudderfork-Repeatable" // "yes": running it twice does no harm
-	HeaderRequest    = "Rudderfork-Request"    // id, given by the entry if missing
-	HeaderKey        = "Idempotency-Key"       // of a request that must not run twice
-	HeaderUpstream   = "Rudderfork-Upstream"   // on answers: the VM that gave it
-	HeaderReplayed   = "Rudderfork-Replayed"   // on answers: "yes" for a recorded one
+	HeaderTeam       = "Rudderfork-Team"       // team whose share of the service the request uses
+	HeaderRepeatable = "Rudderfork-Repeatable" // "yes": the request may safely run more than once
+	HeaderRequest    = "Rudderfork-Request"    // request id; the entry sets one if it is missing
+	HeaderKey        = "Idempotency-Key"       // marks a request that must run at most once
+	HeaderUpstream   = "Rudderfork-Upstream"   // on responses: the VM that sent it
+	HeaderReplayed   = "Rudderfork-Replayed"   // on responses: "yes" for a recorded one
 
 	// Between entry and agent only.
 	HeaderService = "Rudderfork-Service"
-	HeaderClaim   = "Rudderfork-Claim"   // token
-	HeaderBoot    = "Rudderfork-Boot"    // of the agent that the claim names
-	HeaderExpires = "Rudderfork-Expires" // of the claim, Unix ms
-	HeaderLoad    = "Rudderfork-Load"    // on answers
-	HeaderSigns   = "Rudderfork-Signs"   // "yes": asks for signs of life
+	HeaderClaim   = "Rudderfork-Claim"   // fencing token of the claim
+	HeaderBoot    = "Rudderfork-Boot"    // boot id, one for each start, of the agent that the claim names
+	HeaderExpires = "Rudderfork-Expires" // expiry of the claim, Unix ms
+	HeaderLoad    = "Rudderfork-Load"    // on responses: see EncodeLoad
+	HeaderInterim = "Rudderfork-Signs"   // "yes": requests interim responses (SendInterim)
 )
 
-// internal are the headers that never come from or reach a caller.
-var internal = []string{HeaderService, HeaderClaim, HeaderBoot, HeaderExpires, HeaderLoad, HeaderSigns}
+// internal are the headers that are neither accepted from a caller nor sent to one.
+var internal = []string{HeaderService, HeaderClaim, HeaderBoot, HeaderExpires, HeaderLoad, HeaderInterim}
 
 // hopByHop are the headers of one connection (RFC 9110, section 7.6.1).
 var hopByHop = []string{
@@ -49,11 +49,11 @@
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// copyBuffer is the size of the buffer of one copy, in bytes: all that a body
-// takes in memory here.
+// copyBuffer is the size of the buffer of one copy, in bytes. Nothing more of a
+// body is held in memory.
 const copyBuffer = 16 << 10
 
-// CopyHeader copies headers but those of one connection and internal ones.
+// CopyHeader copies all headers except hop-by-hop and internal ones.
 func CopyHeader(dst, src http.Header) {
 	skip := map[string]bool{}
 	for _, h := range hopByHop {
@@ -72,10 +72,10 @@
 	}
 }
 
-// HideKey renames the idempotency key so that the standard client does not see
-// it. The client takes a request with that header for one that may be repeated,
-// and sends it again by itself when a kept connection breaks; on the wire the
-// two spellings are the same header.
+// HideKey spells the name of the idempotency key in lower case, so that net/http's
+// client does not recognise it. The client regards a request with that header as
+// repeatable and sends it again by itself when a reused connection breaks. On the
+// wire the two spellings are the same header.
 func HideKey(h http.Header) {
 	if vs, ok := h[HeaderKey]; ok {
 		delete(h, HeaderKey)
@@ -83,33 +83,33 @@
 	}
 }
 
-// WriteAnswer passes an answer on as it comes. If it breaks off, so does the
-// answer to the caller: WriteAnswer panics with http.ErrAbortHandler, which
-// net/http takes as the order to cut the connection. So it is if the caller takes
-// nothing for writeStall. tee, if not nil, gets a copy of the body.
-func WriteAnswer(w http.ResponseWriter, resp *http.Response, tee io.Writer) {
-	writeAnswer(w, resp, tee, writeStall)
+// WriteResponse copies a response to w as it arrives. If reading it fails, or if the
+// caller accepts nothing for writeStall, WriteResponse panics with
+// http.ErrAbortHandler, on which net/http aborts the caller's connection. tee, if
+// not nil, gets a copy of the body.
+func WriteResponse(w http.ResponseWriter, resp *http.Response, tee io.Writer) {
+	writeResponse(w, resp, tee, writeStall)
 }
 
-func writeAnswer(w http.ResponseWriter, resp *http.Response, tee io.Writer, stall time.Duration) {
+func writeResponse(w http.ResponseWriter, resp *http.Response, tee io.Writer, stall time.Duration) {
 	CopyHeader(w.Header(), resp.Header)
 	rc := http.NewResponseController(w)
-	bound := func(d time.Duration) { _ = rc.SetWriteDeadline(after(d)) } // fails if the connection is gone
-	defer bound(0)                                                       // the connection may be kept
-	bound(stall)
+	setTimeout := func(d time.Duration) { _ = rc.SetWriteDeadline(after(d)) } // fails if the connection is closed
+	defer setTimeout(0)                                                       // the connection may be reused
+	setTimeout(stall)
 	w.WriteHeader(resp.StatusCode)
 	stream := resp.ContentLength < 0
 	if stream {
-		_ = rc.Flush() // the first bytes of a feed may be long in coming
+		_ = rc.Flush() // the first bytes of a feed may come much later
 	}
 	buf := make([]byte, copyBuffer)
 	for {
 		n, err := resp.Body.Read(buf)
 		if n > 0 {
 			if tee != nil {
-				_, _ = tee.Write(buf[:n]) // a capture never fails
+				_, _ = tee.Write(buf[:n]) // Capture.Write never fails
 			}
-			bound(stall)
+			setTimeout(stall)
 			if _, werr := w.Write(buf[:n]); werr != nil {
 				panic(http.ErrAbortHandler)
 			}
@@ -126,14 +126,15 @@
 	}
 }
 
-// NotSent reports whether err says that no byte of the request left: the
-// connection could not be made.
+// NotSent reports whether err means that no byte of the request was sent, because
+// no connection could be made.
 func NotSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial" || errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// Deadline reads the deadline of a request; the zero time if it has none.
+// Deadline returns the deadline in the headers of a request, and the zero time if
+// there is none. An error means that the header's value is not a time.
 func Deadline(h http.Header) (t time.Time, err error) {
 	v := h.Get(HeaderDeadline)
 	if v == "" {
@@ -149,19 +150,20 @@
 	return t, nil
 }
 
-// Feed reports whether a request asks for a feed, which stays open and holds a
-// connection but no slot.
-func Feed(h http.Header) bool {
+// IsFeed reports whether a request is for a feed, a response that stays open. A feed
+// holds a connection but no slot.
+func IsFeed(h http.Header) bool {
 	a := h.Get("Accept")
 	return strings.HasPrefix(a, "text/event-stream") || strings.HasPrefix(a, "audio/")
 }
 
-// Safe reports whether a method does nothing (RFC 9110, section 9.2.1).
-func Safe(method string) bool {
+// IsSafe reports whether a method is safe, that is, read-only (RFC 9110, section 9.2.1).
+func IsSafe(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
 }
 
-// EncodeLoad gives a load as a header.
+// EncodeLoad returns a load as the value of HeaderLoad: requests in flight, queued
+// requests, slots, latency in microseconds, and 1 if the upstream is leaving.
 func EncodeLoad(l rudderfork.Load) string {
 	leaving := 0
 	if l.Leaving {
@@ -170,7 +172,7 @@
 	return fmt.Sprintf("%d %d %d %d %d", l.InFlight, l.Queued, l.Slots, l.Latency.Microseconds(), leaving)
 }
 
-// DecodeLoad is the inverse of EncodeLoad; ok is false for anything else.
+// DecodeLoad is the inverse of EncodeLoad; ok is false if s is malformed.
 func DecodeLoad(s string) (l rudderfork.Load, ok bool) {
 	var us int64
 	var leaving int
--- a/relay/signs.go
+++ b/relay/signs.go
@@ -6,76 +6,80 @@
 	"time"
 )
 
-// An agent gives signs of life while it has a request and no answer yet: interim
-// answers (RFC 9110, section 15.2) of status 102 (RFC 2518, section 10.1). A
-// request that takes less than a pause costs none.
+// An agent sends interim responses (RFC 9110, section 15.2) of status 102 (RFC 2518,
+// section 10.1) while a request is in progress and has no final response yet, so
+// that the entry can tell a slow request from a broken connection. A request that
+// takes less than InterimInterval gets none.
 const (
-	// SignPause is the rest between two signs of life.
-	SignPause = time.Second
-	// MissedSigns is how many pauses in a row without a sign make a connection
-	// silent: one sign may be late, and one pause may end just before the next. With
-	// SignPause it is the bound of the nodes' sessions (wire.NodeSession), and a
-	// request is given up after 3 s at least and 4 s at most.
-	MissedSigns = 3
+	// InterimInterval is the interval between two interim responses.
+	InterimInterval = time.Second
+	// MaxMissedInterim is how many intervals in a row without an interim response mean
+	// that the connection is silent: one response may be late, and one interval may
+	// end just before the next response. With InterimInterval it equals the limit of
+	// the nodes' sessions (wire.NodeSession), and a request is given up after 3 s at
+	// least and 4 s at most.
+	MaxMissedInterim = 3
 )
 
-// Signs is the writer of an answer that gives signs of life until the answer's
-// status is written. It is safe for one handler; the signs come from another
-// goroutine, so the handler's headers are kept apart until then.
-type Signs struct {
+// InterimWriter is an http.ResponseWriter that sends interim responses until the
+// final status is written. It is safe for use by one handler. The interim responses
+// are written by another goroutine, so the handler's headers are kept apart until
+// the final status.
+type InterimWriter struct {
 	w      http.ResponseWriter
 	header http.Header
 
 	mu    sync.Mutex
-	over  bool // the status was written, or the handler has returned
+	ended bool // the final status was written, or the handler has returned
 	timer *time.Timer
 }
 
-// GiveSigns returns a writer that gives signs of life if the request asks for them,
-// else w. stop must be called before the handler returns. A caller that waits to be
-// told to go on with its body gets none: the server writes that by itself, at a
-// time of its own.
-func GiveSigns(w http.ResponseWriter, r *http.Request) (out http.ResponseWriter, stop func()) {
-	if r.Header.Get(HeaderSigns) == "" || r.Header.Get("Expect") != "" {
+// SendInterim returns a writer that sends interim responses if the request has
+// HeaderInterim, else w. stop must be called before the handler returns. A request
+// with an Expect header gets none: net/http's server writes "100 Continue" itself,
+// at a time that the handler does not control.
+func SendInterim(w http.ResponseWriter, r *http.Request) (out http.ResponseWriter, stop func()) {
+	if r.Header.Get(HeaderInterim) == "" || r.Header.Get("Expect") != "" {
 		return w, func() {}
 	}
-	s := &Signs{w: w, header: http.Header{}}
+	s := &InterimWriter{w: w, header: http.Header{}}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.timer = time.AfterFunc(SignPause, s.sign)
+	s.timer = time.AfterFunc(InterimInterval, s.send)
 	return s, s.end
 }
 
-// sign gives one sign, and has the next one given.
-func (s *Signs) sign() {
+// send sends one interim response and schedules the next.
+func (s *InterimWriter) send() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.over {
+	if s.ended {
 		return
 	}
 	s.w.WriteHeader(http.StatusProcessing)
-	s.timer.Reset(SignPause)
+	s.timer.Reset(InterimInterval)
 }
 
-// end gives no more signs.
-func (s *Signs) end() {
+// end stops the interim responses.
+func (s *InterimWriter) end() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.over = true
+	s.ended = true
 	s.timer.Stop()
 }
 
 // Header implements http.ResponseWriter.
-func (s *Signs) Header() http.Header { return s.header }
+func (s *InterimWriter) Header() http.Header { return s.header }
 
-// WriteHeader implements http.ResponseWriter. Only final answers pass.
-func (s *Signs) WriteHeader(status int) {
+// WriteHeader implements http.ResponseWriter, for the final status only. Later calls
+// are ignored.
+func (s *InterimWriter) WriteHeader(status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.over {
+	if s.ended {
 		return
 	}
-	s.over = true
+	s.ended = true
 	s.timer.Stop()
 	for k, vs := range s.header {
 		s.w.Header()[k] = vs
@@ -84,10 +88,10 @@
 }
 
 // Write implements http.ResponseWriter.
-func (s *Signs) Write(p []byte) (int, error) {
+func (s *InterimWriter) Write(p []byte) (int, error) {
 	s.WriteHeader(http.StatusOK)
 	return s.w.Write(p)
 }
 
-// Unwrap serves http.ResponseController.
-func (s *Signs) Unwrap() http.ResponseWriter { return s.w }
+// Unwrap returns the wrapped writer, for http.ResponseController.
+func (s *InterimWriter) Unwrap() http.ResponseWriter { return s.w }
--- a/relay/stall.go
+++ b/relay/stall.go
@@ -9,79 +9,82 @@
 )
 
 const (
-	// bodyStall bounds the wait for the next bytes of a request's body. It is the
-	// default time-out of requests at entries: who is slower gets no answer in time.
+	// bodyStall bounds the wait for the next bytes of a request's body. It equals the
+	// default time-out of requests at entries: a slower body would miss it anyway.
 	bodyStall = 30 * time.Second
-	// writeStall bounds the wait until the next piece of an answer (copyBuffer) is
-	// taken. A reader of a feed may pause for that long when the buffers of the
-	// connections are full; it is as long as entries keep an unused connection.
+	// writeStall bounds the wait until the next piece of a response (copyBuffer) is
+	// accepted. A reader of a feed may pause for that long when the buffers of the
+	// connections are full. It equals the time for which entries keep an idle
+	// connection.
 	writeStall = time.Minute
 )
 
-// BoundBody bounds the waits for more of a request's body: its connection may have
-// gone silent, which the server hears of in no other way. stop must be called
-// before the handler returns.
-func BoundBody(w http.ResponseWriter, r *http.Request) (stop func()) {
-	return boundBody(w, r, bodyStall)
+// LimitBodyReads sets a deadline on each read of a request's body. The server does not
+// notice otherwise that the connection no longer delivers anything. stop must be
+// called before the handler returns.
+func LimitBodyReads(w http.ResponseWriter, r *http.Request) (stop func()) {
+	return limitBodyReads(w, r, bodyStall)
 }
 
-func boundBody(w http.ResponseWriter, r *http.Request, stall time.Duration) (stop func()) {
+func limitBodyReads(w http.ResponseWriter, r *http.Request, stall time.Duration) (stop func()) {
 	if r.ContentLength == 0 {
 		return func() {}
 	}
-	b := &boundedBody{ReadCloser: r.Body, rc: http.NewResponseController(w), stall: stall}
+	b := &limitedBody{ReadCloser: r.Body, rc: http.NewResponseController(w), stall: stall}
 	r.Body = b
 	return b.stop
 }
 
-// boundedBody is a body whose reads are bounded. The server sets the deadlines of
-// the connection anew for each request, and between two.
-type boundedBody struct {
+// limitedBody is a body whose reads have a deadline. The server sets the connection's
+// deadlines anew for each request and between requests.
+type limitedBody struct {
 	io.ReadCloser
 	rc    *http.ResponseController
 	stall time.Duration
 
 	mu    sync.Mutex
-	whole bool
-	over  bool // the handler returns; the connection's deadlines are the server's
+	whole bool // the body was read to its end
+	ended bool // the handler returns; the server sets the connection's deadlines from now on
 }
 
-// Read implements io.Reader. A client may still call it when the handler has
-// returned.
-func (b *boundedBody) Read(p []byte) (n int, err error) {
-	b.bound(b.stall)
+// Read implements io.Reader. An HTTP client that sends this body may call it even
+// after the handler has returned.
+func (b *limitedBody) Read(p []byte) (n int, err error) {
+	b.setTimeout(b.stall)
 	n, err = b.ReadCloser.Read(p)
 	if errors.Is(err, io.EOF) {
 		b.mu.Lock()
 		b.whole = true
 		b.mu.Unlock()
 	}
-	b.bound(0)
+	b.setTimeout(0)
 	return n, err
 }
 
-// bound sets the deadline of reads, or none for 0. The server goes on reading after
-// the body, to hear of the connection's end, so none must stay.
-func (b *boundedBody) bound(d time.Duration) {
+// setTimeout sets the deadline of reads to d from now, or removes it if d is 0. The
+// server reads on after the body to notice when the connection is closed, so no
+// deadline may remain set.
+func (b *limitedBody) setTimeout(d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.over {
-		_ = b.rc.SetReadDeadline(after(d)) // an error means that the connection is gone
+	if !b.ended {
+		_ = b.rc.SetReadDeadline(after(d)) // an error means that the connection is closed
 	}
 }
 
-// stop bounds what the server itself still reads of a body that was not read whole.
-func (b *boundedBody) stop() {
+// stop sets a deadline for the server, which itself reads on if the body was not read
+// to its end.
+func (b *limitedBody) stop() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.over = true
+	b.ended = true
 	if !b.whole {
-		_ = b.rc.SetReadDeadline(after(b.stall)) // as in bound
+		_ = b.rc.SetReadDeadline(after(b.stall)) // as in setTimeout
 	}
 }
 
-// after returns the time of a socket's deadline, and none for 0. Sockets compare it
-// with the monotonic clock.
+// after returns the socket deadline d from now, and the zero time (no deadline) if d
+// is 0. Sockets compare deadlines with the monotonic clock.
 func after(d time.Duration) (t time.Time) {
 	if d == 0 {
 		return t
--- a/relay/stall_test.go
+++ b/relay/stall_test.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// shortStall stands for the bounds of the product.
+	// shortStall replaces bodyStall and writeStall.
 	shortStall = 50 * time.Millisecond
-	// waitLimit ends a wait for what does not come.
+	// waitLimit bounds every wait of a test.
 	waitLimit = 20 * time.Second
 )
 
@@ -35,17 +35,18 @@
 	return c
 }
 
+// within returns the next value of ch, and fails the test if none comes in time.
 func within[T any](t *testing.T, ch <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-ch:
 	case <-time.After(waitLimit):
-		t.Fatal("it did not come")
+		t.Fatal("nothing was received in time")
 	}
 	return v
 }
 
-// assertStatus asserts the status of the next answer.
+// assertStatus asserts the status of the next response.
 func assertStatus(t *testing.T, c net.Conn, want int) {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -54,30 +55,31 @@
 	assert.Equal(t, resp.StatusCode, want)
 }
 
-// readers returns a handler that reads bodies, and what reading ended with.
+// readers returns a handler that reads bodies, and a channel with the errors that
+// reading ended with.
 func readers() (http.HandlerFunc, chan error) {
 	ended := make(chan error, 2)
 	return func(w http.ResponseWriter, r *http.Request) {
-		defer boundBody(w, r, shortStall)()
+		defer limitBodyReads(w, r, shortStall)()
 		_, err := io.ReadAll(r.Body)
 		ended <- err
 	}, ended
 }
 
-func TestBoundBody(t *testing.T) {
-	t.Run("it breaks off in silence", func(t *testing.T) {
+func TestLimitBodyReads(t *testing.T) {
+	t.Run("the connection stops delivering", func(t *testing.T) {
 		h, ended := readers()
 		c := serve(t, h)
 		fmt.Fprint(c, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nhalf")
 		assert.ErrorIs(t, within(t, ended), os.ErrDeadlineExceeded)
 	})
-	t.Run("nobody reads it", func(t *testing.T) {
-		c := serve(t, func(w http.ResponseWriter, r *http.Request) { boundBody(w, r, shortStall)() })
+	t.Run("the handler does not read it", func(t *testing.T) {
+		c := serve(t, func(w http.ResponseWriter, r *http.Request) { limitBodyReads(w, r, shortStall)() })
 		fmt.Fprint(c, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nhalf")
 		_, err := io.ReadAll(c)
-		assert.NilError(t, err, "the server ends the connection")
+		assert.NilError(t, err, "the server closes the connection")
 	})
-	t.Run("whole ones on one connection", func(t *testing.T) {
+	t.Run("complete bodies on one connection", func(t *testing.T) {
 		h, ended := readers()
 		c := serve(t, h)
 		for range 2 {
@@ -86,9 +88,9 @@
 			assertStatus(t, c, http.StatusOK)
 		}
 	})
-	t.Run("the handler takes longer than the bound", func(t *testing.T) {
+	t.Run("the handler takes longer than the limit", func(t *testing.T) {
 		c := serve(t, func(w http.ResponseWriter, r *http.Request) {
-			defer boundBody(w, r, shortStall)()
+			defer limitBodyReads(w, r, shortStall)()
 			_, _ = io.ReadAll(r.Body)
 			select {
 			case <-r.Context().Done():
@@ -110,26 +112,28 @@
 // Close implements io.Closer.
 func (endless) Close() error { return nil }
 
-// TestWriteStall writes an answer that nobody takes.
+// TestWriteStall writes a response whose caller reads nothing; the connection must be
+// aborted.
 func TestWriteStall(t *testing.T) {
-	cut := make(chan any, 1)
+	aborted := make(chan any, 1)
 	c := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		defer func() {
-			cut <- recover()
+			aborted <- recover()
 			panic(http.ErrAbortHandler)
 		}()
-		writeAnswer(w, &http.Response{StatusCode: http.StatusOK, ContentLength: -1, Body: endless{}}, nil, shortStall)
+		writeResponse(w, &http.Response{StatusCode: http.StatusOK, ContentLength: -1, Body: endless{}}, nil, shortStall)
 	})
 	fmt.Fprint(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-	err, ok := within(t, cut).(error)
+	err, ok := within(t, aborted).(error)
 	assert.Assert(t, ok && errors.Is(err, http.ErrAbortHandler))
 }
 
-// TestWritePause writes an answer with a pause in it that is longer than the bound.
+// TestWritePause writes a response that pauses for longer than the limit; only waits
+// for the caller count.
 func TestWritePause(t *testing.T) {
 	r, w := io.Pipe()
 	c := serve(t, func(out http.ResponseWriter, _ *http.Request) {
-		writeAnswer(out, &http.Response{StatusCode: http.StatusOK, ContentLength: -1, Body: r}, nil, shortStall)
+		writeResponse(out, &http.Response{StatusCode: http.StatusOK, ContentLength: -1, Body: r}, nil, shortStall)
 	})
 	fmt.Fprint(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -257,7 +257,7 @@
 	}
 	u.failures = 0
 	if took <= 0 {
-		return // a refusal or a feed (relay.Feed) says nothing about latency
+		return // a refusal or a feed (relay.IsFeed) says nothing about latency
 	}
 	u.successes++
 	if u.successes >= 2*rampSuccesses {
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -161,7 +161,7 @@
 func (s *testCluster) send(a wire.QueueRequest) wire.QueueResponse {
 	ctx, cancel := context.WithTimeout(s.ctx, waitTimeout)
 	defer cancel()
-	return s.front.Ask(ctx, a, waitTimeout)
+	return s.front.Do(ctx, a, waitTimeout)
 }
 
 func (s *testCluster) putDocument(advice *queue.Advice) {
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -210,7 +210,7 @@
 	Stopping bool `cbor:"3,keyasint,omitempty"`
 
 	// InterimAnswers is sent unasked as the first message of a session: the agent sends interim
-	// responses while a request that asks for them is in progress (relay.GiveSigns). Without it,
+	// responses while a request that asks for them is in progress (relay.SendInterim). Without it,
 	// silence of the agent means nothing.
 	InterimAnswers bool `cbor:"4,keyasint,omitempty"`
 }
