--- a/cmd/rudderctl/fleet.go
+++ b/cmd/rudderctl/fleet.go
@@ -80,7 +80,7 @@
 			}
 			ms = append(ms, name)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%v\n", a, st.ID, st.Role, st.Term, st.Commit, st.Snapshot, st.LogBytes, ms)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%v\n", a, st.ID, st.Role, st.Term, st.CommitIndex, st.SnapshotIndex, st.LogBytes, ms)
 	}
 	return w.Flush()
 }
--- a/control/control.go
+++ b/control/control.go
@@ -128,7 +128,7 @@
 func Format(ctx context.Context, cfg Settings) (err error) {
 	defer errs.Annotate(&err, "format %s", cfg.Name)
 	for _, m := range cfg.Peers {
-		if st, err := fetchStatus(ctx, m.Addr); err == nil && st.Commit > 0 {
+		if st, err := fetchStatus(ctx, m.Addr); err == nil && st.CommitIndex > 0 {
 			return fmt.Errorf("group %s already exists: %s is a member of it; start without format to join", cfg.Group, m.Name)
 		}
 	}
--- a/control/hub.go
+++ b/control/hub.go
@@ -143,7 +143,7 @@
 	if !st.Leads() || st.Term != h.term || h.expiring[vm] {
 		return deadline, false
 	}
-	return h.lessor.Grant(vm, time.Unix(0, st.ContactNS)), true
+	return h.lessor.Grant(vm, time.Unix(0, st.QuorumContactNS)), true
 }
 
 // Serve implements suture.Service: it wakes the sessions that have something
--- a/control/metrics.go
+++ b/control/metrics.go
@@ -42,7 +42,7 @@
 		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
 	st := c.rep.Status()
-	gauge(c.commit, float64(st.Commit))
+	gauge(c.commit, float64(st.CommitIndex))
 	gauge(c.logBytes, float64(st.LogBytes))
 	leads := 0.0
 	if c.rep.Leads() {
--- a/replica/held_test.go
+++ b/replica/held_test.go
@@ -62,7 +62,7 @@
 	const commands = 3
 	results := make(chan error, commands)
 	for i := range commands {
-		before := g.reps[lead].rep.Status().Commit
+		before := g.reps[lead].rep.Status().CommitIndex
 		d := queue.Document{Version: g.versions + uint64(i) + 1}
 		go func() {
 			_, err := g.reps[lead].rep.Do(t.Context(), state.Command{Queue: &queue.Command{Document: &d}})
@@ -103,7 +103,7 @@
 func waitCommit(t *testing.T, l *loopbackReplica, index uint64) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if c := l.rep.Status().Commit; c < index {
+		if c := l.rep.Status().CommitIndex; c < index {
 			return poll.Continue("%s has committed %d; want %d", l.self.Name, c, index)
 		}
 		return poll.Success()
--- a/replica/losses_test.go
+++ b/replica/losses_test.go
@@ -32,12 +32,12 @@
 // cluster is a group of replicas with real disks, whose messages are passed in memory while both
 // ends run.
 type cluster struct {
-	t     *testing.T
-	root  string
-	every uint64 // applied entries between snapshots
-	names []string
-	skew  map[string]time.Duration // by how much a replica's clock is ahead
-	acked uint64                   // newest acknowledged version of the document
+	t             *testing.T
+	root          string
+	snapshotEvery uint64 // applied entries between snapshots
+	names         []string
+	skew          map[string]time.Duration // by how much a replica's clock is ahead
+	acked         uint64                   // newest acknowledged version of the document
 
 	mu      sync.Mutex
 	running map[quorum.MemberID]*runningReplica
@@ -104,17 +104,17 @@
 }
 
 // newCluster starts a group of wantedVoters founders that has acknowledged a document.
-func newCluster(t *testing.T, every uint64) *cluster {
+func newCluster(t *testing.T, snapshotEvery uint64) *cluster {
 	t.Helper()
-	c := newClusterOf(t, every, wantedVoters)
+	c := newClusterOf(t, snapshotEvery, wantedVoters)
 	c.commit()
 	return c
 }
 
 // emptyCluster has wantedVoters names of replicas, none of which has a data folder yet.
-func emptyCluster(t *testing.T, every uint64) *cluster {
+func emptyCluster(t *testing.T, snapshotEvery uint64) *cluster {
 	t.Helper()
-	c := &cluster{t: t, root: t.TempDir(), every: every, skew: map[string]time.Duration{}, running: map[quorum.MemberID]*runningReplica{}}
+	c := &cluster{t: t, root: t.TempDir(), snapshotEvery: snapshotEvery, skew: map[string]time.Duration{}, running: map[quorum.MemberID]*runningReplica{}}
 	for i := range wantedVoters {
 		c.names = append(c.names, fmt.Sprintf("c%d", i+1))
 	}
@@ -148,7 +148,7 @@
 	s := &memSender{c: c, self: quorum.Member{ID: store.Identity().ID, Name: name}}
 	ahead := c.skew[name]
 	rep, err := New(Config{
-		ElectionTimeout: 100 * time.Millisecond, Heartbeat: 20 * time.Millisecond, SnapshotEvery: c.every,
+		ElectionTimeout: 100 * time.Millisecond, Heartbeat: 20 * time.Millisecond, SnapshotEvery: c.snapshotEvery,
 		Seed: Seed(name), Voters: wantedVoters,
 	}, store, s, zerolog.Nop(), discard{}, func() time.Time { return steady.Now().Add(ahead) })
 	assert.NilError(c.t, err)
@@ -265,7 +265,7 @@
 	c.commit()
 	c.waitUntil("the group has its voters", func() bool {
 		st := c.leader().Status()
-		if st.Commit < st.Last {
+		if st.CommitIndex < st.LastIndex {
 			return false // the members may come from an uncommitted change
 		}
 		voters := 0
@@ -310,8 +310,8 @@
 				}
 			})
 			leader := c.leader().name
-			seen := c.leader().Status().Commit + rng.Uint64N(30)
-			c.waitUntil("some commands are committed", func() bool { return c.leader().Status().Commit >= seen })
+			seen := c.leader().Status().CommitIndex + rng.Uint64N(30)
+			c.waitUntil("some commands are committed", func() bool { return c.leader().Status().CommitIndex >= seen })
 			c.stopAll()
 			cancel()
 			proposing.Wait()
--- a/replica/metrics.go
+++ b/replica/metrics.go
@@ -69,9 +69,9 @@
 		gauge(c.role, boolValue(st.Role == role.String()), role.String())
 	}
 	ch <- prometheus.MustNewConstMetric(c.campaigns, prometheus.CounterValue, float64(st.Campaigns))
-	gauge(c.commit, float64(st.Commit))
-	gauge(c.last, float64(st.Last))
-	for name, at := range lastMessages(st) {
+	gauge(c.commit, float64(st.CommitIndex))
+	gauge(c.last, float64(st.LastIndex))
+	for name, at := range lastMessageTimes(st) {
 		gauge(c.lastMessageAge, since(at, now).Seconds(), name)
 	}
 	voters, present := countVoters(st, now)
@@ -104,9 +104,9 @@
 	return max(0, now.Sub(at))
 }
 
-// lastMessages returns when the last message of each replica arrived, by name: the newest over its
+// lastMessageTimes returns when the last message of each replica arrived, by name: the newest over its
 // incarnations, two of which may be members while one replaces the other.
-func lastMessages(st Status) map[string]time.Time {
+func lastMessageTimes(st Status) map[string]time.Time {
 	newest := map[string]time.Time{}
 	for id, at := range st.LastMessageAt {
 		if name := memberName(id); at.After(newest[name]) {
--- a/replica/opening_test.go
+++ b/replica/opening_test.go
@@ -60,9 +60,9 @@
 }
 
 // newClusterOf starts wantedVoters replicas, of which some found the group and the others join it.
-func newClusterOf(t *testing.T, every uint64, founders int) *cluster {
+func newClusterOf(t *testing.T, snapshotEvery uint64, founders int) *cluster {
 	t.Helper()
-	c := emptyCluster(t, every)
+	c := emptyCluster(t, snapshotEvery)
 	var founding []quorum.Member
 	for _, name := range c.names[:founders] {
 		founding = append(founding, quorum.Member{ID: MemberID(name, FoundingIncarnation), Name: name, Voter: true})
--- a/replica/replaced_test.go
+++ b/replica/replaced_test.go
@@ -29,10 +29,10 @@
 			results <- err
 		}()
 	}
-	waitUntil(t, "all are proposed", func() bool { return r.Status().Last == before.Last+commands })
+	waitUntil(t, "all are proposed", func() bool { return r.Status().LastIndex == before.LastIndex+commands })
 	r.Step(t.Context(), quorum.Message{
-		Type: quorum.MsgAppend, From: "c2#1", To: before.ID, Term: before.Term + 1, LogIndex: before.Last, LogTerm: before.Term,
-		Commit: before.Last + 1, Entries: []quorum.Entry{{Index: before.Last + 1, Term: before.Term + 1, Kind: quorum.EntryNoop}},
+		Type: quorum.MsgAppend, From: "c2#1", To: before.ID, Term: before.Term + 1, LogIndex: before.LastIndex, LogTerm: before.Term,
+		Commit: before.LastIndex + 1, Entries: []quorum.Entry{{Index: before.LastIndex + 1, Term: before.Term + 1, Kind: quorum.EntryNoop}},
 	})
 	close(released)
 	waitUntil(t, "the replica leads again", func() bool { return r.Leads() && r.Status().Term > before.Term+1 })
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -92,18 +92,18 @@
 
 // Status is a replica's view of the group.
 type Status struct {
-	ID        quorum.MemberID `json:"id"`
-	Role      string          `json:"role"`
-	Term      uint64          `json:"term"`
-	Commit    uint64          `json:"commit"`
-	Last      uint64          `json:"last"`
-	Snapshot  uint64          `json:"snapshot"`
-	LogBytes  int64           `json:"log_bytes"`
-	Ready     bool            `json:"settled"` // it leads, has committed in its term and accepts commands
-	Leader    quorum.Member   `json:"leader"`
-	Members   []quorum.Member `json:"members"`
-	ContactNS int64           `json:"-"` // quorum contact, Unix ns
-	Campaigns uint64          `json:"campaigns"`
+	ID              quorum.MemberID `json:"id"`
+	Role            string          `json:"role"`
+	Term            uint64          `json:"term"`
+	CommitIndex     uint64          `json:"commit"`
+	LastIndex       uint64          `json:"last"`
+	SnapshotIndex   uint64          `json:"snapshot"`
+	LogBytes        int64           `json:"log_bytes"`
+	Ready           bool            `json:"settled"` // it leads, has committed in its term and accepts commands
+	Leader          quorum.Member   `json:"leader"`
+	Members         []quorum.Member `json:"members"`
+	QuorumContactNS int64           `json:"-"` // last contact with a quorum, Unix ns
+	Campaigns       uint64          `json:"campaigns"`
 	// LeaderlessSince is when the last known leader was lost; zero while one is known.
 	LeaderlessSince time.Time `json:"-"`
 	// LastMessageAt is when the last message of each other member arrived. It is copied at most
@@ -361,9 +361,9 @@
 	n, now := r.node, r.now()
 	r.report.Observe(n, now)
 	st := Status{
-		ID: n.ID(), Role: n.Role().String(), Term: n.Term(), Commit: n.CommitIndex(), Last: n.LastIndex(),
-		Snapshot: n.SnapshotIndex(), LogBytes: r.logBytes, Ready: n.CommittedInTerm() && r.acceptsCommands(), Members: n.Members(),
-		ContactNS: n.QuorumContact(now).UnixNano(), Campaigns: n.Campaigns(), LeaderlessSince: r.report.LeaderlessSince(),
+		ID: n.ID(), Role: n.Role().String(), Term: n.Term(), CommitIndex: n.CommitIndex(), LastIndex: n.LastIndex(),
+		SnapshotIndex: n.SnapshotIndex(), LogBytes: r.logBytes, Ready: n.CommittedInTerm() && r.acceptsCommands(), Members: n.Members(),
+		QuorumContactNS: n.QuorumContact(now).UnixNano(), Campaigns: n.Campaigns(), LeaderlessSince: r.report.LeaderlessSince(),
 	}
 	st.Leader, _ = n.Member(n.Leader())
 	_, member := n.Member(n.ID())
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -94,5 +94,5 @@
 		}
 		assert.Assert(t, r.Status().LogBytes < maxLogBytes+2*each, "the log has %d bytes", r.Status().LogBytes)
 	}
-	assert.Assert(t, r.Status().Snapshot > 0)
+	assert.Assert(t, r.Status().SnapshotIndex > 0)
 }
--- a/replica/silence_test.go
+++ b/replica/silence_test.go
@@ -109,18 +109,18 @@
 }
 
 // leader waits for a leader that accepts commands and returns its index.
-func (g *proxiedGroup) leader() (place int) {
+func (g *proxiedGroup) leader() (index int) {
 	g.t.Helper()
 	poll.WaitOn(g.t, func(poll.LogT) poll.Result {
 		for i, l := range g.reps {
 			if l.rep.Leads() {
-				place = i
+				index = i
 				return poll.Success()
 			}
 		}
 		return poll.Continue("no replica leads")
 	}, poll.WithTimeout(joinLimit))
-	return place
+	return index
 }
 
 // assertCommits asserts that a command is committed, whoever leads, and that every running replica
--- a/scheduler/commit_wait_test.go
+++ b/scheduler/commit_wait_test.go
@@ -79,10 +79,10 @@
 	h := newGatedCluster(t, Settings{Lease: testLease})
 	c := h.registerAgent(onlyVM)
 	h.blockCommits()
-	last := h.rep.Status().Last
+	last := h.rep.Status().LastIndex
 	ends := queue.Ends{VM: onlyVM.ID, Incarnation: onlyVM.Incarnation, List: []queue.End{{Task: queue.TaskKey{Job: "j"}, Run: 1, Outcome: queue.OutcomeDone}}}
 	assert.NilError(t, c.Send(h.ctx, wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: ends}}))
-	h.waitUntil("the report is proposed", func() bool { return h.rep.Status().Last > last })
+	h.waitUntil("the report is proposed", func() bool { return h.rep.Status().LastIndex > last })
 	h.sendHeartbeat(c, onlyVM, 2)
 	g := h.nextGrant(c)
 	assert.Assert(t, g != nil, "the session ended while the heartbeat waited")
@@ -103,23 +103,23 @@
 	}})
 	h.commit(queue.Command{Submit: &queue.Submit{Host: testHost, Path: "/q/j", Spec: queue.Spec{Steps: []queue.Step{smallStep}}}})
 	h.blockCommits()
-	last := h.rep.Status().Last
+	last := h.rep.Status().LastIndex
 	h.sendHeartbeat(c, vm, 2)
 	assert.Assert(t, h.nextGrant(c) != nil)
 	ctx, cancel := context.WithCancel(h.ctx)
 	ended := make(chan struct{})
 	go func() { defer close(ended); h.sched.round(ctx) }()
 	t.Cleanup(func() { cancel(); <-ended })
-	h.waitUntil("the loss is proposed", func() bool { return h.rep.Status().Last > last })
+	h.waitUntil("the loss is proposed", func() bool { return h.rep.Status().LastIndex > last })
 	h.waitUntil("the start is also proposed, or the round has ended", func() bool {
 		select {
 		case <-ended:
 			return true
 		default:
-			return h.rep.Status().Last == last+2
+			return h.rep.Status().LastIndex == last+2
 		}
 	})
-	assert.Equal(t, h.rep.Status().Last, last+2)
+	assert.Equal(t, h.rep.Status().LastIndex, last+2)
 }
 
 func (h *gatedCluster) commit(c queue.Command) {
@@ -134,11 +134,11 @@
 	h := newGatedCluster(t, Settings{Lease: testLease})
 	c := h.registerAgent(onlyVM)
 	h.blockCommits()
-	last := h.rep.Status().Last
+	last := h.rep.Status().LastIndex
 	grown := onlyVM
 	grown.Capacity.CPUMilli++
 	h.sendHeartbeat(c, grown, 2)
-	h.waitUntil("its description is proposed", func() bool { return h.rep.Status().Last > last })
+	h.waitUntil("its description is proposed", func() bool { return h.rep.Status().LastIndex > last })
 	c = h.openSession(string(onlyVM.ID))
 	h.sendHeartbeat(c, grown, 3)
 	g := h.nextGrant(c)
@@ -155,10 +155,10 @@
 	h.registerAgent(onlyVM).Close()
 	h.waitUntil("it is lost", func() bool { h.sched.round(h.ctx); return !h.isLive(onlyVM.ID) })
 	release := h.blockCommits()
-	last := h.rep.Status().Last
+	last := h.rep.Status().LastIndex
 	c := h.openSession(string(onlyVM.ID))
 	h.sendHeartbeat(c, onlyVM, 2)
-	h.waitUntil("its registration is proposed", func() bool { return h.rep.Status().Last > last })
+	h.waitUntil("its registration is proposed", func() bool { return h.rep.Status().LastIndex > last })
 	assert.Assert(t, h.nextGrant(c) == nil, "the commit is held")
 	release()
 	h.waitUntil("its registration is committed", func() bool { return h.isLive(onlyVM.ID) })
--- a/scheduler/failure_test.go
+++ b/scheduler/failure_test.go
@@ -101,14 +101,14 @@
 	s.t.Helper()
 	gate := make(chan struct{})
 	s.store.gate.Store(&gate)
-	last := s.sched.rep.Status().Last
+	last := s.sched.rep.Status().LastIndex
 	done = make(chan error, 1)
 	go func() {
 		done <- s.session.ends(ctx, wire.EndsReport{Seq: 1, Ends: queue.Ends{
 			VM: "vm1", Incarnation: "vm1-life", List: []queue.End{{Task: reportedTask, Run: 1, Outcome: outcome}},
 		}})
 	}()
-	s.waitUntil("the end is proposed", func() bool { return s.sched.rep.Status().Last == last+1 })
+	s.waitUntil("the end is proposed", func() bool { return s.sched.rep.Status().LastIndex == last+1 })
 	return func() {
 		s.store.gate.Store(nil)
 		close(gate)
--- a/scheduler/loss_proposed_twice_test.go
+++ b/scheduler/loss_proposed_twice_test.go
@@ -39,7 +39,7 @@
 
 	gate := make(chan struct{})
 	store.gate.Store(&gate)
-	last := rep.Status().Last
+	last := rep.Status().LastIndex
 	for range 2 { // rounds in which no commit completes
 		ctx, cancel := context.WithTimeout(s.ctx, 2*roundPause)
 		sched.expireLeases(ctx)
@@ -48,7 +48,7 @@
 	}
 	store.gate.Store(nil)
 	close(gate)
-	s.waitUntil("both proposals are committed", func() bool { return rep.Status().Commit == last+2 })
+	s.waitUntil("both proposals are committed", func() bool { return rep.Status().CommitIndex == last+2 })
 	commit(queue.Command{Register: &vm})
 	rep.View(func(st *state.State) { assert.Equal(t, st.Queues().Job("feed").Task(k).UnresolvedLosses, 0) })
 }
--- a/scheduler/losses_test.go
+++ b/scheduler/losses_test.go
@@ -55,7 +55,7 @@
 		store.gate.Store(nil)
 		close(gate)
 	}()
-	last := rep.Status().Last
+	last := rep.Status().LastIndex
 	go sched.expireLeases(s.ctx)
-	s.waitUntil("all losses are proposed", func() bool { return rep.Status().Last == last+vms })
+	s.waitUntil("all losses are proposed", func() bool { return rep.Status().LastIndex == last+vms })
 }
--- a/scheduler/refusal_test.go
+++ b/scheduler/refusal_test.go
@@ -38,9 +38,9 @@
 	h.sched.round(h.ctx)
 	h.waitUntil("the run is on the VM", func() bool { return h.runsOf(vm.ID) == 1 })
 	release = h.blockCommits()
-	last := h.rep.Status().Last
+	last := h.rep.Status().LastIndex
 	h.refuse(c, vm)
-	h.waitUntil("the refusal is proposed", func() bool { return h.rep.Status().Last > last })
+	h.waitUntil("the refusal is proposed", func() bool { return h.rep.Status().LastIndex > last })
 	return h, c, vm, release
 }
 
@@ -207,14 +207,14 @@
 	if s.refuser != "" {
 		return false
 	}
-	s.refuser, s.lastAtRefusal, s.release = name, s.rep.Status().Last, s.blockCommits()
+	s.refuser, s.lastAtRefusal, s.release = name, s.rep.Status().LastIndex, s.blockCommits()
 	return true
 }
 
 func (s *twoVMCluster) refusalProposed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.refuser != "" && s.rep.Status().Last > s.lastAtRefusal
+	return s.refuser != "" && s.rep.Status().LastIndex > s.lastAtRefusal
 }
 
 func (s *twoVMCluster) recordStart(on string) {
--- a/scheduler/term_test.go
+++ b/scheduler/term_test.go
@@ -23,10 +23,10 @@
 	before := h.rep.Status()
 	release := h.blockCommits()
 	h.serve(h.sched)
-	h.waitUntil("the losses are proposed", func() bool { return h.rep.Status().Last == before.Last+lost })
+	h.waitUntil("the losses are proposed", func() bool { return h.rep.Status().LastIndex == before.LastIndex+lost })
 	h.rep.Step(h.ctx, quorum.Message{
-		Type: quorum.MsgAppend, From: "d#1", To: before.ID, Term: before.Term + 1, LogIndex: before.Last, LogTerm: before.Term,
-		Commit: before.Last + 1, Entries: []quorum.Entry{{Index: before.Last + 1, Term: before.Term + 1, Kind: quorum.EntryNoop}},
+		Type: quorum.MsgAppend, From: "d#1", To: before.ID, Term: before.Term + 1, LogIndex: before.LastIndex, LogTerm: before.Term,
+		Commit: before.LastIndex + 1, Entries: []quorum.Entry{{Index: before.LastIndex + 1, Term: before.Term + 1, Kind: quorum.EntryNoop}},
 	})
 	release()
 	h.waitUntil("it leads again", func() bool { return h.rep.Leads() && h.rep.Status().Term > before.Term+1 })
--- a/scheduler/vm.go
+++ b/scheduler/vm.go
@@ -168,7 +168,7 @@
 		for _, k := range s.fleet.lastOfStep[b.VM.ID] {
 			grant.LastOfStep = append(grant.LastOfStep, k.Ref(k.Number))
 		}
-		left := v.lease.Grant(time.Unix(0, st.ContactNS), now, s.cfg.Lease)
+		left := v.lease.Grant(time.Unix(0, st.QuorumContactNS), now, s.cfg.Lease)
 		starts := s.startTimeLeft(left).Milliseconds()
 		grant.LeaseMS, grant.StartMS = left.Milliseconds(), &starts
 	}
