--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -43,10 +43,10 @@
 // noPeers is the sender and the event recorder of a replica without peers.
 type noPeers struct{}
 
-func (noPeers) Send(quorum.Message)            {}
+func (noPeers) Send(quorum.Message)              {}
 func (noPeers) SetMembers([]quorum.Member, bool) {}
-func (noPeers) Addrs() []string                { return nil }
-func (noPeers) Record(rudderfork.Event)        {}
+func (noPeers) Addrs() []string                  { return nil }
+func (noPeers) Record(rudderfork.Event)          {}
 
 // testCluster is a scheduler on a replica group of one, with agents and a front.
 type testCluster struct {
