--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,4 +1,4 @@
-// Package admin serves a process's metrics, health and time line.
+// Package admin serves a process's metrics, readiness and timeline over HTTP.
 package admin
 
 import (
@@ -29,7 +29,8 @@
 	reg *prometheus.Registry
 }
 
-// New returns a server on ln. ready tells whether the process may get traffic.
+// New returns a server on ln. ready returns an error while the process must not get
+// traffic; GET /ready then answers with status 503 and its text.
 func New(ln net.Listener, ring *timeline.Ring, ready func() error) *Server {
 	s := &Server{ln: ln, mux: http.NewServeMux(), reg: prometheus.NewRegistry()}
 	s.reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -47,11 +48,11 @@
 	return s
 }
 
-// TimelinePath is where a process serves its events.
+// TimelinePath is the path at which a process serves the events of its timeline.
 const TimelinePath = "/timeline"
 
-// Timeline serves the events of ring: those after the time "after" (Unix µs)
-// whose subject contains "subject", the newest "limit" of them.
+// Timeline returns a handler that serves the events of ring as JSON: the newest "limit"
+// events after the time "after" (Unix µs) whose subject contains "subject".
 func Timeline(ring *timeline.Ring) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		after, _ := strconv.ParseInt(r.FormValue("after"), 10, 64)
@@ -60,10 +61,10 @@
 	}
 }
 
-// Registry is where the process registers its metrics.
+// Registry returns the registry for the process's metrics.
 func (s *Server) Registry() *prometheus.Registry { return s.reg }
 
-// Handle adds a page of the process's own.
+// Handle registers a further handler of the process.
 func (s *Server) Handle(pattern string, h http.HandlerFunc) { s.mux.HandleFunc(pattern, h) }
 
 // Serve implements suture.Service.
@@ -72,7 +73,8 @@
 // String names the service in the supervisor's log.
 func (s *Server) String() string { return "admin" }
 
-// ServeHTTP serves until ctx ends, then closes the server at once.
+// ServeHTTP serves until ctx is done, then closes the server without waiting for
+// requests in progress.
 func ServeHTTP(ctx context.Context, srv *http.Server, ln net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
 	defer stop()
@@ -82,13 +84,13 @@
 	return ctx.Err()
 }
 
-// WriteJSON writes v as the whole answer.
+// WriteJSON writes v as a complete JSON response.
 func WriteJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	EncodeJSON(w, v)
 }
 
-// EncodeJSON writes v to an answer whose header is set.
+// EncodeJSON writes v as the body of a response whose header is already set.
 func EncodeJSON(w http.ResponseWriter, v any) {
-	_ = json.NewEncoder(w).Encode(v) // a client that is gone needs no answer
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the common frame of the commands: each has "run", which serves
-// until SIGTERM or SIGINT, and "check", which reads the settings and stops.
+// Package cli implements the command line that the daemons share: the subcommand "run"
+// serves until SIGTERM or SIGINT, and "check" validates a settings file.
 package cli
 
 import (
@@ -21,22 +21,25 @@
 // The exit codes.
 const (
 	ExitFailure  = subcommands.ExitFailure
-	ExitSettings = subcommands.ExitUsageError // 2: the settings are wrong, nothing was started
+	ExitSettings = subcommands.ExitUsageError // 2: the settings or arguments are invalid, nothing was started
 )
 
-// Server is a process that is ready to serve. Run returns after a planned stop.
+// Server is a daemon that is set up. Run serves until ctx is done and returns after a
+// graceful shutdown.
 type Server interface {
 	Run(ctx context.Context) error
 }
 
-// Daemon says how to read the settings of a kind of process and how to make it.
+// Daemon defines a kind of process with settings of type S: how to read the settings,
+// name the process for its log, and create its server.
 type Daemon[S any] struct {
 	Read func(path string) (S, error)
 	Name func(cfg S) (process string, place rudderfork.Place)
 	New  func(cfg S, log zerolog.Logger) (Server, error)
 }
 
-// Main runs the command that the arguments name, and exits.
+// Main runs the subcommand that the arguments name, and exits the process with its code.
+// more is registered besides run and check.
 func (d Daemon[S]) Main(more ...subcommands.Command) {
 	subcommands.Register(subcommands.HelpCommand(), "")
 	subcommands.Register(subcommands.FlagsCommand(), "")
@@ -76,13 +79,13 @@
 	return subcommands.ExitSuccess
 }
 
-// Fail prints an error, one line for each of those it joins, and returns code.
+// Fail prints err to w, with one line for each joined error, and returns code.
 func Fail(w io.Writer, err error, code subcommands.ExitStatus) subcommands.ExitStatus {
 	fmt.Fprintln(w, err)
 	return code
 }
 
-// command is a subcommand with a settings file.
+// command is a subcommand whose flag names a settings file.
 type command[S any] struct {
 	name     string
 	synopsis string
@@ -90,7 +93,7 @@
 	do       func(ctx context.Context, path string) subcommands.ExitStatus
 }
 
-// NewCommand returns a subcommand that takes a settings file.
+// NewCommand returns a subcommand that calls do with the path of the settings file.
 func NewCommand[S any](name, synopsis string, do func(ctx context.Context, path string) subcommands.ExitStatus) subcommands.Command {
 	return &command[S]{name: name, synopsis: synopsis, do: do}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon holds what the long-running processes share: their two
-// listeners, and serving until a planned stop.
+// Package daemon holds the code that the long-running processes share: their two
+// listeners, supervision, and a graceful shutdown.
 package daemon
 
 import (
@@ -12,7 +12,8 @@
 	"github.com/thejerf/suture/v4"
 )
 
-// Listen opens the listener for traffic and the one for administration.
+// Listen opens the listeners for traffic and for the admin server, at the given TCP
+// addresses.
 func Listen(traffic, admin string) (ln, adminLn net.Listener, err error) {
 	if ln, err = net.Listen("tcp", traffic); err != nil {
 		return nil, nil, err
@@ -23,15 +24,16 @@
 	return ln, adminLn, nil
 }
 
-// Supervisor returns a supervisor that logs what it sees.
+// Supervisor returns a supervisor that logs its events as warnings.
 func Supervisor(name string, log zerolog.Logger) *suture.Supervisor {
 	return suture.New(name, suture.Spec{EventHook: func(e suture.Event) {
 		log.Warn().Str("detail", e.String()).Msg("supervisor")
 	}})
 }
 
-// Run serves srv on ln, and sup beside it, until ctx ends. Then it calls stop,
-// with both still serving, and ends with what stop returns.
+// Run serves srv on ln and runs sup until ctx is done. Then it calls stop while both
+// still run, and returns the error of stop. If srv or sup ends earlier, Run returns its
+// error without calling stop.
 func Run(ctx context.Context, sup *suture.Supervisor, srv *http.Server, ln net.Listener, stop func(ctx context.Context) error) error {
 	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
--- a/internal/daemon/processor_test.go
+++ b/internal/daemon/processor_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestReserveProcessor holds that a process with one processor has another one while a
-// sync keeps the first, and that it asks for no more each time.
+// TestReserveProcessor checks that a process with one processor gets a second one, for
+// use while a sync to disk holds the first, and that further calls add none.
 func TestReserveProcessor(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	ReserveProcessor()
--- a/internal/logging/limit.go
+++ b/internal/logging/limit.go
@@ -8,25 +8,24 @@
 )
 
 const (
-	// linesPerSecond bounds the lines of one event. A leader of 240 VMs was seen to
-	// start 1,100 tasks in a second, more than four times the rate of the design's
-	// size; with 500 lines a third of a day's decisions left no trace.
+	// linesPerSecond is the most lines of one event that are written in a second. A
+	// leader of 240 VMs may start 1,100 tasks in a second; with a limit of 500 lines a
+	// third of a day's decisions are missing from the log.
 	linesPerSecond = 2_000
-	// limitNotice names the line that says how many of an event were left out.
+	// limitNotice is the event that reports how many lines of another were suppressed.
 	limitNotice = "log_lines_limited"
 )
 
-// limiter is a zerolog hook that lets a bounded number of lines of each event
-// through in each second.
+// limiter is a zerolog hook that limits the rate of lines of each event.
 type limiter struct {
 	now   func() time.Time
-	plain zerolog.Logger // without the hook, for the notices
+	plain zerolog.Logger // without the hook; writes the notices
 
 	mu     sync.Mutex
 	events map[string]*tally
 }
 
-// tally counts the lines of one event in the second that ends at until.
+// tally counts the lines of one event in a window of one second, which ends at until.
 type tally struct {
 	until   time.Time
 	passed  int
@@ -48,8 +47,8 @@
 	}
 }
 
-// count reports whether a line may pass, and how many were left out in the
-// second before, if it is the first of another.
+// count counts a line of an event and reports whether it is written. If the line starts
+// a new window, limited is the number of lines suppressed in the previous one.
 func (l *limiter) count(event string) (passes bool, limited int) {
 	now := l.now()
 	l.mu.Lock()
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -15,7 +15,7 @@
 )
 
 // New returns a logger for a process. Each line starts with time, level and
-// event, and carries the process and its place.
+// event, and has the process, its VM and its failure domain.
 func New(w io.Writer, process string, p rudderfork.Place) zerolog.Logger {
 	zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000000Z07:00"
 	cw := zerolog.ConsoleWriter{
@@ -46,34 +46,35 @@
 }
 
 const (
-	// queued is how many lines wait for a reader that is slow; more are dropped
-	// and counted. At some 100 bytes a line this is 400 kB.
-	queued = 4096
-	// dropNotice names the line that says how many were dropped.
+	// queueLines is the most lines that wait for a slow reader; beyond it lines are dropped
+	// and counted. At about 100 bytes a line this is 400 kB.
+	queueLines = 4096
+	// dropNotice is the event that reports how many lines were dropped.
 	dropNotice = "log_lines_dropped"
 )
 
-// flushLimit bounds the end of a process whose lines nobody reads: a part of the
-// second that the users' platform leaves after a stop.
+// flushLimit bounds the time to write queued lines at the end of a process, in case
+// nobody reads them. The users' platform leaves a second after a stop, of which this
+// is a part.
 const flushLimit = 300 * time.Millisecond
 
-// NewBounded returns a logger of JSON lines that never blocks the process. Each
-// event gets a bounded number of lines a second; lines wait in a bounded queue,
-// and if w does not keep up the oldest are dropped. Lines then say how many.
-// flush writes what waits, for a while; it is called at the end.
+// NewBounded returns a logger of JSON lines that never blocks the process. The lines of
+// each event are limited to linesPerSecond. Lines wait in a queue of queueLines, and if w
+// does not keep up, the oldest are dropped. Both are reported with the number of missing
+// lines. flush writes the queued lines, within flushLimit; call it when the process ends.
 func NewBounded(w io.Writer, process string, p rudderfork.Place) (log zerolog.Logger, flush func()) {
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMicro
 	zerolog.MessageFieldName = "event"
 	direct := zerolog.New(w).With().Timestamp().Str("process", process).Logger()
-	dw := diode.NewWriter(w, queued, 0, func(missed int) {
+	dw := diode.NewWriter(w, queueLines, 0, func(missed int) {
 		direct.Warn().Int("lines", missed).Msg(dropNotice)
 	})
 	plain := zerolog.New(dw).Level(zerolog.InfoLevel).With().Timestamp().Str("process", process).Str("domain", string(p.Domain)).Logger()
 	return plain.Hook(newLimiter(plain, time.Now)), func() { closeWithin(dw, flushLimit) }
 }
 
-// closeWithin closes c but waits no longer than the limit: there is nobody left
-// to tell if it fails.
+// closeWithin closes c but waits no longer than limit. The error is dropped: the
+// process ends and its log is what failed.
 func closeWithin(c io.Closer, limit time.Duration) {
 	closed := make(chan struct{})
 	go func() {
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -15,10 +15,10 @@
 	"rudderfork.example/rudderfork"
 )
 
-// waitLimit ends a wait for what should not block.
+// waitLimit bounds a call that should not block.
 const waitLimit = 20 * time.Second
 
-// blocked is a writer that nobody reads.
+// blocked is a writer that blocks until it is released.
 type blocked struct{ release chan struct{} }
 
 func (b blocked) Write(p []byte) (int, error) {
@@ -26,7 +26,7 @@
 	return len(p), nil
 }
 
-// checkEnds holds that a function comes back.
+// checkEnds checks that f returns within waitLimit.
 func checkEnds(t *testing.T, what string, f func()) {
 	t.Helper()
 	done := make(chan struct{})
@@ -41,19 +41,19 @@
 	}
 }
 
-func TestNobodyReads(t *testing.T) {
+func TestBlockedWriterDoesNotBlockLogging(t *testing.T) {
 	w := blocked{make(chan struct{})}
 	defer close(w.release)
 	log, flush := NewBounded(w, "core-1", rudderfork.Place{})
 	checkEnds(t, "logging", func() {
-		for i := range 3 * queued {
+		for i := range 3 * queueLines {
 			log.Info().Int("i", i).Msg("event")
 		}
 	})
-	checkEnds(t, "the end", flush)
+	checkEnds(t, "flush", flush)
 }
 
-// events decodes lines and counts them by event.
+// events decodes JSON lines and counts them by event.
 func events(t *testing.T, lines string) map[string]int {
 	t.Helper()
 	n := map[string]int{}
--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -1,4 +1,4 @@
-// Package problem writes refusals as problem details (RFC 9457).
+// Package problem writes HTTP error responses as problem details (RFC 9457).
 package problem
 
 import (
@@ -12,21 +12,22 @@
 	"rudderfork.example/rudderfork/internal/steady"
 )
 
-// TypeBase starts the type of every problem; docs/API.md lists what follows it.
+// TypeBase is the prefix of every problem type; docs/API.md lists the suffixes.
 const TypeBase = "urn:rudderfork:problem:"
 
-// Header says whether a refused request ran, for clients that do not read the
-// body: "no", "yes" or "unknown".
+// Header is the response header that says whether the refused request was executed, for
+// clients that do not read the body: "no", "yes" or "unknown".
 const Header = "Rudderfork-Ran"
 
-// New returns a problem. kind is the last part of its type.
+// New returns a problem whose type is TypeBase followed by kind.
 func New(status int, kind, detail string, ran rudderfork.Ran) *rudderfork.Problem {
 	return &rudderfork.Problem{
 		Type: TypeBase + kind, Title: http.StatusText(status), Status: status, Detail: detail, Ran: ran,
 	}
 }
 
-// Write sends p as the whole answer. Retry-After is rounded up to seconds.
+// Write sends p as a complete response. Retry-After is rounded up to whole seconds, at
+// least one.
 func Write(w http.ResponseWriter, p *rudderfork.Problem) {
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
@@ -35,7 +36,7 @@
 		h.Set("Retry-After", strconv.Itoa(retryAfter(p.RetryAt)))
 	}
 	w.WriteHeader(p.Status)
-	_ = json.NewEncoder(w).Encode(p) // a client that is gone needs no answer
+	_ = json.NewEncoder(w).Encode(p) // fails only if the client has disconnected
 }
 
 func retryAfter(at time.Time) int {
--- a/internal/regression/regression.go
+++ b/internal/regression/regression.go
@@ -1,5 +1,5 @@
-// Package regression fits straight lines to observations that come one by one: recursive
-// least squares, with a prior for each coefficient and forgetting by the caller.
+// Package regression fits linear models to a sequence of observations by recursive least
+// squares, with a Gaussian prior for each coefficient.
 package regression
 
 import (
@@ -7,28 +7,29 @@
 	"time"
 )
 
-// Fit is recursive least squares over coefficients that are added one by one, each
-// with a prior. Forgetting is the caller's: it widens the errors. The zero value has no
-// coefficients.
+// Fit is a linear model fitted by recursive least squares. Coefficients are added one by
+// one, each with a prior. Fit forgets nothing by itself: the caller discounts old
+// observations with Widen. The zero value has no coefficients. It is not safe for
+// concurrent use.
 type Fit struct {
 	beta []float64
 	cov  [][]float64
 }
 
-// Size returns how many coefficients there are.
+// Size returns the number of coefficients.
 func (f *Fit) Size() int { return len(f.beta) }
 
-// Beta returns a coefficient.
+// Beta returns the estimate of coefficient i.
 func (f *Fit) Beta(i int) float64 { return f.beta[i] }
 
-// Bound keeps all coefficients from falling below a value.
+// Bound raises the coefficients that are below least to it.
 func (f *Fit) Bound(least float64) {
 	for i := range f.beta {
 		f.beta[i] = max(least, f.beta[i])
 	}
 }
 
-// Variance returns that of a coefficient.
+// Variance returns the variance of the estimate of coefficient i.
 func (f *Fit) Variance(i int) float64 { return max(0, f.cov[i][i]) }
 
 // Grow adds a coefficient with its prior mean and variance, and returns its
@@ -44,7 +45,8 @@
 	return n
 }
 
-// Widen multiplies the covariance, but lets no variance pass its limit.
+// Widen multiplies the covariance matrix by factor, so that later observations weigh
+// more. A variance above its limit is reduced to it, with its covariances in proportion.
 func (f *Fit) Widen(factor float64, limit func(i int) float64) {
 	for i := range f.cov {
 		for j := range f.cov[i] {
@@ -58,7 +60,7 @@
 	}
 }
 
-// shrink scales the standard error of a coefficient.
+// shrink multiplies the standard error of coefficient i by a factor.
 func (f *Fit) shrink(i int, by float64) {
 	for j := range f.cov {
 		f.cov[i][j] *= by
@@ -66,9 +68,9 @@
 	}
 }
 
-// Update takes an observation y of the coefficients weighted by x, with the
-// variance of its noise. outlier bounds how far it may pull the fit, in standard
-// deviations of what was expected; 0 means any.
+// Update adds an observation y of the sum of the coefficients weighted by x, where noise
+// is the variance of y. A deviation from the prediction of more than outlier standard
+// deviations counts as that many; 0 means no bound.
 func (f *Fit) Update(x []float64, y, noise, outlier float64) {
 	n := len(x)
 	px := make([]float64, n)
@@ -82,12 +84,12 @@
 	for i := range n {
 		variance += x[i] * px[i]
 	}
-	off := y - predicted
+	residual := y - predicted
 	if most := outlier * math.Sqrt(max(variance, noise)); most > 0 {
-		off = max(-most, min(most, off))
+		residual = max(-most, min(most, residual))
 	}
 	for i := range n {
-		f.beta[i] += px[i] / variance * off
+		f.beta[i] += px[i] / variance * residual
 	}
 	for i := range n {
 		for j := range n {
@@ -96,11 +98,12 @@
 	}
 }
 
-// mostHalves bounds the half lives that count: by then nothing is left of what was
-// observed, and figures stay finite.
-const mostHalves = 40
+// maxHalfLives bounds the exponent in Growth. After this many half-lives the earlier
+// observations have no influence, and the result stays finite.
+const maxHalfLives = 40
 
-// Growth is by how much variances grow over a span, with a half life.
-func Growth(span, half time.Duration) float64 {
-	return math.Exp2(min(mostHalves, float64(span)/float64(half)))
+// Growth returns the factor for Widen by which variances grow in span, if the weight of
+// an observation halves in each halfLife.
+func Growth(span, halfLife time.Duration) float64 {
+	return math.Exp2(min(maxHalfLives, float64(span)/float64(halfLife)))
 }
--- a/internal/regression/regression_test.go
+++ b/internal/regression/regression_test.go
@@ -8,8 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestFitAfterLongRest widens a fit by a span over which errors grow past all numbers.
-func TestFitAfterLongRest(t *testing.T) {
+// TestFitStaysFiniteAfterLongPause guards against variances that overflow when a fit is
+// widened by a span of very many half-lives.
+func TestFitStaysFiniteAfterLongPause(t *testing.T) {
 	f := Fit{}
 	for range 2 {
 		f.Grow(1, 0.5)
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -1,8 +1,8 @@
-// Package stall watches how late a process gets to run.
+// Package stall measures how late the timers of a process fire.
 //
-// A process with a share of a core may stand still for a while: it collects garbage, one
-// goroutine holds the processor, or the machine gives it no time. Others take its silence
-// for a failure, and its own log shows nothing but a gap.
+// A process with a share of a core may be delayed by garbage collection, by a goroutine
+// that holds the processor, or by the operating system's scheduler. Other processes then
+// miss its heartbeats and take it for failed, and its own log shows only a gap.
 package stall
 
 import (
@@ -17,11 +17,11 @@
 )
 
 const (
-	// tick is between two looks.
+	// tick is the time between two measurements.
 	tick = 20 * time.Millisecond
-	// logFrom is the delay from which a look is logged: others wait for a heartbeat of a
-	// process as long.
-	logFrom = 100 * time.Millisecond
+	// logThreshold is the shortest delay that is logged. Other processes wait this long
+	// for a heartbeat of the process.
+	logThreshold = 100 * time.Millisecond
 )
 
 // Names of runtime/metrics.
@@ -30,15 +30,15 @@
 	heapName   = "/memory/classes/heap/objects:bytes"
 )
 
-// Watch is a service that looks at the clock again and again.
+// Watch is a service that measures the delay of a timer once per tick.
 type Watch struct {
 	log   zerolog.Logger
 	delay prometheus.Histogram
-	// cycles is how many garbage collections had ended at the stall before.
+	// cycles is the number of garbage collections completed at the previous stall.
 	cycles uint64
 }
 
-// New returns a watch.
+// New returns a watch that logs stalls to log.
 func New(log zerolog.Logger) *Watch {
 	return &Watch{log: log, delay: prometheus.NewHistogram(prometheus.HistogramOpts{
 		Namespace: "rudderfork", Subsystem: "process", Name: "delay_seconds",
@@ -62,10 +62,10 @@
 	return ctx.Err()
 }
 
-// observe notes how late a timer was served.
+// observe records how late a timer fired, and logs it from logThreshold on.
 func (w *Watch) observe(late time.Duration) {
 	w.delay.Observe(max(0, late.Seconds()))
-	if late < logFrom {
+	if late < logThreshold {
 		return
 	}
 	now := []metrics.Sample{{Name: cyclesName}, {Name: heapName}}
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -11,19 +11,19 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestObserve holds that delays are counted, and that only long ones have a line.
+// TestObserve checks that every delay is counted and only long ones are logged.
 func TestObserve(t *testing.T) {
 	var out bytes.Buffer
 	w := New(zerolog.New(&out))
-	for _, late := range []time.Duration{-time.Millisecond, 0, logFrom - 1} {
+	for _, late := range []time.Duration{-time.Millisecond, 0, logThreshold - 1} {
 		w.observe(late)
 	}
 	assert.Equal(t, out.Len(), 0)
-	w.observe(2 * logFrom)
+	w.observe(2 * logThreshold)
 	var line map[string]any
 	assert.NilError(t, json.Unmarshal(out.Bytes(), &line))
 	assert.Equal(t, line["message"], "process_stalled")
-	assert.Equal(t, line["late"], float64(2*logFrom/time.Millisecond))
+	assert.Equal(t, line["late"], float64(2*logThreshold/time.Millisecond))
 
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(w.Collectors()...)
--- a/internal/steady/boot_linux.go
+++ b/internal/steady/boot_linux.go
@@ -6,19 +6,22 @@
 	"golang.org/x/sys/unix"
 )
 
-var begun = time.Now()
+var processStart = time.Now()
 
-// sinceBoot tells the time since the machine has booted, suspensions included; Go's own
-// clock leaves them out. (One call takes 0.2 µs, one of Go's 0.04 µs: BenchmarkNow.)
+// sinceBoot returns the time since the system was booted, including the time for which
+// it was suspended. Go's monotonic clock leaves that out, but a call of it takes 0.04 µs
+// and one of sinceBoot 0.2 µs. Without CLOCK_BOOTTIME it is the time since the start of
+// the process.
 func sinceBoot() time.Duration {
 	var ts unix.Timespec
 	if !countsSuspension || unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) != nil {
-		return time.Since(begun)
+		return time.Since(processStart)
 	}
 	return time.Duration(ts.Nano())
 }
 
-// countsSuspension says whether the kernel has the clock; one without it does not suspend.
+// countsSuspension reports whether the kernel has CLOCK_BOOTTIME. A kernel without it
+// does not suspend.
 var countsSuspension = func() bool {
 	var ts unix.Timespec
 	return unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) == nil
--- a/internal/steady/boot_other.go
+++ b/internal/steady/boot_other.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-var begun = time.Now()
+var processStart = time.Now()
 
-// sinceBoot tells the time since the start of the process, as Go's own clock does.
-func sinceBoot() time.Duration { return time.Since(begun) }
+// sinceBoot returns the time since the start of the process, by Go's monotonic clock.
+func sinceBoot() time.Duration { return time.Since(processStart) }
--- a/internal/steady/steady_test.go
+++ b/internal/steady/steady_test.go
@@ -7,18 +7,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestClock has a clock go on while the system's wall clock steps and the machine is
-// suspended.
+// TestClock checks that a clock advances by the time since boot alone, so that it follows
+// no step of the system's wall clock and counts suspensions.
 func TestClock(t *testing.T) {
 	boot := 7 * time.Hour
 	c := newClock(time.Unix(1000, 0), func() time.Duration { return boot })
 	assert.Equal(t, c.Now(), time.Unix(1000, 0))
-	boot += 5 * time.Second // of which any part may have been a suspension
+	boot += 5 * time.Second // any part of it may have been a suspension
 	assert.Equal(t, c.Now(), time.Unix(1005, 0))
 }
 
-// TestNow holds that the process's clock is near the wall clock, goes on, and is read
-// from one that counts suspensions: as much as the kernel says of itself.
+// TestNow checks that the process's clock and the clock since boot do not go backwards.
 func TestNow(t *testing.T) {
 	before := Now()
 	assert.Assert(t, !before.After(Now()))
@@ -35,6 +34,6 @@
 
 func BenchmarkGo(b *testing.B) {
 	for b.Loop() {
-		_ = time.Since(begun)
+		_ = time.Since(processStart)
 	}
 }
--- a/internal/wakeup/wakeup.go
+++ b/internal/wakeup/wakeup.go
@@ -1,14 +1,14 @@
-// Package wakeup wakes a loop that waits for something to do.
+// Package wakeup provides a signal that wakes a goroutine waiting for work.
 package wakeup
 
-// Signal wakes one loop, which receives from it. What comes while a signal is
-// pending is part of that signal, so Set never blocks.
+// Signal wakes one goroutine, which receives from it. Calls of Set while the signal is
+// pending are merged into one, so Set never blocks.
 type Signal chan struct{}
 
 // New returns a signal that is not set.
 func New() Signal { return make(Signal, 1) }
 
-// Set wakes the loop, at once or as soon as it waits.
+// Set wakes the receiver, now or when it next receives.
 func (s Signal) Set() {
 	select {
 	case s <- struct{}{}:
