--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform stands in for the platform's list of live and leaving VMs,
-// which lags.
+// Package platform is a test double of the platform's list of leaving VMs, which shows
+// changes with a lag.
 package platform
 
 import (
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// VM is one line of the list.
+// VM is one entry of the list.
 type VM struct {
 	VM      string `json:"vm"`
 	Leaving bool   `json:"leaving"`
 }
 
-// Platform keeps the list.
+// Platform keeps the list of leaving VMs. It is safe for concurrent use.
 type Platform struct {
 	lag time.Duration
 
 	mu    sync.Mutex
-	since map[string]time.Time // when a VM began to leave
+	since map[string]time.Time // when each VM was marked as leaving
 }
 
-// New returns an empty list that shows changes after lag.
+// New returns a platform with an empty list, which shows a VM as leaving after lag.
 func New(lag time.Duration) *Platform {
 	return &Platform{lag: lag, since: map[string]time.Time{}}
 }
 
-// Handler returns the list's interface: GET /vms, POST /vms/{vm}/leave.
+// Handler returns the HTTP interface: GET /vms and POST /vms/{vm}/leave.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /vms", p.list)
--- a/standin/upstream/upstream.go
+++ b/standin/upstream/upstream.go
@@ -1,5 +1,5 @@
-// Package upstream stands in for an operator's own service: it holds seats,
-// streams feeds and answers at a chosen speed.
+// Package upstream is a test double of an operator's own service. It handles seat holds,
+// streams feeds and takes a configured time for each request.
 package upstream
 
 import (
@@ -16,14 +16,14 @@
 	"rudderfork.example/rudderfork/standin"
 )
 
-// Config sets up an upstream.
+// Config configures an Upstream.
 type Config struct {
 	VM   string
-	Work time.Duration // of a request that asks for none
-	Slow func() float64
+	Work time.Duration  // duration of a request that specifies none with "ms"
+	Slow func() float64 // factor for the duration of every request; nil means 1
 }
 
-// Upstream answers requests.
+// Upstream handles requests. It is safe for concurrent use.
 type Upstream struct {
 	cfg   Config
 	audit *standin.Audit
@@ -32,15 +32,15 @@
 	peak  atomic.Int64
 
 	mu    sync.Mutex
-	seats map[string]string // seat to key
+	seats map[string]string // idempotency key of the last hold, by seat
 }
 
-// New returns an upstream.
+// New returns an upstream that records its requests in audit.
 func New(cfg Config, audit *standin.Audit) *Upstream {
 	return &Upstream{cfg: cfg, audit: audit, seats: map[string]string{}}
 }
 
-// Handler returns the service.
+// Handler returns the service's HTTP interface.
 func (u *Upstream) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /hold", u.counted(u.hold))
@@ -52,7 +52,8 @@
 	return mux
 }
 
-// counted notes each run in the audit, at its start and when it is whole.
+// counted counts requests and records each in the audit, at its start and when h has
+// returned.
 func (u *Upstream) counted(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		u.runs.Add(1)
@@ -71,7 +72,8 @@
 	}
 }
 
-// work takes as long as the request asks for, or is left alone by its caller.
+// work waits for the duration of the request. It returns false if the client disconnects
+// before that.
 func (u *Upstream) work(r *http.Request) bool {
 	d := u.cfg.Work
 	if ms, err := strconv.Atoi(r.FormValue("ms")); err == nil {
@@ -90,7 +92,7 @@
 	}
 }
 
-// Hold is the answer to POST /hold.
+// Hold is the response to POST /hold.
 type Hold struct {
 	Seat string `json:"seat"`
 	VM   string `json:"vm"`
@@ -110,7 +112,7 @@
 	_ = json.NewEncoder(w).Encode(Hold{r.FormValue("seat"), u.cfg.VM, run, r.FormValue("tag")})
 }
 
-// echo gives back the query's tag and the body.
+// echo responds with the query's tag, the VM and the request's body.
 func (u *Upstream) echo(w http.ResponseWriter, r *http.Request) {
 	if !u.work(r) {
 		return
@@ -119,7 +121,7 @@
 	_, _ = io.Copy(w, r.Body)
 }
 
-// big answers with n bytes that all carry the tag.
+// big responds with the tag repeated line by line, at most n bytes in all.
 func (u *Upstream) big(w http.ResponseWriter, r *http.Request) {
 	n, _ := strconv.Atoi(r.FormValue("n"))
 	tag := r.FormValue("tag") + "\n"
@@ -127,7 +129,7 @@
 	_, _ = io.WriteString(w, strings.Repeat(tag, n/len(tag)))
 }
 
-// feed sends a line every few milliseconds until count lines are out.
+// feed streams count events, one every ms milliseconds, and then an end event.
 func (u *Upstream) feed(w http.ResponseWriter, r *http.Request) {
 	count, _ := strconv.Atoi(r.FormValue("count"))
 	ms, _ := strconv.Atoi(r.FormValue("ms"))
@@ -147,7 +149,8 @@
 	fmt.Fprint(w, "data: end\n\n")
 }
 
-// Stats is the answer to GET /stats.
+// Stats is the response to GET /stats: the number of requests started and the most that
+// were in progress at once, both without feeds.
 type Stats struct {
 	VM   string `json:"vm"`
 	Runs int64  `json:"runs"`
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -1,5 +1,5 @@
-// Package worker stands in for the platform's worker on one VM: it runs tasks
-// under a lease, reports usage with a lag, and checkpoints, throttles and stops.
+// Package worker is a test double of the platform's worker on one VM. It simulates tasks
+// under a lease, with checkpoints, throttling, stops, and usage reports that lag behind.
 package worker
 
 import (
@@ -16,17 +16,17 @@
 	api "rudderfork.example/rudderfork/worker"
 )
 
-// Config sets up a worker.
+// Config configures a Worker.
 type Config struct {
 	VM         string
 	Unit       time.Duration        // length of one unit of work at full speed
-	Checkpoint int64                // units between checkpoints
-	Lag        time.Duration        // of usage reports
-	FailAll    bool                 // fail every task at its start
-	Use        rudderfork.Resources // of every task, whatever it was given
+	Checkpoint int64                // units of work between two checkpoints; 0 means none
+	Lag        time.Duration        // age of the usage that is reported
+	FailAll    bool                 // every task fails at its start
+	Use        rudderfork.Resources // reported usage of every task, whatever size it was given
 }
 
-// Worker runs tasks.
+// Worker simulates tasks. It is safe for concurrent use.
 type Worker struct {
 	cfg   Config
 	audit *standin.Audit
@@ -35,17 +35,17 @@
 	mu       sync.Mutex
 	deadline time.Time
 	tasks    map[rudderfork.TaskID]*task
-	fenced   map[rudderfork.TaskID]rudderfork.Token // highest token seen
+	fenced   map[rudderfork.TaskID]rudderfork.Token // highest token received
 }
 
-// task is one attempt.
+// task is one attempt at a task.
 type task struct {
 	api.Task
 	units int64
 	kind  string
 }
 
-// New returns a worker that runs nothing yet.
+// New returns a worker without tasks, with a random boot ID.
 func New(cfg Config, audit *standin.Audit) *Worker {
 	return &Worker{
 		cfg: cfg, audit: audit, boot: rand.Text()[:8],
@@ -53,7 +53,7 @@
 	}
 }
 
-// Handler returns the worker's interface.
+// Handler returns the worker's HTTP interface.
 func (w *Worker) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /tasks", w.list)
@@ -103,7 +103,7 @@
 	}
 	switch {
 	case s.Token == w.fenced[s.Task]:
-		return // it is there, or has been
+		return // a repeated request: the attempt runs or has ended
 	case s.Token < w.fenced[s.Task]:
 		http.Error(rw, "a later attempt was seen", http.StatusConflict)
 		return
@@ -118,12 +118,13 @@
 	}}
 	t.Used = w.cfg.Use
 	w.tasks[s.Task] = t
-	w.note(t, "start", time.Now())
+	w.record(t, "start", time.Now())
 	go w.run(t)
 }
 
-// run works off one attempt, unit by unit. Before each unit it looks at the
-// lease, so that a process that was frozen does nothing once it goes on.
+// run executes one attempt, unit by unit. It checks the lease before each unit, so that a
+// process that was frozen past the end of its lease does no more work when it resumes.
+// Throttle levels 1 and 2 halve and quarter the speed; from level 3 on the task pauses.
 func (w *Worker) run(t *task) {
 	if w.cfg.FailAll || strings.HasPrefix(t.kind, "broken") {
 		w.end(t, lease.WorkerFailed, "the task exits at once")
@@ -146,7 +147,8 @@
 	}
 }
 
-// begin reports the next unit of t; ok is false when the attempt has ended.
+// begin returns the next unit of t and the throttle level. ok is false if the attempt has
+// ended, or ends now because its lease has expired or its work is done.
 func (w *Worker) begin(t *task, now time.Time) (unit int64, level int, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -164,7 +166,8 @@
 	return t.Progress, t.Throttle, true
 }
 
-// finish counts a unit, unless the lease ended in the middle of it.
+// finish counts a unit of work and reports whether the attempt goes on. A unit in which
+// the lease expired does not count.
 func (w *Worker) finish(t *task, unit int64, from time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -180,7 +183,7 @@
 	if w.cfg.Checkpoint > 0 && t.Progress%w.cfg.Checkpoint == 0 {
 		t.Checkpoint = t.Progress
 	}
-	w.note(t, "unit", from)
+	w.record(t, "unit", from)
 	return true
 }
 
@@ -190,28 +193,31 @@
 	w.endLocked(t, p, reason)
 }
 
-// endLocked ends an attempt. One whose lease has run out did nothing after the
-// lease's end, however late that is noticed: a worker that was frozen notices it
-// when it thaws, and the task may be at work elsewhere by then.
+// endLocked ends an attempt. One that ended by its lease is recorded with the end of the
+// lease, however late that is detected: a worker that was frozen detects it after it
+// resumes, when the task may already run elsewhere. The caller holds mu.
 func (w *Worker) endLocked(t *task, p lease.WorkerPhase, reason string) {
 	t.Phase, t.Reason = p, reason
 	at := time.Now()
 	if p == lease.WorkerExpired && w.deadline.Before(at) {
 		at = w.deadline
 	}
-	w.noteUntil(t, string(p), at, at)
+	w.recordSpan(t, string(p), at, at)
 }
 
-func (w *Worker) note(t *task, what string, from time.Time) { w.noteUntil(t, what, from, time.Now()) }
+func (w *Worker) record(t *task, what string, from time.Time) {
+	w.recordSpan(t, what, from, time.Now())
+}
 
-func (w *Worker) noteUntil(t *task, what string, from, to time.Time) {
+func (w *Worker) recordSpan(t *task, what string, from, to time.Time) {
 	w.audit.Write(standin.Unit{
 		VM: w.cfg.VM, Boot: w.boot, Task: string(t.Task.Task), Token: uint64(t.Token), What: what, Unit: t.Progress,
 		From: from.UnixMicro(), To: to.UnixMicro(), CPU: t.Size.CPUMilli, Mem: t.Size.MemoryMB,
 	})
 }
 
-// stop ends an attempt and refuses it from now on, also one not seen yet.
+// stop ends an attempt. An attempt that has not started yet is recorded as stopped, so
+// that a late start is refused. The caller holds mu.
 func (w *Worker) stop(c api.Change) {
 	t := w.tasks[c.Task]
 	if t != nil && t.Token == c.Token {
@@ -221,7 +227,7 @@
 			if c.Checkpoint {
 				t.Checkpoint, what = t.Progress, "stopped"
 			}
-			w.note(t, what, time.Now())
+			w.record(t, what, time.Now())
 		}
 		return
 	}
@@ -232,7 +238,8 @@
 	w.tasks[c.Task] = &task{Task: api.Task{Task: c.Task, Token: c.Token, Phase: lease.WorkerStopped, Reason: "stopped before it started"}}
 }
 
-// replace fences off older attempts and ends one that still runs.
+// replace raises the fencing token of a task, so that older attempts are refused, and
+// stops one that still runs. The caller holds mu.
 func (w *Worker) replace(id rudderfork.TaskID, token rudderfork.Token) {
 	w.fenced[id] = token
 	if old := w.tasks[id]; old != nil && old.Phase == lease.WorkerRunning {
--- a/standin/worker/worker_test.go
+++ b/standin/worker/worker_test.go
@@ -13,10 +13,10 @@
 	"rudderfork.example/rudderfork/standin"
 )
 
-// TestExpiryIsTheLeasesEnd notices the end of a lease late, as a worker does that
-// was frozen: the audit must not say that the attempt went on until then. (It
-// once did, and TestProveBatch saw a task in two places for 9 ms.)
-func TestExpiryIsTheLeasesEnd(t *testing.T) {
+// TestAuditEndsExpiredAttemptAtLeaseEnd guards against an audit that shows a task on two
+// VMs at once: a worker that was frozen detects the end of its lease late and records an
+// attempt as running until then, while the task runs elsewhere.
+func TestAuditEndsExpiredAttemptAtLeaseEnd(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "audit")
 	audit, err := standin.OpenAudit(path)
 	assert.NilError(t, err)
