--- a/cmd/rudderctl/fleet.go
+++ b/cmd/rudderctl/fleet.go
@@ -16,13 +16,13 @@
 var drainOff bool
 
 var fleetCommands = []*command{
-	{name: "check", usage: "control|entry|agent FILE", synopsis: "check a settings file and report every mistake", args: 2, local: true, do: checkSettings},
-	{name: "vms", synopsis: "list the VMs with what they hold", do: listVMs},
-	{name: "nodes", synopsis: "list entries and agents with the table revision in force there", do: listNodes},
-	{name: "status", synopsis: "show each control process's view of the group", do: showStatus},
+	{name: "check", usage: "control|entry|agent FILE", synopsis: "check a settings file and report every mistake", minArgs: 2, local: true, run: checkSettings},
+	{name: "vms", synopsis: "list the VMs with their tasks, resources and services", run: listVMs},
+	{name: "nodes", synopsis: "list entries and agents with the revision of the table that each uses", run: listNodes},
+	{name: "status", synopsis: "show each control process's view of the group", run: showStatus},
 	{
-		name: "drain", usage: "[-off] VM", synopsis: "move tasks and requests away from a VM, or end that", args: 1,
-		flags: func(f *flag.FlagSet) { f.BoolVar(&drainOff, "off", false, "end the drain") }, do: drainVM,
+		name: "drain", usage: "[-off] VM", synopsis: "move tasks and requests away from a VM, or end the drain", minArgs: 1,
+		flags: func(f *flag.FlagSet) { f.BoolVar(&drainOff, "off", false, "end the drain") }, run: drainVM,
 	},
 }
 
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// checkers read the settings of each kind of process.
+// checkers has a function for each kind of process that validates its settings file.
 var checkers = map[string]func(path string) error{
 	"control": func(p string) error { _, err := control.ReadSettings(p); return err },
 	"entry":   func(p string) error { _, err := entry.ReadSettings(p); return err },
--- a/cmd/rudderctl/jobs.go
+++ b/cmd/rudderctl/jobs.go
@@ -18,19 +18,19 @@
 )
 
 func submitFlags(f *flag.FlagSet) {
-	f.StringVar(&specTeam, "team", "default", "team whose quota counts")
-	f.StringVar(&spec.Kind, "kind", "batch", "kind of work, for learning how it slows services")
+	f.StringVar(&specTeam, "team", "default", "team whose quota applies")
+	f.StringVar(&spec.Kind, "kind", "batch", "kind of work; how much it slows services is learned per kind")
 	f.IntVar(&spec.Tasks, "tasks", 1, "number of tasks")
 	f.Int64Var(&spec.Units, "units", 1, "units of work in each task")
-	f.IntVar(&spec.Attempts, "attempts", 0, "failures a task may have; 0 for the default")
+	f.IntVar(&spec.Attempts, "attempts", 0, "number of failures allowed per task; 0 for the default")
 	f.StringVar(&specCells, "cells", "", "cells of the job's row: COLUMN=NUMBER,...")
 }
 
 var jobCommands = []*command{
-	{name: "submit", usage: "[flags] JOB", synopsis: "submit a batch job; again with the same flags changes nothing", args: 1, flags: submitFlags, do: submitJob},
-	{name: "cancel", usage: "JOB", synopsis: "cancel a job", args: 1, do: cancelJob},
-	{name: "jobs", synopsis: "list the jobs", do: listJobs},
-	{name: "job", usage: "JOB", synopsis: "show a job with its tasks", args: 1, do: showJob},
+	{name: "submit", usage: "[flags] JOB", synopsis: "submit a batch job; submitting it again with the same flags has no effect", minArgs: 1, flags: submitFlags, run: submitJob},
+	{name: "cancel", usage: "JOB", synopsis: "cancel a job", minArgs: 1, run: cancelJob},
+	{name: "jobs", synopsis: "list the jobs", run: listJobs},
+	{name: "job", usage: "JOB", synopsis: "show a job with its tasks", minArgs: 1, run: showJob},
 }
 
 func submitJob(ctx context.Context, c *operator.Client, args []string) error {
--- a/cmd/rudderctl/logs.go
+++ b/cmd/rudderctl/logs.go
@@ -8,10 +8,11 @@
 	"strings"
 )
 
-// maxLine bounds a line of a log, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes limits the length of a log line.
+const maxLineBytes = 1 << 20
 
-// readFiles calls read with each file, and names the one that it fails on.
+// readFiles calls read with each file. An error of read is returned with the name of
+// its file.
 func readFiles(files []string, read func(file string, r io.Reader) error) error {
 	for _, file := range files {
 		f, err := os.Open(file)
@@ -19,7 +20,7 @@
 			return err
 		}
 		err = read(file, f)
-		_ = f.Close() // it was only read
+		_ = f.Close() // opened for reading only
 		if err != nil {
 			return fmt.Errorf("%s: %w", file, err)
 		}
@@ -27,16 +28,16 @@
 	return nil
 }
 
-// eachObject calls take with each line of a log, its number from 1, and the object in
-// it. What stands before the first brace of a line is passed over, and so are lines
-// without one.
-func eachObject(r io.Reader, take func(number int, line, object string)) error {
+// eachObject calls handle with each line of a log that contains a JSON object, its
+// number from 1, and the object. The object starts at the first brace; a prefix
+// may stand before it. Lines without a brace are skipped.
+func eachObject(r io.Reader, handle func(number int, line, object string)) error {
 	sc := bufio.NewScanner(r)
-	sc.Buffer(nil, maxLine)
+	sc.Buffer(nil, maxLineBytes)
 	for n := 1; sc.Scan(); n++ {
 		line := sc.Text()
 		if start := strings.IndexByte(line, '{'); start >= 0 {
-			take(n, line, line[start:])
+			handle(n, line, line[start:])
 		}
 	}
 	return sc.Err()
--- a/cmd/rudderctl/main.go
+++ b/cmd/rudderctl/main.go
@@ -1,4 +1,5 @@
-// Command rudderctl is the operators' program.
+// Command rudderctl is the operators' command line. It shows and changes the table,
+// jobs, VMs and queues through the control processes, and evaluates log files.
 package main
 
 import (
@@ -18,13 +19,14 @@
 	"rudderfork.example/rudderfork/settings"
 )
 
-// controlEnv names the environment variable that may hold the addresses.
+// controlEnv is the environment variable with the addresses of the control
+// processes, separated by commas.
 const controlEnv = "RUDDER_CONTROL"
 
 var (
-	controlFlag  = flag.String("control", "", "addresses of the control processes, separated by commas; else "+controlEnv+" or -settings")
+	controlFlag  = flag.String("control", "", "addresses of the control processes, separated by commas; without it, those of -settings or "+controlEnv+" are used")
 	settingsFlag = flag.String("settings", "", "settings file with [operator] control = ADDR,ADDR")
-	timeoutFlag  = flag.Duration("timeout", 10*time.Second, "how long to try")
+	timeoutFlag  = flag.Duration("timeout", 10*time.Second, "time limit for the requests of a command")
 )
 
 func main() {
@@ -48,14 +50,14 @@
 	os.Exit(int(code))
 }
 
-// command is one subcommand: do gets its arguments, of which there must be at
-// least args.
+// command is a subcommand. run gets its positional arguments, of which there are
+// at least minArgs.
 type command struct {
 	name, usage, synopsis string
-	args                  int
-	local                 bool // it asks no control process, and its failure is one of settings
+	minArgs               int
+	local                 bool // needs no control process, and exits with cli.ExitSettings if it fails
 	flags                 func(f *flag.FlagSet)
-	do                    func(ctx context.Context, c *operator.Client, args []string) error
+	run                   func(ctx context.Context, c *operator.Client, args []string) error
 }
 
 // Name implements subcommands.Command.
@@ -76,11 +78,11 @@
 
 // Execute implements subcommands.Command.
 func (c *command) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if f.NArg() < c.args {
+	if f.NArg() < c.minArgs {
 		return cli.Fail(os.Stderr, fmt.Errorf("usage: rudderctl %s", c.Usage()), cli.ExitSettings)
 	}
 	if c.local {
-		if err := c.do(ctx, nil, f.Args()); err != nil {
+		if err := c.run(ctx, nil, f.Args()); err != nil {
 			return cli.Fail(os.Stderr, err, cli.ExitSettings)
 		}
 		return subcommands.ExitSuccess
@@ -91,12 +93,14 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, *timeoutFlag)
 	defer cancel()
-	if err := c.do(ctx, operator.New(addrs), f.Args()); err != nil {
+	if err := c.run(ctx, operator.New(addrs), f.Args()); err != nil {
 		return cli.Fail(os.Stderr, err, cli.ExitFailure)
 	}
 	return subcommands.ExitSuccess
 }
 
+// controlAddrs returns the addresses of the control processes, from -control, the
+// file of -settings or the environment, in this order.
 func controlAddrs() ([]string, error) {
 	list := *controlFlag
 	if list == "" && *settingsFlag != "" {
@@ -108,7 +112,7 @@
 		list = os.Getenv(controlEnv)
 	}
 	if list == "" {
-		return nil, fmt.Errorf("where is control? Give -control ADDR,ADDR, -settings FILE or %s", controlEnv)
+		return nil, fmt.Errorf("no address of a control process: give -control ADDR,ADDR, -settings FILE or %s", controlEnv)
 	}
 	return strings.Split(list, ","), nil
 }
--- a/cmd/rudderctl/queues.go
+++ b/cmd/rudderctl/queues.go
@@ -22,34 +22,34 @@
 	queueJSON bool
 	queueWait bool
 
-	evacuationEnd bool
+	endEvacuation bool
 )
 
-// waitPause is between two looks at a job that is waited for.
-const waitPause = 200 * time.Millisecond
+// jobPollInterval is the time between two polls of the status of a job.
+const jobPollInterval = 200 * time.Millisecond
 
 func jsonFlag(f *flag.FlagSet) { f.BoolVar(&queueJSON, "json", false, "print JSON") }
 
 func submitQueueFlags(f *flag.FlagSet) {
-	f.BoolVar(&queueWait, "wait", false, "wait until the job is finished, with its progress; fail unless it is completed")
+	f.BoolVar(&queueWait, "wait", false, "print the job's progress until it is finished; fail unless it is completed")
 }
 
 func evacuateFlags(f *flag.FlagSet) {
-	f.BoolVar(&evacuationEnd, "end", false, "take the evacuation back")
+	f.BoolVar(&endEvacuation, "end", false, "end the evacuation")
 }
 
 var queueCommands = []*command{
-	{name: "queue-put", usage: "FILE", synopsis: "replace the document of queues by a JSON file (- for standard input)", args: 1, do: putQueues},
-	{name: "queues", usage: "[-json]", synopsis: "list the queues", flags: jsonFlag, do: listQueues},
-	{name: "queue-vms", usage: "[-json]", synopsis: "list the VMs that run the queues' tasks", flags: jsonFlag, do: listQueueVMs},
-	{name: "queue-jobs", usage: "[-json]", synopsis: "list the queues' jobs that are not finished", flags: jsonFlag, do: listQueueJobs},
-	{name: "queue-job", usage: "[-json] ID", synopsis: "show a job's tasks, why they wait, and every decision on it", args: 1, flags: jsonFlag, do: showQueueJob},
-	{name: "queue-suspects", usage: "[-json]", synopsis: "list the tasks under which executors have crashed", flags: jsonFlag, do: listSuspects},
-	{name: "queue-clear", usage: "TASK", synopsis: "take back what a task (job.time.step.index) is suspected of", args: 1, do: clearSuspect},
-	{name: "queue-evacuations", usage: "[-json]", synopsis: "list the failure domains in which nothing more is started", flags: jsonFlag, do: listEvacuations},
-	{name: "queue-evacuate", usage: "[-end] DOMAIN", synopsis: "start nothing more in a failure domain, or with -end take that back", args: 1, flags: evacuateFlags, do: evacuateDomain},
-	{name: "queue-submit", usage: "[-wait] HOST PATH FILE", synopsis: "hand in a job of steps from a JSON file", args: 3, flags: submitQueueFlags, do: submitToQueue},
-	{name: "queue-cancel", usage: "HOST PATH", synopsis: "cancel a job of a queue", args: 2, do: cancelInQueue},
+	{name: "queue-put", usage: "FILE", synopsis: "replace the queues' configuration document by a JSON file (- for standard input)", minArgs: 1, run: putQueues},
+	{name: "queues", usage: "[-json]", synopsis: "list the queues", flags: jsonFlag, run: listQueues},
+	{name: "queue-vms", usage: "[-json]", synopsis: "list the VMs that run the queues' tasks", flags: jsonFlag, run: listQueueVMs},
+	{name: "queue-jobs", usage: "[-json]", synopsis: "list the queues' jobs that are not finished", flags: jsonFlag, run: listQueueJobs},
+	{name: "queue-job", usage: "[-json] ID", synopsis: "show a job's tasks, why they wait, and every decision on it", minArgs: 1, flags: jsonFlag, run: showQueueJob},
+	{name: "queue-suspects", usage: "[-json]", synopsis: "list the tasks under which executors have crashed", flags: jsonFlag, run: listSuspects},
+	{name: "queue-clear", usage: "TASK", synopsis: "clear the suspicion against a task (job.occurrence.step.index)", minArgs: 1, run: clearSuspect},
+	{name: "queue-evacuations", usage: "[-json]", synopsis: "list the failure domains under evacuation, in which no task is started", flags: jsonFlag, run: listEvacuations},
+	{name: "queue-evacuate", usage: "[-end] DOMAIN", synopsis: "start no more tasks in a failure domain, or with -end allow starts again", minArgs: 1, flags: evacuateFlags, run: evacuateDomain},
+	{name: "queue-submit", usage: "[-wait] HOST PATH FILE", synopsis: "submit a job of steps from a JSON file", minArgs: 3, flags: submitQueueFlags, run: submitToQueue},
+	{name: "queue-cancel", usage: "HOST PATH", synopsis: "cancel a job of a queue", minArgs: 2, run: cancelInQueue},
 }
 
 // readJSON reads a file, or standard input for "-".
@@ -67,7 +67,7 @@
 	return json.Unmarshal(data, v)
 }
 
-// show prints v as JSON if that was asked for, else as a table.
+// show prints v as JSON if -json is given, else as a table.
 func show(v any, table func(w io.Writer)) error {
 	if queueJSON {
 		return json.NewEncoder(os.Stdout).Encode(v)
@@ -148,7 +148,7 @@
 	return show(list, func(w io.Writer) {
 		fmt.Fprintln(w, "TASK\tQUEUE\tCRASHES\tIN DOUBT\tSUSPICION\tON")
 		for _, t := range list {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.1f%%\t%s\n", t.Task, t.Queue, t.Crashes, t.UnresolvedLosses, float64(t.Suspicion)/milliPerCent, strings.Join(t.VMs, " "))
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.1f%%\t%s\n", t.Task, t.Queue, t.Crashes, t.UnresolvedLosses, float64(t.Suspicion)/milliPerPercent, strings.Join(t.VMs, " "))
 		}
 	})
 }
@@ -167,15 +167,15 @@
 }
 
 func evacuateDomain(ctx context.Context, c *operator.Client, args []string) error {
-	if err := c.Evacuate(ctx, args[0], evacuationEnd); err != nil {
+	if err := c.Evacuate(ctx, args[0], endEvacuation); err != nil {
 		return err
 	}
 	fmt.Println("accepted")
 	return nil
 }
 
-// milliPerCent turns thousandths into per cent.
-const milliPerCent = 10
+// milliPerPercent is the number of thousandths in a percent.
+const milliPerPercent = 10
 
 func clearSuspect(ctx context.Context, c *operator.Client, args []string) error {
 	if err := c.ClearSuspect(ctx, args[0]); err != nil {
@@ -216,7 +216,8 @@
 	return awaitJob(ctx, c, path.Base(args[1]))
 }
 
-// awaitJob prints a job's progress until it is finished.
+// awaitJob prints a job's progress until it is finished. It fails unless the job is
+// completed.
 func awaitJob(ctx context.Context, c *operator.Client, id string) error {
 	last := ""
 	for {
@@ -243,7 +244,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(waitPause):
+		case <-time.After(jobPollInterval):
 		}
 	}
 }
--- a/cmd/rudderctl/reasons.go
+++ b/cmd/rudderctl/reasons.go
@@ -20,19 +20,20 @@
 )
 
 func timelineFlags(f *flag.FlagSet) {
-	f.StringVar(&timelineSubject, "subject", "", "part of a request, task, job, VM or cell")
-	f.IntVar(&timelineLimit, "limit", 200, "newest events of each process")
-	f.DurationVar(&timelineSince, "since", time.Hour, "how far back")
+	f.StringVar(&timelineSubject, "subject", "", "part of the name of a request, task, job, VM or cell")
+	f.IntVar(&timelineLimit, "limit", 200, "maximum number of events per process; the newest are shown")
+	f.DurationVar(&timelineSince, "since", time.Hour, "maximum age of the events")
 }
 
 var reasonCommands = []*command{
-	{name: "explain", usage: "JOB/INDEX | JOB | VM | REQUEST", synopsis: "say why a decision was made", args: 1, do: explain},
-	{name: "trace", usage: "ID [FILE ...]", synopsis: "join the log lines of several processes that name a job, task or path, in order of time; reads standard input without files", args: 1, local: true, do: trace},
-	{name: "where", usage: "FILE ...", synopsis: "tell from the logs of all processes where the time of jobs went", args: 1, local: true, do: where},
-	{name: "timeline", usage: "[flags]", synopsis: "show the events of all processes in one order", flags: timelineFlags, do: showTimeline},
+	{name: "explain", usage: "JOB/INDEX | JOB | VM | REQUEST", synopsis: "explain a decision", minArgs: 1, run: explain},
+	{name: "trace", usage: "ID [FILE ...]", synopsis: "print the log lines of several processes that contain a job, task or path, sorted by time; reads standard input if no file is given", minArgs: 1, local: true, run: trace},
+	{name: "where", usage: "FILE ...", synopsis: "show what the time of jobs was spent on, from the logs of all processes", minArgs: 1, local: true, run: where},
+	{name: "timeline", usage: "[flags]", synopsis: "show the events of all processes, merged", flags: timelineFlags, run: showTimeline},
 }
 
-// explain asks control, and every entry for what control does not know.
+// explain prints the explanation of the control processes or, if that fails, those of
+// the entries, which alone know the requests that they handle.
 func explain(ctx context.Context, c *operator.Client, args []string) error {
 	e, err := c.Explain(ctx, args[0])
 	if err != nil {
@@ -60,12 +61,13 @@
 	return nil
 }
 
-// showTimeline merges the events of all processes that can be reached.
+// showTimeline prints the events of all reachable processes, merged. Processes that
+// can't be reached are reported on standard error.
 func showTimeline(ctx context.Context, c *operator.Client, _ []string) error {
 	addrs := append([]string(nil), c.Addrs()...)
 	ns, err := c.Nodes(ctx)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "no list of entries and agents:", err)
+		fmt.Fprintln(os.Stderr, "cannot list entries and agents:", err)
 	}
 	for _, n := range ns {
 		addrs = append(addrs, n.Admin)
@@ -74,7 +76,7 @@
 	for _, a := range addrs {
 		es, err := c.Timeline(ctx, a, timelineSubject, time.Now().Add(-timelineSince), timelineLimit)
 		if err != nil {
-			fmt.Fprintf(os.Stderr, "%s is left out: %v\n", a, err)
+			fmt.Fprintf(os.Stderr, "skipping %s: %v\n", a, err)
 			continue
 		}
 		lists = append(lists, es)
--- a/cmd/rudderctl/table.go
+++ b/cmd/rudderctl/table.go
@@ -19,24 +19,25 @@
 	ifRevision int64
 )
 
-// editFlags are those of commands that change cells.
+// editFlags registers the flags of the commands that change cells.
 func editFlags(f *flag.FlagSet) {
-	f.StringVar(&editID, "id", "", "id of the edit; give the same again when you resend")
-	f.Int64Var(&ifRevision, "if", -1, "change only if the cell is still at this revision; else it is read first")
+	f.StringVar(&editID, "id", "", "id of the edit; use the same id to retry it")
+	f.Int64Var(&ifRevision, "if", -1, "change the cell only if it has this revision; by default the revision that it has now")
 }
 
 var tableCommands = []*command{
-	{name: "get", usage: "KIND/ROW/COLUMN", synopsis: "show a cell and its revision", args: 1, do: getCell},
-	{name: "set", usage: "[-if REV] [-id ID] KIND/ROW/COLUMN=NUMBER ...", synopsis: "set cells, all or none", args: 1, flags: editFlags, do: setCells},
-	{name: "unset", usage: "[-if REV] [-id ID] KIND/ROW/COLUMN", synopsis: "remove a cell, so that its default counts", args: 1, flags: editFlags, do: unsetCell},
-	{name: "cells", usage: "[KIND]", synopsis: "list the cells that are set", do: listCells},
-	{name: "columns", usage: "[KIND]", synopsis: "list the columns with range, unit and default", local: true, do: listColumns},
+	{name: "get", usage: "KIND/ROW/COLUMN", synopsis: "show a cell and its revision", minArgs: 1, run: getCell},
+	{name: "set", usage: "[-if REV] [-id ID] KIND/ROW/COLUMN=NUMBER ...", synopsis: "set cells, all or none", minArgs: 1, flags: editFlags, run: setCells},
+	{name: "unset", usage: "[-if REV] [-id ID] KIND/ROW/COLUMN", synopsis: "remove a cell, so that its default applies", minArgs: 1, flags: editFlags, run: unsetCell},
+	{name: "cells", usage: "[KIND]", synopsis: "list the cells that are set", run: listCells},
+	{name: "columns", usage: "[KIND]", synopsis: "list the columns with range, unit and default", local: true, run: listColumns},
 }
 
-// newTable returns a writer that lines up columns separated by tabs.
-func newTable(head string) *tabwriter.Writer {
+// newTable returns a writer that aligns columns separated by tabs, with the header
+// already written.
+func newTable(header string) *tabwriter.Writer {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, head)
+	fmt.Fprintln(w, header)
 	return w
 }
 
@@ -73,8 +74,8 @@
 	return nil
 }
 
-// parseWrite reads KIND/ROW/COLUMN=NUMBER, and the cell's revision if none was
-// given.
+// parseWrite parses KIND/ROW/COLUMN=NUMBER. The write depends on the revision that
+// expectedRevision returns.
 func parseWrite(ctx context.Context, c *operator.Client, arg string) (w state.CellWrite, err error) {
 	key, val, ok := strings.Cut(arg, "=")
 	if !ok {
@@ -84,13 +85,14 @@
 		return w, err
 	}
 	if w.Value, err = strconv.ParseInt(val, 10, 64); err != nil {
-		return w, fmt.Errorf("cell %s: %q is no whole number", key, val)
+		return w, fmt.Errorf("cell %s: %q is not an integer", key, val)
 	}
-	w.IfRevision, err = revisionOf(ctx, c, w.Key)
+	w.IfRevision, err = expectedRevision(ctx, c, w.Key)
 	return w, err
 }
 
-func revisionOf(ctx context.Context, c *operator.Client, k rudderfork.CellKey) (rudderfork.Revision, error) {
+// expectedRevision returns the revision of -if or, without it, the cell's current one.
+func expectedRevision(ctx context.Context, c *operator.Client, k rudderfork.CellKey) (rudderfork.Revision, error) {
 	if ifRevision >= 0 {
 		return rudderfork.Revision(ifRevision), nil
 	}
@@ -103,7 +105,7 @@
 	if err != nil {
 		return err
 	}
-	rev, err := revisionOf(ctx, c, k)
+	rev, err := expectedRevision(ctx, c, k)
 	if err != nil {
 		return err
 	}
@@ -115,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("removed at revision %d; the default %d counts (id %s)\n", res.Revision, k.Default(), id)
+	fmt.Printf("removed at revision %d; the default %d applies (id %s)\n", res.Revision, k.Default(), id)
 	return nil
 }
 
--- a/cmd/rudderctl/trace.go
+++ b/cmd/rudderctl/trace.go
@@ -15,7 +15,7 @@
 	"rudderfork.example/rudderfork/operator"
 )
 
-// logLine is one line of a process's log.
+// logLine is a parsed line of a process's log.
 type logLine struct {
 	at      time.Time
 	process string
@@ -23,11 +23,12 @@
 	fields  map[string]any
 }
 
-// notFields are shown elsewhere in a line, or tell nothing.
-var notFields = []string{"time", "process", "event", "level", "domain"}
+// hiddenFields are left out of the list of fields: they are printed elsewhere in the
+// line, or don't help to follow a job.
+var hiddenFields = []string{"time", "process", "event", "level", "domain"}
 
-// trace joins the lines of several processes' logs that name a job, a task or a
-// path, in the order of time. It reads files, or standard input.
+// trace prints the log lines of several processes that contain an id of a job or task
+// or a path, sorted by time. It reads the files given, or else standard input.
 func trace(_ context.Context, _ *operator.Client, args []string) error {
 	var lines []logLine
 	read := func(_ string, r io.Reader) (err error) {
@@ -42,7 +43,7 @@
 		return err
 	}
 	if len(lines) == 0 {
-		return fmt.Errorf("no line names %s", args[0])
+		return fmt.Errorf("no log line contains %s", args[0])
 	}
 	slices.SortStableFunc(lines, func(a, b logLine) int { return a.at.Compare(b.at) })
 	for _, l := range lines {
@@ -51,8 +52,8 @@
 	return nil
 }
 
-// appendLines appends the lines of r that name id. One that is none of ours is
-// passed over.
+// appendLines appends the lines of r that contain id. Lines without a JSON object are
+// skipped.
 func appendLines(lines []logLine, r io.Reader, id string) ([]logLine, error) {
 	err := eachObject(r, func(_ int, line, object string) {
 		if !strings.Contains(line, id) {
@@ -80,12 +81,12 @@
 	return l
 }
 
-// text gives the line with its time since the first.
+// text formats the line, with its time since first in seconds.
 func (l logLine) text(first time.Time) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%9.3f s  %-20s %s", l.at.Sub(first).Seconds(), l.process, l.event)
 	for _, k := range slices.SortedFunc(maps.Keys(l.fields), cmp.Compare[string]) {
-		if v := l.fields[k]; !slices.Contains(notFields, k) && v != "" {
+		if v := l.fields[k]; !slices.Contains(hiddenFields, k) && v != "" {
 			fmt.Fprintf(&b, " %s=%v", k, v)
 		}
 	}
--- a/cmd/rudderctl/where.go
+++ b/cmd/rudderctl/where.go
@@ -20,7 +20,7 @@
 	"rudderfork.example/rudderfork/queue"
 )
 
-// eventLine is what jobtime needs of a log line.
+// eventLine has the fields of a log line that jobtime needs.
 type eventLine struct {
 	Event   string `json:"event"`
 	TimeUS  int64  `json:"time"` // Unix µs
@@ -34,13 +34,13 @@
 	Result  string `json:"result"`
 }
 
-// eventKinds maps the events of logs to those of jobtime.
+// eventKinds maps log events to the kinds of jobtime.
 var eventKinds = map[string]jobtime.Kind{
 	"task_placed": jobtime.Placed, "task_ended": jobtime.Ended, "task_stopping": jobtime.Stopping, "filler_paced": jobtime.PaceChanged,
 }
 
-// of returns the line as an event; ok is false for lines that tell nothing of jobs.
-func (l eventLine) of() (e jobtime.Event, ok bool) {
+// event converts the line to an event of jobtime; ok is false if it isn't about a job.
+func (l eventLine) event() (e jobtime.Event, ok bool) {
 	e = jobtime.Event{
 		Kind: eventKinds[l.Event], At: time.UnixMicro(l.TimeUS), Run: l.Run, Outcome: queue.Outcome(l.How), Reason: l.Reason, Percent: l.Percent,
 	}
@@ -54,7 +54,7 @@
 }
 
 // where prints what the time of jobs was spent on, from the logs of all processes.
-// Lines that cannot be read are told on standard error, with file and line.
+// Lines that can't be parsed are reported on standard error, with file and line.
 func where(_ context.Context, _ *operator.Client, args []string) error {
 	log := jobtime.New()
 	err := readFiles(args, func(file string, r io.Reader) error {
@@ -65,35 +65,36 @@
 	}
 	jobs := log.Jobs()
 	if len(jobs) == 0 {
-		return errors.New("the logs hold no job that was submitted and has ended")
+		return errors.New("the logs contain no job that was submitted and has ended")
 	}
-	return printWhere(os.Stdout, jobs)
+	return printParts(os.Stdout, jobs)
 }
 
-// readEvents adds the events of a log.
-func readEvents(log *jobtime.Log, r io.Reader, bad func(line int, err error)) error {
+// readEvents adds the events of a log. It calls onError with each line that can't be
+// parsed, numbered from 1.
+func readEvents(log *jobtime.Log, r io.Reader, onError func(line int, err error)) error {
 	return eachObject(r, func(n int, _, object string) {
 		var l eventLine
 		if err := json.Unmarshal([]byte(object), &l); err != nil {
-			bad(n, fmt.Errorf("not a line of ours, or cut short: %w", err))
+			onError(n, fmt.Errorf("not a log line of rudderfork, or truncated: %w", err))
 			return
 		}
-		if e, ok := l.of(); ok {
+		if e, ok := l.event(); ok {
 			log.Add(e)
 		}
 	})
 }
 
-// printWhere prints the parts of the jobs' time, the largest first.
-func printWhere(w io.Writer, jobs []jobtime.Job) error {
-	sums, touched := map[jobtime.Part]time.Duration{}, map[jobtime.Part]int{}
-	all := time.Duration(0)
+// printParts prints how much time the jobs spent in each part, the largest first.
+func printParts(w io.Writer, jobs []jobtime.Job) error {
+	sums, jobCounts := map[jobtime.Part]time.Duration{}, map[jobtime.Part]int{}
+	total := time.Duration(0)
 	for _, j := range jobs {
-		all += j.Took
+		total += j.Took
 		for p, d := range j.Parts {
 			if d > 0 {
 				sums[p] += d
-				touched[p]++
+				jobCounts[p]++
 			}
 		}
 	}
@@ -101,8 +102,8 @@
 	fmt.Fprintf(tw, "seconds\tpart\tjobs\tspent\n")
 	byTime := func(a, b jobtime.Part) int { return cmp.Or(cmp.Compare(sums[b], sums[a]), cmp.Compare(a, b)) }
 	for _, p := range slices.SortedFunc(maps.Keys(sums), byTime) {
-		fmt.Fprintf(tw, "%.1f\t%.1f%%\t%d\t%s\n", sums[p].Seconds(), 100*float64(sums[p])/float64(max(1, all)), touched[p], p)
+		fmt.Fprintf(tw, "%.1f\t%.1f%%\t%d\t%s\n", sums[p].Seconds(), 100*float64(sums[p])/float64(max(1, total)), jobCounts[p], p)
 	}
-	fmt.Fprintf(tw, "%.1f\t100%%\t%d\tin all\n", all.Seconds(), len(jobs))
+	fmt.Fprintf(tw, "%.1f\t100%%\t%d\tin all\n", total.Seconds(), len(jobs))
 	return tw.Flush()
 }
--- a/cmd/rudderctl/where_test.go
+++ b/cmd/rudderctl/where_test.go
@@ -20,11 +20,11 @@
 
 func TestWhere(t *testing.T) {
 	log := jobtime.New()
-	var bad []string
-	assert.NilError(t, readEvents(log, strings.NewReader(whereLog), func(line int, _ error) { bad = append(bad, fmt.Sprint(line)) }))
-	assert.DeepEqual(t, bad, []string{"3", "6"})
+	var badLines []string
+	assert.NilError(t, readEvents(log, strings.NewReader(whereLog), func(line int, _ error) { badLines = append(badLines, fmt.Sprint(line)) }))
+	assert.DeepEqual(t, badLines, []string{"3", "6"})
 	var b strings.Builder
-	assert.NilError(t, printWhere(&b, log.Jobs()))
+	assert.NilError(t, printParts(&b, log.Jobs()))
 	assert.Equal(t, b.String(), `seconds  part   jobs  spent
 1.5      42.9%  1     at work
 1.0      28.6%  1     paced down
