--- a/cmd/bench/main.go
+++ b/cmd/bench/main.go
@@ -1,4 +1,4 @@
-// Command bench prints the measurements.
+// Command bench runs the benchmarks of package bench and prints their results.
 package main
 
 import (
@@ -11,9 +11,9 @@
 )
 
 func main() {
-	bin := flag.String("bin", "bin", "folder with the programs")
+	bin := flag.String("bin", "bin", "folder of the binaries")
 	only := flag.String("only", "", "sections to run, separated by commas; all by default")
-	csvFile := flag.String("csv", "", "file for the figures of the section fleet; none by default")
+	csvFile := flag.String("csv", "", "CSV file for the results of the section fleet; none by default")
 	flag.Parse()
 	want := strings.Split(*only, ",")
 	failed := false
--- a/cmd/rudder-agent/main.go
+++ b/cmd/rudder-agent/main.go
@@ -1,4 +1,4 @@
-// Command rudder-agent stands beside a VM's upstreams and worker.
+// Command rudder-agent runs on a VM, next to its upstreams and its worker.
 package main
 
 import (
--- a/cmd/rudder-control/main.go
+++ b/cmd/rudder-control/main.go
@@ -1,5 +1,5 @@
-// Command rudder-control holds a replica of the durable state and, when it
-// leads, decides.
+// Command rudder-control holds a replica of the durable state. The leader among the
+// control processes makes the scheduling decisions.
 package main
 
 import (
@@ -16,7 +16,7 @@
 )
 
 func main() {
-	format := cli.NewCommand[control.Settings]("format", "found a new group: once in its life, on each founding member", format)
+	format := cli.NewCommand[control.Settings]("format", "create a new group: run it once per group, on each founding member", format)
 	cli.Daemon[control.Settings]{
 		Read: control.ReadSettings,
 		Name: func(cfg control.Settings) (string, rudderfork.Place) { return cfg.Name, cfg.Place },
@@ -24,6 +24,7 @@
 	}.Main(format)
 }
 
+// format creates the data of a founding member, from the settings file at path.
 func format(ctx context.Context, path string) subcommands.ExitStatus {
 	cfg, err := control.ReadSettings(path)
 	if err != nil {
--- a/cmd/rudder-entry/main.go
+++ b/cmd/rudder-entry/main.go
@@ -1,4 +1,4 @@
-// Command rudder-entry takes requests from callers and passes them to upstreams.
+// Command rudder-entry accepts requests from callers and forwards them to upstreams.
 package main
 
 import (
--- a/cmd/rudder-platform/main.go
+++ b/cmd/rudder-platform/main.go
@@ -1,6 +1,6 @@
 // Command rudder-platform runs rudderfork on the users' platform: as "entry" on
 // edge machines, as "agent" on side machines and as "control" on core machines.
-// The settings file is the one that the platform's environment names.
+// The platform passes the path of the settings file in an environment variable.
 package main
 
 import (
@@ -31,23 +31,23 @@
 	os.Exit(int(subcommands.Execute(context.Background())))
 }
 
-// role is the subcommand of one program.
+// role is the subcommand that runs one kind of process.
 type role struct {
 	name, synopsis string
 	build          func(cfg platform.Settings, log zerolog.Logger) (*platform.Process, error)
-	metricsPort    uint // 0 for none
+	metricsPort    uint // 0: metrics are served on the internal address only
 }
 
 func newRole(name, synopsis string, build func(platform.Settings, zerolog.Logger) (*platform.Process, error)) *role {
 	return &role{name: name, synopsis: synopsis, build: build}
 }
 
-// roles returns the subcommands that run a program.
+// roles returns the subcommands that run a process.
 func roles() []*role {
 	return []*role{
-		newRole("entry", "take jobs from clients (edge machines)", platform.NewEntry),
+		newRole("entry", "accept jobs from clients (edge machines)", platform.NewEntry),
 		newRole("agent", "run the tasks of one machine (side machines)", platform.NewAgent),
-		newRole("control", "hold a replica of the state, and lead (core machines)", platform.NewControl),
+		newRole("control", "hold a replica of the state, and schedule as the leader (core machines)", platform.NewControl),
 	}
 }
 
@@ -62,7 +62,7 @@
 
 // SetFlags implements subcommands.Command.
 func (r *role) SetFlags(f *flag.FlagSet) {
-	f.UintVar(&r.metricsPort, "metrics-port", 0, "serve metrics on this port too, beside the internal address; 0 for none")
+	f.UintVar(&r.metricsPort, "metrics-port", 0, "also serve metrics on this port, in addition to the internal address; 0 for none")
 }
 
 // Execute implements subcommands.Command.
@@ -90,7 +90,7 @@
 	return subcommands.ExitSuccess
 }
 
-// check is the subcommand that reads the settings and stops.
+// check is the subcommand that validates the settings file and exits.
 type check struct{}
 
 // Name implements subcommands.Command.
--- a/cmd/rudder-platform/main_test.go
+++ b/cmd/rudder-platform/main_test.go
@@ -11,16 +11,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// deployFile has the words that the platform starts each program with. Its lines are
-// such that an ini reader takes them.
+// deployFile has the command lines with which the platform starts each role. It is
+// TOML, but restricted to what an ini parser accepts.
 const deployFile = "../../deploy/system.toml"
 
-// shares says which part of its class of machines runs a role. All core machines run
-// the control program: with one a failure domain, three or four voted where five are
-// needed to bear the loss of two disks.
+// shares is the share of its class of machines that runs a role. All core machines run
+// the control role: with one per failure domain there are only three or four voters,
+// and five are needed to tolerate the loss of two disks.
 var shares = map[string]string{"control": "1.0", "entry": "1.0", "agent": ""}
 
-// TestDeployFile starts, as far as the command line goes, what the deploy file runs.
+// TestDeployFile parses the command lines of the deploy file with the flags of each
+// role: a subcommand or flag that doesn't exist would keep the role from starting.
 func TestDeployFile(t *testing.T) {
 	deploy, err := ini.Load(deployFile)
 	assert.NilError(t, err)
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,4 +1,5 @@
-// Command standin runs one of the stand-ins for the demo and the tests.
+// Command standin runs a stand-in for an upstream, a worker or the platform, for the
+// demo and the tests.
 package main
 
 import (
@@ -35,7 +36,7 @@
 	os.Exit(int(code))
 }
 
-// serve serves until ctx ends.
+// serve serves h until ctx is done.
 func serve(ctx context.Context, listen string, h http.Handler) subcommands.ExitStatus {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -52,7 +53,7 @@
 	return subcommands.ExitSuccess
 }
 
-// openAudit opens the audit or ends the process.
+// openAudit opens the audit file at path. It exits the process if that fails.
 func openAudit(path string) *standin.Audit {
 	a, err := standin.OpenAudit(path)
 	if err != nil {
@@ -69,16 +70,16 @@
 }
 
 func (*upstreamCommand) Name() string     { return "upstream" }
-func (*upstreamCommand) Synopsis() string { return "a service that holds seats" }
+func (*upstreamCommand) Synopsis() string { return "run a service that accepts seat holds" }
 func (*upstreamCommand) Usage() string    { return "upstream -listen ADDR\n" }
 
 func (c *upstreamCommand) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.listen, "listen", "127.0.0.1:0", "address")
-	f.StringVar(&c.audit, "audit", "", "file for the audit")
+	f.StringVar(&c.listen, "listen", "127.0.0.1:0", "listen address")
+	f.StringVar(&c.audit, "audit", "", "audit file")
 	f.StringVar(&c.cfg.VM, "vm", "", "name of the VM")
-	f.DurationVar(&c.cfg.Work, "work", 5*time.Millisecond, "time that a request takes")
-	f.StringVar(&c.worker, "worker", "", "address of the worker whose tasks slow it")
-	f.Float64Var(&c.slowdown, "slowdown", 0, "how much one task at full speed slows it")
+	f.DurationVar(&c.cfg.Work, "work", 5*time.Millisecond, "processing time of a request")
+	f.StringVar(&c.worker, "worker", "", "address of the worker whose tasks slow this service")
+	f.Float64Var(&c.slowdown, "slowdown", 0, "slowdown by a task at full speed, added to a factor of 1")
 }
 
 func (c *upstreamCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -88,8 +89,9 @@
 	return serve(ctx, c.listen, upstream.New(c.cfg, openAudit(c.audit)).Handler())
 }
 
-// watchWorker returns a function that gives the present slowdown: each task at
-// the worker adds slowdown, halved with each throttle level.
+// watchWorker polls the worker at addr and returns a function that gives the current
+// slowdown factor: 1, plus slowdown for each running task, halved with each throttle
+// level. Tasks at level 3 or above add nothing.
 func watchWorker(ctx context.Context, addr string, slowdown float64) func() float64 {
 	var factor atomic.Uint64 // bits of a float64
 	factor.Store(math.Float64bits(1))
@@ -120,16 +122,16 @@
 }
 
 func (*workerCommand) Name() string     { return "worker" }
-func (*workerCommand) Synopsis() string { return "a worker that runs tasks" }
+func (*workerCommand) Synopsis() string { return "run a worker that runs tasks" }
 func (*workerCommand) Usage() string    { return "worker -listen ADDR\n" }
 
 func (c *workerCommand) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.listen, "listen", "127.0.0.1:0", "address")
-	f.StringVar(&c.audit, "audit", "", "file for the audit")
+	f.StringVar(&c.listen, "listen", "127.0.0.1:0", "listen address")
+	f.StringVar(&c.audit, "audit", "", "audit file")
 	f.StringVar(&c.cfg.VM, "vm", "", "name of the VM")
-	f.DurationVar(&c.cfg.Unit, "unit", 10*time.Millisecond, "time that a unit of work takes")
+	f.DurationVar(&c.cfg.Unit, "unit", 10*time.Millisecond, "duration of a unit of work")
 	f.Int64Var(&c.cfg.Checkpoint, "checkpoint", 10, "units between checkpoints")
-	f.DurationVar(&c.cfg.Lag, "lag", 500*time.Millisecond, "age of usage reports")
+	f.DurationVar(&c.cfg.Lag, "lag", 500*time.Millisecond, "age of the usage reports")
 	f.BoolVar(&c.cfg.FailAll, "fail-all", false, "fail every task")
 	f.Int64Var(&c.cfg.Use.CPUMilli, "use-cpu", 1000, "thousandths of a core that a task uses")
 	f.Int64Var(&c.cfg.Use.MemoryMB, "use-memory", 400, "MB that a task uses")
@@ -145,12 +147,12 @@
 }
 
 func (*platformCommand) Name() string     { return "platform" }
-func (*platformCommand) Synopsis() string { return "the lagging list of VMs" }
+func (*platformCommand) Synopsis() string { return "serve the list of VMs with a delay" }
 func (*platformCommand) Usage() string    { return "platform -listen ADDR\n" }
 
 func (c *platformCommand) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.listen, "listen", "127.0.0.1:0", "address")
-	f.DurationVar(&c.lag, "lag", 3*time.Second, "how far it lags")
+	f.StringVar(&c.listen, "listen", "127.0.0.1:0", "listen address")
+	f.DurationVar(&c.lag, "lag", 3*time.Second, "delay of the list")
 }
 
 func (c *platformCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
