--- a/cmd/demo/main.go
+++ b/cmd/demo/main.go
@@ -1,5 +1,5 @@
-// Command demo starts one of everything on this machine and shows what the
-// product does. It exits with 1 if any figure is wrong.
+// Command demo starts a small cluster on loopback and demonstrates requests, batch jobs,
+// table edits, explanations and the loss of an upstream. It exits with 1 if a step fails.
 package main
 
 import (
@@ -15,11 +15,11 @@
 	"rudderfork.example/rudderfork/operator"
 )
 
-// limit bounds the whole demo.
+// limit is the time limit of the whole demo.
 const limit = 55 * time.Second
 
 func main() {
-	bin := flag.String("bin", "bin", "folder with the programs")
+	bin := flag.String("bin", "bin", "folder of the binaries")
 	dir := flag.String("dir", "", "folder for files; a temporary one by default")
 	flag.Parse()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
@@ -55,7 +55,7 @@
 	}
 	d := &demo{ctx: ctx, c: c, op: c.Operator(), start: start}
 	for _, step := range []func() error{
-		d.begin, d.feed, d.rebuild, d.holds, d.edit, d.reasons, d.killUpstream, d.finish,
+		d.waitReady, d.feed, d.rebuild, d.holds, d.edit, d.reasons, d.killUpstream, d.finish,
 	} {
 		if err := step(); err != nil {
 			return err
@@ -65,35 +65,38 @@
 	return nil
 }
 
-// demo is the state that the steps share.
+// demo is the state that the steps share. The durations and counts are printed by
+// figures.
 type demo struct {
 	ctx   context.Context
 	c     *harness.Cluster
 	op    *operator.Client
 	start time.Time
 
-	ready    time.Duration
-	holdTail time.Duration
-	held     int
-	inForce  time.Duration
-	afterUp  int
-	feedDone chan error
-	feedVM   string
-	jobTook  time.Duration
-	jobStart time.Time
+	ready         time.Duration
+	holdP99       time.Duration
+	held          int
+	inForce       time.Duration
+	heldAfterKill int
+	feedDone      chan error
+	feedVM        string
+	jobTook       time.Duration
+	jobStart      time.Time
 }
 
-// job is the nightly rebuild of the demo.
+// job is the batch job of the demo, a nightly rebuild.
 var job = rudderfork.JobSpec{
 	ID: "roster-night", Team: "heritage", Kind: "roster", Tasks: 6, Units: 300,
 	Cells: map[string]int64{rudderfork.ColCPU: 1000, rudderfork.ColMemory: 500},
 }
 
+// say prints a line with the time since the start of the demo.
 func (d *demo) say(format string, args ...any) {
 	fmt.Printf("%6.2fs  "+format+"\n", append([]any{time.Since(d.start).Seconds()}, args...)...)
 }
 
-func (d *demo) begin() error {
+// waitReady waits until the entries accept requests.
+func (d *demo) waitReady() error {
 	d.say("started: %v", d.c.Running())
 	if err := d.c.WaitReady(d.ctx); err != nil {
 		return err
@@ -103,7 +106,8 @@
 	return nil
 }
 
-// feed opens a narration feed that lasts through the rest of the demo.
+// feed opens a streaming response that lasts for most of the demo; finish checks that it
+// was complete.
 func (d *demo) feed() error {
 	d.feedDone = make(chan error, 1)
 	opened := make(chan string, 1)
@@ -126,16 +130,19 @@
 	return nil
 }
 
+// holds sends requests for seat holds through both entries, while the job runs.
 func (d *demo) holds() error {
 	calls := d.c.Hammer(d.ctx, harness.Load{Callers: 8, Each: 50, Keyed: true, Prefix: "seat"})
-	d.held, d.holdTail = calls.Whole, calls.Quantile(0.99)
-	d.say("held %d seats through both entries: median %v, 99th percentile %v, %d refused", calls.Whole, calls.Quantile(0.5), d.holdTail, calls.Refused)
+	d.held, d.holdP99 = calls.Whole, calls.Quantile(0.99)
+	d.say("held %d seats through both entries: median %v, 99th percentile %v, %d refused", calls.Whole, calls.Quantile(0.5), d.holdP99, calls.Refused)
 	if calls.Whole != 400 {
 		return fmt.Errorf("%d of 400 holds were answered; first problem: %s", calls.Whole, calls.Problem)
 	}
 	return nil
 }
 
+// edit changes a cell and waits until all entries and agents use the new table. A second
+// edit that expects the old revision must be refused.
 func (d *demo) edit() error {
 	k := rudderfork.CellKey{Kind: rudderfork.RowService, Row: "tour-desk", Column: rudderfork.ColWeight}
 	cell, err := d.op.Cell(d.ctx, k)
@@ -153,12 +160,13 @@
 	d.inForce = time.Since(at)
 	d.say("set %s to 300 at revision %d; in force on all 8 entries and agents after %v", k, res.Revision, d.inForce.Round(time.Millisecond))
 	if _, err := d.op.Set(d.ctx, k, 200, cell.Revision, operator.NewID()); err == nil {
-		return fmt.Errorf("a second operator with the old revision won too")
+		return fmt.Errorf("a second edit with the old revision was accepted too")
 	}
-	d.say("a second operator who held the old revision was refused")
+	d.say("a second operator with the old revision was refused")
 	return nil
 }
 
+// reasons prints the explanation of a placement and the timeline of a request.
 func (d *demo) reasons() error {
 	e, err := d.op.Explain(d.ctx, "roster-night/0")
 	if err != nil {
@@ -172,19 +180,18 @@
 	if err != nil {
 		return err
 	}
-	d.say("the time line of request %s, over all processes:", id)
+	d.say("the timeline of request %s, over all processes:", id)
 	return d.timeline(id, 4)
 }
 
-// timeline prints the events about a subject, of which there must be at least
-// least.
-func (d *demo) timeline(subject string, least int) error {
+// timeline prints the events about a subject. It fails if there are fewer than minEvents.
+func (d *demo) timeline(subject string, minEvents int) error {
 	es, err := d.c.Timeline(d.ctx, subject)
 	if err != nil {
 		return err
 	}
-	if len(es) < least {
-		return fmt.Errorf("the time line of %s has %d events; want at least %d", subject, len(es), least)
+	if len(es) < minEvents {
+		return fmt.Errorf("the timeline of %s has %d events; want at least %d", subject, len(es), minEvents)
 	}
 	for _, e := range es {
 		fmt.Println("           ", e)
@@ -192,8 +199,10 @@
 	return nil
 }
 
+// killUpstream kills an upstream. Most of the requests that follow must still be answered.
 func (d *demo) killUpstream() error {
-	// Not the one that sends the feed: what a dead upstream was sending is lost.
+	// Spare the upstream that sends the feed: a response that is being sent is lost with
+	// its upstream.
 	victim := "u2"
 	if d.feedVM == "vm2" {
 		victim = "u3"
@@ -201,7 +210,7 @@
 	d.c.Proc(victim).Kill()
 	d.say("killed the upstream %s", victim)
 	calls := d.c.Hammer(d.ctx, harness.Load{Callers: 8, Each: 25, Keyed: true, Prefix: "after"})
-	d.afterUp = calls.Whole
+	d.heldAfterKill = calls.Whole
 	d.say("held %d more seats: 99th percentile %v, %d refused", calls.Whole, calls.Quantile(0.99), calls.Refused)
 	if calls.Whole < 190 {
 		return fmt.Errorf("%d of 200 holds were answered after a kill; first problem: %s", calls.Whole, calls.Problem)
@@ -209,19 +218,21 @@
 	return nil
 }
 
+// finish waits for the job and the feed, checks that no hold was executed twice, and
+// stops the cluster.
 func (d *demo) finish() error {
 	if err := d.c.WaitJob(d.ctx, job.ID); err != nil {
 		return err
 	}
 	d.jobTook = time.Since(d.jobStart)
-	d.say("the rebuild is done after %v; the time line of one of its tasks:", d.jobTook.Round(time.Millisecond))
+	d.say("the rebuild is done after %v; the timeline of one of its tasks:", d.jobTook.Round(time.Millisecond))
 	if err := d.timeline("roster-night/0", 3); err != nil {
 		return err
 	}
 	if err := <-d.feedDone; err != nil {
 		return fmt.Errorf("the feed: %w", err)
 	}
-	d.say("the feed came whole")
+	d.say("the feed was received completely")
 	runs, err := d.c.Runs()
 	if err != nil {
 		return err
@@ -235,7 +246,8 @@
 	return d.c.StopAll(d.ctx)
 }
 
+// figures prints the measurements of the demo.
 func (d *demo) figures() {
 	fmt.Printf("figures: ready after %.2fs, %d holds, 99th percentile %v, edit in force after %v, %d of 200 holds after a kill, rebuild %.1fs, all stopped after %.1fs\n",
-		d.ready.Seconds(), d.held, d.holdTail, d.inForce.Round(time.Millisecond), d.afterUp, d.jobTook.Seconds(), time.Since(d.start).Seconds())
+		d.ready.Seconds(), d.held, d.holdP99, d.inForce.Round(time.Millisecond), d.heldAfterKill, d.jobTook.Seconds(), time.Since(d.start).Seconds())
 }
