--- a/agent/agent.go
+++ b/agent/agent.go
@@ -36,7 +36,7 @@
 	// headerTimeout bounds the time for reading the headers of a request.
 	headerTimeout = 5 * time.Second
 	// idleTimeout closes a connection that had no request for that long. It is twice
-	// the idle timeout of entries (keptFor there), so that they close first: a request
+	// the idle timeout of entries (idleConnTimeout there), so that they close first: a request
 	// sent while the other side closes the connection may or may not be read.
 	idleTimeout = 2 * time.Minute
 	// drainPollInterval is the time between two checks of a stopping agent whether it
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -136,9 +136,9 @@
 func (a *attempt) close() {
 	_ = a.resp.Body.Close() // a response that is cut off has been aborted for the caller too
 	a.watcher.cancel(nil)
-	took := steady.Now().Sub(a.start)
+	latency := steady.Now().Sub(a.start)
 	if a.c.feed {
-		took = 0
+		latency = 0
 	}
-	a.c.pool.done(a.vm, took, a.resp.StatusCode >= http.StatusInternalServerError)
+	a.c.pool.done(a.vm, latency, a.resp.StatusCode >= http.StatusInternalServerError)
 }
--- a/entry/claimed.go
+++ b/entry/claimed.go
@@ -47,7 +47,7 @@
 	var last *attempt
 	var cl *claimed
 	for range maxAttempts {
-		vm, link, why, ok := c.pickAfter(last, tried)
+		vm, link, reason, ok := c.pickAfter(last, tried)
 		if !ok {
 			break
 		}
@@ -59,7 +59,7 @@
 		}
 		cl = next
 		c.knownNotRun = true
-		c.event("claimed", fmt.Sprintf("token %d for %s: %s", cl.claim.Token, vm, why))
+		c.event("claimed", fmt.Sprintf("token %d for %s: %s", cl.claim.Token, vm, reason))
 		crash.Point(crash.EntryClaimed)
 		last = c.send(vm, cl)
 		link.release()
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -205,24 +205,28 @@
 	p.picker.SetUpstreams(us, steady.Now())
 }
 
-// pick chooses an upstream and counts the request as sent to it.
-func (p *pool) pick(tried []rudderfork.VMID) (vm rudderfork.VMID, why string, ok bool) {
+// pick chooses an upstream and counts the request as sent to it. reason is the picker's
+// explanation.
+func (p *pool) pick(tried []rudderfork.VMID) (vm rudderfork.VMID, reason string, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := steady.Now()
-	vm, why, ok = p.picker.Pick(now, tried)
+	vm, reason, ok = p.picker.Pick(now, tried)
 	if ok {
 		p.picker.Sent(vm, now)
 	}
-	return vm, why, ok
+	return vm, reason, ok
 }
 
-func (p *pool) done(vm rudderfork.VMID, took time.Duration, failed bool) {
+// done reports to the picker that a request ended. A latency of 0 says nothing about
+// the upstream's speed.
+func (p *pool) done(vm rudderfork.VMID, latency time.Duration, failed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.picker.Done(vm, took, failed, steady.Now())
+	p.picker.Done(vm, latency, failed, steady.Now())
 }
 
+// observe passes a load report of an upstream on to the picker.
 func (p *pool) observe(vm rudderfork.VMID, l rudderfork.Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -155,11 +155,11 @@
 	var tried []rudderfork.VMID
 	var last *attempt
 	for range maxAttempts {
-		vm, link, why, ok := c.pickAfter(last, tried)
+		vm, link, reason, ok := c.pickAfter(last, tried)
 		if !ok {
 			break
 		}
-		c.event("chosen", string(vm)+": "+why)
+		c.event("chosen", string(vm)+": "+reason)
 		a := c.send(vm, nil)
 		link.release()
 		tried = append(tried, vm)
@@ -168,8 +168,8 @@
 			return
 		}
 		last = a
-		again := a.problem.Ran == rudderfork.RanNo || repeatable
-		if !again || !c.body.replayable() || c.ctx.Err() != nil || !c.mayRetry(a) {
+		retryable := a.problem.Ran == rudderfork.RanNo || repeatable
+		if !retryable || !c.body.replayable() || c.ctx.Err() != nil || !c.mayRetry(a) {
 			break
 		}
 	}
@@ -178,14 +178,14 @@
 
 // pick chooses an upstream whose agent is not stopping. The request counts as in
 // flight to that agent until link.release is called; link may be nil.
-func (c *call) pick(tried []rudderfork.VMID) (vm rudderfork.VMID, link *agentLink, why string, ok bool) {
+func (c *call) pick(tried []rudderfork.VMID) (vm rudderfork.VMID, link *agentLink, reason string, ok bool) {
 	tried = slices.Clone(tried)
 	for {
-		if vm, why, ok = c.pool.pick(tried); !ok {
-			return vm, nil, why, false
+		if vm, reason, ok = c.pool.pick(tried); !ok {
+			return vm, nil, reason, false
 		}
 		if link = c.h.fleet.link(vm); link.acquire() {
-			return vm, link, why, true
+			return vm, link, reason, true
 		}
 		c.pool.done(vm, 0, false)
 		tried = append(tried, vm)
@@ -195,12 +195,12 @@
 // pickAfter chooses an upstream for the attempt after last, which is nil at first. If
 // none is left but the connection of last went silent, VMs that were tried may be
 // chosen again: a new connection may work.
-func (c *call) pickAfter(last *attempt, tried []rudderfork.VMID) (vm rudderfork.VMID, link *agentLink, why string, ok bool) {
-	vm, link, why, ok = c.pick(tried)
+func (c *call) pickAfter(last *attempt, tried []rudderfork.VMID) (vm rudderfork.VMID, link *agentLink, reason string, ok bool) {
+	vm, link, reason, ok = c.pick(tried)
 	if !ok && last != nil && last.silent {
 		return c.pick(nil)
 	}
-	return vm, link, why, ok
+	return vm, link, reason, ok
 }
 
 // maxAttempts bounds the attempts for one request.
--- a/entry/link.go
+++ b/entry/link.go
@@ -58,7 +58,7 @@
 		if err != nil && ctx.Err() == nil {
 			l.report(rudderfork.Load{Down: true})
 		}
-		if fellSilent(err) {
+		if wentSilent(err) {
 			relay.CloseIdleAfter(l.fleet.hc, err) // connections of requests have most likely gone silent too
 		}
 		steady.Pause(ctx, redialPause)
@@ -139,9 +139,9 @@
 	l.interim = true
 }
 
-// fellSilent reports whether err ended a session because the agent answered no probe,
+// wentSilent reports whether err ended a session because the agent answered no probe,
 // or sent nothing at all.
-func fellSilent(err error) bool {
+func wentSilent(err error) bool {
 	return errors.Is(err, wire.ErrSilent) || errors.Is(err, context.DeadlineExceeded)
 }
 
--- a/entry/link_test.go
+++ b/entry/link_test.go
@@ -103,5 +103,5 @@
 	<-opened
 	p.Blackhole(faultlink.ToTarget, faultlink.ToDialer)
 	err = <-ended
-	assert.Assert(t, fellSilent(err), "%v", err)
+	assert.Assert(t, wentSilent(err), "%v", err)
 }
--- a/entry/silence_test.go
+++ b/entry/silence_test.go
@@ -49,9 +49,9 @@
 
 // directions are the ways in which a connection can go silent.
 var directions = map[string][]faultlink.Direction{
-	"forth": {faultlink.ToTarget},
-	"back":  {faultlink.ToDialer},
-	"both":  {faultlink.ToTarget, faultlink.ToDialer},
+	"to the agent": {faultlink.ToTarget},
+	"to the entry": {faultlink.ToDialer},
+	"both":         {faultlink.ToTarget, faultlink.ToDialer},
 }
 
 // TestConnectionSilentBeforeRequest sends requests without a deadline on kept
--- a/front/front.go
+++ b/front/front.go
@@ -29,9 +29,9 @@
 
 	calls *wire.Calls[wire.QueueResponse]
 
-	mu     sync.Mutex
-	opened chan struct{} // closed while a session is open
-	isOpen bool
+	mu          sync.Mutex
+	opened      chan struct{} // closed while a session is open
+	sessionOpen bool
 }
 
 // New returns a client of the control processes whose addresses seeds returns. process
@@ -55,8 +55,8 @@
 func (c *Client) Opened(wire.QueueWelcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.isOpen {
-		c.isOpen = true
+	if !c.sessionOpen {
+		c.sessionOpen = true
 		close(c.opened)
 	}
 }
@@ -72,8 +72,8 @@
 func (c *Client) Closed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.isOpen {
-		c.isOpen = false
+	if c.sessionOpen {
+		c.sessionOpen = false
 		c.opened = make(chan struct{})
 	}
 	c.calls.End()
