--- a/cmd/demo-queues/main.go
+++ b/cmd/demo-queues/main.go
@@ -80,7 +80,7 @@
 // say prints a headline of the demo.
 func say(format string, args ...any) { fmt.Printf("== "+format+"\n", args...) }
 
-// start starts the control, agent and entry processes, one per simulated machine.
+// start starts the control, agent and entry processes, one per simulated VM.
 func (d *demo) start() error {
 	say("three core machines, two side machines with executors, one edge machine")
 	for i := range cores {
@@ -165,7 +165,7 @@
 	if err := d.submit("feed1", "", standin.JobStep{Count: 2, CPUMilli: 1000, Lasting: true, MaxPerVM: 1}); err != nil {
 		return err
 	}
-	return d.until("the feed runs on both machines", func() bool { return d.feedRuns() == 2 })
+	return d.until("the feed runs on both VMs", func() bool { return d.feedRuns() == 2 })
 }
 
 // roster submits a job whose second step depends on the first.
@@ -282,7 +282,7 @@
 	return cmd.Run()
 }
 
-// evacuate starts the evacuation of the failure domain that contains all machines, and
+// evacuate starts the evacuation of the failure domain that contains all VMs, and
 // ends it. Meanwhile a new job waits, and running tasks go on.
 func (d *demo) evacuate() error {
 	say("the operator evacuates the failure domain hall: no more tasks are started there")
