--- a/cmd/demo-queues/main.go
+++ b/cmd/demo-queues/main.go
@@ -234,9 +234,9 @@
 
 // restartExecutor crashes an executor and restarts it with the same id. Its lost task
 // must be started again, and the next job's tasks must each be started once, although
-// the counters of the new incarnation start again.
+// the new incarnation numbers its calls from 1 again.
 func (d *demo) restartExecutor() error {
-	say("the executor of side-1 crashes and restarts with the same id; all its counters start again")
+	say("the executor of side-1 crashes and restarts with the same id; it numbers its calls from 1 again")
 	began := time.Now()
 	d.site.Runners[0].StartAgain()
 	if err := d.until("the feed's task there runs again", func() bool { return d.feedRuns() == 2 }); err != nil {
--- a/cmd/rudderctl/main.go
+++ b/cmd/rudderctl/main.go
@@ -26,7 +26,7 @@
 var (
 	controlFlag  = flag.String("control", "", "addresses of the control processes, separated by commas; without it, those of -settings or "+controlEnv+" are used")
 	settingsFlag = flag.String("settings", "", "settings file with [operator] control = ADDR,ADDR")
-	timeoutFlag  = flag.Duration("timeout", 10*time.Second, "time limit for the requests of a command")
+	timeoutFlag  = flag.Duration("timeout", 10*time.Second, "time limit of a command that calls the control processes")
 )
 
 func main() {
--- a/cmd/rudderctl/reasons.go
+++ b/cmd/rudderctl/reasons.go
@@ -21,7 +21,7 @@
 
 func timelineFlags(f *flag.FlagSet) {
 	f.StringVar(&timelineSubject, "subject", "", "part of the name of a request, task, job, VM or cell")
-	f.IntVar(&timelineLimit, "limit", 200, "maximum number of events per process; the newest are shown")
+	f.IntVar(&timelineLimit, "limit", 200, "maximum number of events per process, of which the newest are shown; 0 for all")
 	f.DurationVar(&timelineSince, "since", time.Hour, "maximum age of the events")
 }
 
