--- a/replica/report.go
+++ b/replica/report.go
@@ -143,11 +143,11 @@
 // this replica, and the age of the last message of each member.
 func (p *reporter) logNoLeader(n *quorum.Node, now time.Time) {
 	var granted, refused, unanswered []string
-	answers, asked := n.VoteReplies()
+	answers, campaigned := n.VoteReplies()
 	for _, m := range n.Members() {
 		yes, answered := answers[m.ID]
 		switch {
-		case !m.Voter || m.ID == n.ID() || !asked:
+		case !m.Voter || m.ID == n.ID() || !campaigned:
 		case !answered:
 			unanswered = append(unanswered, string(m.ID))
 		case yes:
@@ -230,7 +230,7 @@
 
 // addDifference adds the members removed, added and promoted to a log line.
 func addDifference(e *zerolog.Event, before, next []quorum.Member) *zerolog.Event {
-	var goes, comes, promoted []string
+	var removed, added, promoted []string
 	old := map[quorum.MemberID]quorum.Member{}
 	for _, m := range before {
 		old[m.ID] = m
@@ -240,17 +240,17 @@
 		delete(old, m.ID)
 		switch {
 		case !stays:
-			comes = append(comes, string(m.ID))
+			added = append(added, string(m.ID))
 		case m.Voter && !o.Voter:
 			promoted = append(promoted, string(m.ID))
 		}
 	}
 	for _, m := range before {
 		if _, gone := old[m.ID]; gone {
-			goes = append(goes, string(m.ID))
+			removed = append(removed, string(m.ID))
 		}
 	}
-	return e.Strs("goes", goes).Strs("comes", comes).Strs("promoted", promoted)
+	return e.Strs("goes", removed).Strs("comes", added).Strs("promoted", promoted)
 }
 
 // addrs maps the members to their addresses.
--- a/replica/shortage.go
+++ b/replica/shortage.go
@@ -10,7 +10,7 @@
 // losses. It warns once for each shortage and each leader's term. The zero value is ready to use.
 type voterShortage struct {
 	term   uint64    // of the leader that checks
-	due    time.Time // when to warn; zero while there are enough voters
+	warnAt time.Time // when to warn; zero while there are enough voters
 	warned bool
 }
 
@@ -23,9 +23,9 @@
 	if voters >= size || s.warned {
 		return false
 	}
-	if s.due.IsZero() {
-		s.due = now.Add(shortageDelay)
+	if s.warnAt.IsZero() {
+		s.warnAt = now.Add(shortageDelay)
 	}
-	s.warned = !now.Before(s.due)
+	s.warned = !now.Before(s.warnAt)
 	return s.warned
 }
