--- a/replica/calls.go
+++ b/replica/calls.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// Do commits a command and returns its result. After ErrUnknown the command may
+// Do commits a command and returns its result. After ErrOutcomeUnknown the command may
 // still be committed.
 func (r *Replica) Do(ctx context.Context, c state.Command) (res state.Result, err error) {
 	c.At = rudderfork.Millis(r.now())
--- a/replica/peers.go
+++ b/replica/peers.go
@@ -26,7 +26,7 @@
 	joinInterval = 300 * time.Millisecond
 	// linkKind is the label of the links in metrics.
 	linkKind = "replica"
-	// dialTimeoutFactor is the timeout for connecting, in silence limits: a hanging attempt is
+	// dialTimeoutFactor times the silence limit is the timeout for connecting: a hanging attempt is
 	// repeated about when TCP's own retransmission would come.
 	dialTimeoutFactor = 2
 )
--- a/replica/writer.go
+++ b/replica/writer.go
@@ -28,7 +28,7 @@
 	// Save and SaveSnapshot fail with disk.ErrFull if the same call may be retried.
 	Save(rd quorum.Ready) error
 	SaveSnapshot(snap quorum.Snapshot, after []quorum.Entry) error
-	LogBytes() int64 // of the log, bytes
+	LogBytes() int64 // size of the log on disk, in bytes
 }
 
 // writer writes to the disk in a goroutine of its own, one write at a time, so that messages do not
