--- a/bench/silence.go
+++ b/bench/silence.go
@@ -32,7 +32,7 @@
 			return nil
 		}},
 		{"all links silent", func(string) error {
-			c.Silence("c")
+			c.Blackhole("c")
 			return nil
 		}},
 	}
--- a/cmd/demo/main.go
+++ b/cmd/demo/main.go
@@ -132,11 +132,11 @@
 
 // holds sends requests for seat holds through both entries, while the job runs.
 func (d *demo) holds() error {
-	calls := d.c.Hammer(d.ctx, harness.Load{Callers: 8, Each: 50, Keyed: true, Prefix: "seat"})
-	d.held, d.holdP99 = calls.Whole, calls.Quantile(0.99)
-	d.say("held %d seats through both entries: median %v, 99th percentile %v, %d refused", calls.Whole, calls.Quantile(0.5), d.holdP99, calls.Refused)
-	if calls.Whole != 400 {
-		return fmt.Errorf("%d of 400 holds were answered; first problem: %s", calls.Whole, calls.Problem)
+	calls := d.c.RunLoad(d.ctx, harness.Load{Callers: 8, PerCaller: 50, Keyed: true, Prefix: "seat"})
+	d.held, d.holdP99 = calls.Answered, calls.Quantile(0.99)
+	d.say("held %d seats through both entries: median %v, 99th percentile %v, %d refused", calls.Answered, calls.Quantile(0.5), d.holdP99, calls.Refused)
+	if calls.Answered != 400 {
+		return fmt.Errorf("%d of 400 holds were answered; first problem: %s", calls.Answered, calls.FirstProblem)
 	}
 	return nil
 }
@@ -209,11 +209,11 @@
 	}
 	d.c.Proc(victim).Kill()
 	d.say("killed the upstream %s", victim)
-	calls := d.c.Hammer(d.ctx, harness.Load{Callers: 8, Each: 25, Keyed: true, Prefix: "after"})
-	d.heldAfterKill = calls.Whole
-	d.say("held %d more seats: 99th percentile %v, %d refused", calls.Whole, calls.Quantile(0.99), calls.Refused)
-	if calls.Whole < 190 {
-		return fmt.Errorf("%d of 200 holds were answered after a kill; first problem: %s", calls.Whole, calls.Problem)
+	calls := d.c.RunLoad(d.ctx, harness.Load{Callers: 8, PerCaller: 25, Keyed: true, Prefix: "after"})
+	d.heldAfterKill = calls.Answered
+	d.say("held %d more seats: 99th percentile %v, %d refused", calls.Answered, calls.Quantile(0.99), calls.Refused)
+	if calls.Answered < 190 {
+		return fmt.Errorf("%d of 200 holds were answered after a kill; first problem: %s", calls.Answered, calls.FirstProblem)
 	}
 	return nil
 }
@@ -233,7 +233,7 @@
 		return fmt.Errorf("the feed: %w", err)
 	}
 	d.say("the feed was received completely")
-	runs, err := d.c.Runs()
+	runs, err := d.c.HoldCounts()
 	if err != nil {
 		return err
 	}
--- a/internal/harness/caller.go
+++ b/internal/harness/caller.go
@@ -20,11 +20,11 @@
 	"rudderfork.example/rudderfork/standin/upstream"
 )
 
-// Caller sends requests to one entry, as a kiosk would.
+// Caller sends requests to one entry or upstream. It is safe for concurrent use.
 type Caller struct {
 	base  string
 	hc    *http.Client
-	ready atomic.Bool // as the platform's balancer last saw its entry
+	ready atomic.Bool // result of the last readiness check of the entry; see balance
 }
 
 // Caller returns a caller of the entry with the given name.
@@ -35,41 +35,42 @@
 	return cl
 }
 
-// Direct returns a caller of an upstream without the path before it.
+// Direct returns a caller that sends to an upstream directly, without entry and agent.
 func (c *Cluster) Direct(upstream string) *Caller {
 	return &Caller{base: "http://" + c.procs[upstream].Listen(), hc: &http.Client{}}
 }
 
-// DirectEntry returns a caller of an entry without a proxy between.
+// DirectEntry returns a caller of an entry without fault-injecting proxies.
 func (c *Cluster) DirectEntry(entry string) *Caller {
 	return &Caller{base: "http://" + c.procs[entry].Listen() + "/svc/" + c.opt.Service, hc: &http.Client{}}
 }
 
-// balance plays the platform's balancer for one entry until stop closes.
+// balance checks the readiness of one entry until stop closes, as the platform's load
+// balancer does.
 func (c *Cluster) balance(cl *Caller, entry string, stop <-chan struct{}) {
 	for {
 		cl.ready.Store(getOK(context.Background(), "http://"+c.procs[entry].Admin()+"/ready") == nil)
 		select {
 		case <-stop:
 			return
-		case <-time.After(balancePause):
+		case <-time.After(balanceInterval):
 		}
 	}
 }
 
-// balancePause is how often the balancer looks at an entry.
-const balancePause = 50 * time.Millisecond
+// balanceInterval is the time between two readiness checks of an entry.
+const balanceInterval = 50 * time.Millisecond
 
-// Answer is what a caller got.
+// Answer is the response that a caller got, or the lack of one.
 type Answer struct {
 	Status  int
 	Body    []byte
 	Header  http.Header
-	Problem *rudderfork.Problem // nil for an upstream's answer
-	Err     error               // the answer did not come, or broke off
+	Problem *rudderfork.Problem // nil for an upstream's response
+	Err     error               // no response came, or it was incomplete
 }
 
-// Ran is what the answer says about whether the request ran.
+// Ran returns whether the request ran, as far as the answer says it.
 func (a Answer) Ran() rudderfork.Ran {
 	switch {
 	case a.Err != nil:
@@ -80,7 +81,7 @@
 	return rudderfork.RanYes
 }
 
-// Do sends one request and reads the whole answer.
+// Do sends one request and reads the complete response.
 func (cl *Caller) Do(ctx context.Context, method, path string, header map[string]string, body io.Reader) Answer {
 	req, err := http.NewRequestWithContext(ctx, method, cl.base+path, body)
 	if err != nil {
@@ -89,7 +90,7 @@
 	for k, v := range header {
 		req.Header.Set(k, v)
 	}
-	// The header is spelt so that the client does not resend by itself.
+	// The HTTP client retries requests with the canonical spelling of this header by itself.
 	if v := req.Header.Get("Idempotency-Key"); v != "" {
 		req.Header.Del("Idempotency-Key")
 		req.Header["idempotency-key"] = []string{v}
@@ -108,7 +109,7 @@
 	return a
 }
 
-// HoldOnce sends one hold of a seat and reports its answer.
+// HoldOnce sends one seat hold and returns its answer.
 func (cl *Caller) HoldOnce(ctx context.Context, seat, key, tag string) Answer {
 	h := map[string]string{"Rudderfork-Team": "heritage"}
 	if key != "" {
@@ -117,7 +118,7 @@
 	return cl.Do(ctx, http.MethodPost, "/hold?seat="+seat+"&tag="+tag, h, nil)
 }
 
-// Hold holds a seat and returns the request's id.
+// Hold sends a seat hold, checks the response and returns the request's ID.
 func (cl *Caller) Hold(ctx context.Context, seat, key, tag string) (id string, err error) {
 	a := cl.HoldOnce(ctx, seat, key, tag)
 	if a.Err != nil {
@@ -129,32 +130,33 @@
 	return a.Header.Get("Rudderfork-Request"), checkHold(a, seat, tag)
 }
 
-// checkHold checks that a is the whole answer to its own request.
+// checkHold checks that a is the complete response to the hold of seat with tag.
 func checkHold(a Answer, seat, tag string) error {
 	var h upstream.Hold
 	if err := json.Unmarshal(a.Body, &h); err != nil {
 		return err
 	}
 	if h.Seat != seat || h.Tag != tag {
-		return fmt.Errorf("asked for seat %s with tag %s, got the answer for %s with %s", seat, tag, h.Seat, h.Tag)
+		return fmt.Errorf("requested seat %s with tag %s, got the response for %s with %s", seat, tag, h.Seat, h.Tag)
 	}
 	return nil
 }
 
-// checkAnswer checks that a is the whole answer to request id.
+// checkAnswer checks that a is the complete response to request id: to a hold if big is
+// 0, else to a request for big bytes.
 func checkAnswer(a Answer, id string, big int) error {
 	if big == 0 {
 		return checkHold(a, id, id)
 	}
 	line := id + "\n"
 	if string(a.Body) != strings.Repeat(line, big/len(line)) {
-		return fmt.Errorf("the long answer to %s is wrong: %d bytes", id, len(a.Body))
+		return fmt.Errorf("the long response to %s is wrong: %d bytes", id, len(a.Body))
 	}
 	return nil
 }
 
-// Feed reads a feed of count lines and checks that it comes whole. opened, if not
-// nil, gets the VM that sends it.
+// Feed reads a feed of count events, one every ms milliseconds, and checks that it is
+// complete. opened, if not nil, receives the name of the VM that sends the feed.
 func (cl *Caller) Feed(ctx context.Context, tag string, count, ms int, opened chan<- string) error {
 	url := fmt.Sprintf("%s/feed?tag=%s&count=%d&ms=%d", cl.base, tag, count, ms)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -181,7 +183,7 @@
 		case line == "":
 		case line == "data: end":
 			if next != count {
-				return fmt.Errorf("%d of %d lines came", next, count)
+				return fmt.Errorf("received %d of %d lines", next, count)
 			}
 			return nil
 		case line != fmt.Sprintf("data: %s %d", tag, next):
@@ -190,24 +192,24 @@
 			next++
 		}
 	}
-	return errors.Join(fmt.Errorf("it broke off after %d of %d lines", next, count), sc.Err())
+	return errors.Join(fmt.Errorf("the feed ended after %d of %d lines", next, count), sc.Err())
 }
 
-// Load says what Hammer sends.
+// Load defines the requests that RunLoad sends.
 type Load struct {
-	Callers, Each int
-	Keyed         bool
-	Prefix        string
-	Pause         time.Duration   // of a caller between two requests
-	Resend        int             // how often a keyed hold without an answer is sent again
-	Stop          <-chan struct{} // callers end when it closes
-	Balanced      bool            // use only entries that say they are ready, as a balancer does
-	Query         string          // added to each hold, as in "&ms=20"
-	Timeout       time.Duration   // of a caller's patience; none by default
-	Big           int             // ask for a long answer of so many bytes instead of a hold
+	Callers, PerCaller int
+	Keyed              bool
+	Prefix             string
+	Pause              time.Duration   // time between two requests of a caller
+	Resend             int             // most retries of a keyed hold, which end once it ran
+	Stop               <-chan struct{} // callers stop when it closes
+	Balanced           bool            // use only entries that report readiness, as a load balancer does
+	Query              string          // added to each hold, as in "&ms=20"
+	Timeout            time.Duration   // of each request; 0 means none
+	Big                int             // request a response of this many bytes instead of a hold; 0 means holds
 }
 
-// stopped reports whether the callers are to end.
+// stopped reports whether Stop is closed.
 func (l Load) stopped() bool {
 	select {
 	case <-l.Stop:
@@ -217,27 +219,29 @@
 	}
 }
 
-// Calls sums up what callers got.
+// Calls summarizes the answers that the callers got. Answered counts the responses of
+// upstreams, Refused the requests that did not run, and Unknown the rest.
 type Calls struct {
-	Whole, Refused, Unknown int
-	Wrong                   []string // answers that were not to their own request
-	Problem                 string   // the first one
-	Took                    []time.Duration
-	NotRun                  []string // keys of which the last answer said that they did not run
-	Ok                      []string // keys that were answered
+	Answered, Refused, Unknown int
+	Mismatched                 []string // errors of responses that do not match their request
+	FirstProblem               string   // text of the first problem or error
+	Latencies                  []time.Duration
+	NotRunIDs                 []string // requests whose last answer says that they did not run
+	AnsweredIDs               []string // requests counted in Answered
 }
 
-// Quantile returns the q-quantile of the time of whole answers.
+// Quantile returns the q-quantile of Latencies, or 0 if there are none.
 func (c *Calls) Quantile(q float64) time.Duration {
-	if len(c.Took) == 0 {
+	if len(c.Latencies) == 0 {
 		return 0
 	}
-	slices.Sort(c.Took)
-	return c.Took[min(len(c.Took)-1, int(q*float64(len(c.Took))))].Round(10 * time.Microsecond)
+	slices.Sort(c.Latencies)
+	return c.Latencies[min(len(c.Latencies)-1, int(q*float64(len(c.Latencies))))].Round(10 * time.Microsecond)
 }
 
-// Hammer sends holds from several callers at once, in turn through all entries.
-func (c *Cluster) Hammer(ctx context.Context, l Load) *Calls {
+// RunLoad sends the requests of a load from concurrent callers, through all entries in
+// turn, and returns a summary of the answers.
+func (c *Cluster) RunLoad(ctx context.Context, l Load) *Calls {
 	out := &Calls{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -250,12 +254,12 @@
 	}
 	for i := range l.Callers {
 		wg.Go(func() {
-			for k := range l.Each {
+			for k := range l.PerCaller {
 				if l.stopped() {
 					return
 				}
 				id := fmt.Sprintf("%s-%d-%d", l.Prefix, i, k)
-				a, took := hammerOnce(ctx, cl, i+k, id, l)
+				a, took := sendRetrying(ctx, cl, i+k, id, l)
 				mu.Lock()
 				out.add(a, id, took, l.Big)
 				mu.Unlock()
@@ -269,8 +273,8 @@
 	return out
 }
 
-// pickEntry takes the entries in turn, passing over those that are not ready if
-// a balancer is played.
+// pickEntry returns the n-th caller in turn. If balanced, it skips callers whose entry is
+// not ready, unless none is.
 func pickEntry(cl []*Caller, n int, balanced bool) *Caller {
 	for i := range cl {
 		if c := cl[(n+i)%len(cl)]; !balanced || c.ready.Load() {
@@ -280,8 +284,8 @@
 	return cl[n%len(cl)]
 }
 
-// once sends one request of a load.
-func once(ctx context.Context, cl *Caller, id, key string, l Load) Answer {
+// sendOnce sends one request of a load.
+func sendOnce(ctx context.Context, cl *Caller, id, key string, l Load) Answer {
 	if l.Timeout > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, l.Timeout)
@@ -293,25 +297,26 @@
 	return cl.HoldOnce(ctx, id, key, id+l.Query)
 }
 
-// hammerOnce sends one hold, and again through other entries while its fate is
-// unknown.
-func hammerOnce(ctx context.Context, cl []*Caller, first int, id string, l Load) (Answer, time.Duration) {
+// sendRetrying sends one request of a load. It retries a keyed one through other entries
+// until it ran. It returns the last answer and the duration of that attempt, or 0 if the
+// retries are used up.
+func sendRetrying(ctx context.Context, cl []*Caller, first int, id string, l Load) (Answer, time.Duration) {
 	key := ""
 	if l.Keyed {
 		key = id
 	}
 	var a Answer
-	for try := range l.Resend + 1 {
+	for attempt := range l.Resend + 1 {
 		start := time.Now()
-		a = once(ctx, pickEntry(cl, first+try, l.Balanced), id, key, l)
+		a = sendOnce(ctx, pickEntry(cl, first+attempt, l.Balanced), id, key, l)
 		took := time.Since(start)
 		if a.Ran() == rudderfork.RanYes || ctx.Err() != nil {
 			return a, took
 		}
 		if key == "" {
-			return a, took // without a key it must not be sent again
+			return a, took // a request without a key must not be repeated
 		}
-		if try < l.Resend {
+		if attempt < l.Resend {
 			time.Sleep(200 * time.Millisecond)
 		}
 	}
@@ -322,27 +327,27 @@
 	switch {
 	case a.Err != nil:
 		c.Unknown++
-		c.note(a.Err.Error())
+		c.recordProblem(a.Err.Error())
 	case a.Problem != nil:
-		c.note(a.Problem.Error())
+		c.recordProblem(a.Problem.Error())
 		if a.Problem.Ran == rudderfork.RanNo {
 			c.Refused++
-			c.NotRun = append(c.NotRun, id)
+			c.NotRunIDs = append(c.NotRunIDs, id)
 		} else {
 			c.Unknown++
 		}
 	default:
-		c.Whole++
-		c.Took = append(c.Took, took)
-		c.Ok = append(c.Ok, id)
+		c.Answered++
+		c.Latencies = append(c.Latencies, took)
+		c.AnsweredIDs = append(c.AnsweredIDs, id)
 		if err := checkAnswer(a, id, big); err != nil {
-			c.Wrong = append(c.Wrong, err.Error())
+			c.Mismatched = append(c.Mismatched, err.Error())
 		}
 	}
 }
 
-func (c *Calls) note(s string) {
-	if c.Problem == "" {
-		c.Problem = strings.TrimSpace(s)
+func (c *Calls) recordProblem(s string) {
+	if c.FirstProblem == "" {
+		c.FirstProblem = strings.TrimSpace(s)
 	}
 }
--- a/internal/harness/cluster.go
+++ b/internal/harness/cluster.go
@@ -14,18 +14,17 @@
 	"rudderfork.example/rudderfork/operator"
 )
 
-// Options are the sizes and settings of a cluster. Zero values give defaults
-// that suit tests.
+// Options are the sizes and settings of a cluster. Zero values mean defaults for tests.
 type Options struct {
 	Controls, Entries, Agents int
 	Service                   string
 	Lease, Beat, Election     time.Duration
 	SnapshotEvery             int
-	WorkerFlags               []string            // of every worker
-	AgentWorkerFlags          map[string][]string // by agent, after WorkerFlags
+	WorkerFlags               []string            // of all workers
+	AgentWorkerFlags          map[string][]string // by name of the agent, appended to WorkerFlags
 	UpstreamFlags             []string
-	CPU, Memory               int // of each VM's worker
-	Reserved                  int // processors kept for the service
+	CPU, Memory               int // capacity of each VM's worker, in thousandths of a core and MB
+	Reserved                  int // part of CPU that is reserved for the service
 	Picker                    string
 	LeaveGrace                time.Duration
 	PlatformLag               time.Duration
@@ -62,7 +61,7 @@
 	return o
 }
 
-// Cluster is one of everything on this machine.
+// Cluster is a set of all kinds of processes on the local host.
 type Cluster struct {
 	dir, bin string
 	opt      Options
@@ -73,13 +72,14 @@
 	links map[string]*Link
 }
 
-// New prepares a cluster whose files live below dir and whose programs below
-// bin. Nothing runs yet.
+// New returns a cluster with its files below dir and its programs in bin. It starts no
+// process.
 func New(dir, bin string, opt Options) *Cluster {
 	return &Cluster{dir: dir, bin: bin, opt: opt.withDefaults(), procs: map[string]*Proc{}, links: map[string]*Link{}}
 }
 
-// Start starts everything, controls first.
+// Start founds the group of control processes and starts all processes, the platform
+// and the controls first.
 func (c *Cluster) Start() error {
 	if err := c.StartProc("platform"); err != nil {
 		return err
@@ -111,7 +111,7 @@
 
 func name(kind string, i int) string { return fmt.Sprintf("%s%d", kind, i+1) }
 
-// Close ends everything that was started.
+// Close kills all processes and closes all links.
 func (c *Cluster) Close() {
 	for _, n := range c.order {
 		c.procs[n].Thaw()
@@ -129,7 +129,7 @@
 // platform.
 func (c *Cluster) Proc(name string) *Proc { return c.procs[name] }
 
-// Running returns the names of the processes that run, in order of start.
+// Running returns the names of the running processes, in the order of their first start.
 func (c *Cluster) Running() []string {
 	var ns []string
 	for _, n := range c.order {
@@ -140,8 +140,7 @@
 	return ns
 }
 
-// Link returns the link from one process to another, which is made when first
-// asked for.
+// Link returns the link from one process to another, which the first call creates.
 func (c *Cluster) Link(from, to string) *Link {
 	key := from + ">" + to
 	c.mu.Lock()
@@ -150,26 +149,25 @@
 	if l == nil {
 		var err error
 		if l, err = newLink(key); err != nil {
-			panic(err) // no free port on this machine
+			panic(err) // the host has no free port
 		}
 		c.links[key] = l
 		if p := c.procs[to]; p != nil && p.Listen() != "" {
-			l.lead(p.Listen())
+			l.setTarget(p.Listen())
 		}
 	}
 	return l
 }
 
-// Silence makes the open connections between processes of the given kinds silent for
-// good, while new ones work. The kind is the name without its number, such as c, e, a
-// or caller.
-func (c *Cluster) Silence(kinds ...string) {
-	among := func(name string) bool { return slices.Contains(kinds, strings.TrimRight(name, "0123456789")) }
+// Blackhole blackholes the open connections between processes of the given kinds, while
+// new ones work. The kind is the name without its number, such as c, e, a or caller.
+func (c *Cluster) Blackhole(kinds ...string) {
+	isOfKind := func(name string) bool { return slices.Contains(kinds, strings.TrimRight(name, "0123456789")) }
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for key, l := range c.links {
-		if from, to, _ := strings.Cut(key, ">"); among(from) && among(to) {
-			l.Silence()
+		if from, to, _ := strings.Cut(key, ">"); isOfKind(from) && isOfKind(to) {
+			l.Blackhole()
 		}
 	}
 }
@@ -191,13 +189,13 @@
 	}
 }
 
-// Data returns the data folder of a control process.
+// Data returns the path of the data folder of a control process.
 func (c *Cluster) Data(name string) string { return filepath.Join(c.dir, name, "data") }
 
-// Audit returns the audit file of an upstream or worker.
+// Audit returns the path of the audit file of an upstream or a worker.
 func (c *Cluster) Audit(name string) string { return filepath.Join(c.dir, name+".audit") }
 
-// ControlAddrs returns the addresses at which operators reach control.
+// ControlAddrs returns the addresses of the control processes for operators.
 func (c *Cluster) ControlAddrs() []string { return c.addrs("op") }
 
 func (c *Cluster) addrs(from string) []string {
@@ -211,7 +209,7 @@
 // Operator returns a client of the operators' API.
 func (c *Cluster) Operator() *operator.Client { return operator.New(c.ControlAddrs()) }
 
-// StartProc starts a process, or starts it again after it ended.
+// StartProc starts a process, or restarts one that has ended.
 func (c *Cluster) StartProc(name string) error {
 	p := c.procs[name]
 	if p == nil {
@@ -229,7 +227,7 @@
 	defer c.mu.Unlock()
 	for key, l := range c.links {
 		if strings.HasSuffix(key, ">"+name) {
-			l.lead(p.Listen())
+			l.setTarget(p.Listen())
 		}
 	}
 	return nil
@@ -266,13 +264,13 @@
 	return p, nil
 }
 
-// StartWith starts a process again so that it crashes at the named point.
+// StartWith restarts a process so that it crashes at the given crash point.
 func (c *Cluster) StartWith(name, point string) error {
 	c.procs[name].env = []string{crash.Env + "=" + point}
 	return c.StartProc(name)
 }
 
-// format founds the group on one control process.
+// format prepares the data folder of a control process with its command format.
 func (c *Cluster) format(name string) error {
 	p, err := c.newProc(name)
 	if err != nil {
--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -11,9 +11,9 @@
 	"rudderfork.example/rudderfork/standin"
 )
 
-// TestOneLink asks for a link from many goroutines: they must share one. (Three
-// callers once had a link each, and a restarted target was known to one alone.)
-func TestOneLink(t *testing.T) {
+// TestConcurrentCallersShareLink guards against several links between two processes, of
+// which only one gets the new address of a restarted target.
+func TestConcurrentCallersShareLink(t *testing.T) {
 	c := New(t.TempDir(), "", Options{})
 	t.Cleanup(c.Close)
 	links := make([]*Link, 32)
@@ -27,9 +27,9 @@
 	}
 }
 
-// TestAuditBeingWritten reads an audit whose last line is not whole yet. (A proof
-// once failed on such a line, with a writer under way.)
-func TestAuditBeingWritten(t *testing.T) {
+// TestReadAuditSkipsIncompleteLastLine guards against an error for an audit whose last
+// line is still being written.
+func TestReadAuditSkipsIncompleteLastLine(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "audit")
 	read := func(text string) (vms []string, err error) {
 		assert.NilError(t, os.WriteFile(path, []byte(text), 0o600))
@@ -40,5 +40,5 @@
 	assert.NilError(t, err)
 	assert.DeepEqual(t, vms, []string{"a", "b"})
 	_, err = read("{\"vm\":\"a\"}\n{\"vm\":\n{\"vm\":\"b\"}\n")
-	assert.Assert(t, err != nil, "a whole line that cannot be read is a mistake")
+	assert.Assert(t, err != nil, "a complete line that cannot be parsed is an error")
 }
--- a/internal/harness/link.go
+++ b/internal/harness/link.go
@@ -11,15 +11,16 @@
 	"rudderfork.example/rudderfork/internal/faultlink"
 )
 
-// Link is a proxied way from one process to another. Two proxies stand in a row:
-// one for faults of the way itself, which strike every connection, and one that
-// makes open connections silent while new ones work.
+// Link is a network path from one process to another through two proxies in series: one
+// injects faults into all connections, and the other blackholes the open connections
+// while new ones work.
 type Link struct {
-	proxy *toxiproxy.Proxy
-	tail  *faultlink.Proxy
+	proxy     *toxiproxy.Proxy
+	connProxy *faultlink.Proxy
 }
 
-// nowhere is where a link leads before its target has started.
+// nowhere is the target of a link before the target process has started; nothing listens
+// there.
 const nowhere = "127.0.0.1:1"
 
 var server = toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop())
@@ -37,51 +38,53 @@
 	return &Link{p, tail}, nil
 }
 
-// Addr returns the address at which the link takes connections.
+// Addr returns the address that the link listens on.
 func (l *Link) Addr() string { return l.proxy.Listen }
 
-// lead points the link at a target; connections made before are closed.
-func (l *Link) lead(target string) {
-	if l.tail.Target() != target {
-		l.tail.SetTarget(target)
+// setTarget changes the target. If it differs, open connections are closed.
+func (l *Link) setTarget(target string) {
+	if l.connProxy.Target() != target {
+		l.connProxy.SetTarget(target)
 	}
 }
 
-// Silence makes the open connections silent both ways, for good. New ones work.
-func (l *Link) Silence() { l.tail.Blackhole(faultlink.ToTarget, faultlink.ToDialer) }
+// Blackhole discards all further bytes of the open connections, in both directions. New
+// connections work.
+func (l *Link) Blackhole() { l.connProxy.Blackhole(faultlink.ToTarget, faultlink.ToDialer) }
 
-// Cut drops all bytes both ways, in silence.
+// Cut discards all bytes in both directions until Heal, without closing connections.
 func (l *Link) Cut() { l.CutOneWay(true); l.CutOneWay(false) }
 
-// CutOneWay drops all bytes in one direction: forth is from the process that
-// connects to the one that listens.
-func (l *Link) CutOneWay(forth bool) { l.toxic(forth, "timeout", `{"timeout": 0}`) }
+// CutOneWay discards all bytes in one direction until Heal: to the target, or to the
+// process that dials.
+func (l *Link) CutOneWay(toTarget bool) { l.addToxic(toTarget, "timeout", `{"timeout": 0}`) }
 
-// Delay adds ms milliseconds each way.
+// Delay adds ms ± jitter milliseconds in each direction.
 func (l *Link) Delay(ms, jitter int) {
-	for _, forth := range []bool{true, false} {
-		l.toxic(forth, "latency", fmt.Sprintf(`{"latency": %d, "jitter": %d}`, ms, jitter))
+	for _, toTarget := range []bool{true, false} {
+		l.addToxic(toTarget, "latency", fmt.Sprintf(`{"latency": %d, "jitter": %d}`, ms, jitter))
 	}
 }
 
-// LoseAnswers closes connections after n bytes of answers.
-func (l *Link) LoseAnswers(n int) { l.toxic(false, "limit_data", fmt.Sprintf(`{"bytes": %d}`, n)) }
+// LoseAnswers closes each connection after n bytes of responses.
+func (l *Link) LoseAnswers(n int) { l.addToxic(false, "limit_data", fmt.Sprintf(`{"bytes": %d}`, n)) }
 
-// Heal removes all faults. Connections that were cut are closed.
+// Heal removes all faults of the first proxy. Connections that were cut are closed.
 func (l *Link) Heal() { l.proxy.Toxics.ResetToxics(context.Background()) }
 
 // Break closes all connections and refuses new ones until Mend.
 func (l *Link) Break() { l.proxy.Stop() }
 
-// Mend ends a Break.
+// Mend accepts connections again after Break.
 func (l *Link) Mend() error { return l.proxy.Start() }
 
-func (l *Link) toxic(forth bool, typ, attributes string) {
+// addToxic adds a fault in one direction.
+func (l *Link) addToxic(toTarget bool, typ, attributes string) {
 	dir := "downstream"
-	if forth {
+	if toTarget {
 		dir = "upstream"
 	}
 	spec := fmt.Sprintf(`{"type": %q, "stream": %q, "name": "%s-%s", "attributes": %s}`, typ, dir, typ, dir, attributes)
-	// An error means that the fault is there already.
+	// It fails if the fault has been added already.
 	_, _ = l.proxy.Toxics.AddToxicJson(strings.NewReader(spec))
 }
--- a/internal/harness/proc.go
+++ b/internal/harness/proc.go
@@ -1,6 +1,6 @@
-// Package harness starts the product's real processes for the demo, the proofs
-// and the measurements, and sets a fault-injecting proxy (toxiproxy, run inside
-// this process) on every link between them.
+// Package harness starts the product's real processes for the demo, the tests in proof
+// and the benchmarks. Every connection between them passes through fault-injecting
+// proxies inside this process: toxiproxy and package faultlink.
 package harness
 
 import (
@@ -16,16 +16,16 @@
 	"time"
 )
 
-// startLimit bounds the start of one process.
+// startLimit bounds the time until a process has started.
 const startLimit = 20 * time.Second
 
-// Proc is one process that the harness started.
+// Proc is a process started by the harness.
 type Proc struct {
 	Name string
 	args []string
 	bin  string
 	log  *os.File
-	env  []string // for the next start
+	env  []string // further variables for the next start
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd
@@ -37,11 +37,11 @@
 
 var field = regexp.MustCompile(`(listen|admin)=(\S+)`)
 
-// start runs the process and waits until it says that it has started.
+// start starts the process and waits until it logs that it has started.
 func (p *Proc) start() error {
 	cmd := exec.Command(p.bin, p.args...)
 	cmd.Env = append(os.Environ(), p.env...)
-	p.env = nil // a fault is for one start
+	p.env = nil // a crash point applies to one start
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
@@ -82,6 +82,7 @@
 	}
 }
 
+// copyLog copies the log to its file and sends the line of the start to started.
 func (p *Proc) copyLog(r io.Reader, started chan<- string) {
 	sc := bufio.NewScanner(r)
 	sc.Buffer(nil, 1<<20)
@@ -111,14 +112,14 @@
 	return p.admin
 }
 
-// Pid returns the process id.
+// Pid returns the process ID.
 func (p *Proc) Pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd.Process.Pid
 }
 
-// Code returns the exit code, once the process has ended.
+// Code returns the exit code of a process that has ended.
 func (p *Proc) Code() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,23 +146,23 @@
 	if p.Running() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		_ = p.cmd.Process.Signal(s) // it may have ended meanwhile
+		_ = p.cmd.Process.Signal(s) // fails if it has ended meanwhile
 	}
 }
 
-// Kill ends the process with SIGKILL and waits for it.
+// Kill kills the process with SIGKILL and waits for its end.
 func (p *Proc) Kill() {
 	p.signal(syscall.SIGKILL)
 	p.Wait()
 }
 
-// Term asks for a planned stop.
+// Term requests a graceful shutdown with SIGTERM.
 func (p *Proc) Term() { p.signal(syscall.SIGTERM) }
 
-// Freeze stops the process in silence.
+// Freeze suspends the process with SIGSTOP; its connections stay open.
 func (p *Proc) Freeze() { p.signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a process suspended by Freeze.
 func (p *Proc) Thaw() { p.signal(syscall.SIGCONT) }
 
 // Wait waits until the process has ended.
--- a/internal/harness/settings.go
+++ b/internal/harness/settings.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// domains is how many failure domains a cluster is spread over.
+// domains is the number of failure domains of a cluster.
 const domains = 3
 
-// settings returns the INI file of a process.
+// settings returns the text of the INI file of a process.
 func (c *Cluster) settings(name string) string {
 	var n int
-	_, _ = fmt.Sscanf(name[1:], "%d", &n) // names are made here
+	_, _ = fmt.Sscanf(name[1:], "%d", &n) // can't fail: the names are made by name
 	vm := map[byte]string{'c': "ctl", 'a': "vm", 'e': "entry"}[name[0]] + name[1:]
 	place := fmt.Sprintf("[place]\nvm = %s\ndomain = d%d\nregion = r1\nrack = k%d\n", vm, (n-1)%domains+1, (n-1)/domains+1)
 	switch name[0] {
--- a/internal/harness/wait.go
+++ b/internal/harness/wait.go
@@ -16,10 +16,11 @@
 	"rudderfork.example/rudderfork/timeline"
 )
 
-// poll is the pause between two looks at a condition.
-const poll = 20 * time.Millisecond
+// pollInterval is the time between two checks of a condition.
+const pollInterval = 20 * time.Millisecond
 
-// Until waits for a condition; its last error is in the answer if ctx ends.
+// Until waits until cond returns nil. If ctx ends before that, the error wraps the last
+// one of cond.
 func Until(ctx context.Context, what string, cond func() error) error {
 	for {
 		err := cond()
@@ -29,12 +30,13 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("waiting for %s: %w (%w)", what, err, ctx.Err())
-		case <-time.After(poll):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// WaitReady waits until every entry is ready and knows every agent.
+// WaitReady waits until every entry is ready and control lists the VMs of all agents as
+// live.
 func (c *Cluster) WaitReady(ctx context.Context) error {
 	for i := range c.opt.Entries {
 		p := c.procs[name("e", i)]
@@ -76,7 +78,8 @@
 	return nil
 }
 
-// WaitInForce waits until n entries and agents confirm the table's revision.
+// WaitInForce waits until n entries and agents have the given revision of the table, or
+// a later one.
 func (c *Cluster) WaitInForce(ctx context.Context, rev rudderfork.Revision, n int) error {
 	return Until(ctx, "the table to be in force", func() error {
 		ns, err := c.Operator().Nodes(ctx)
@@ -110,7 +113,7 @@
 	})
 }
 
-// Timeline returns the events about one subject, over all processes.
+// Timeline returns the events about a subject, merged from all running processes.
 func (c *Cluster) Timeline(ctx context.Context, subject string) ([]rudderfork.Event, error) {
 	op := c.Operator()
 	var lists [][]rudderfork.Event
@@ -128,8 +131,8 @@
 	return timeline.Merge(lists...), nil
 }
 
-// readAudit calls f with each line of an audit file. A last line without an end
-// is being written, and is passed over.
+// readAudit calls f with each line of an audit file, if the file exists. It skips a last
+// line without a line end, which is still being written.
 func readAudit[T any](path string, f func(T)) error {
 	data, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -139,8 +142,8 @@
 		return err
 	}
 	for {
-		line, rest, whole := bytes.Cut(data, []byte("\n"))
-		if !whole {
+		line, rest, complete := bytes.Cut(data, []byte("\n"))
+		if !complete {
 			return nil
 		}
 		var v T
@@ -152,8 +155,8 @@
 	}
 }
 
-// RunList returns the starts of requests in all upstreams' audits.
-func (c *Cluster) RunList() (rs []standin.Run, err error) {
+// RequestStarts returns the starts of requests from all upstreams' audits.
+func (c *Cluster) RequestStarts() (rs []standin.Run, err error) {
 	for i := range c.opt.Agents {
 		err := readAudit(c.Audit(name("u", i)), func(r standin.Run) {
 			if !r.Whole {
@@ -167,10 +170,10 @@
 	return rs, nil
 }
 
-// Runs returns how often each seat was held, over all upstreams. Callers of
-// Hammer give each request a seat of its own.
-func (c *Cluster) Runs() (map[string]int, error) {
-	rs, err := c.RunList()
+// HoldCounts returns how often each seat was held, over all upstreams. RunLoad uses a
+// separate seat for each request.
+func (c *Cluster) HoldCounts() (map[string]int, error) {
+	rs, err := c.RequestStarts()
 	runs := map[string]int{}
 	for _, r := range rs {
 		if u, perr := url.Parse(r.Path); perr == nil && u.Path == "/hold" {
@@ -191,8 +194,8 @@
 	return us, nil
 }
 
-// StopAll stops entries, agents and controls as planned, and checks that each
-// ends with code 0.
+// StopAll shuts down entries, agents and controls gracefully, in this order, and checks
+// that each exits with code 0.
 func (c *Cluster) StopAll(ctx context.Context) error {
 	for _, kind := range []byte{'e', 'a', 'c'} {
 		var ps []*Proc
@@ -205,7 +208,7 @@
 		for _, p := range ps {
 			err := Until(ctx, p.Name+" to stop", func() error {
 				if p.Running() {
-					return errors.New("it runs")
+					return errors.New("it still runs")
 				}
 				return nil
 			})
--- a/proof/requests_test.go
+++ b/proof/requests_test.go
@@ -123,33 +123,33 @@
 func TestProveRequests(t *testing.T) {
 	var keyed, plain, big *harness.Calls
 	prove(t, "a caller gets the whole answer to its own request", func() string {
-		return fmt.Sprintf("%d holds and %d long answers, none crossed or cut unseen, under %d faults", keyed.Whole+plain.Whole, big.Whole, len(requestFaults))
+		return fmt.Sprintf("%d holds and %d long answers, none crossed or cut unseen, under %d faults", keyed.Answered+plain.Answered, big.Answered, len(requestFaults))
 	})
 	prove(t, "a refusal that says it did not run is true", func() string {
-		return fmt.Sprintf("%d refusals, none ran; %d answers said unknown", len(plain.NotRun)+len(keyed.NotRun), plain.Unknown+keyed.Unknown)
+		return fmt.Sprintf("%d refusals, none ran; %d answers said unknown", len(plain.NotRunIDs)+len(keyed.NotRunIDs), plain.Unknown+keyed.Unknown)
 	})
 	prove(t, "a keyed request runs at most once", func() string {
-		return fmt.Sprintf("%d keyed holds, each resent up to 5 times through other entries, none ran twice, %d were answered", keyed.Whole+keyed.Refused+keyed.Unknown, keyed.Whole)
+		return fmt.Sprintf("%d keyed holds, each resent up to 5 times through other entries, none ran twice, %d were answered", keyed.Answered+keyed.Refused+keyed.Unknown, keyed.Answered)
 	})
 	ctx, c := start(t, harness.Options{Agents: 3, Entries: 2})
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	const endless = 1 << 20
-	load := harness.Load{Callers: 6, Each: endless, Stop: stop, Pause: 3 * time.Millisecond, Timeout: 3 * time.Second}
+	load := harness.Load{Callers: 6, PerCaller: endless, Stop: stop, Pause: 3 * time.Millisecond, Timeout: 3 * time.Second}
 	wg.Go(func() {
 		l := load
 		l.Prefix, l.Keyed, l.Resend = "k", true, 5
-		keyed = c.Hammer(ctx, l)
+		keyed = c.RunLoad(ctx, l)
 	})
 	wg.Go(func() {
 		l := load
 		l.Prefix = "p"
-		plain = c.Hammer(ctx, l)
+		plain = c.RunLoad(ctx, l)
 	})
 	wg.Go(func() {
 		l := load
 		l.Callers, l.Prefix, l.Big = 2, "b", 200_000
-		big = c.Hammer(ctx, l)
+		big = c.RunLoad(ctx, l)
 	})
 	for _, f := range requestFaults {
 		at := time.Now()
@@ -158,21 +158,21 @@
 	}
 	close(stop)
 	wg.Wait()
-	runs, err := c.Runs()
+	runs, err := c.HoldCounts()
 	assert.NilError(t, err)
 	for _, calls := range []*harness.Calls{keyed, plain, big} {
-		assert.Equal(t, len(calls.Wrong), 0, "%s", strings.Join(calls.Wrong, "; "))
-		for _, id := range calls.NotRun {
+		assert.Equal(t, len(calls.Mismatched), 0, "%s", strings.Join(calls.Mismatched, "; "))
+		for _, id := range calls.NotRunIDs {
 			assert.Check(t, runs[id] == 0, "%s was said not to have run, and ran %d times", id, runs[id])
 		}
 	}
 	for id, n := range runs {
 		assert.Check(t, n <= 1, "%s ran %d times", id, n)
 	}
-	for _, id := range append(keyed.Ok, plain.Ok...) {
+	for _, id := range append(keyed.AnsweredIDs, plain.AnsweredIDs...) {
 		assert.Check(t, runs[id] == 1, "%s was answered and ran %d times", id, runs[id])
 	}
-	assert.Assert(t, keyed.Whole > 500 && len(keyed.NotRun)+len(plain.NotRun) > 0, "too little was tried: %d holds", keyed.Whole)
+	assert.Assert(t, keyed.Answered > 500 && len(keyed.NotRunIDs)+len(plain.NotRunIDs) > 0, "too little was tried: %d holds", keyed.Answered)
 }
 
 // leave tells the platform that a VM leaves, and returns when it did.
@@ -188,7 +188,7 @@
 // lastRun returns when the last request began on a VM's upstream.
 func lastRun(t *testing.T, c *harness.Cluster, vm string) (last time.Time) {
 	t.Helper()
-	rs, err := c.RunList()
+	rs, err := c.RequestStarts()
 	assert.NilError(t, err)
 	for _, r := range rs {
 		if at := time.UnixMicro(r.At); r.VM == vm && at.After(last) {
@@ -207,13 +207,13 @@
 	var calls *harness.Calls
 	prove(t, "a leaving upstream gets no new work after a few seconds", func() string {
 		return fmt.Sprintf("last request %v after it began to leave, %v with the leader killed meanwhile (list lags by %v); of %d requests %d were refused",
-			after[0].Round(time.Millisecond), after[1].Round(time.Millisecond), lag, calls.Whole+calls.Refused+calls.Unknown, calls.Refused)
+			after[0].Round(time.Millisecond), after[1].Round(time.Millisecond), lag, calls.Answered+calls.Refused+calls.Unknown, calls.Refused)
 	})
 	ctx, c := start(t, harness.Options{Agents: 4, Entries: 2, PlatformLag: lag})
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		calls = c.Hammer(ctx, harness.Load{Callers: 8, Each: 1 << 20, Prefix: "l", Stop: stop})
+		calls = c.RunLoad(ctx, harness.Load{Callers: 8, PerCaller: 1 << 20, Prefix: "l", Stop: stop})
 	})
 	for i, vm := range []string{"vm1", "vm2"} {
 		at := leave(t, c, vm)
@@ -235,7 +235,7 @@
 	}
 	close(stop)
 	wg.Wait()
-	assert.Equal(t, calls.Unknown+calls.Refused, 0, calls.Problem)
+	assert.Equal(t, calls.Unknown+calls.Refused, 0, calls.FirstProblem)
 }
 
 func waitDraining(ctx context.Context, t *testing.T, c *harness.Cluster, vm string) {
@@ -261,13 +261,13 @@
 	var calls *harness.Calls
 	stops := []string{"e1", "a1", "", "a2"}
 	prove(t, "a planned stop cuts off nothing in progress", func() string {
-		return fmt.Sprintf("an entry, two agents and the leader stopped under load: %d holds and %d feeds, all whole", calls.Whole, feeds)
+		return fmt.Sprintf("an entry, two agents and the leader stopped under load: %d holds and %d feeds, all whole", calls.Answered, feeds)
 	})
 	ctx, c := start(t, harness.Options{Agents: 3, Entries: 2})
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		calls = c.Hammer(ctx, harness.Load{Callers: 8, Each: 1 << 20, Prefix: "s", Stop: stop, Balanced: true, Query: "&ms=40"})
+		calls = c.RunLoad(ctx, harness.Load{Callers: 8, PerCaller: 1 << 20, Prefix: "s", Stop: stop, Balanced: true, Query: "&ms=40"})
 	})
 	errs := make(chan error, feeds)
 	for i := range feeds {
@@ -287,8 +287,8 @@
 	}
 	close(stop)
 	wg.Wait()
-	assert.Equal(t, calls.Unknown+calls.Refused, 0, calls.Problem)
-	assert.Equal(t, len(calls.Wrong), 0)
+	assert.Equal(t, calls.Unknown+calls.Refused, 0, calls.FirstProblem)
+	assert.Equal(t, len(calls.Mismatched), 0)
 }
 
 // waitFeeds waits until the upstreams have n feeds open.
--- a/proof/silence_test.go
+++ b/proof/silence_test.go
@@ -49,7 +49,7 @@
 	for round := range silenceRounds {
 		for i, s := range silences {
 			n := round*len(silences) + i
-			c.Silence(s.among...)
+			c.Blackhole(s.among...)
 			timeInForce(ctx, t, c, nodes, n)
 			held += holdUntilAnswered(ctx, t, caller, n, s.patience)
 		}
@@ -79,7 +79,7 @@
 // assertRunOnce asserts that no request ran twice.
 func assertRunOnce(t *testing.T, c *harness.Cluster) {
 	t.Helper()
-	runs, err := c.Runs()
+	runs, err := c.HoldCounts()
 	assert.NilError(t, err)
 	for tag, n := range runs {
 		assert.Assert(t, n <= 1, "%s ran %d times", tag, n)
