--- a/admission/admission.go
+++ b/admission/admission.go
@@ -144,7 +144,7 @@
 	if len(q.waiting) > q.limits.Queue {
 		last := q.waiting[len(q.waiting)-1]
 		q.waiting = q.waiting[:len(q.waiting)-1]
-		decisions = append(decisions, q.refuse(last.ID, "the queue is full and requests of other teams come first", now))
+		decisions = append(decisions, q.refuse(last.ID, "the queue is full and other teams are owed more", now))
 	}
 	return decisions
 }
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -96,7 +96,7 @@
 func (p *Process) ready() error {
 	switch {
 	case !p.table.Known():
-		return errors.New("no table received yet")
+		return errors.New("the table is not known yet")
 	case p.front.isLeaving():
 		return errors.New("leaving")
 	}
--- a/agent/forward.go
+++ b/agent/forward.go
@@ -64,14 +64,14 @@
 	if relay.NotSent(err) {
 		c.setNotRun()
 		w.Header().Set(relay.HeaderLoad, relay.EncodeLoad(rudderfork.Load{Down: true}))
-		f.refuse(w, r, http.StatusServiceUnavailable, "upstream-down", "the upstream does not accept connections", steady.Now().Add(retryDelay))
+		f.refuse(w, r, http.StatusServiceUnavailable, "upstream-down", "the upstream does not listen", steady.Now().Add(retryDelay))
 		return
 	}
 	status, kind := http.StatusBadGateway, "upstream-failed"
 	if errors.Is(err, context.DeadlineExceeded) {
 		status, kind = http.StatusGatewayTimeout, "deadline"
 	}
-	p := problem.New(status, kind, "the upstream did not answer", rudderfork.RanUnknown)
+	p := problem.New(status, kind, "the upstream gave no answer", rudderfork.RanUnknown)
 	p.Request = r.Header.Get(relay.HeaderRequest)
 	p.RetryAt = steady.Now().Add(retryDelay)
 	problem.Write(w, p)
--- a/agent/front.go
+++ b/agent/front.go
@@ -176,7 +176,7 @@
 	defer relay.LimitBodyReads(w, r)()
 	s := f.services[rudderfork.Service(r.Header.Get(relay.HeaderService))]
 	if s == nil {
-		f.refuse(w, r, http.StatusNotFound, "no-service", "this agent does not have the service", time.Time{})
+		f.refuse(w, r, http.StatusNotFound, "no-service", "no such service here", time.Time{})
 		return
 	}
 	if reason := f.beginRequest(); reason != "" {
@@ -186,7 +186,7 @@
 	}
 	defer f.endRequest()
 	if !f.table.Known() {
-		f.refuse(w, r, http.StatusServiceUnavailable, "no-table", "the agent has not received the table yet", steady.Now().Add(retryDelay))
+		f.refuse(w, r, http.StatusServiceUnavailable, "no-table", "the table is not known here yet", steady.Now().Add(retryDelay))
 		return
 	}
 	c, err := parseClaim(r)
@@ -204,7 +204,7 @@
 // serveClaimed runs a request with a claim if its token was not used before.
 func (f *front) serveClaimed(w http.ResponseWriter, r *http.Request, s *service, c *activeClaim) {
 	if c.boot != f.boot {
-		f.refuse(w, r, http.StatusConflict, "other-boot", "the claim is for an earlier start of this agent", time.Time{})
+		f.refuse(w, r, http.StatusConflict, "other-boot", "the claim names an earlier start of this agent", time.Time{})
 		return
 	}
 	f.mu.Lock()
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -18,10 +18,10 @@
 		slots:    desc("slots_used", "Requests that hold a slot.", "service"),
 		queued:   desc("queued", "Requests that wait for a slot.", "service"),
 		feeds:    desc("feeds", "Open feeds.", "service"),
-		mean:     desc("upstream_seconds", "Moving average of the service time of the upstream.", "service"),
-		pressure: desc("pressure", "Ratio of tail latency to its target.", "service"),
-		tasks:    desc("tasks", "Running tasks."),
-		table:    desc("table_revision", "Revision of the table that is applied."),
+		mean:     desc("upstream_seconds", "Moving average of the time in the upstream.", "service"),
+		pressure: desc("pressure", "Tail latency over its target.", "service"),
+		tasks:    desc("tasks", "Tasks that run here."),
+		table:    desc("table_revision", "Revision of the table in force here."),
 	}
 }
 
--- a/agent/service.go
+++ b/agent/service.go
@@ -139,7 +139,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.feeds >= s.maxFeeds {
-		return nil, &refusal{"overload", "all connections for feeds are in use", steady.Now().Add(time.Second)}
+		return nil, &refusal{"overload", "all connections for feeds are taken", steady.Now().Add(time.Second)}
 	}
 	s.feeds++
 	return &admitted{s: s}, nil
@@ -167,7 +167,7 @@
 		default:
 		}
 	}
-	return nil, &refusal{"deadline", "the deadline passed while the request was queued", s.queue.RetryAt(steady.Now())}
+	return nil, &refusal{"deadline", "the deadline passed while it waited", s.queue.RetryAt(steady.Now())}
 }
 
 // deliver passes decisions to the waiting requests. The caller must hold s.mu.
--- a/agent/tasks.go
+++ b/agent/tasks.go
@@ -229,7 +229,7 @@
 		if level == t.levels[id] {
 			continue
 		}
-		text := fmt.Sprintf("level %d to %d of %d: the services of this VM are at %.0f%% of their targets", t.levels[id], level, throttle.MaxLevel, 100*p)
+		text := fmt.Sprintf("level %d to %d of %d: the services here are at %.0f%% of their targets", t.levels[id], level, throttle.MaxLevel, 100*p)
 		t.event("throttled", id, text)
 		t.decisions = append(t.decisions, wire.DecisionRecord{At: rudderfork.Millis(steady.Now()), Task: id, What: "throttled", Reason: text})
 		t.levels[id] = level
--- a/control/api.go
+++ b/control/api.go
@@ -103,10 +103,10 @@
 	case errors.As(err, &tooLarge):
 		p = problem.New(http.StatusRequestEntityTooLarge, "too-large", fmt.Sprintf("the body is larger than %d bytes", tooLarge.Limit), rudderfork.RanNo)
 	case errors.Is(err, replica.ErrOutcomeUnknown):
-		p = problem.New(http.StatusGatewayTimeout, "unknown", "the change may or may not have been accepted; send it again with the same id", rudderfork.RanUnknown)
+		p = problem.New(http.StatusGatewayTimeout, "unknown", "the change may or may not be accepted; send it again with the same id", rudderfork.RanUnknown)
 		p.RetryAt = steady.Now().Add(retryDelay)
 	case errors.Is(err, replica.ErrNotLeader), errors.Is(err, replica.ErrSuperseded):
-		p = problem.New(http.StatusServiceUnavailable, "no-leader", "this process is not the leader, or cannot confirm that it is; nothing was changed", rudderfork.RanNo)
+		p = problem.New(http.StatusServiceUnavailable, "no-leader", "no leader answers here now; nothing was changed", rudderfork.RanNo)
 		p.RetryAt = steady.Now().Add(retryDelay)
 	default:
 		p = problem.New(http.StatusInternalServerError, "internal", err.Error(), rudderfork.RanUnknown)
@@ -201,12 +201,12 @@
 	match := strings.Trim(r.Header.Get("If-Match"), `"`)
 	rev, err := strconv.ParseUint(match, 10, 64)
 	if err != nil {
-		return problem.New(http.StatusPreconditionRequired, "no-revision", `If-Match is missing or not a revision; want the ETag of the last read, or "0" for a cell that was never set`, rudderfork.RanNo)
+		return problem.New(http.StatusPreconditionRequired, "no-revision", `If-Match is missing or no revision; want the ETag that you read, "0" for a cell never set`, rudderfork.RanNo)
 	}
 	wr.IfRevision = rudderfork.Revision(rev)
 	id := strings.Trim(r.Header.Get("Idempotency-Key"), `"`)
 	if id == "" {
-		return problem.New(http.StatusBadRequest, "no-id", "Idempotency-Key is missing; want an id of your choice, the same for each retry", rudderfork.RanNo)
+		return problem.New(http.StatusBadRequest, "no-id", "Idempotency-Key is missing; want an id of your choice, the same when you resend", rudderfork.RanNo)
 	}
 	return a.edit(w, r, state.Edit{ID: id, By: r.Header.Get("From"), Writes: []state.CellWrite{wr}})
 }
@@ -287,7 +287,7 @@
 	if err := resultError(res); err != nil {
 		return err
 	}
-	a.ring.Record(rudderfork.Event{Kind: kind, Subject: subject, Revision: res.Revision, Text: "requested by an operator"})
+	a.ring.Record(rudderfork.Event{Kind: kind, Subject: subject, Revision: res.Revision, Text: "asked for by an operator"})
 	admin.WriteJSON(w, res)
 	return nil
 }
--- a/control/explain.go
+++ b/control/explain.go
@@ -93,7 +93,7 @@
 	size := s.JobSize(t.Job)
 	switch err := s.CheckLimits(t, size); {
 	case j.Blocked != "":
-		e.addf("It cannot run at present: %s.", j.Blocked)
+		e.addf("It cannot run as things stand: %s.", j.Blocked)
 	case err != nil:
 		e.addf("It waits: %v.", err)
 	default:
@@ -103,7 +103,7 @@
 				free++
 			}
 		}
-		e.addf("It waits for free capacity: it needs %s, and %d of %d VMs have that free now; VMs whose services are near their latency targets get no more batch work.", size, free, len(s.VMs()))
+		e.addf("It waits for room: it needs %s, and %d of %d VMs have that free now; those whose services are near their targets take no more batch work.", size, free, len(s.VMs()))
 	}
 }
 
@@ -111,7 +111,7 @@
 	for _, col := range []string{rudderfork.ColPriority, rudderfork.ColWeight, rudderfork.ColCPU, rudderfork.ColMemory} {
 		c := s.Cell(rudderfork.CellKey{Kind: rudderfork.RowJob, Row: string(job), Column: col})
 		if c.Revision == 0 || c.Removed {
-			e.addf("Cell %s is not set; its default %d applies.", c.Key, s.Value(c.Key))
+			e.addf("Cell %s is not set; its default %d counts.", c.Key, s.Value(c.Key))
 			continue
 		}
 		e.addf("Cell %s is %d since revision %d.", c.Key, c.Value, c.Revision)
@@ -122,27 +122,27 @@
 	v := jobView(s, j)
 	e.addf("Job %s of team %s has %d tasks: %d pending, %d running, %d done, %d failed.", v.ID, v.Team, v.Tasks, v.Pending, v.Running, v.Done, v.Failed)
 	if v.Blocked != "" {
-		e.addf("It cannot run at present: %s. It uses no capacity and delays no other job.", v.Blocked)
+		e.addf("It cannot run as things stand: %s. It takes no room and blocks nobody.", v.Blocked)
 	}
 	if v.Cancelled {
 		e.addf("An operator cancelled it.")
 	}
 	if size := a.models.Size(v.Kind, v.Size); size != v.Size {
-		e.addf("Its tasks declare %s; by the measured usage of tasks of kind %s, they are placed as %s.", v.Size, v.Kind, size)
+		e.addf("Its tasks declare %s; from what tasks of kind %s were seen to use, they are placed as %s.", v.Size, v.Kind, size)
 	}
 	a.addCells(e, s, v.ID)
 }
 
 func (a *api) explainVM(e *Explanation, s *state.State, v *state.VM) {
 	vm := v.Place.VM
-	e.addf("VM %s in failure domain %s has %s; %s are reserved for services %v; tasks hold %s.", vm, v.Place.Domain, v.Capacity, v.Reserved, v.Services, v.Used)
+	e.addf("VM %s in failure domain %s has %s; %s are kept for services %v; tasks hold %s.", vm, v.Place.Domain, v.Capacity, v.Reserved, v.Services, v.Used)
 	switch {
 	case !v.Live:
-		e.addf("Its lease expired at %s; it gets no tasks until its agent registers again.", formatTime(v.LostAt))
+		e.addf("Its lease ran out at %s; it gets no tasks until its agent registers again.", formatTime(v.LostAt))
 	case v.Draining:
-		e.addf("It is leaving: it gets no new tasks or requests, and its tasks are moved to other VMs.")
+		e.addf("It is leaving: it gets no new tasks or requests, and its tasks move away.")
 	case v.Excluded(rudderfork.Millis(steady.Now())):
-		e.addf("It is set aside until %s, because tasks of several jobs failed on it; then it gets one task at a time.", formatTime(v.ExcludedUntil))
+		e.addf("It is set aside until %s, because tasks of several jobs failed on it; then it is tried with one task.", formatTime(v.ExcludedUntil))
 	case v.OnProbation():
 		e.addf("It is on probation with one task at a time, after tasks of several jobs failed on it.")
 	}
--- a/control/metrics.go
+++ b/control/metrics.go
@@ -22,14 +22,14 @@
 	}
 	return &collector{
 		rep: rep, hub: h,
-		commit:   desc("commit_index", "Highest log index that is known to be committed."),
+		commit:   desc("commit_index", "Highest index known committed."),
 		table:    desc("table_revision", "Revision of the newest cell."),
 		logBytes: desc("log_bytes", "Bytes in the log since the last snapshot."),
 		leads:    desc("leads", "1 on the leader."),
 		sessions: desc("sessions", "Entries and agents connected here."),
-		tasks:    desc("tasks", "Tasks by phase.", "phase"),
-		vms:      desc("vms", "VMs by whether their lease is valid.", "live"),
-		claims:   desc("claims", "Claims that are stored."),
+		tasks:    desc("tasks", "Tasks by where they stand.", "phase"),
+		vms:      desc("vms", "VMs by whether their lease is in force.", "live"),
+		claims:   desc("claims", "Claims remembered."),
 	}
 }
 
--- a/control/views.go
+++ b/control/views.go
@@ -126,7 +126,7 @@
 
 // notFound returns the problem for a subject that does not exist or was deleted.
 func notFound(what, id string) error {
-	detail := fmt.Sprintf("%s %s is unknown, or it ended and was deleted", what, id)
+	detail := fmt.Sprintf("%s %s is unknown, or it ended and was forgotten", what, id)
 	return problem.New(http.StatusNotFound, "not-found", detail, rudderfork.RanNo)
 }
 
--- a/dispatch/explain.go
+++ b/dispatch/explain.go
@@ -27,9 +27,9 @@
 		switch {
 		case why[v.vm.ID] != "":
 		case p.tooSlowToStart(cl, v):
-			why[v.vm.ID] = "the task would be too slow beside the serving tasks there"
+			why[v.vm.ID] = "the task would crawl beside the serving tasks there"
 		case !p.reserve.allows(cl, cl.job.Task(k), v):
-			why[v.vm.ID] = "processors are reserved there for short tasks"
+			why[v.vm.ID] = "room is kept there for short tasks"
 		case cl.job.Task(k).Suspect() && v.quarantine:
 			why[v.vm.ID] = "another suspect of a crash is in quarantine there"
 		}
@@ -41,7 +41,7 @@
 func (p *pass) rejectReason(cl *taskClass, k queue.TaskKey, v *vmState) string {
 	switch {
 	case cl.advised && cl.tickets[v.vm.ID] == "":
-		return "the adviser has given no ticket for it"
+		return "the adviser has given no leave for it"
 	case !v.view.Usable:
 		return "it does not answer"
 	case v.view.Draining:
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -351,7 +351,7 @@
 			}
 		}
 		if best != nil {
-			r.evict(best, fmt.Sprintf("throttling all tasks of VM %s was not enough, its services are at %.0f%% of their targets; stopping this one loses the least work for its weight, %d units",
+			r.evict(best, fmt.Sprintf("throttling all tasks of VM %s was not enough, its services are at %.0f%% of their targets; stopping this one loses least for its weight, %d units",
 				v.Place.VM, 100*v.Pressure, p.usage.UnsavedWork(best.ID)))
 		}
 	}
--- a/placement/placers.go
+++ b/placement/placers.go
@@ -19,7 +19,7 @@
 func (FirstFit) Place(t rudderfork.TaskView, vms []rudderfork.VMView, _ time.Time) (c rudderfork.Choice, ok bool) {
 	for _, v := range vms {
 		if t.Size.Fits(v.Free) {
-			return rudderfork.Choice{VM: v.Place.VM, Reason: "first VM with enough free capacity"}, true
+			return rudderfork.Choice{VM: v.Place.VM, Reason: "first VM with room"}, true
 		}
 	}
 	return rudderfork.Choice{}, false
@@ -72,7 +72,7 @@
 		return 0
 	})
 	c.VM = all[0].vm
-	c.Reason = fmt.Sprintf("least cost %.2f of %d VMs with enough free capacity: %s", all[0].cost, len(all), all[0].reason)
+	c.Reason = fmt.Sprintf("least cost %.2f of %d VMs with room: %s", all[0].cost, len(all), all[0].reason)
 	for _, o := range all[1:min(len(all), 1+maxRejections)] {
 		c.Rejections = append(c.Rejections, rudderfork.Rejection{
 			VM: o.vm, Reason: fmt.Sprintf("cost %.2f: %s", o.cost, o.reason),
--- a/placement/urgent.go
+++ b/placement/urgent.go
@@ -28,7 +28,7 @@
 		}
 	}
 	for _, victim := range best {
-		reason := fmt.Sprintf("urgent task %s (priority %d) needs the capacity; of the VMs considered, evictions on this one lose the least work, %d units", t.ID, t.Priority, bestLost)
+		reason := fmt.Sprintf("urgent task %s (priority %d) needs the room; of the ways considered this loses least work, %d units", t.ID, t.Priority, bestLost)
 		r.evict(victim, reason)
 	}
 }
--- a/queue/apply.go
+++ b/queue/apply.go
@@ -79,14 +79,14 @@
 // refuses the request.
 func (s *State) locate(host, urlPath string) (q Queue, id rudderfork.JobID, refusal Result, ok bool) {
 	if s.doc == nil {
-		return q, "", Result{Code: NoDocument, Text: "no document has been accepted yet"}, false
+		return q, "", Result{Code: NoDocument, Text: "no document was ever taken"}, false
 	}
 	q, rest, found := s.doc.Find(host, urlPath)
 	if !found {
 		return q, "", Result{Code: NoQueue, Text: "no queue has this host and path"}, false
 	}
 	if !jobIDForm.MatchString(rest) {
-		return q, "", Result{Code: Invalid, Text: "the path does not end with a job ID"}, false
+		return q, "", Result{Code: Invalid, Text: "the path does not end with a job's ID"}, false
 	}
 	return q, rudderfork.JobID(rest), refusal, true
 }
@@ -95,14 +95,14 @@
 	// A known job stays accepted even if its queue has been removed since.
 	last := rudderfork.JobID(path.Base(c.Path))
 	if j := s.jobs[last]; j != nil {
-		return Result{Code: OK, Job: last, Queue: j.Queue.Name, Text: "already submitted"}
+		return Result{Code: OK, Job: last, Queue: j.Queue.Name, Text: "handed in before"}
 	}
 	q, id, refusal, ok := s.locate(c.Host, c.Path)
 	if !ok {
 		return refusal
 	}
 	if code := s.doc.Limits.exceeded(c.BodyBytes, c.HeaderBytes); code != "" {
-		return Result{Code: code, Text: fmt.Sprintf("a body of %d bytes and a header of %d bytes exceed the document's limits %+v", c.BodyBytes, c.HeaderBytes, s.doc.Limits)}
+		return Result{Code: code, Text: fmt.Sprintf("a body of %d bytes, a header of %d; the document's limits are %+v", c.BodyBytes, c.HeaderBytes, s.doc.Limits)}
 	}
 	if err := c.Spec.Check(); err != nil {
 		return Result{Code: Invalid, Text: err.Error()}
--- a/queue/evacuation.go
+++ b/queue/evacuation.go
@@ -38,7 +38,7 @@
 func (s *State) evacuate(c Evacuate, at int64) Result {
 	switch {
 	case c.Domain == "":
-		return Result{Code: Invalid, Text: "the name of the failure domain is empty"}
+		return Result{Code: Invalid, Text: "the failure domain has no name"}
 	case c.End:
 		delete(s.evacuations, c.Domain)
 	case !s.Evacuating(c.Domain):
--- a/queue/suspects.go
+++ b/queue/suspects.go
@@ -36,7 +36,7 @@
 func (s *State) clearTask(k TaskKey) Result {
 	t := s.openTask(k)
 	if t == nil {
-		return Result{Code: NoJob, Text: "no unfinished task has this key"}
+		return Result{Code: NoJob, Text: "there is no such task that may still run"}
 	}
 	t.clear()
 	s.jobs[k.Job].changes++
--- a/queue/wave.go
+++ b/queue/wave.go
@@ -60,10 +60,10 @@
 
 func (s *State) acceptWave(w Wave) Result {
 	if w.MaxDown < 1 || len(w.Machines) == 0 {
-		return Result{Code: Invalid, Text: "a wave needs at least one machine and max_down of at least 1"}
+		return Result{Code: Invalid, Text: "a wave needs machines, and room for one of them to be down"}
 	}
 	if s.Wave(w.ID) != nil {
-		return Result{Code: OK, Text: "already accepted"}
+		return Result{Code: OK, Text: "taken before"}
 	}
 	if len(s.waves) >= maxWaves {
 		s.waves = s.waves[1:]
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -22,11 +22,11 @@
 // The errors of commands and reads.
 var (
 	// ErrNotLeader means that the command was not proposed; retry at the leader.
-	ErrNotLeader = errors.New("this control process is not the leader")
+	ErrNotLeader = errors.New("this control process does not lead")
 	// ErrSuperseded means that the command was certainly not committed.
 	ErrSuperseded = errors.New("another leader took over; the command was not committed")
 	// ErrOutcomeUnknown means that the command may or may not be committed.
-	ErrOutcomeUnknown = errors.New("the command may or may not be committed")
+	ErrOutcomeUnknown = errors.New("the command's fate is unknown")
 )
 
 // maxBatch bounds the inputs handled between two syncs of the log, so that many commands share one
--- a/runner/metrics.go
+++ b/runner/metrics.go
@@ -13,11 +13,11 @@
 		return prometheus.CounterOpts{Namespace: "rudderfork", Subsystem: "runner", Name: name, Help: help}
 	}
 	return &metrics{
-		calls:   prometheus.NewCounterVec(counter("calls_total", "Calls to the executor, by kind and outcome."), []string{"call", "outcome"}),
-		ends:    prometheus.NewCounterVec(counter("ends_total", "Ends of runs reported, by outcome."), []string{"how"}),
-		overdue: prometheus.NewCounterVec(counter("starts_overdue_total", "Starts that were overdue, by what they waited for."), []string{"reason"}),
+		calls:   prometheus.NewCounterVec(counter("calls_total", "Calls of the executor, by kind and outcome."), []string{"call", "outcome"}),
+		ends:    prometheus.NewCounterVec(counter("ends_total", "Ends reported, by how."), []string{"how"}),
+		overdue: prometheus.NewCounterVec(counter("starts_overdue_total", "Starts that were not confirmed for long, by what they waited for."), []string{"reason"}),
 		took: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Namespace: "rudderfork", Subsystem: "runner", Name: "call_seconds", Help: "Time until the executor answered or the call failed.",
+			Namespace: "rudderfork", Subsystem: "runner", Name: "call_seconds", Help: "Time until the executor answered.",
 			Buckets: []float64{.001, .0025, .005, .01, .025, .05, .1, .25, .5, 1},
 		}, []string{"call"}),
 	}
--- a/scheduler/evacuation.go
+++ b/scheduler/evacuation.go
@@ -21,7 +21,7 @@
 // start is committed in the failure domain.
 func (s *Scheduler) evacuate(ctx context.Context, e queue.Evacuate) wire.QueueResponse {
 	if !s.domainExists(e.Domain) {
-		return wire.QueueResponse{Code: queue.NoDomain, Text: "unknown failure domain " + string(e.Domain)}
+		return wire.QueueResponse{Code: queue.NoDomain, Text: "no failure domain is called " + string(e.Domain)}
 	}
 	resp := s.commit(ctx, queue.Command{Evacuate: &e})
 	s.log.Info().Str("domain", string(e.Domain)).Bool("end", e.End).Str("result", string(resp.Code)).
@@ -32,7 +32,7 @@
 
 func evacuationText(e queue.Evacuate) string {
 	if e.End {
-		return "cancelled: "
+		return "taken back: "
 	}
 	return "ordered: "
 }
--- a/scheduler/lostruns.go
+++ b/scheduler/lostruns.go
@@ -38,7 +38,7 @@
 	}
 	s.log.Info().Str("on", string(vm)).Str("life_end", string(how)).Int("count", len(lost)).Array("runs", names).Msg("runs_gone")
 	for _, g := range lost {
-		s.record("task_ended", g.Task.String(), "on "+string(vm)+": its executor's incarnation ended: "+string(how))
+		s.record("task_ended", g.Task.String(), "on "+string(vm)+": gone with its executor, which was "+string(how))
 	}
 }
 
@@ -57,7 +57,7 @@
 		s.met.suspected.Inc()
 		s.log.Info().Str("task", v.Task.String()).Uint32("run", v.Run).Str("on", string(vm)).Int64("age_ms", v.AgeMS).
 			Int("crashes", v.Crashes).Int("suspicion_mille", v.Suspicion).Int("beside", len(list)-1).Msg(event)
-		s.record(event, v.Task.String(), fmt.Sprintf("the executor of %s crashed %d ms into run %d, with %d other runs: %d crashes, suspicion %d of 1000",
+		s.record(event, v.Task.String(), fmt.Sprintf("the executor of %s crashed %d ms into run %d, beside %d others: %d crashes, suspicion %d of 1000",
 			vm, v.AgeMS, v.Run, len(list)-1, v.Crashes, v.Suspicion))
 	}
 }
--- a/scheduler/metrics.go
+++ b/scheduler/metrics.go
@@ -27,22 +27,22 @@
 	return &metrics{
 		commit:   prometheus.NewHistogram(histogram("commit_seconds", "From a command's proposal until it is applied.")),
 		plan:     prometheus.NewHistogram(histogram("plan_seconds", "Time taken to make one plan.")),
-		round:    prometheus.NewHistogram(histogram("round_seconds", "Time taken by one round: expiry of leases, plan, commit, waking of sessions.")),
+		round:    prometheus.NewHistogram(histogram("round_seconds", "Time taken by one round: losses, plan, commit, orders.")),
 		starts:   prometheus.NewCounter(counter("starts_total", "Runs started.")),
-		copies:   prometheus.NewCounter(counter("copies_total", "Runs started as copies, beside another run of the task.")),
+		copies:   prometheus.NewCounter(counter("copies_total", "Of these, second runs beside a first.")),
 		stops:    prometheus.NewCounter(counter("stops_total", "Runs asked to stop.")),
-		lost:     prometheus.NewCounter(counter("vms_lost_total", "VMs whose lease expired.")),
-		departed: prometheus.NewCounter(counter("vms_left_total", "VMs whose executor gave a shutdown notice.")),
+		lost:     prometheus.NewCounter(counter("vms_lost_total", "VMs whose lease ran out.")),
+		departed: prometheus.NewCounter(counter("vms_left_total", "VMs whose executor left as planned.")),
 		overdue: prometheus.NewGauge(prometheus.GaugeOpts{
-			Namespace: "rudderfork", Subsystem: "queue", Name: "runs_overdue", Help: "Runs that are missing from the heartbeats of a connected VM.",
+			Namespace: "rudderfork", Subsystem: "queue", Name: "runs_overdue", Help: "Runs that their VMs, which are in session, do not report.",
 		}),
-		suspected: prometheus.NewCounter(counter("suspected_total", "Tasks suspected of a crash of their executor.")),
-		givenUp:   prometheus.NewCounter(counter("given_up_total", "Tasks given up because executors crashed while running them.")),
-		ends:      prometheus.NewCounterVec(counter("ends_total", "Reported ends of runs, by outcome."), []string{"how"}),
-		lostRuns:  prometheus.NewCounterVec(counter("gone_total", "Runs that ended with an incarnation of their executor, by how that ended."), []string{"how"}),
-		requests:  prometheus.NewCounterVec(counter("asks_total", "Requests, by kind and outcome."), []string{"kind", "outcome"}),
+		suspected: prometheus.NewCounter(counter("suspected_total", "Tasks that were suspected of a crash of their executor.")),
+		givenUp:   prometheus.NewCounter(counter("given_up_total", "Tasks given up since executors crash under them.")),
+		ends:      prometheus.NewCounterVec(counter("ends_total", "Runs that ended, by how."), []string{"how"}),
+		lostRuns:  prometheus.NewCounterVec(counter("gone_total", "Runs that ended with a life of their executor, by how that ended."), []string{"how"}),
+		requests:  prometheus.NewCounterVec(counter("asks_total", "Calls of fronts, by kind and outcome."), []string{"kind", "outcome"}),
 		startWait: prometheus.NewHistogramVec(histogram("start_wait_seconds", "From a task's turn until its first start is committed, by kind."), []string{"kind"}),
-		response:  prometheus.NewHistogramVec(histogram("answer_seconds", "Time until a request is answered, by kind."), []string{"kind"}),
+		response:  prometheus.NewHistogramVec(histogram("answer_seconds", "Time until a front's call is answered."), []string{"kind"}),
 	}
 }
 
--- a/scheduler/overdue.go
+++ b/scheduler/overdue.go
@@ -38,7 +38,7 @@
 		}
 		s.log.Warn().Str("task", r.TaskKey.String()).Uint32("run", r.Number).Str("on", string(r.vm)).Dur("age", r.age).
 			Dur("beat_age", r.heartbeatAge).Uint64("epoch", r.epoch).Int("reported", r.reported).Msg("run_overdue")
-		s.record("run_overdue", r.TaskKey.String(), "on "+string(r.vm)+": its VM has not reported it")
+		s.record("run_overdue", r.TaskKey.String(), "on "+string(r.vm)+": it was not seen to begin")
 	}
 }
 
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -57,7 +57,7 @@
 	case req.Get:
 		resp = s.read(ctx, documentOf)
 	default:
-		resp = wire.QueueResponse{Code: queue.Invalid, Text: "request is empty"}
+		resp = wire.QueueResponse{Code: queue.Invalid, Text: "the call is empty"}
 	}
 	return resp
 }
@@ -157,7 +157,7 @@
 func waveOf(st *queue.State, id uint64) wire.QueueResponse {
 	w := st.Wave(id)
 	if w == nil {
-		return wire.QueueResponse{Code: queue.NoJob, Text: "unknown wave"}
+		return wire.QueueResponse{Code: queue.NoJob, Text: "there is no such wave"}
 	}
 	return wire.QueueResponse{Code: queue.OK, Left: len(w.Remaining())}
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -241,7 +241,7 @@
 	}
 	s.logLostRuns(l.VM, incarnationExpired, res)
 	s.log.Warn().Str("lost_vm", string(l.VM)).Str("life", l.Incarnation).Str("result", string(res.Code)).Msg("vm_lost")
-	s.record("vm_lost", string(l.VM), "its lease expired and it did not return")
+	s.record("vm_lost", string(l.VM), "its lease ran out and it did not come back")
 }
 
 // expiredLeases returns the losses of VMs whose lease has expired, without those whose
--- a/scheduler/views.go
+++ b/scheduler/views.go
@@ -165,12 +165,12 @@
 		counts[why]++
 	}
 	if len(counts) == 0 {
-		return "no VM is registered"
+		return "no VM is known"
 	}
 	var reasons []string
 	for why, n := range counts {
 		if why == "" {
-			why = "could run the task"
+			why = "it could take the task"
 		}
 		reasons = append(reasons, fmt.Sprintf("%d VMs: %s", n, why))
 	}
--- a/scheduler/vm.go
+++ b/scheduler/vm.go
@@ -446,6 +446,6 @@
 	ses.s.met.departed.Inc()
 	ses.s.logLostRuns(vm, incarnationDeparted, res)
 	ses.s.log.Info().Str("left_vm", string(vm)).Str("life", inc).Str("result", string(res.Code)).Msg("vm_left")
-	ses.s.record("vm_left", string(vm), "its executor gave a shutdown notice")
+	ses.s.record("vm_left", string(vm), "its executor has left")
 	return nil
 }
