--- a/quorum/members.go
+++ b/quorum/members.go
@@ -90,12 +90,12 @@
 
 // The reasons for a membership change.
 const (
-	ReasonJoined         Reason = "a replica requested to join"
-	ReasonSuperseded     Reason = "a later incarnation of the voter has joined: its disk was lost"
-	ReasonPromoted       Reason = "a standby that has caught up becomes a voter"
-	ReasonVoterSilent    Reason = "the voter does not answer, and there are more voters than needed"
-	ReasonSpread         Reason = "the voters are unevenly spread over failure domains"
-	ReasonNonVoterSilent Reason = "a non-voting replica has not answered for long"
+	ReasonJoined         Reason = "a replica asked to join"
+	ReasonSuperseded     Reason = "a later life of the voter's name follows: its disk is lost"
+	ReasonPromoted       Reason = "a standby that has caught up takes a vote"
+	ReasonVoterSilent    Reason = "the voter is silent, and a standby can take its place or voters are too many"
+	ReasonSpread         Reason = "a failure domain has more votes than another would have"
+	ReasonNonVoterSilent Reason = "a replica without a vote is silent for long"
 )
 
 // Repair returns the next membership change towards size voters that answer (0
