--- a/internal/harness/caller.go
+++ b/internal/harness/caller.go
@@ -226,8 +226,8 @@
 	Mismatched                 []string // errors of responses that do not match their request
 	FirstProblem               string   // text of the first problem or error
 	Latencies                  []time.Duration
-	NotRunIDs                 []string // requests whose last answer says that they did not run
-	AnsweredIDs               []string // requests counted in Answered
+	NotRunIDs                  []string // requests whose last answer says that they did not run
+	AnsweredIDs                []string // requests counted in Answered
 }
 
 // Quantile returns the q-quantile of Latencies, or 0 if there are none.
