--- a/bench/real.go
+++ b/bench/real.go
@@ -341,7 +341,7 @@
 
 // Idle prints what each kind of process costs when nothing happens.
 func Idle(w io.Writer, bin string) error {
-	_, c, stop, err := cluster(bin, harness.Options{Agents: 3, Entries: 2, Beat: time.Second, Lease: 5 * time.Second, Election: 500 * time.Millisecond})
+	_, c, stop, err := cluster(bin, harness.Options{Agents: 3, Entries: 2, HeartbeatInterval: time.Second, Lease: 5 * time.Second, ElectionTimeout: 500 * time.Millisecond})
 	if err != nil {
 		return err
 	}
--- a/bench/silence.go
+++ b/bench/silence.go
@@ -17,7 +17,7 @@
 // Silence prints the time from a fault of the control processes' links to the first
 // confirmed edit: the leader killed, and all links between them silent.
 func Silence(w io.Writer, bin string) error {
-	ctx, c, stop, err := cluster(bin, harness.Options{Agents: 1, Entries: 1, Election: 500 * time.Millisecond})
+	ctx, c, stop, err := cluster(bin, harness.Options{Agents: 1, Entries: 1, ElectionTimeout: 500 * time.Millisecond})
 	if err != nil {
 		return err
 	}
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -84,7 +84,7 @@
 
 func (c *upstreamCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if c.worker != "" && c.slowdown > 0 {
-		c.cfg.Slow = watchWorker(ctx, c.worker, c.slowdown)
+		c.cfg.Slowdown = watchWorker(ctx, c.worker, c.slowdown)
 	}
 	return serve(ctx, c.listen, upstream.New(c.cfg, openAudit(c.audit)).Handler())
 }
@@ -133,8 +133,8 @@
 	f.Int64Var(&c.cfg.Checkpoint, "checkpoint", 10, "units between checkpoints")
 	f.DurationVar(&c.cfg.Lag, "lag", 500*time.Millisecond, "age of the usage reports")
 	f.BoolVar(&c.cfg.FailAll, "fail-all", false, "fail every task")
-	f.Int64Var(&c.cfg.Use.CPUMilli, "use-cpu", 1000, "thousandths of a core that a task uses")
-	f.Int64Var(&c.cfg.Use.MemoryMB, "use-memory", 400, "MB that a task uses")
+	f.Int64Var(&c.cfg.Usage.CPUMilli, "use-cpu", 1000, "thousandths of a core that a task uses")
+	f.Int64Var(&c.cfg.Usage.MemoryMB, "use-memory", 400, "MB that a task uses")
 }
 
 func (c *workerCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
--- a/internal/harness/cluster.go
+++ b/internal/harness/cluster.go
@@ -16,18 +16,18 @@
 
 // Options are the sizes and settings of a cluster. Zero values mean defaults for tests.
 type Options struct {
-	Controls, Entries, Agents int
-	Service                   string
-	Lease, Beat, Election     time.Duration
-	SnapshotEvery             int
-	WorkerFlags               []string            // of all workers
-	AgentWorkerFlags          map[string][]string // by name of the agent, appended to WorkerFlags
-	UpstreamFlags             []string
-	CPU, Memory               int // capacity of each VM's worker, in thousandths of a core and MB
-	Reserved                  int // part of CPU that is reserved for the service
-	Picker                    string
-	LeaveGrace                time.Duration
-	PlatformLag               time.Duration
+	Controls, Entries, Agents                 int
+	Service                                   string
+	Lease, HeartbeatInterval, ElectionTimeout time.Duration
+	SnapshotEvery                             int
+	WorkerFlags                               []string            // of all workers
+	AgentWorkerFlags                          map[string][]string // by name of the agent, appended to WorkerFlags
+	UpstreamFlags                             []string
+	CPU, Memory                               int // capacity of each VM's worker, in thousandths of a core and MB
+	Reserved                                  int // part of CPU that is reserved for the service
+	Picker                                    string
+	LeaveGrace                                time.Duration
+	PlatformLag                               time.Duration
 }
 
 func (o Options) withDefaults() Options {
@@ -48,8 +48,8 @@
 	set(&o.Memory, 8000)
 	set(&o.SnapshotEvery, 2000)
 	setD(&o.Lease, 2*time.Second)
-	setD(&o.Beat, 250*time.Millisecond)
-	setD(&o.Election, 300*time.Millisecond)
+	setD(&o.HeartbeatInterval, 250*time.Millisecond)
+	setD(&o.ElectionTimeout, 300*time.Millisecond)
 	setD(&o.LeaveGrace, 500*time.Millisecond)
 	setD(&o.PlatformLag, time.Second)
 	if o.Service == "" {
--- a/internal/harness/settings.go
+++ b/internal/harness/settings.go
@@ -22,7 +22,7 @@
 		return place + c.agentSettings(name)
 	}
 	return place + fmt.Sprintf("[entry]\nname = %s\nlisten = 127.0.0.1:0\nadmin = 127.0.0.1:0\ncontrol = %s\nbeat = %v\nleave_grace = %v\npicker = %s\n",
-		name, strings.Join(c.addrs(name), ","), c.opt.Beat, c.opt.LeaveGrace, c.opt.Picker)
+		name, strings.Join(c.addrs(name), ","), c.opt.HeartbeatInterval, c.opt.LeaveGrace, c.opt.Picker)
 }
 
 func (c *Cluster) controlSettings(self string) string {
@@ -35,7 +35,7 @@
 		}
 	}
 	s := fmt.Sprintf("[control]\nname = %s\nlisten = 127.0.0.1:0\nadmin = 127.0.0.1:0\ngroup = test\ndata = %s\npeers = %s\nelection_timeout = %v\nheartbeat = %v\nlease = %v\nclock_bound = 500ms\nsnapshot_every = %d\nplatform = %s\n",
-		self, filepath.Join(c.dir, self, "data"), strings.Join(peers, ","), c.opt.Election, c.opt.Election/5, c.opt.Lease, c.opt.SnapshotEvery, c.Link(self, "platform").Addr())
+		self, filepath.Join(c.dir, self, "data"), strings.Join(peers, ","), c.opt.ElectionTimeout, c.opt.ElectionTimeout/5, c.opt.Lease, c.opt.SnapshotEvery, c.Link(self, "platform").Addr())
 	if len(dial) > 0 {
 		s += "dial = " + strings.Join(dial, ",") + "\n"
 	}
@@ -45,6 +45,6 @@
 func (c *Cluster) agentSettings(name string) string {
 	num := name[1:]
 	return fmt.Sprintf("[agent]\nname = %s\nlisten = 127.0.0.1:0\nadvertise = %s\nadmin = 127.0.0.1:0\ncontrol = %s\nbeat = %v\nupstreams = %s=%s\n[worker]\naddr = %s\ncpu_milli = %d\nmemory_mb = %d\nreserved_cpu_milli = %d\n",
-		name, c.Link("e", name).Addr(), strings.Join(c.addrs(name), ","), c.opt.Beat, c.opt.Service,
+		name, c.Link("e", name).Addr(), strings.Join(c.addrs(name), ","), c.opt.HeartbeatInterval, c.opt.Service,
 		c.Link(name, "u"+num).Addr(), c.Link(name, "w"+num).Addr(), c.opt.CPU, c.opt.Memory, c.opt.Reserved)
 }
--- a/internal/harness/wait.go
+++ b/internal/harness/wait.go
@@ -159,7 +159,7 @@
 func (c *Cluster) RequestStarts() (rs []standin.Run, err error) {
 	for i := range c.opt.Agents {
 		err := readAudit(c.Audit(name("u", i)), func(r standin.Run) {
-			if !r.Whole {
+			if !r.Ended {
 				rs = append(rs, r)
 			}
 		})
--- a/standin/standin.go
+++ b/standin/standin.go
@@ -52,7 +52,7 @@
 	Key     string `json:"key"`
 	Path    string `json:"path"`
 	At      int64  `json:"at"`    // Unix µs
-	Whole   bool   `json:"whole"` // set in the line written after the handler has returned
+	Ended   bool   `json:"whole"` // set in the line written after the handler has returned
 }
 
 // Unit is one line of a worker's audit: the start of an attempt at a task, a completed
--- a/standin/upstream/upstream.go
+++ b/standin/upstream/upstream.go
@@ -18,9 +18,9 @@
 
 // Config configures an Upstream.
 type Config struct {
-	VM   string
-	Work time.Duration  // duration of a request that specifies none with "ms"
-	Slow func() float64 // factor for the duration of every request; nil means 1
+	VM       string
+	Work     time.Duration  // duration of a request that specifies none with "ms"
+	Slowdown func() float64 // factor for the duration of every request; nil means 1
 }
 
 // Upstream handles requests. It is safe for concurrent use.
@@ -67,7 +67,7 @@
 		}
 		u.audit.Write(run)
 		h(w, r)
-		run.Whole = true
+		run.Ended = true
 		u.audit.Write(run)
 	}
 }
@@ -79,8 +79,8 @@
 	if ms, err := strconv.Atoi(r.FormValue("ms")); err == nil {
 		d = time.Duration(ms) * time.Millisecond
 	}
-	if u.cfg.Slow != nil {
-		d = time.Duration(float64(d) * u.cfg.Slow())
+	if u.cfg.Slowdown != nil {
+		d = time.Duration(float64(d) * u.cfg.Slowdown())
 	}
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -23,7 +23,7 @@
 	Checkpoint int64                // units of work between two checkpoints; 0 means none
 	Lag        time.Duration        // age of the usage that is reported
 	FailAll    bool                 // every task fails at its start
-	Use        rudderfork.Resources // reported usage of every task, whatever size it was given
+	Usage      rudderfork.Resources // reported usage of every task, whatever size it was given
 }
 
 // Worker simulates tasks. It is safe for concurrent use.
@@ -116,7 +116,7 @@
 		Task: s.Task, Token: s.Token, Phase: lease.WorkerRunning, Size: s.Size,
 		Checkpoint: s.Checkpoint, Progress: s.Checkpoint,
 	}}
-	t.Used = w.cfg.Use
+	t.Used = w.cfg.Usage
 	w.tasks[s.Task] = t
 	w.record(t, "start", time.Now())
 	go w.run(t)
