--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -27,9 +27,13 @@
 
 // VMView is the leader's current, unreplicated view of a VM.
 type VMView struct {
-	Usable       bool    // has a session, a lease and an executor that answers polls
-	Draining     bool    // is about to leave
-	Cordoned     bool    // gets no new work because its upkeep is next
+	Usable   bool // has a session, a lease and an executor that answers polls
+	Draining bool // its executor has announced its shutdown
+
+	// CordonedForUpkeep means that the VM gets no new tasks because its upkeep is next.
+	// VMs cordoned for an evacuation are not marked here; see queue.State.Evacuating.
+	CordonedForUpkeep bool
+
 	FailureScore float64 // 0 for a healthy VM; rises with failures of the VM and its runs, and decays
 
 	// Changes is incremented whenever the view of one of the VM's runs changes. At 0
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -197,7 +197,7 @@
 		w := newFixture(t, 4)
 		w.view.VMs["vm1"] = VMView{}
 		w.view.VMs["vm2"] = VMView{Usable: true, Draining: true}
-		w.view.VMs["vm3"] = VMView{Usable: true, Cordoned: true}
+		w.view.VMs["vm3"] = VMView{Usable: true, CordonedForUpkeep: true}
 		two := cpuStep(1000)
 		two.Count, two.MaxPerVM = 2, 1
 		w.submit("urgent", "j", 1, two)
--- a/dispatch/drawn_test.go
+++ b/dispatch/drawn_test.go
@@ -160,7 +160,7 @@
 // rejectReason returns why a VM cannot take a task in addition to the starts so far.
 func (p *reference) rejectReason(j *queue.Job, k queue.TaskKey, vm *queue.VM) string {
 	st := j.Spec.Steps[k.Step]
-	if view := p.view.VMs[vm.ID]; !view.Usable || view.Draining || view.Cordoned {
+	if view := p.view.VMs[vm.ID]; !view.Usable || view.Draining || view.CordonedForUpkeep {
 		return "not schedulable"
 	}
 	used, sameStep := vm.Used(), p.s.CountRuns(vm, k)
--- a/dispatch/explain.go
+++ b/dispatch/explain.go
@@ -46,7 +46,7 @@
 		return "it does not answer"
 	case v.view.Draining:
 		return "it is about to leave"
-	case v.view.Cordoned:
+	case v.view.CordonedForUpkeep:
 		return "its upkeep is next"
 	}
 	if why := p.state.RejectReason(cl.job, k, v.vm); why != "" {
--- a/dispatch/vm.go
+++ b/dispatch/vm.go
@@ -50,7 +50,7 @@
 			pl.vms[vm.ID] = v
 		}
 		v.view = view
-		v.schedulable = vm.Live && view.Usable && !view.Draining && !view.Cordoned && !p.state.Evacuating(vm.Domain)
+		v.schedulable = vm.Live && view.Usable && !view.Draining && !view.CordonedForUpkeep && !p.state.Evacuating(vm.Domain)
 		v.quarantine = false
 		if v.hasUnprovenSuspect(p) {
 			p.markQuarantined(v)
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -266,7 +266,7 @@
 		v := f.vm(vm.ID)
 		f.pruneRuns(vm, v)
 		view.VMs[vm.ID] = dispatch.VMView{
-			Usable: v.usable(now), Draining: v.heartbeat.Draining, Cordoned: vm.ID == f.cordonedForUpkeep, FailureScore: v.failureScore(now), Changes: v.changes,
+			Usable: v.usable(now), Draining: v.heartbeat.Draining, CordonedForUpkeep: vm.ID == f.cordonedForUpkeep, FailureScore: v.failureScore(now), Changes: v.changes,
 		}
 	}
 	for k, until := range f.backOffUntil {
