--- a/queue/clock_test.go
+++ b/queue/clock_test.go
@@ -47,7 +47,7 @@
 	t.Run("at the same time after a snapshot", func(t *testing.T) {
 		s := ended(t, 1_000)
 		work(t, s, 1_000, keep-10_000)
-		s = Restore(s.Image())
+		s = Restore(s.Snapshot())
 		assert.Assert(t, s.Job("old") != nil)
 		work(t, s, 1_000+keep, 30_000)
 		assert.Assert(t, s.Job("old") == nil)
--- a/queue/evacuation_test.go
+++ b/queue/evacuation_test.go
@@ -93,7 +93,7 @@
 		w.register("vm3", "life-3")
 		w.setDomain("vm3", "north")
 		checkEvacuating(t, w.s, "north", "south")
-		checkEvacuating(t, Restore(w.s.Image()), "north", "south")
+		checkEvacuating(t, Restore(w.s.Snapshot()), "north", "south")
 		assert.Equal(t, w.start(key("j", 0, 0), "vm3"), uint32(0))
 	})
 	t.Run("an empty name is refused", func(t *testing.T) {
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -55,11 +55,11 @@
 // restore replaces the state by one restored from its encoded snapshot.
 func (w *world) restore() {
 	w.t.Helper()
-	data, err := cbor.Marshal(w.s.Image())
+	data, err := cbor.Marshal(w.s.Snapshot())
 	assert.NilError(w.t, err)
-	var im Image
-	assert.NilError(w.t, cbor.Unmarshal(data, &im))
-	w.s = Restore(im)
+	var snap Snapshot
+	assert.NilError(w.t, cbor.Unmarshal(data, &snap))
+	w.s = Restore(snap)
 }
 
 func usedOf(s *State) map[rudderfork.VMID]rudderfork.Resources {
@@ -447,8 +447,8 @@
 	assert.Equal(t, count(), [3]int{0, 0, 1})
 }
 
-// TestImage checks that a restored state continues like the original.
-func TestImage(t *testing.T) {
+// TestSnapshot checks that a restored state continues like the original.
+func TestSnapshot(t *testing.T) {
 	w := newWorld(t, 2)
 	w.submit("j", Step{Count: 2, Size: rudderfork.Resources{CPUMilli: 1000}}, Step{Count: 1, DependsOn: []int{0}})
 	w.submit("done", one)
--- a/queue/image.go
+++ b/queue/snapshot.go
@@ -7,8 +7,8 @@
 	"rudderfork.example/rudderfork"
 )
 
-// Image is the content of a snapshot. Restore rebuilds what can be derived from the records.
-type Image struct {
+// Snapshot is the stored form of a State. Restore computes again what can be derived from it.
+type Snapshot struct {
 	Document *Document          `cbor:"1,keyasint,omitempty"`
 	Jobs     []*Job             `cbor:"2,keyasint,omitempty"`
 	Ended    []rudderfork.JobID `cbor:"3,keyasint,omitempty"`
@@ -20,29 +20,29 @@
 	Evacuations []Evacuation `cbor:"8,keyasint,omitempty"`
 }
 
-// Image returns the state for a snapshot. It shares memory with the state.
-func (s *State) Image() Image {
-	im := Image{Document: s.doc, Ended: s.ended, VMs: s.VMs(), Waves: s.waves, Clock: s.clock, Base: s.base, Evacuations: s.Evacuations()}
+// Snapshot returns the stored form of the state. It shares memory with the state.
+func (s *State) Snapshot() Snapshot {
+	snap := Snapshot{Document: s.doc, Ended: s.ended, VMs: s.VMs(), Waves: s.waves, Clock: s.clock, Base: s.base, Evacuations: s.Evacuations()}
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
-		im.Jobs = append(im.Jobs, s.jobs[id])
+		snap.Jobs = append(snap.Jobs, s.jobs[id])
 	}
-	return im
+	return snap
 }
 
-// Restore returns the state of an image.
-func Restore(im Image) *State {
+// Restore returns the state that a snapshot was made of. It takes over the memory of the snapshot.
+func Restore(snap Snapshot) *State {
 	s := New()
-	if im.Document != nil {
-		s.setDocument(im.Document)
+	if snap.Document != nil {
+		s.setDocument(snap.Document)
 	}
-	s.ended, s.waves, s.clock, s.base = im.Ended, im.Waves, im.Clock, im.Base
-	for _, e := range im.Evacuations {
+	s.ended, s.waves, s.clock, s.base = snap.Ended, snap.Waves, snap.Clock, snap.Base
+	for _, e := range snap.Evacuations {
 		s.evacuations[e.Domain] = e
 	}
-	for _, v := range im.VMs {
+	for _, v := range snap.VMs {
 		s.setVM(v)
 	}
-	for _, j := range im.Jobs {
+	for _, j := range snap.Jobs {
 		s.jobs[j.ID] = j
 		s.restoreRuns(j)
 		if !j.Status.Final() || j.ActiveRuns > 0 {
--- a/queue/vms_test.go
+++ b/queue/vms_test.go
@@ -24,6 +24,6 @@
 	}
 	want := []string{"a3", "b2", "c4"}
 	assert.DeepEqual(t, incarnations(s), want)
-	restored := Restore(s.Image())
+	restored := Restore(s.Snapshot())
 	assert.DeepEqual(t, incarnations(restored), want)
 }
--- a/scheduler/liveness_test.go
+++ b/scheduler/liveness_test.go
@@ -153,7 +153,7 @@
 					s.advance(every)
 				}
 				failed := 0
-				for _, j := range s.qs.Image().Jobs {
+				for _, j := range s.qs.Snapshot().Jobs {
 					if j.Status == queue.Failed {
 						failed++
 					}
--- a/state/image.go
+++ b/state/image.go
@@ -24,7 +24,7 @@
 	Claims     []*Claim            `cbor:"9,keyasint"`
 	ClaimQueue []claimExpiry       `cbor:"10,keyasint"`
 	Upstreams  rudderfork.Revision `cbor:"11,keyasint"`
-	Queues     queue.Image         `cbor:"12,keyasint"`
+	Queues     queue.Snapshot      `cbor:"12,keyasint"`
 }
 
 // Encode returns the state as CBOR.
@@ -35,7 +35,7 @@
 		Cells: s.CellsAfter(0), Edits: s.edits.records(),
 		VMs: s.VMs(), Jobs: s.Jobs(), Tasks: sorted(s.tasks),
 		Finished: s.finished, ClaimQueue: s.claimQueue, Upstreams: s.upstreamRev,
-		Queues: s.queues.Image(),
+		Queues: s.queues.Snapshot(),
 	}
 	for _, c := range s.claims {
 		snap.Claims = append(snap.Claims, c)
