--- a/scheduler/crash_test.go
+++ b/scheduler/crash_test.go
@@ -23,13 +23,13 @@
 	incarnations int
 }
 
-func newCrashingVMs(s *testCluster, vms int) *crashingVMs {
-	c := &crashingVMs{starts: map[rudderfork.TaskID]int{}}
+func newCrashingVMs(c *testCluster, vms int) *crashingVMs {
+	crashing := &crashingVMs{starts: map[rudderfork.TaskID]int{}}
 	for range vms {
 		var e *executor.Executor
 		crash := make(chan struct{}, 1)
-		e = s.addVM(executor.Config{OnStart: func(r rudderfork.RunRef) {
-			if c.recordStart(r) {
+		e = c.addVM(executor.Config{OnStart: func(r rudderfork.RunRef) {
+			if crashing.recordStart(r) {
 				select {
 				case crash <- struct{}{}:
 				default:
@@ -39,15 +39,15 @@
 		go func() {
 			for {
 				select {
-				case <-s.ctx.Done():
+				case <-c.ctx.Done():
 					return
 				case <-crash:
-					e.Restart(c.nextIncarnation())
+					e.Restart(crashing.nextIncarnation())
 				}
 			}
 		}()
 	}
-	return c
+	return crashing
 }
 
 func (c *crashingVMs) recordStart(r rudderfork.RunRef) (crash bool) {
@@ -80,46 +80,46 @@
 // TestCrashingTasksFailOtherJobs guards against jobs that fail because other jobs crash every
 // executor that starts them. Those jobs fail after MaxCrashes starts at most.
 func TestCrashingTasksFailOtherJobs(t *testing.T) {
-	s := newTestCluster(t, nil)
-	s.putDocument(nil)
-	c := newCrashingVMs(s, 5)
-	s.waitUntil("all VMs are registered", func() bool { return s.vmCount() == 5 })
+	c := newTestCluster(t, nil)
+	c.putDocument(nil)
+	crashing := newCrashingVMs(c, 5)
+	c.waitUntil("all VMs are registered", func() bool { return c.vmCount() == 5 })
 	lasting := smallStep
 	lasting.Lasting = true
-	s.submit("bad-feed", "", lasting)
+	c.submit("bad-feed", "", lasting)
 	for i := range 4 {
-		s.submit(fmt.Sprintf("bad-%d", i), "work=300ms", smallStep)
-		s.submit(fmt.Sprintf("good-%d", i), "work=300ms", smallStep)
+		c.submit(fmt.Sprintf("bad-%d", i), "work=300ms", smallStep)
+		c.submit(fmt.Sprintf("good-%d", i), "work=300ms", smallStep)
 	}
 	for i := range 4 {
-		s.waitForStatus(fmt.Sprintf("bad-%d", i), queue.Failed)
-		s.waitForStatus(fmt.Sprintf("good-%d", i), queue.Completed)
+		c.waitForStatus(fmt.Sprintf("bad-%d", i), queue.Failed)
+		c.waitForStatus(fmt.Sprintf("good-%d", i), queue.Completed)
 	}
-	s.waitForStatus("bad-feed", queue.Failed)
-	c.assertStartsAtMost(t, queue.MaxCrashes)
+	c.waitForStatus("bad-feed", queue.Failed)
+	crashing.assertStartsAtMost(t, queue.MaxCrashes)
 }
 
-func (s *testCluster) vmCount() (n int) {
-	s.sched.rep.View(func(st *state.State) { n = len(st.Queues().VMs()) })
+func (c *testCluster) vmCount() (n int) {
+	c.sched.rep.View(func(st *state.State) { n = len(st.Queues().VMs()) })
 	return n
 }
 
 // TestOperatorsSeeAndClearSuspects lists the suspects as operators see them, and clears one.
 func TestOperatorsSeeAndClearSuspects(t *testing.T) {
-	s := newTestCluster(t, nil)
-	s.putDocument(nil)
-	e := s.addVM(executor.Config{})
+	c := newTestCluster(t, nil)
+	c.putDocument(nil)
+	e := c.addVM(executor.Config{})
 	lasting := smallStep
 	lasting.Lasting = true
-	s.submit("feed", "", lasting)
-	s.waitUntil("the lasting task runs", func() bool { return len(e.Running()) == 1 })
+	c.submit("feed", "", lasting)
+	c.waitUntil("the lasting task runs", func() bool { return len(e.Running()) == 1 })
 	e.Restart("life-2")
 	crashed := func() (n int) {
-		s.sched.rep.View(func(st *state.State) { n = len(suspectViews(st.Queues())) })
+		c.sched.rep.View(func(st *state.State) { n = len(suspectViews(st.Queues())) })
 		return n
 	}
-	s.waitUntil("the crash is counted", func() bool { return crashed() == 1 })
-	assert.Equal(t, s.send(wire.QueueRequest{Clear: &queue.TaskKey{Job: "feed"}}).Code, queue.OK)
+	c.waitUntil("the crash is counted", func() bool { return crashed() == 1 })
+	assert.Equal(t, c.send(wire.QueueRequest{Clear: &queue.TaskKey{Job: "feed"}}).Code, queue.OK)
 	assert.Equal(t, crashed(), 0)
-	assert.Equal(t, s.send(wire.QueueRequest{Clear: &queue.TaskKey{Job: "none"}}).Code, queue.NoJob)
+	assert.Equal(t, c.send(wire.QueueRequest{Clear: &queue.TaskKey{Job: "none"}}).Code, queue.NoJob)
 }
--- a/scheduler/evacuation_test.go
+++ b/scheduler/evacuation_test.go
@@ -16,38 +16,38 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-func (s *testCluster) evacuate(d rudderfork.Domain, end bool, want queue.Code) {
-	s.t.Helper()
-	ans := s.send(wire.QueueRequest{Evacuate: &queue.Evacuate{Domain: d, End: end}})
-	assert.Equal(s.t, ans.Code, want, "%+v", ans)
+func (c *testCluster) evacuate(d rudderfork.Domain, end bool, want queue.Code) {
+	c.t.Helper()
+	ans := c.send(wire.QueueRequest{Evacuate: &queue.Evacuate{Domain: d, End: end}})
+	assert.Equal(c.t, ans.Code, want, "%+v", ans)
 }
 
 // TestEvacuation evacuates failure domains whose VMs run tasks, as operators do.
 func TestEvacuation(t *testing.T) {
-	s := newTestCluster(t, nil)
-	first, second := s.addVM(executor.Config{}), s.addVM(executor.Config{})
-	s.putDocument(nil)
-	s.waitUntil("both VMs are registered", func() bool { return s.vmCount() == 2 })
+	c := newTestCluster(t, nil)
+	first, second := c.addVM(executor.Config{}), c.addVM(executor.Config{})
+	c.putDocument(nil)
+	c.waitUntil("both VMs are registered", func() bool { return c.vmCount() == 2 })
 	lasting := smallStep
 	lasting.Count, lasting.Lasting, lasting.MaxPerVM = 2, true, 1
-	s.submit("feed", "", lasting)
-	s.waitUntil("the lasting job runs on both", func() bool { return len(first.Running()) == 1 && len(second.Running()) == 1 })
+	c.submit("feed", "", lasting)
+	c.waitUntil("the lasting job runs on both", func() bool { return len(first.Running()) == 1 && len(second.Running()) == 1 })
 
 	t.Run("an unknown failure domain is refused", func(*testing.T) {
-		s.evacuate("nowhere", false, queue.NoDomain)
-		s.evacuate("nowhere", true, queue.NoDomain)
+		c.evacuate("nowhere", false, queue.NoDomain)
+		c.evacuate("nowhere", true, queue.NoDomain)
 	})
 	t.Run("new tasks start elsewhere, and running ones stay", func(t *testing.T) {
-		s.evacuate(domainOf("vm1"), false, queue.OK)
-		s.evacuate(domainOf("vm1"), false, queue.OK)
+		c.evacuate(domainOf("vm1"), false, queue.OK)
+		c.evacuate(domainOf("vm1"), false, queue.OK)
 		more := smallStep
 		more.Count = 3
-		s.submit("more", "", more)
-		s.waitUntil("the new job runs", func() bool { return len(second.Running()) == 4 })
+		c.submit("more", "", more)
+		c.waitUntil("the new job runs", func() bool { return len(second.Running()) == 4 })
 		assert.Equal(t, len(first.Running()), 1)
 	})
 	t.Run("operators see the evacuation", func(t *testing.T) {
-		views := s.evacuations()
+		views := c.evacuations()
 		assert.Equal(t, len(views), 1)
 		assert.Equal(t, views[0].Domain, domainOf("vm1"))
 		assert.Equal(t, views[0].VMs, 1)
@@ -55,24 +55,24 @@
 		assert.Assert(t, views[0].SinceMS > 0)
 	})
 	t.Run("tasks wait while all domains are evacuated", func(*testing.T) {
-		s.evacuate(domainOf("vm2"), false, queue.OK)
-		s.submit("late", "work=1ms", smallStep)
+		c.evacuate(domainOf("vm2"), false, queue.OK)
+		c.submit("late", "work=1ms", smallStep)
 		place := wire.HostPath{Host: testHost, Path: "/q/"}
-		s.waitUntil("the job waits", func() bool { return s.send(wire.QueueRequest{Status: &place}).Waiting == 1 })
-		s.evacuate(domainOf("vm1"), true, queue.OK)
-		s.waitForStatus("late", queue.Completed)
+		c.waitUntil("the job waits", func() bool { return c.send(wire.QueueRequest{Status: &place}).Waiting == 1 })
+		c.evacuate(domainOf("vm1"), true, queue.OK)
+		c.waitForStatus("late", queue.Completed)
 	})
 }
 
 // evacuations returns the evacuations from the operators' HTTP API.
-func (s *testCluster) evacuations() (views []EvacuationView) {
-	s.t.Helper()
+func (c *testCluster) evacuations() (views []EvacuationView) {
+	c.t.Helper()
 	mux := http.NewServeMux()
-	s.sched.Routes(mux, timeline.NewRing("c", rudderfork.Place{}, 1, time.Now))
+	c.sched.Routes(mux, timeline.NewRing("c", rudderfork.Place{}, 1, time.Now))
 	w := httptest.NewRecorder()
 	mux.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/v1/queue-evacuations", nil))
-	assert.Equal(s.t, w.Code, http.StatusOK, "%s", w.Body)
-	assert.NilError(s.t, json.Unmarshal(w.Body.Bytes(), &views))
+	assert.Equal(c.t, w.Code, http.StatusOK, "%s", w.Body)
+	assert.NilError(c.t, json.Unmarshal(w.Body.Bytes(), &views))
 	return views
 }
 
@@ -100,14 +100,14 @@
 // TestGrantReportsEvacuation checks that the answer to a VM's heartbeat says whether its failure
 // domain is evacuated, also in a new session.
 func TestGrantReportsEvacuation(t *testing.T) {
-	s := newTestCluster(t, nil)
-	s.putDocument(nil)
-	client := s.connectAgent()
+	c := newTestCluster(t, nil)
+	c.putDocument(nil)
+	client := c.connectAgent()
 	assert.Assert(t, !client.heartbeat("life-1").Cordoned)
 	vm := heartbeatOf("life-1").VM
-	s.evacuate(vm.Domain, false, queue.OK)
+	c.evacuate(vm.Domain, false, queue.OK)
 	assert.Assert(t, client.heartbeat("life-1").Cordoned)
-	assert.Assert(t, s.connectAgent().heartbeat("life-1").Cordoned)
-	s.evacuate(vm.Domain, true, queue.OK)
-	assert.Assert(t, !s.connectAgent().heartbeat("life-1").Cordoned)
+	assert.Assert(t, c.connectAgent().heartbeat("life-1").Cordoned)
+	c.evacuate(vm.Domain, true, queue.OK)
+	assert.Assert(t, !c.connectAgent().heartbeat("life-1").Cordoned)
 }
--- a/scheduler/incarnation_test.go
+++ b/scheduler/incarnation_test.go
@@ -72,36 +72,36 @@
 
 // addRestartableVM is addVM with an executor whose incarnation names contain its start time, so that
 // it may restart under the same id: a call for the id alone would reach its next incarnation.
-func (s *testCluster) addRestartableVM(cfg executor.Config) *executor.Executor {
+func (c *testCluster) addRestartableVM(cfg executor.Config) *executor.Executor {
 	cfg.Now, cfg.Capacity = steady.Now, rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
 	e := executor.New(firstIncarnation, cfg)
-	s.addAgent("vm1", e, e.Incarnation, cfg.Capacity)
+	c.addAgent("vm1", e, e.Incarnation, cfg.Capacity)
 	return e
 }
 
 // TestRestartUnderSameID restarts an executor under the same id while it runs a lasting task: the
 // leader registers the new incarnation, and starts the task again once.
 func TestRestartUnderSameID(t *testing.T) {
-	s := newTestCluster(t, nil)
+	c := newTestCluster(t, nil)
 	var starts atomic.Int32
-	e := s.addRestartableVM(executor.Config{OnStart: func(rudderfork.RunRef) { starts.Add(1) }})
-	s.putDocument(nil)
-	s.submit("feed", "", queue.Step{Count: 1, Size: smallStep.Size, Lasting: true})
+	e := c.addRestartableVM(executor.Config{OnStart: func(rudderfork.RunRef) { starts.Add(1) }})
+	c.putDocument(nil)
+	c.submit("feed", "", queue.Step{Count: 1, Size: smallStep.Size, Lasting: true})
 	running := func(run uint32) func() bool {
 		return func() bool {
 			refs := e.Running()
 			return len(refs) == 1 && refs[0].Run == run
 		}
 	}
-	s.waitUntil("the lasting task runs", running(1))
-	s.submit("before", "work=1ms", queue.Step{Count: 3})
-	s.waitForStatus("before", queue.Completed)
+	c.waitUntil("the lasting task runs", running(1))
+	c.submit("before", "work=1ms", queue.Step{Count: 3})
+	c.waitForStatus("before", queue.Completed)
 	e.RestartSameID()
-	s.waitUntil("the lasting task runs again", running(2))
-	s.submit("after", "work=1ms", queue.Step{Count: 3})
-	s.waitForStatus("after", queue.Completed)
+	c.waitUntil("the lasting task runs again", running(2))
+	c.submit("after", "work=1ms", queue.Step{Count: 3})
+	c.waitForStatus("after", queue.Completed)
 	assert.Equal(t, starts.Load(), int32(2+3+3))
-	s.sched.rep.View(func(st *state.State) { assert.Equal(t, st.Queues().VM("vm1").Incarnation, e.Incarnation()) })
+	c.sched.rep.View(func(st *state.State) { assert.Equal(t, st.Queues().VM("vm1").Incarnation, e.Incarnation()) })
 }
 
 // ackBlockingExecutor holds back one poll that acknowledges ended runs until it is released.
@@ -125,20 +125,20 @@
 // executor late and acknowledges ends of the current one. Those would never be listed, and
 // their runs would be taken for lost and started again.
 func TestStalePollAcknowledgesNewEnds(t *testing.T) {
-	s := newTestCluster(t, nil)
+	c := newTestCluster(t, nil)
 	var starts atomic.Int32
 	capacity := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
 	cfg := executor.Config{Now: steady.Now, Capacity: capacity, OnStart: func(rudderfork.RunRef) { starts.Add(1) }}
 	e := &ackBlockingExecutor{Executor: executor.New(firstIncarnation, cfg), held: make(chan struct{}), release: make(chan struct{})}
 	e.blockFrom.Store(3)
-	s.addAgent("vm1", e, e.Incarnation, capacity)
-	s.putDocument(nil)
-	s.submit("before", "work=1ms", queue.Step{Count: 3})
-	s.waitForStatus("before", queue.Completed)
+	c.addAgent("vm1", e, e.Incarnation, capacity)
+	c.putDocument(nil)
+	c.submit("before", "work=1ms", queue.Step{Count: 3})
+	c.waitForStatus("before", queue.Completed)
 	<-e.held
 	e.RestartSameID()
 	close(e.release)
-	s.submit("after", "work=1ms", queue.Step{Count: 3})
-	s.waitForStatus("after", queue.Completed)
+	c.submit("after", "work=1ms", queue.Step{Count: 3})
+	c.waitForStatus("after", queue.Completed)
 	assert.Equal(t, starts.Load(), int32(3+3))
 }
--- a/scheduler/last_of_step_test.go
+++ b/scheduler/last_of_step_test.go
@@ -13,21 +13,21 @@
 // TestGrantNamesLastFillers checks that the agent's grants name the fillers that the rest of their
 // step waits for, and only for as long as it waits.
 func TestGrantNamesLastFillers(t *testing.T) {
-	s := newTestCluster(t, nil)
-	client := s.connectAgent()
+	c := newTestCluster(t, nil)
+	client := c.connectAgent()
 	client.heartbeat(newIncarnation)
-	s.putDocument(nil)
-	s.submit("roster", "", queue.Step{Count: 2, Size: smallStep.Size, Filler: true, Image: "roster"})
-	s.waitUntil("both tasks are ordered", func() bool {
+	c.putDocument(nil)
+	c.submit("roster", "", queue.Step{Count: 2, Size: smallStep.Size, Filler: true, Image: "roster"})
+	c.waitUntil("both tasks are ordered", func() bool {
 		client.heartbeat(newIncarnation)
 		return len(client.startOrders) == 2
 	})
 	assert.Equal(t, len(client.heartbeat(newIncarnation).LastOfStep), 0)
 	client.reportDone("roster", 0)
-	s.waitUntil("the last filler is named", func() bool { return len(client.heartbeat(newIncarnation).LastOfStep) == 1 })
+	c.waitUntil("the last filler is named", func() bool { return len(client.heartbeat(newIncarnation).LastOfStep) == 1 })
 	assert.Equal(t, client.heartbeat(newIncarnation).LastOfStep[0], rudderfork.RunRef{Task: "roster.0.0.1", Run: 1})
 	client.reportDone("roster", 1)
-	s.waitUntil("no filler is named", func() bool { return len(client.heartbeat(newIncarnation).LastOfStep) == 0 })
+	c.waitUntil("no filler is named", func() bool { return len(client.heartbeat(newIncarnation).LastOfStep) == 0 })
 }
 
 // reportDone reports the first run of a task as done.
--- a/scheduler/loss_proposed_twice_test.go
+++ b/scheduler/loss_proposed_twice_test.go
@@ -19,11 +19,11 @@
 func TestLossProposedTwiceLeavesCrashSuspicion(t *testing.T) {
 	store := &gatedStore{}
 	rep := newReplicaWithStore(t, func(s replica.Store) replica.Store { store.Store = s; return store }, selfMember)
-	s := &testCluster{t: t, ctx: t.Context()}
-	s.serve(rep)
-	s.waitUntil("it leads", rep.Leads)
-	commit := func(c queue.Command) {
-		_, err := rep.Do(s.ctx, state.Command{Queue: &c})
+	c := &testCluster{t: t, ctx: t.Context()}
+	c.serve(rep)
+	c.waitUntil("it leads", rep.Leads)
+	commit := func(cmd queue.Command) {
+		_, err := rep.Do(c.ctx, state.Command{Queue: &cmd})
 		assert.NilError(t, err)
 	}
 	vm, k := queue.VM{ID: "vm1", Incarnation: "life-1", Service: "desk"}, queue.TaskKey{Job: "feed"}
@@ -35,20 +35,20 @@
 	commit(queue.Command{Starts: []queue.Start{{Task: k, VM: vm.ID, Incarnation: vm.Incarnation}}})
 	sched := New(Settings{Lease: time.Millisecond}, rep, nil, zerolog.Nop(), noPeers{})
 	sched.startTerm(rep.Status().Term)
-	steady.Pause(s.ctx, 2*roundPause) // lets the lease run out
+	steady.Pause(c.ctx, 2*roundPause) // lets the lease run out
 
 	gate := make(chan struct{})
 	store.gate.Store(&gate)
 	last := rep.Status().LastIndex
 	for range 2 { // rounds in which no commit completes
-		ctx, cancel := context.WithTimeout(s.ctx, 2*roundPause)
+		ctx, cancel := context.WithTimeout(c.ctx, 2*roundPause)
 		sched.expireLeases(ctx)
 		sched.losses.Wait()
 		cancel()
 	}
 	store.gate.Store(nil)
 	close(gate)
-	s.waitUntil("both proposals are committed", func() bool { return rep.Status().CommitIndex == last+2 })
+	c.waitUntil("both proposals are committed", func() bool { return rep.Status().CommitIndex == last+2 })
 	commit(queue.Command{Register: &vm})
 	rep.View(func(st *state.State) { assert.Equal(t, st.Queues().Job("feed").Task(k).UnresolvedLosses, 0) })
 }
--- a/scheduler/losses_test.go
+++ b/scheduler/losses_test.go
@@ -24,11 +24,11 @@
 }
 
 // Save implements replica.Store.
-func (h *gatedStore) Save(rd quorum.Ready) error {
-	if gate := h.gate.Load(); gate != nil {
+func (s *gatedStore) Save(rd quorum.Ready) error {
+	if gate := s.gate.Load(); gate != nil {
 		<-*gate
 	}
-	return h.Store.Save(rd)
+	return s.Store.Save(rd)
 }
 
 // TestLossesWaitForEachOther guards against losses of many VMs that are committed one after the
@@ -37,17 +37,17 @@
 	const vms = 40
 	store := &gatedStore{}
 	rep := newReplicaWithStore(t, func(s replica.Store) replica.Store { store.Store = s; return store }, selfMember)
-	s := &testCluster{t: t, ctx: t.Context()}
-	s.serve(rep)
-	s.waitUntil("it leads", rep.Leads)
+	c := &testCluster{t: t, ctx: t.Context()}
+	c.serve(rep)
+	c.waitUntil("it leads", rep.Leads)
 	for i := range vms {
 		id := rudderfork.VMID(fmt.Sprintf("vm%02d", i))
-		_, err := rep.Do(s.ctx, state.Command{Queue: &queue.Command{Register: &queue.VM{ID: id, Incarnation: "life"}}})
+		_, err := rep.Do(c.ctx, state.Command{Queue: &queue.Command{Register: &queue.VM{ID: id, Incarnation: "life"}}})
 		assert.NilError(t, err)
 	}
 	sched := New(Settings{Lease: time.Millisecond}, rep, nil, zerolog.Nop(), noPeers{})
 	sched.startTerm(rep.Status().Term)
-	steady.Pause(s.ctx, 2*roundPause) // lets all leases run out
+	steady.Pause(c.ctx, 2*roundPause) // lets all leases run out
 
 	gate := make(chan struct{})
 	store.gate.Store(&gate)
@@ -56,6 +56,6 @@
 		close(gate)
 	}()
 	last := rep.Status().LastIndex
-	go sched.expireLeases(s.ctx)
-	s.waitUntil("all losses are proposed", func() bool { return rep.Status().LastIndex == last+vms })
+	go sched.expireLeases(c.ctx)
+	c.waitUntil("all losses are proposed", func() bool { return rep.Status().LastIndex == last+vms })
 }
--- a/scheduler/orders_test.go
+++ b/scheduler/orders_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	qs := queue.New()
 	key := queue.TaskKey{Job: "j"}
-	for _, c := range []queue.Command{
+	for _, cmd := range []queue.Command{
 		{Document: &queue.Document{
 			Version: 1, Queues: []queue.Queue{{Name: "q", Host: testHost, Prefix: "/q/", Service: "desk", MaxAttempts: 1}},
 			Pools: []queue.Pool{{Service: "desk"}},
@@ -26,7 +26,7 @@
 		{Submit: &queue.Submit{Host: testHost, Path: "/q/j", Spec: queue.Spec{Steps: []queue.Step{smallStep}}}},
 		{Starts: []queue.Start{{Task: key, VM: "vm1", Incarnation: "life-1"}}},
 	} {
-		assert.Equal(t, qs.Apply(c, 1).Code, queue.OK)
+		assert.Equal(t, qs.Apply(cmd, 1).Code, queue.OK)
 	}
 	assert.Equal(t, len(qs.VM("vm1").Runs()), 1)
 	return qs
--- a/scheduler/overdue_test.go
+++ b/scheduler/overdue_test.go
@@ -12,15 +12,15 @@
 // TestOverdueRuns checks that a run is listed as overdue while its VM, which has a session, doesn't
 // report it.
 func TestOverdueRuns(t *testing.T) {
-	s := newTestCluster(t, nil)
-	s.putDocument(nil)
-	e := s.addVM(executor.Config{})
+	c := newTestCluster(t, nil)
+	c.putDocument(nil)
+	e := c.addVM(executor.Config{})
 	e.SetFate(loseStarts)
-	s.submit("j", "work=20ms", smallStep)
-	s.waitUntil("the run is overdue", func() bool { return len(s.sched.overdueRuns(steady.Now())) == 1 })
-	r := s.sched.overdueRuns(steady.Now())[0]
+	c.submit("j", "work=20ms", smallStep)
+	c.waitUntil("the run is overdue", func() bool { return len(c.sched.overdueRuns(steady.Now())) == 1 })
+	r := c.sched.overdueRuns(steady.Now())[0]
 	assert.Equal(t, r.String(), "j.0.0.0#1")
 	assert.Equal(t, string(r.vm), "vm1")
 	e.SetFate(answerAll)
-	s.waitUntil("no run is overdue", func() bool { return len(s.sched.overdueRuns(steady.Now())) == 0 })
+	c.waitUntil("no run is overdue", func() bool { return len(c.sched.overdueRuns(steady.Now())) == 0 })
 }
--- a/scheduler/readopted_test.go
+++ b/scheduler/readopted_test.go
@@ -15,12 +15,12 @@
 
 // addInterruptibleVM adds a VM. interrupt answers one poll as another incarnation does, and returns
 // when the VM's agent has taken the executor's incarnation for ended and resumed it.
-func (s *testCluster) addInterruptibleVM() (e *executor.Executor, interrupt func()) {
+func (c *testCluster) addInterruptibleVM() (e *executor.Executor, interrupt func()) {
 	capacity := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
 	e = executor.New("vm1-life-1", executor.Config{Now: steady.Now, Capacity: capacity})
-	a := s.addAgent("vm1", e, e.Incarnation, capacity)
+	a := c.addAgent("vm1", e, e.Incarnation, capacity)
 	return e, func() {
-		s.t.Helper()
+		c.t.Helper()
 		var answered atomic.Bool
 		e.SetFate(func(call string) executor.Fate {
 			if call == "look" && answered.CompareAndSwap(false, true) {
@@ -28,21 +28,21 @@
 			}
 			return executor.Answered
 		})
-		s.waitUntil("the agent takes the incarnation for ended", func() bool { return a.Incarnation() == "" })
-		s.waitUntil("the agent resumes the incarnation", func() bool { return a.Incarnation() == e.Incarnation() })
+		c.waitUntil("the agent takes the incarnation for ended", func() bool { return a.Incarnation() == "" })
+		c.waitUntil("the agent resumes the incarnation", func() bool { return a.Incarnation() == e.Incarnation() })
 	}
 }
 
 // TestReadoptedIncarnationGetsNoOrders guards against a VM that gets leases and runs but starts none
 // of them, because its agent took the executor's incarnation for ended and resumed it.
 func TestReadoptedIncarnationGetsNoOrders(t *testing.T) {
-	s := newTestClusterWithLease(t, nil, time.Hour)
-	e, interrupt := s.addInterruptibleVM()
-	s.putDocument(nil)
-	s.submit("before", "work=1ms", smallStep)
-	s.waitForStatus("before", queue.Completed)
+	c := newTestClusterWithLease(t, nil, time.Hour)
+	e, interrupt := c.addInterruptibleVM()
+	c.putDocument(nil)
+	c.submit("before", "work=1ms", smallStep)
+	c.waitForStatus("before", queue.Completed)
 	interrupt()
-	s.submit("after", "work=1ms", smallStep)
-	s.waitForStatus("after", queue.Completed)
+	c.submit("after", "work=1ms", smallStep)
+	c.waitForStatus("after", queue.Completed)
 	assert.Equal(t, len(e.Running()), 0)
 }
--- a/scheduler/readopted_usable_test.go
+++ b/scheduler/readopted_usable_test.go
@@ -15,19 +15,19 @@
 // TestUsableVMDropsOrdersAfterIncarnationReadopted guards against a VM that stays usable while its
 // agent drops all orders, because it took the executor's incarnation for ended and resumed it.
 func TestUsableVMDropsOrdersAfterIncarnationReadopted(t *testing.T) {
-	s := newTestClusterWithLease(t, nil, 5*time.Second)
-	e, interrupt := s.addInterruptibleVM()
-	s.putDocument(nil)
-	s.submit("feed", "", queue.Step{Count: 1, Size: smallStep.Size, Lasting: true})
-	s.waitUntil("the lasting task runs", func() bool { return len(e.Running()) == 1 })
+	c := newTestClusterWithLease(t, nil, 5*time.Second)
+	e, interrupt := c.addInterruptibleVM()
+	c.putDocument(nil)
+	c.submit("feed", "", queue.Step{Count: 1, Size: smallStep.Size, Lasting: true})
+	c.waitUntil("the lasting task runs", func() bool { return len(e.Running()) == 1 })
 	interrupt()
-	s.submit("roster", "work=20ms", smallStep)
+	c.submit("roster", "work=20ms", smallStep)
 	overdue := func() bool {
-		return slices.ContainsFunc(s.sched.overdueRuns(steady.Now()), func(r overdueRun) bool { return r.Job == "roster" })
+		return slices.ContainsFunc(c.sched.overdueRuns(steady.Now()), func(r overdueRun) bool { return r.Job == "roster" })
 	}
-	s.waitUntil("the roster is completed, or its run is overdue", func() bool {
-		return overdue() || s.send(wire.QueueRequest{Status: &wire.HostPath{Host: testHost, Path: "/q/roster"}}).Status == queue.Completed
+	c.waitUntil("the roster is completed, or its run is overdue", func() bool {
+		return overdue() || c.send(wire.QueueRequest{Status: &wire.HostPath{Host: testHost, Path: "/q/roster"}}).Status == queue.Completed
 	})
 	assert.Assert(t, !overdue(), "the VM is usable but does not start the run")
-	s.waitUntil("the lasting task runs", func() bool { return len(e.Running()) == 1 })
+	c.waitUntil("the lasting task runs", func() bool { return len(e.Running()) == 1 })
 }
--- a/scheduler/refusal_test.go
+++ b/scheduler/refusal_test.go
@@ -23,31 +23,31 @@
 
 // newRefusedRun returns a cluster whose only VM has reported refusedRun as refused. The commit of
 // that report is proposed, but blocked until release is called.
-func newRefusedRun(t *testing.T) (h *gatedCluster, c *wire.Conn[wire.FromNode, wire.ToQueueNode], vm queue.VM, release func()) {
-	h = newGatedCluster(t, Settings{Lease: time.Hour})
+func newRefusedRun(t *testing.T) (c *gatedCluster, conn *wire.Conn[wire.FromNode, wire.ToQueueNode], vm queue.VM, release func()) {
+	c = newGatedCluster(t, Settings{Lease: time.Hour})
 	vm = onlyVM
 	vm.Service, vm.Capacity = "desk", rudderfork.Resources{CPUMilli: 4_000, MemoryMB: 1_000}
-	h.commit(queue.Command{Document: &queue.Document{
+	c.commit(queue.Command{Document: &queue.Document{
 		Version: 1, Queues: []queue.Queue{{Name: "q", Host: testHost, Prefix: "/q/", Service: "desk", MaxAttempts: 2}},
 		Pools: []queue.Pool{{Service: "desk"}},
 	}})
-	c = h.openSession(string(vm.ID))
-	h.sendHeartbeat(c, vm, 1)
-	h.nextFullOrders(c)
-	h.commit(queue.Command{Submit: &queue.Submit{Host: testHost, Path: "/q/job", Spec: queue.Spec{Steps: []queue.Step{smallStep}}}})
-	h.sched.round(h.ctx)
-	h.waitUntil("the run is on the VM", func() bool { return h.runsOf(vm.ID) == 1 })
-	release = h.blockCommits()
-	last := h.rep.Status().LastIndex
-	h.refuse(c, vm)
-	h.waitUntil("the refusal is proposed", func() bool { return h.rep.Status().LastIndex > last })
-	return h, c, vm, release
+	conn = c.openSession(string(vm.ID))
+	c.sendHeartbeat(conn, vm, 1)
+	c.nextFullOrders(conn)
+	c.commit(queue.Command{Submit: &queue.Submit{Host: testHost, Path: "/q/job", Spec: queue.Spec{Steps: []queue.Step{smallStep}}}})
+	c.sched.round(c.ctx)
+	c.waitUntil("the run is on the VM", func() bool { return c.runsOf(vm.ID) == 1 })
+	release = c.blockCommits()
+	last := c.rep.Status().LastIndex
+	c.refuse(conn, vm)
+	c.waitUntil("the refusal is proposed", func() bool { return c.rep.Status().LastIndex > last })
+	return c, conn, vm, release
 }
 
 // nextFullOrders returns the next full list of orders, or nil if the session ends before it.
-func (h *gatedCluster) nextFullOrders(c *wire.Conn[wire.FromNode, wire.ToQueueNode]) *wire.Orders {
+func (c *gatedCluster) nextFullOrders(conn *wire.Conn[wire.FromNode, wire.ToQueueNode]) *wire.Orders {
 	for {
-		m, err := c.ReceiveWithin(h.ctx, waitTimeout)
+		m, err := conn.ReceiveWithin(c.ctx, waitTimeout)
 		if err != nil {
 			return nil
 		}
@@ -57,31 +57,31 @@
 	}
 }
 
-func (h *gatedCluster) refuse(c *wire.Conn[wire.FromNode, wire.ToQueueNode], vm queue.VM) {
-	h.t.Helper()
+func (c *gatedCluster) refuse(conn *wire.Conn[wire.FromNode, wire.ToQueueNode], vm queue.VM) {
+	c.t.Helper()
 	key, err := queue.ParseTaskKey(string(refusedRun.Task))
-	assert.NilError(h.t, err)
+	assert.NilError(c.t, err)
 	ends := queue.Ends{VM: vm.ID, Incarnation: vm.Incarnation, List: []queue.End{{Task: key, Run: refusedRun.Run, Outcome: queue.OutcomeRefused}}}
-	assert.NilError(h.t, c.Send(h.ctx, wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: ends}}))
+	assert.NilError(c.t, conn.Send(c.ctx, wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: ends}}))
 }
 
-func (h *gatedCluster) runsOf(id rudderfork.VMID) (n int) {
-	h.rep.View(func(st *state.State) { n = len(st.Queues().VM(id).Runs()) })
+func (c *gatedCluster) runsOf(id rudderfork.VMID) (n int) {
+	c.rep.View(func(st *state.State) { n = len(st.Queues().VM(id).Runs()) })
 	return n
 }
 
 // sendHeartbeatWithoutOrders sends a heartbeat of an agent that has no list of orders.
-func (h *gatedCluster) sendHeartbeatWithoutOrders(c *wire.Conn[wire.FromNode, wire.ToQueueNode], vm queue.VM, sent int64) {
-	h.t.Helper()
-	assert.NilError(h.t, c.Send(h.ctx, wire.FromNode{Heartbeat: &wire.VMHeartbeat{Sent: sent, VM: vm, Epoch: new(uint64)}}))
+func (c *gatedCluster) sendHeartbeatWithoutOrders(conn *wire.Conn[wire.FromNode, wire.ToQueueNode], vm queue.VM, sent int64) {
+	c.t.Helper()
+	assert.NilError(c.t, conn.Send(c.ctx, wire.FromNode{Heartbeat: &wire.VMHeartbeat{Sent: sent, VM: vm, Epoch: new(uint64)}}))
 }
 
 // awaitFullOrders returns the next full list of orders. It unblocks commits when the list has
 // arrived, or has not for fullListTimeout.
-func (h *gatedCluster) awaitFullOrders(c *wire.Conn[wire.FromNode, wire.ToQueueNode], release func()) *wire.Orders {
-	h.t.Helper()
+func (c *gatedCluster) awaitFullOrders(conn *wire.Conn[wire.FromNode, wire.ToQueueNode], release func()) *wire.Orders {
+	c.t.Helper()
 	lists := make(chan *wire.Orders, 1)
-	go func() { lists <- h.nextFullOrders(c) }()
+	go func() { lists <- c.nextFullOrders(conn) }()
 	select {
 	case o := <-lists:
 		release()
@@ -92,11 +92,11 @@
 	}
 }
 
-func (h *gatedCluster) assertNotOrdered(o *wire.Orders) {
-	h.t.Helper()
-	assert.Assert(h.t, o != nil, "no full list of orders arrived")
+func (c *gatedCluster) assertNotOrdered(o *wire.Orders) {
+	c.t.Helper()
+	assert.Assert(c.t, o != nil, "no full list of orders arrived")
 	for _, r := range o.Start {
-		assert.Assert(h.t, r.RunRef != refusedRun, "the list orders a run to start that was reported as refused")
+		assert.Assert(c.t, r.RunRef != refusedRun, "the list orders a run to start that was reported as refused")
 	}
 }
 
@@ -105,27 +105,27 @@
 // start the task elsewhere as well.
 func TestFullListOrdersRefusedRun(t *testing.T) {
 	t.Run("in the next session, which reports the refusal again", func(t *testing.T) {
-		h, c, vm, release := newRefusedRun(t)
-		c.Close()
-		c = h.openSession(string(vm.ID))
-		h.refuse(c, vm)
-		h.sendHeartbeatWithoutOrders(c, vm, 2)
-		h.assertNotOrdered(h.awaitFullOrders(c, release))
+		c, conn, vm, release := newRefusedRun(t)
+		conn.Close()
+		conn = c.openSession(string(vm.ID))
+		c.refuse(conn, vm)
+		c.sendHeartbeatWithoutOrders(conn, vm, 2)
+		c.assertNotOrdered(c.awaitFullOrders(conn, release))
 	})
 	t.Run("in the next session, of an agent that was restarted", func(t *testing.T) {
-		h, c, vm, release := newRefusedRun(t)
-		c.Close()
-		c = h.openSession(string(vm.ID))
-		h.sendHeartbeatWithoutOrders(c, vm, 2)
-		h.assertNotOrdered(h.awaitFullOrders(c, release))
+		c, conn, vm, release := newRefusedRun(t)
+		conn.Close()
+		conn = c.openSession(string(vm.ID))
+		c.sendHeartbeatWithoutOrders(conn, vm, 2)
+		c.assertNotOrdered(c.awaitFullOrders(conn, release))
 	})
 	t.Run("in the same session", func(t *testing.T) {
-		h, c, vm, release := newRefusedRun(t)
-		h.sched.mu.Lock()
-		h.sched.fleet.vm(vm.ID).session.fullListDeadline = time.Time{} // as if the first list was sent long ago
-		h.sched.mu.Unlock()
-		h.sendHeartbeatWithoutOrders(c, vm, 2)
-		h.assertNotOrdered(h.awaitFullOrders(c, release))
+		c, conn, vm, release := newRefusedRun(t)
+		c.sched.mu.Lock()
+		c.sched.fleet.vm(vm.ID).session.fullListDeadline = time.Time{} // as if the first list was sent long ago
+		c.sched.mu.Unlock()
+		c.sendHeartbeatWithoutOrders(conn, vm, 2)
+		c.assertNotOrdered(c.awaitFullOrders(conn, release))
 	})
 }
 
@@ -150,10 +150,10 @@
 }
 
 // runAgent runs an agent of a VM until stop is called or the test ends.
-func (h *gatedCluster) runAgent(name string, e *noRoomExecutor) (stop func()) {
-	ctx, cancel := context.WithCancel(h.ctx)
+func (c *gatedCluster) runAgent(name string, e *noRoomExecutor) (stop func()) {
+	ctx, cancel := context.WithCancel(c.ctx)
 	var wg sync.WaitGroup
-	a := runner.New(name, h.seeds, e, zerolog.Nop())
+	a := runner.New(name, c.seeds, e, zerolog.Nop())
 	for _, svc := range a.Services() {
 		wg.Go(func() { _ = svc.Serve(ctx) })
 	}
@@ -164,7 +164,7 @@
 		}
 	})
 	stop = func() { cancel(); wg.Wait() }
-	h.t.Cleanup(stop)
+	c.t.Cleanup(stop)
 	return stop
 }
 
@@ -182,54 +182,54 @@
 }
 
 func newTwoVMCluster(t *testing.T) *twoVMCluster {
-	s := &twoVMCluster{gatedCluster: newGatedCluster(t, Settings{Lease: testLease}), executors: map[string]*noRoomExecutor{}, stopAgent: map[string]func(){}}
-	s.commit(queue.Command{Document: &queue.Document{
+	c := &twoVMCluster{gatedCluster: newGatedCluster(t, Settings{Lease: testLease}), executors: map[string]*noRoomExecutor{}, stopAgent: map[string]func(){}}
+	c.commit(queue.Command{Document: &queue.Document{
 		Version: 1, Queues: []queue.Queue{{Name: "q", Host: testHost, Prefix: "/q/", Service: "desk", MaxAttempts: 2}},
 		Pools: []queue.Pool{{Service: "desk"}},
 	}})
 	for _, name := range []string{"vm1", "vm2"} {
-		s.executors[name] = &noRoomExecutor{
+		c.executors[name] = &noRoomExecutor{
 			Executor: executor.New(name+"-life", executor.Config{
 				Now: steady.Now, Capacity: rudderfork.Resources{CPUMilli: 4_000, MemoryMB: 1_000},
-				OnStart: func(rudderfork.RunRef) { s.recordStart(name) },
+				OnStart: func(rudderfork.RunRef) { c.recordStart(name) },
 			}),
-			refusesStart: func() bool { return s.refuseFirst(name) },
+			refusesStart: func() bool { return c.refuseFirst(name) },
 		}
-		s.stopAgent[name] = s.runAgent(name, s.executors[name])
-		s.waitUntil(name+" is registered", func() bool { return s.isLive(rudderfork.VMID(name)) })
+		c.stopAgent[name] = c.runAgent(name, c.executors[name])
+		c.waitUntil(name+" is registered", func() bool { return c.isLive(rudderfork.VMID(name)) })
 	}
-	return s
+	return c
 }
 
-func (s *twoVMCluster) refuseFirst(name string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.refuser != "" {
+func (c *twoVMCluster) refuseFirst(name string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.refuser != "" {
 		return false
 	}
-	s.refuser, s.lastAtRefusal, s.release = name, s.rep.Status().LastIndex, s.blockCommits()
+	c.refuser, c.lastAtRefusal, c.release = name, c.rep.Status().LastIndex, c.blockCommits()
 	return true
 }
 
-func (s *twoVMCluster) refusalProposed() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.refuser != "" && s.rep.Status().LastIndex > s.lastAtRefusal
+func (c *twoVMCluster) refusalProposed() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.refuser != "" && c.rep.Status().LastIndex > c.lastAtRefusal
 }
 
-func (s *twoVMCluster) recordStart(on string) {
-	for name, e := range s.executors {
+func (c *twoVMCluster) recordStart(on string) {
+	for name, e := range c.executors {
 		if name != on && len(e.Running()) > 0 {
-			s.mu.Lock()
-			s.ranTwice = true
-			s.mu.Unlock()
+			c.mu.Lock()
+			c.ranTwice = true
+			c.mu.Unlock()
 		}
 	}
 }
 
 // isRunning reports whether an executor runs a run of the given number.
-func (s *twoVMCluster) isRunning(run uint32) bool {
-	for _, e := range s.executors {
+func (c *twoVMCluster) isRunning(run uint32) bool {
+	for _, e := range c.executors {
 		if list := e.Running(); len(list) > 0 && list[0].Run == run {
 			return true
 		}
@@ -240,31 +240,31 @@
 // TestRefusedRunRunsTwice guards against a task that runs on two VMs after an agent was restarted
 // whose report of a refusal was not committed yet.
 func TestRefusedRunRunsTwice(t *testing.T) {
-	s := newTwoVMCluster(t)
-	s.commit(queue.Command{Submit: &queue.Submit{Host: testHost, Path: "/q/job", Spec: queue.Spec{Steps: []queue.Step{{Count: 1, Size: smallStep.Size, Lasting: true}}}}})
-	s.waitUntil("a refusal is proposed", func() bool {
-		if s.runsOf("vm1")+s.runsOf("vm2") == 0 {
-			s.sched.round(s.ctx)
+	c := newTwoVMCluster(t)
+	c.commit(queue.Command{Submit: &queue.Submit{Host: testHost, Path: "/q/job", Spec: queue.Spec{Steps: []queue.Step{{Count: 1, Size: smallStep.Size, Lasting: true}}}}})
+	c.waitUntil("a refusal is proposed", func() bool {
+		if c.runsOf("vm1")+c.runsOf("vm2") == 0 {
+			c.sched.round(c.ctx)
 		}
-		return s.refusalProposed()
+		return c.refusalProposed()
 	})
-	s.stopAgent[s.refuser]()
-	s.runAgent(s.refuser, s.executors[s.refuser])
-	for by := steady.Now().Add(testLease / 2); !s.isRunning(refusedRun.Run) && steady.Now().Before(by); {
-		steady.Pause(s.ctx, 10*time.Millisecond)
+	c.stopAgent[c.refuser]()
+	c.runAgent(c.refuser, c.executors[c.refuser])
+	for by := steady.Now().Add(testLease / 2); !c.isRunning(refusedRun.Run) && steady.Now().Before(by); {
+		steady.Pause(c.ctx, 10*time.Millisecond)
 	}
-	s.release()
-	s.waitUntil("the second run is running", func() bool {
-		s.sched.round(s.ctx)
-		return s.isRunning(refusedRun.Run + 1)
+	c.release()
+	c.waitUntil("the second run is running", func() bool {
+		c.sched.round(c.ctx)
+		return c.isRunning(refusedRun.Run + 1)
 	})
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	assert.Assert(t, !s.ranTwice, "the first run was still running when the second started")
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	assert.Assert(t, !c.ranTwice, "the first run was still running when the second started")
 }
 
-func (h *gatedCluster) isLive(id rudderfork.VMID) (ok bool) {
-	h.rep.View(func(st *state.State) {
+func (c *gatedCluster) isLive(id rudderfork.VMID) (ok bool) {
+	c.rep.View(func(st *state.State) {
 		vm := st.Queues().VM(id)
 		ok = vm != nil && vm.Live
 	})
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -103,8 +103,8 @@
 
 // commit commits a command. The response says NotTaken if it was certainly not committed, and
 // Unsure if it may have been or may yet be.
-func (s *Scheduler) commit(ctx context.Context, c queue.Command) wire.QueueResponse {
-	res, err := s.do(ctx, c)
+func (s *Scheduler) commit(ctx context.Context, cmd queue.Command) wire.QueueResponse {
+	res, err := s.do(ctx, cmd)
 	switch {
 	case errors.Is(err, replica.ErrNotLeader), errors.Is(err, replica.ErrSuperseded):
 		return wire.QueueResponse{NotTaken: true, Text: err.Error()}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -203,9 +203,9 @@
 }
 
 // do commits a command and returns its result once it is applied.
-func (s *Scheduler) do(ctx context.Context, c queue.Command) (queue.Result, error) {
+func (s *Scheduler) do(ctx context.Context, cmd queue.Command) (queue.Result, error) {
 	began := steady.Now()
-	res, err := s.rep.Do(ctx, state.Command{Queue: &c})
+	res, err := s.rep.Do(ctx, state.Command{Queue: &cmd})
 	s.met.commit.Observe(steady.Now().Sub(began).Seconds())
 	return res.Queue, err
 }
@@ -299,16 +299,16 @@
 	if len(plan.Starts) == 0 {
 		return
 	}
-	c := queue.Command{Starts: make([]queue.Start, len(plan.Starts)), Begun: begun}
+	cmd := queue.Command{Starts: make([]queue.Start, len(plan.Starts)), Begun: begun}
 	for i, st := range plan.Starts {
-		c.Starts[i] = st.Start
+		cmd.Starts[i] = st.Start
 	}
 	t.starts = len(plan.Starts)
 	var res queue.Result
 	var err error
-	t.commit = timed(func() { res, err = s.do(ctx, c) })
+	t.commit = timed(func() { res, err = s.do(ctx, cmd) })
 	if err != nil {
-		s.log.Warn().Int("starts", len(c.Starts)).Err(err).Msg("starts_not_committed")
+		s.log.Warn().Int("starts", len(cmd.Starts)).Err(err).Msg("starts_not_committed")
 		return
 	}
 	s.logStarts(plan.Starts, res.Numbers)
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -65,12 +65,12 @@
 
 func newTestClusterWithLease(t *testing.T, adviser rudderfork.Adviser, lease time.Duration) *testCluster {
 	rep := newReplica(t, selfMember)
-	s := &testCluster{t: t, ctx: t.Context()}
-	s.sched = New(Settings{Lease: lease, StatusRetention: time.Minute}, rep, adviser, zerolog.Nop(), noPeers{})
-	s.addr = serveSessions(t, s.sched)
-	s.front = front.New("front", s.seeds, zerolog.Nop())
-	s.serve(rep, s.sched, s.front)
-	return s
+	c := &testCluster{t: t, ctx: t.Context()}
+	c.sched = New(Settings{Lease: lease, StatusRetention: time.Minute}, rep, adviser, zerolog.Nop(), noPeers{})
+	c.addr = serveSessions(t, c.sched)
+	c.front = front.New("front", c.seeds, zerolog.Nop())
+	c.serve(rep, c.sched, c.front)
+	return c
 }
 
 // selfMember is the replica under test.
@@ -108,48 +108,48 @@
 	return ln.Addr().String()
 }
 
-func (s *testCluster) seeds() []string { return []string{s.addr} }
+func (c *testCluster) seeds() []string { return []string{c.addr} }
 
 // service is a long-running service, as a supervisor runs them.
 type service interface {
 	Serve(ctx context.Context) error
 }
 
-func (s *testCluster) serve(list ...service) {
+func (c *testCluster) serve(list ...service) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	for _, svc := range list {
 		wg.Go(func() { _ = svc.Serve(ctx) })
 	}
-	s.t.Cleanup(func() { cancel(); wg.Wait() })
+	c.t.Cleanup(func() { cancel(); wg.Wait() })
 }
 
 // addVM adds a VM with a stand-in executor and an agent.
-func (s *testCluster) addVM(cfg executor.Config) *executor.Executor {
-	name := fmt.Sprintf("vm%d", s.vmsAdded+1)
+func (c *testCluster) addVM(cfg executor.Config) *executor.Executor {
+	name := fmt.Sprintf("vm%d", c.vmsAdded+1)
 	cfg.Now, cfg.Capacity = steady.Now, rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
 	e := executor.New(name+"-life-1", cfg)
-	s.executors = append(s.executors, e)
-	s.addAgent(name, e, e.Incarnation, cfg.Capacity)
+	c.executors = append(c.executors, e)
+	c.addAgent(name, e, e.Incarnation, cfg.Capacity)
 	return e
 }
 
 // addAgent adds a VM's agent. It describes the executor to the agent every 50 ms while the
 // executor has an incarnation.
-func (s *testCluster) addAgent(name string, exec rudderfork.Executor, incarnation func() string, capacity rudderfork.Resources) *runner.Agent {
-	s.vmsAdded++
-	a := runner.New(name, s.seeds, exec, zerolog.Nop())
+func (c *testCluster) addAgent(name string, exec rudderfork.Executor, incarnation func() string, capacity rudderfork.Resources) *runner.Agent {
+	c.vmsAdded++
+	a := runner.New(name, c.seeds, exec, zerolog.Nop())
 	list := []service{}
 	for _, svc := range a.Services() {
 		list = append(list, svc)
 	}
-	s.serve(list...)
+	c.serve(list...)
 	go func() {
-		for s.ctx.Err() == nil {
+		for c.ctx.Err() == nil {
 			if inc := incarnation(); inc != "" {
 				a.HandleDescription(queue.VM{ID: rudderfork.VMID(name), Domain: domainOf(name), Incarnation: inc, Service: "desk", Capacity: capacity}, false, 0)
 			}
-			steady.Pause(s.ctx, 50*time.Millisecond)
+			steady.Pause(c.ctx, 50*time.Millisecond)
 		}
 	}()
 	return a
@@ -158,30 +158,30 @@
 // domainOf returns the failure domain of a VM that addAgent added; each VM has its own.
 func domainOf(name string) rudderfork.Domain { return rudderfork.Domain("hall-" + name) }
 
-func (s *testCluster) send(a wire.QueueRequest) wire.QueueResponse {
-	ctx, cancel := context.WithTimeout(s.ctx, waitTimeout)
+func (c *testCluster) send(a wire.QueueRequest) wire.QueueResponse {
+	ctx, cancel := context.WithTimeout(c.ctx, waitTimeout)
 	defer cancel()
-	return s.front.Do(ctx, a, waitTimeout)
+	return c.front.Do(ctx, a, waitTimeout)
 }
 
-func (s *testCluster) putDocument(advice *queue.Advice) {
-	s.t.Helper()
-	ans := s.send(wire.QueueRequest{Put: &queue.Document{
+func (c *testCluster) putDocument(advice *queue.Advice) {
+	c.t.Helper()
+	ans := c.send(wire.QueueRequest{Put: &queue.Document{
 		Version: 1, Queues: []queue.Queue{{Name: "q", Host: testHost, Prefix: "/q/", Service: "desk", MaxAttempts: 2, Advice: advice}},
 		Pools: []queue.Pool{{Service: "desk"}},
 	}})
-	assert.Equal(s.t, ans.Code, queue.OK, "%+v", ans)
+	assert.Equal(c.t, ans.Code, queue.OK, "%+v", ans)
 }
 
-func (s *testCluster) submit(id string, payload string, list ...queue.Step) {
-	s.t.Helper()
-	ans := s.send(wire.QueueRequest{Submit: &queue.Submit{Host: testHost, Path: "/q/" + id, Spec: queue.Spec{Payload: payload, Steps: list}}})
-	assert.Equal(s.t, ans.Code, queue.OK, "%+v", ans)
+func (c *testCluster) submit(id string, payload string, list ...queue.Step) {
+	c.t.Helper()
+	ans := c.send(wire.QueueRequest{Submit: &queue.Submit{Host: testHost, Path: "/q/" + id, Spec: queue.Spec{Payload: payload, Steps: list}}})
+	assert.Equal(c.t, ans.Code, queue.OK, "%+v", ans)
 }
 
-func (s *testCluster) waitUntil(what string, ok func() bool) {
-	s.t.Helper()
-	poll.WaitOn(s.t, func(poll.LogT) poll.Result {
+func (c *testCluster) waitUntil(what string, ok func() bool) {
+	c.t.Helper()
+	poll.WaitOn(c.t, func(poll.LogT) poll.Result {
 		if ok() {
 			return poll.Success()
 		}
@@ -189,10 +189,10 @@
 	}, poll.WithTimeout(waitTimeout), poll.WithDelay(10*time.Millisecond))
 }
 
-func (s *testCluster) waitForStatus(id string, want queue.Status) {
-	s.t.Helper()
-	s.waitUntil(id+" is "+string(want), func() bool {
-		return s.send(wire.QueueRequest{Status: &wire.HostPath{Host: testHost, Path: "/q/" + id}}).Status == want
+func (c *testCluster) waitForStatus(id string, want queue.Status) {
+	c.t.Helper()
+	c.waitUntil(id+" is "+string(want), func() bool {
+		return c.send(wire.QueueRequest{Status: &wire.HostPath{Host: testHost, Path: "/q/" + id}}).Status == want
 	})
 }
 
@@ -230,19 +230,19 @@
 // issued tickets.
 func TestStepRunsOnlyWhereAdviserAllows(t *testing.T) {
 	adv := &fakeAdviser{allow: func(inc string) bool { return inc == "vm2-life-1" }}
-	s := newTestCluster(t, adv)
+	c := newTestCluster(t, adv)
 	var mu sync.Mutex
 	var started []string
 	for i := range 3 {
-		s.addVM(executor.Config{OnStart: func(r rudderfork.RunRef) {
+		c.addVM(executor.Config{OnStart: func(r rudderfork.RunRef) {
 			mu.Lock()
 			defer mu.Unlock()
 			started = append(started, fmt.Sprintf("vm%d %s", i+1, r.Task))
 		}})
 	}
-	s.putDocument(&queue.Advice{ValidMS: 5000})
-	s.submit("j", "work=20ms", queue.Step{Count: 2, Size: smallStep.Size}, queue.Step{Count: 1, DependsOn: []int{0}})
-	s.waitForStatus("j", queue.Completed)
+	c.putDocument(&queue.Advice{ValidMS: 5000})
+	c.submit("j", "work=20ms", queue.Step{Count: 2, Size: smallStep.Size}, queue.Step{Count: 1, DependsOn: []int{0}})
+	c.waitForStatus("j", queue.Completed)
 	mu.Lock()
 	defer mu.Unlock()
 	slices.Sort(started)
@@ -316,32 +316,32 @@
 // TestUpkeepWaveKeepsBounds checks that a wave takes one machine down at a time, never exceeds the
 // MaxAway of a lasting step, and completes only after the upkeep of each machine has begun.
 func TestUpkeepWaveKeepsBounds(t *testing.T) {
-	s := newTestCluster(t, nil)
+	c := newTestCluster(t, nil)
 	for range 3 {
-		s.addVM(executor.Config{})
+		c.addVM(executor.Config{})
 	}
-	s.putDocument(nil)
-	s.submit("feed", "", queue.Step{Count: 3, Size: smallStep.Size, Lasting: true, MaxAway: 1, MaxPerVM: 1})
+	c.putDocument(nil)
+	c.submit("feed", "", queue.Step{Count: 3, Size: smallStep.Size, Lasting: true, MaxAway: 1, MaxPerVM: 1})
 	running := func() (n int) {
-		for _, e := range s.executors {
+		for _, e := range c.executors {
 			n += len(e.Running())
 		}
 		return n
 	}
-	s.waitUntil("the lasting task runs", func() bool { return running() == 3 })
-	p := &fakeProvider{cluster: s, done: map[string]bool{}, downAt: map[string]time.Time{}, refusals: 1}
+	c.waitUntil("the lasting task runs", func() bool { return running() == 3 })
+	p := &fakeProvider{cluster: c, done: map[string]bool{}, downAt: map[string]time.Time{}, refusals: 1}
 	p.beforeUpkeep = func(machine string) {
 		if n := running(); n < 3 {
 			t.Errorf("upkeep of %s begins with %d of 3 tasks running", machine, n)
 		}
 	}
-	s.serve(s.sched.Upkeep(p, "c", 0))
+	c.serve(c.sched.Upkeep(p, "c", 0))
 	wave := queue.Wave{ID: 7, Machines: []string{"m1", "m2", "m3", "m9"}, DueMS: rudderfork.Millis(steady.Now().Add(waveDueIn)), MaxDown: 1}
 	for range 2 { // the operator repeats the request
-		assert.Equal(t, s.send(wire.QueueRequest{Wave: &wave}).Code, queue.OK)
+		assert.Equal(t, c.send(wire.QueueRequest{Wave: &wave}).Code, queue.OK)
 	}
-	s.waitUntil("the wave is completed", func() bool {
-		ans := s.send(wire.QueueRequest{Upkeep: 7})
+	c.waitUntil("the wave is completed", func() bool {
+		ans := c.send(wire.QueueRequest{Upkeep: 7})
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		assert.Assert(t, ans.Left > 0 || len(p.done) == 3, "wave completed after the upkeep of only %v", p.done)
@@ -352,22 +352,22 @@
 		assert.Equal(t, d.Holder, "c")
 		assert.Assert(t, d.Fence > 0)
 	}
-	assert.Equal(t, s.send(wire.QueueRequest{Upkeep: 8}).Code, queue.NoJob)
+	assert.Equal(t, c.send(wire.QueueRequest{Upkeep: 8}).Code, queue.NoJob)
 }
 
 // TestFencedLeaderStopsOrders rejects a leader's upkeep order because another holder has a newer
 // fencing token: the leader gives no more orders, for any machine of any wave, until its next term.
 func TestFencedLeaderStopsOrders(t *testing.T) {
-	s := newTestCluster(t, nil)
-	s.addVM(executor.Config{})
-	s.addVM(executor.Config{})
-	s.putDocument(nil)
-	p := &fakeProvider{cluster: s, done: map[string]bool{}, downAt: map[string]time.Time{}, fenced: true}
-	u, ok := s.sched.Upkeep(p, "c", 0).(*upkeep)
+	c := newTestCluster(t, nil)
+	c.addVM(executor.Config{})
+	c.addVM(executor.Config{})
+	c.putDocument(nil)
+	p := &fakeProvider{cluster: c, done: map[string]bool{}, downAt: map[string]time.Time{}, fenced: true}
+	u, ok := c.sched.Upkeep(p, "c", 0).(*upkeep)
 	assert.Assert(t, ok)
 	for id := range uint64(2) {
 		wave := queue.Wave{ID: id + 1, Machines: []string{"m1", "m2"}, DueMS: 1, MaxDown: 2}
-		assert.Equal(t, s.send(wire.QueueRequest{Wave: &wave}).Code, queue.OK)
+		assert.Equal(t, c.send(wire.QueueRequest{Wave: &wave}).Code, queue.OK)
 	}
 	for range 10 {
 		assert.Assert(t, u.round(t.Context()), "no open waves found")
@@ -383,7 +383,7 @@
 // TestTaskOfLostVMRunsOnce cuts a VM's executor off from its agent: the task starts elsewhere only
 // after the lease has run out, and never has two concurrent runs.
 func TestTaskOfLostVMRunsOnce(t *testing.T) {
-	s := newTestCluster(t, nil)
+	c := newTestCluster(t, nil)
 	var mu sync.Mutex
 	active := map[rudderfork.TaskID]int{}
 	cfg := func() executor.Config {
@@ -403,13 +403,13 @@
 			},
 		}
 	}
-	first := s.addVM(cfg())
-	s.putDocument(nil)
-	s.submit("feed", "", queue.Step{Count: 1, Size: smallStep.Size, Lasting: true})
-	s.waitUntil("the lasting task runs", func() bool { return len(first.Running()) == 1 })
+	first := c.addVM(cfg())
+	c.putDocument(nil)
+	c.submit("feed", "", queue.Step{Count: 1, Size: smallStep.Size, Lasting: true})
+	c.waitUntil("the lasting task runs", func() bool { return len(first.Running()) == 1 })
 	first.SetFate(func(string) executor.Fate { return executor.RequestLost })
-	second := s.addVM(cfg())
-	s.waitUntil("the task runs elsewhere", func() bool {
+	second := c.addVM(cfg())
+	c.waitUntil("the task runs elsewhere", func() bool {
 		first.Running()
 		return len(second.Running()) == 1
 	})
@@ -443,51 +443,51 @@
 	// A completed task ran again when its end was listed before the shutdown notice and read after
 	// it.
 	t.Run("an end that is read after the shutdown notice counts", func(t *testing.T) {
-		s := newTestCluster(t, nil)
+		c := newTestCluster(t, nil)
 		var starts atomic.Int32
 		cfg := countStarts(&starts)
 		e := &heldPollExecutor{Executor: executor.New("vm1-life-1", cfg), listed: make(chan struct{}), release: make(chan struct{})}
-		a := s.addAgent("vm1", e, e.Incarnation, capacity)
-		s.putDocument(nil)
-		s.submit("roster", "work=50ms", smallStep)
+		a := c.addAgent("vm1", e, e.Incarnation, capacity)
+		c.putDocument(nil)
+		c.submit("roster", "work=50ms", smallStep)
 		<-e.listed
 		a.HandleShutdownNotice("vm1-life-1")
 		e.Restart("")
 		close(e.release)
-		s.addVM(countStarts(&starts))
-		s.waitForStatus("roster", queue.Completed)
+		c.addVM(countStarts(&starts))
+		c.waitForStatus("roster", queue.Completed)
 		assert.Equal(t, starts.Load(), int32(1))
 	})
 	t.Run("its task starts elsewhere without waiting for the lease", func(t *testing.T) {
-		s := newTestClusterWithLease(t, nil, time.Hour)
+		c := newTestClusterWithLease(t, nil, time.Hour)
 		var starts atomic.Int32
 		e := executor.New("vm1-life-1", countStarts(&starts))
-		a := s.addAgent("vm1", e, e.Incarnation, capacity)
-		s.putDocument(nil)
-		s.submit("feed", "", queue.Step{Count: 1, Size: smallStep.Size, Lasting: true})
-		s.waitUntil("the lasting task runs", func() bool { return len(e.Running()) == 1 })
-		second := s.addVM(countStarts(&starts))
+		a := c.addAgent("vm1", e, e.Incarnation, capacity)
+		c.putDocument(nil)
+		c.submit("feed", "", queue.Step{Count: 1, Size: smallStep.Size, Lasting: true})
+		c.waitUntil("the lasting task runs", func() bool { return len(e.Running()) == 1 })
+		second := c.addVM(countStarts(&starts))
 		e.Restart("")
 		a.HandleShutdownNotice("vm1-life-1")
-		s.waitUntil("the task runs elsewhere", func() bool { return len(second.Running()) == 1 })
+		c.waitUntil("the task runs elsewhere", func() bool { return len(second.Running()) == 1 })
 	})
 }
 
 // TestReadsSeeEarlierCommits reads jobs right after their submission.
 func TestReadsSeeEarlierCommits(t *testing.T) {
-	s := newTestCluster(t, nil)
-	s.putDocument(nil)
+	c := newTestCluster(t, nil)
+	c.putDocument(nil)
 	for i := range 20 {
 		id := fmt.Sprintf("j%d", i)
-		s.submit(id, "", smallStep)
-		assert.Equal(t, s.send(wire.QueueRequest{Status: &wire.HostPath{Host: testHost, Path: "/q/" + id}}).Status, queue.Queued)
+		c.submit(id, "", smallStep)
+		assert.Equal(t, c.send(wire.QueueRequest{Status: &wire.HostPath{Host: testHost, Path: "/q/" + id}}).Status, queue.Queued)
 	}
-	assert.Equal(t, s.send(wire.QueueRequest{Status: &wire.HostPath{Host: testHost, Path: "/q/"}}).Waiting, 20)
+	assert.Equal(t, c.send(wire.QueueRequest{Status: &wire.HostPath{Host: testHost, Path: "/q/"}}).Waiting, 20)
 	var views []QueueView
-	s.sched.rep.View(func(st *state.State) {
-		s.sched.mu.Lock()
-		defer s.sched.mu.Unlock()
-		views = queueViews(st.Queues(), s.sched.fleet)
+	c.sched.rep.View(func(st *state.State) {
+		c.sched.mu.Lock()
+		defer c.sched.mu.Unlock()
+		views = queueViews(st.Queues(), c.sched.fleet)
 	})
 	assert.Equal(t, views[0].Live, 20)
 }
@@ -496,33 +496,33 @@
 // their term. When only heartbeats of VMs checked it, fronts stayed for 3 s with a leader that
 // had lost its quorum, while its round waited for a commit.
 func TestLeadsOnlyInCurrentTerm(t *testing.T) {
-	s := newTestCluster(t, nil)
-	s.putDocument(nil)
-	term := s.sched.currentTerm()
-	assert.Assert(t, s.sched.leads(term))
-	assert.Assert(t, !s.sched.leads(term-1))
-	assert.Assert(t, !s.sched.leads(term+1))
+	c := newTestCluster(t, nil)
+	c.putDocument(nil)
+	term := c.sched.currentTerm()
+	assert.Assert(t, c.sched.leads(term))
+	assert.Assert(t, !c.sched.leads(term-1))
+	assert.Assert(t, !c.sched.leads(term+1))
 }
 
 // TestSessionOpenedAfterStepDown guards against a process that has stepped down, with its round
 // not yet ended and no new term, and opens a session that it would drop at the first message.
 func TestSessionOpenedAfterStepDown(t *testing.T) {
 	peer := quorum.Member{ID: "d#1", Name: "d", Addr: "d.example:1", Voter: true}
-	s := &testCluster{t: t, ctx: t.Context()}
+	c := &testCluster{t: t, ctx: t.Context()}
 	rep := newReplica(t, selfMember, peer)
-	s.serve(rep)
+	c.serve(rep)
 	const term = 5
-	rep.Step(s.ctx, quorum.Message{Type: quorum.MsgAppend, From: peer.ID, To: selfMember.ID, Term: term})
-	s.waitUntil("the replica follows", func() bool { return rep.Status().Term == term })
-	s.sched = New(Settings{Lease: testLease, StatusRetention: time.Minute}, rep, nil, zerolog.Nop(), noPeers{})
-	s.sched.startTerm(term)
-	addr := serveSessions(t, s.sched)
+	rep.Step(c.ctx, quorum.Message{Type: quorum.MsgAppend, From: peer.ID, To: selfMember.ID, Term: term})
+	c.waitUntil("the replica follows", func() bool { return rep.Status().Term == term })
+	c.sched = New(Settings{Lease: testLease, StatusRetention: time.Minute}, rep, nil, zerolog.Nop(), noPeers{})
+	c.sched.startTerm(term)
+	addr := serveSessions(t, c.sched)
 
-	c, err := wire.Dial[wire.FromNode, wire.ToQueueNode](s.ctx, "ws://"+addr+"/queues", wire.QueueSession)
+	conn, err := wire.Dial[wire.FromNode, wire.ToQueueNode](c.ctx, "ws://"+addr+"/queues", wire.QueueSession)
 	assert.NilError(t, err)
-	defer c.Close()
-	assert.NilError(t, c.Send(s.ctx, wire.FromNode{Hello: &wire.QueueHello{Version: wire.Version, Process: "front"}}))
-	m, err := c.ReceiveWithin(s.ctx, waitTimeout)
+	defer conn.Close()
+	assert.NilError(t, conn.Send(c.ctx, wire.FromNode{Hello: &wire.QueueHello{Version: wire.Version, Process: "front"}}))
+	m, err := conn.ReceiveWithin(c.ctx, waitTimeout)
 	assert.NilError(t, err)
 	assert.Assert(t, m.Welcome == nil, "session was opened in term %d", term)
 	assert.DeepEqual(t, m.Redirect.Members, []string{selfMember.Addr, peer.Addr})
@@ -534,19 +534,19 @@
 	peer := quorum.Member{ID: "d#1", Name: "d", Addr: "d.example:1", Voter: true}
 	hello := func(t *testing.T, elect bool) *wire.QueueRedirect {
 		t.Helper()
-		s := &testCluster{t: t, ctx: t.Context()}
+		c := &testCluster{t: t, ctx: t.Context()}
 		rep := newReplica(t, selfMember, peer)
-		s.serve(rep)
+		c.serve(rep)
 		addr := serveSessions(t, New(Settings{Lease: testLease, StatusRetention: time.Minute}, rep, nil, zerolog.Nop(), noPeers{}))
-		c, err := wire.Dial[wire.FromNode, wire.ToQueueNode](s.ctx, "ws://"+addr+"/queues", wire.QueueSession)
+		conn, err := wire.Dial[wire.FromNode, wire.ToQueueNode](c.ctx, "ws://"+addr+"/queues", wire.QueueSession)
 		assert.NilError(t, err)
-		defer c.Close()
-		assert.NilError(t, c.Send(s.ctx, wire.FromNode{Hello: &wire.QueueHello{Version: wire.Version, Process: "front"}}))
+		defer conn.Close()
+		assert.NilError(t, conn.Send(c.ctx, wire.FromNode{Hello: &wire.QueueHello{Version: wire.Version, Process: "front"}}))
 		if elect {
-			steady.Pause(s.ctx, leaderWait/4)
-			rep.Step(s.ctx, quorum.Message{Type: quorum.MsgAppend, From: peer.ID, To: selfMember.ID, Term: 100})
+			steady.Pause(c.ctx, leaderWait/4)
+			rep.Step(c.ctx, quorum.Message{Type: quorum.MsgAppend, From: peer.ID, To: selfMember.ID, Term: 100})
 		}
-		m, err := c.ReceiveWithin(s.ctx, waitTimeout)
+		m, err := conn.ReceiveWithin(c.ctx, waitTimeout)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, m.Redirect.Members, []string{selfMember.Addr, peer.Addr})
 		return m.Redirect
--- a/scheduler/session.go
+++ b/scheduler/session.go
@@ -66,27 +66,27 @@
 // Accept serves a session of a front or an agent until it ends. If another process leads, it
 // sends a redirect.
 func (s *Scheduler) Accept(w http.ResponseWriter, r *http.Request) {
-	c, err := wire.Accept[wire.ToQueueNode, wire.FromNode](w, r, wire.QueueSession)
+	conn, err := wire.Accept[wire.ToQueueNode, wire.FromNode](w, r, wire.QueueSession)
 	if err != nil {
 		s.log.Warn().Err(err).Msg("queue_session_refused")
 		return
 	}
-	defer c.Close()
+	defer conn.Close()
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	hello, err := receiveHello(ctx, c)
+	hello, err := receiveHello(ctx, conn)
 	if err != nil {
 		s.log.Warn().Err(err).Msg("queue_hello_refused")
 		return
 	}
 	ses := &session{
-		s: s, conn: c, hello: *hello, cancel: cancel, out: make(chan wire.ToQueueNode, outQueue),
+		s: s, conn: conn, hello: *hello, cancel: cancel, out: make(chan wire.ToQueueNode, outQueue),
 		ordersDue: wakeup.New(), startsSent: map[rudderfork.RunRef]bool{}, stopsSent: map[rudderfork.RunRef]bool{},
 		pressuresSent: map[interference.Pair]float64{},
 	}
 	ses.reports = newReportQueue(ses.ends)
 	if !s.openOrRedirect(ctx, ses) {
-		_ = c.Send(ctx, wire.ToQueueNode{Redirect: s.redirect()}) // if it is lost, the node tries another process
+		_ = conn.Send(ctx, wire.ToQueueNode{Redirect: s.redirect()}) // if it is lost, the node tries another process
 		return
 	}
 	s.log.Info().Str("node", hello.Process).Msg("queue_session_opened")
@@ -95,8 +95,8 @@
 	s.log.Info().Str("node", hello.Process).AnErr("error", err).Msg("queue_session_closed")
 }
 
-func receiveHello(ctx context.Context, c *wire.Conn[wire.ToQueueNode, wire.FromNode]) (*wire.QueueHello, error) {
-	m, err := c.ReceiveWithin(ctx, helloTimeout)
+func receiveHello(ctx context.Context, conn *wire.Conn[wire.ToQueueNode, wire.FromNode]) (*wire.QueueHello, error) {
+	m, err := conn.ReceiveWithin(ctx, helloTimeout)
 	switch {
 	case err != nil:
 		return nil, err
--- a/scheduler/session_model_test.go
+++ b/scheduler/session_model_test.go
@@ -104,11 +104,11 @@
 // crashes and departures of the executor, so that earlier sessions are delivered after later
 // ones. In the end the current incarnation is committed, whatever arrives after that.
 func TestDelayedMessagesRevertIncarnation(t *testing.T) {
-	s := newTestClusterWithLease(t, nil, time.Hour)
+	c := newTestClusterWithLease(t, nil, time.Hour)
 	vms := 0
 	rapid.Check(t, func(t *rapid.T) {
 		vms++
-		m := &sessionModel{cluster: s, vm: rudderfork.VMID(fmt.Sprintf("vm-%d", vms)), committedIncarnation: -1}
+		m := &sessionModel{cluster: c, vm: rudderfork.VMID(fmt.Sprintf("vm-%d", vms)), committedIncarnation: -1}
 		m.openSession()
 		for range rapid.IntRange(1, maxModelEvents).Draw(t, "events") {
 			m.drawEvent(t)
--- a/scheduler/simfleet_test.go
+++ b/scheduler/simfleet_test.go
@@ -118,8 +118,8 @@
 // leaderTime returns the time by the leader's clock.
 func (s *simFleet) leaderTime() time.Time { return s.now.Add(s.clockSkew) }
 
-func (s *simFleet) apply(c queue.Command) queue.Result {
-	return s.qs.Apply(c, rudderfork.Millis(s.leaderTime()))
+func (s *simFleet) apply(cmd queue.Command) queue.Result {
+	return s.qs.Apply(cmd, rudderfork.Millis(s.leaderTime()))
 }
 
 // scheduler returns a scheduler that shares the leader's fleet.
@@ -262,11 +262,11 @@
 	if len(plan.Starts) == 0 {
 		return plan
 	}
-	c := queue.Command{}
+	cmd := queue.Command{}
 	for _, st := range plan.Starts {
-		c.Starts = append(c.Starts, st.Start)
+		cmd.Starts = append(cmd.Starts, st.Start)
 	}
-	for _, n := range s.apply(c).Numbers {
+	for _, n := range s.apply(cmd).Numbers {
 		if n == 0 {
 			s.rejectedStarts++
 		}
--- a/scheduler/stale_session_test.go
+++ b/scheduler/stale_session_test.go
@@ -29,33 +29,33 @@
 
 // connectAgent opens a session as the agent of testVM. The leader learns which VM it belongs to
 // from the first heartbeat.
-func (s *testCluster) connectAgent() *agentClient {
-	s.t.Helper()
-	client := &agentClient{cluster: s, startOrders: map[rudderfork.RunRef]bool{}, stopOrders: map[rudderfork.RunRef]bool{}}
-	s.waitUntil("a session is opened", func() bool {
-		c, err := wire.Dial[wire.FromNode, wire.ToQueueNode](s.ctx, "ws://"+s.addr+"/queues", wire.QueueSession)
+func (c *testCluster) connectAgent() *agentClient {
+	c.t.Helper()
+	client := &agentClient{cluster: c, startOrders: map[rudderfork.RunRef]bool{}, stopOrders: map[rudderfork.RunRef]bool{}}
+	c.waitUntil("a session is opened", func() bool {
+		conn, err := wire.Dial[wire.FromNode, wire.ToQueueNode](c.ctx, "ws://"+c.addr+"/queues", wire.QueueSession)
 		if err != nil {
 			return false
 		}
-		assert.NilError(s.t, c.Send(s.ctx, wire.FromNode{Hello: &wire.QueueHello{Version: wire.Version, Process: string(testVM)}}))
-		m, err := c.ReceiveWithin(s.ctx, waitTimeout)
+		assert.NilError(c.t, conn.Send(c.ctx, wire.FromNode{Hello: &wire.QueueHello{Version: wire.Version, Process: string(testVM)}}))
+		m, err := conn.ReceiveWithin(c.ctx, waitTimeout)
 		if err != nil || m.Welcome == nil {
-			c.Close()
+			conn.Close()
 			return false
 		}
-		client.conn = c
+		client.conn = conn
 		return true
 	})
-	s.t.Cleanup(client.conn.Close)
+	c.t.Cleanup(client.conn.Close)
 	return client
 }
 
 // connectAgentTwice opens two sessions as the agent of testVM. The first sends a heartbeat of
 // incarnation inc, unless that is "". The second sends one of newIncarnation, on which a lasting
 // task is then started.
-func (s *testCluster) connectAgentTwice(inc string) (before, now *agentClient, epoch uint64) {
-	s.t.Helper()
-	before, now = s.connectAgent(), s.connectAgent()
+func (c *testCluster) connectAgentTwice(inc string) (before, now *agentClient, epoch uint64) {
+	c.t.Helper()
+	before, now = c.connectAgent(), c.connectAgent()
 	if inc != "" {
 		before.heartbeat(inc)
 	}
@@ -132,90 +132,90 @@
 
 // assertCurrent checks that the VM is registered with newIncarnation, and that its epoch, run,
 // load and draining flag are unaffected by earlier sessions.
-func (s *testCluster) assertCurrent(client *agentClient, epoch uint64) {
-	s.t.Helper()
+func (c *testCluster) assertCurrent(client *agentClient, epoch uint64) {
+	c.t.Helper()
 	grant := client.heartbeat(newIncarnation)
-	assert.Equal(s.t, grant.Epoch, epoch)
-	assert.Assert(s.t, grant.LeaseMS > 0)
-	assert.Equal(s.t, len(client.stopOrders), 0)
-	s.sched.rep.View(func(st *state.State) {
+	assert.Equal(c.t, grant.Epoch, epoch)
+	assert.Assert(c.t, grant.LeaseMS > 0)
+	assert.Equal(c.t, len(client.stopOrders), 0)
+	c.sched.rep.View(func(st *state.State) {
 		vm := st.Queues().VM(testVM)
-		assert.Equal(s.t, vm.Incarnation, newIncarnation)
-		assert.Equal(s.t, vm.Epoch, epoch)
-		assert.Assert(s.t, vm.Live)
-		assert.Equal(s.t, len(vm.Runs()), 1)
+		assert.Equal(c.t, vm.Incarnation, newIncarnation)
+		assert.Equal(c.t, vm.Epoch, epoch)
+		assert.Assert(c.t, vm.Live)
+		assert.Equal(c.t, len(vm.Runs()), 1)
 	})
-	s.sched.mu.Lock()
-	defer s.sched.mu.Unlock()
-	v := s.sched.fleet.vm(testVM)
-	assert.Equal(s.t, v.heartbeat.VM.Incarnation, newIncarnation)
-	assert.Assert(s.t, !v.heartbeat.Draining)
-	assert.Equal(s.t, len(v.runs), 0, "a load of the old incarnation was recorded")
+	c.sched.mu.Lock()
+	defer c.sched.mu.Unlock()
+	v := c.sched.fleet.vm(testVM)
+	assert.Equal(c.t, v.heartbeat.VM.Incarnation, newIncarnation)
+	assert.Assert(c.t, !v.heartbeat.Draining)
+	assert.Equal(c.t, len(v.runs), 0, "a load of the old incarnation was recorded")
 }
 
 // TestStaleSessionChangesVM guards against messages that arrive in an earlier session of an agent,
 // after the agent's heartbeat in a later one, and still change the VM.
 func TestStaleSessionChangesVM(t *testing.T) {
 	t.Run("heartbeat of a registered incarnation", func(t *testing.T) {
-		s := newTestCluster(t, nil)
-		before, now, epoch := s.connectAgentTwice(oldIncarnation)
+		c := newTestCluster(t, nil)
+		before, now, epoch := c.connectAgentTwice(oldIncarnation)
 		before.sendStaleHeartbeat(oldIncarnation)
-		s.assertCurrent(now, epoch)
+		c.assertCurrent(now, epoch)
 	})
 	t.Run("heartbeat of an incarnation never registered", func(t *testing.T) {
-		s := newTestCluster(t, nil)
-		before, now, epoch := s.connectAgentTwice("")
+		c := newTestCluster(t, nil)
+		before, now, epoch := c.connectAgentTwice("")
 		before.sendStaleHeartbeat(oldIncarnation)
-		s.assertCurrent(now, epoch)
+		c.assertCurrent(now, epoch)
 	})
 	t.Run("heartbeat of the current incarnation", func(t *testing.T) {
-		s := newTestCluster(t, nil)
-		before, now, epoch := s.connectAgentTwice(newIncarnation)
+		c := newTestCluster(t, nil)
+		before, now, epoch := c.connectAgentTwice(newIncarnation)
 		before.sendStaleHeartbeat(newIncarnation)
-		s.sched.mu.Lock()
-		draining := s.sched.fleet.vm(testVM).heartbeat.Draining
-		s.sched.mu.Unlock()
+		c.sched.mu.Lock()
+		draining := c.sched.fleet.vm(testVM).heartbeat.Draining
+		c.sched.mu.Unlock()
 		assert.Assert(t, !draining)
-		s.assertCurrent(now, epoch)
+		c.assertCurrent(now, epoch)
 	})
 	t.Run("ends of runs and the shutdown notice", func(t *testing.T) {
-		s := newTestCluster(t, nil)
-		before, now, epoch := s.connectAgentTwice(oldIncarnation)
+		c := newTestCluster(t, nil)
+		before, now, epoch := c.connectAgentTwice(oldIncarnation)
 		list := []queue.End{{Task: queue.TaskKey{Job: "feed"}, Run: 1, Outcome: queue.OutcomeFailed}}
 		before.sendAndWait(wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: queue.Ends{VM: testVM, Incarnation: oldIncarnation, List: list}, Departed: true}})
-		s.assertCurrent(now, epoch)
+		c.assertCurrent(now, epoch)
 	})
 	t.Run("refusal of a run that the next agent process has started", func(t *testing.T) {
-		s := newTestCluster(t, nil)
-		before, now, epoch := s.connectAgentTwice(newIncarnation)
+		c := newTestCluster(t, nil)
+		before, now, epoch := c.connectAgentTwice(newIncarnation)
 		list := []queue.End{{Task: queue.TaskKey{Job: "feed"}, Run: 1, Outcome: queue.OutcomeRefused}}
 		before.sendAndWait(wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: queue.Ends{VM: testVM, Incarnation: newIncarnation, List: list}}})
-		s.assertCurrent(now, epoch)
+		c.assertCurrent(now, epoch)
 	})
 	t.Run("heartbeat after the later session has ended", func(t *testing.T) {
-		s := newTestCluster(t, nil)
-		before, now, epoch := s.connectAgentTwice(oldIncarnation)
+		c := newTestCluster(t, nil)
+		before, now, epoch := c.connectAgentTwice(oldIncarnation)
 		now.conn.Close()
-		s.waitUntil("the session has ended", func() bool {
-			s.sched.mu.Lock()
-			defer s.sched.mu.Unlock()
-			return s.sched.fleet.vm(testVM).session == nil
+		c.waitUntil("the session has ended", func() bool {
+			c.sched.mu.Lock()
+			defer c.sched.mu.Unlock()
+			return c.sched.fleet.vm(testVM).session == nil
 		})
 		before.sendStaleHeartbeat(oldIncarnation)
-		again := s.connectAgent()
-		s.assertCurrent(again, epoch)
+		again := c.connectAgent()
+		c.assertCurrent(again, epoch)
 	})
 }
 
 // TestConcurrentRegistrationsOfVM guards against a heartbeat that registers the VM while another
 // session is registering it. It gets no epoch and no lease until that has finished.
 func TestConcurrentRegistrationsOfVM(t *testing.T) {
-	s := newTestCluster(t, nil)
-	client := s.connectAgent()
+	c := newTestCluster(t, nil)
+	client := c.connectAgent()
 	setRegistering := func(on bool) {
-		s.sched.mu.Lock()
-		defer s.sched.mu.Unlock()
-		s.sched.fleet.vm(testVM).registering = on
+		c.sched.mu.Lock()
+		defer c.sched.mu.Unlock()
+		c.sched.fleet.vm(testVM).registering = on
 	}
 	setRegistering(true)
 	grant := client.heartbeat(newIncarnation)
--- a/scheduler/waiting_test.go
+++ b/scheduler/waiting_test.go
@@ -25,37 +25,37 @@
 // TestPlacedJobCountedAsBegun guards against a job that stops counting as waiting when its start is
 // ordered, though no executor has begun it yet.
 func TestPlacedJobCountedAsBegun(t *testing.T) {
-	s := newTestCluster(t, nil)
-	s.putDocument(nil)
-	e := s.addVM(executor.Config{})
+	c := newTestCluster(t, nil)
+	c.putDocument(nil)
+	e := c.addVM(executor.Config{})
 	e.SetFate(loseStarts)
 	waiting := func() int {
-		return s.send(wire.QueueRequest{Status: &wire.HostPath{Host: testHost, Path: "/q/"}}).Waiting
+		return c.send(wire.QueueRequest{Status: &wire.HostPath{Host: testHost, Path: "/q/"}}).Waiting
 	}
-	s.submit("j", "work=1m", smallStep)
-	s.waitForStatus("j", queue.Running)
+	c.submit("j", "work=1m", smallStep)
+	c.waitForStatus("j", queue.Running)
 	assert.Equal(t, waiting(), 1)
 	e.SetFate(answerAll)
-	s.waitUntil("the task runs", func() bool { return len(e.Running()) == 1 })
-	s.waitUntil("the job no longer waits", func() bool { return waiting() == 0 })
+	c.waitUntil("the task runs", func() bool { return len(e.Running()) == 1 })
+	c.waitUntil("the job no longer waits", func() bool { return waiting() == 0 })
 }
 
 // TestNextLeaderCountsRunningJobAsWaiting guards against a new leader that counts running jobs as
 // waiting, because only the old leader knew that they have begun.
 func TestNextLeaderCountsRunningJobAsWaiting(t *testing.T) {
-	s := newTestCluster(t, nil)
-	s.putDocument(nil)
-	e := s.addVM(executor.Config{})
-	s.submit("first", "work=1m", smallStep)
-	s.waitUntil("the task runs", func() bool { return len(e.Running()) == 1 })
+	c := newTestCluster(t, nil)
+	c.putDocument(nil)
+	e := c.addVM(executor.Config{})
+	c.submit("first", "work=1m", smallStep)
+	c.waitUntil("the task runs", func() bool { return len(e.Running()) == 1 })
 	begun := func() (ok bool) {
-		s.sched.rep.View(func(st *state.State) { ok = st.Queues().Job("first").Begun })
+		c.sched.rep.View(func(st *state.State) { ok = st.Queues().Job("first").Begun })
 		return ok
 	}
 	n := 0
-	s.waitUntil("the state records that the job has begun", func() bool {
+	c.waitUntil("the state records that the job has begun", func() bool {
 		n++
-		s.submit(fmt.Sprintf("next-%d", n), "work=1ms", queue.Step{Count: 1})
+		c.submit(fmt.Sprintf("next-%d", n), "work=1ms", queue.Step{Count: 1})
 		return begun()
 	})
 }
