--- a/dispatch/colocate.go
+++ b/dispatch/colocate.go
@@ -157,7 +157,7 @@
 // mayStartSlow reports whether a filler may start at any speed, since its job has had no
 // runs for maxSlowWaitMS.
 func (p *pass) mayStartSlow(cl *taskClass) bool {
-	idleSince := max(cl.job.SubmittedAt, cl.state.lastEndedAt)
+	idleSince := max(cl.job.SubmittedAt, cl.js.lastEndedAt)
 	return cl.job.ActiveRuns+p.started[cl.job.ID] == 0 && p.view.Now-idleSince >= maxSlowWaitMS
 }
 
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -101,8 +101,8 @@
 
 // objectiveOf returns the objective of a job of one step in the urgent queue, in ms.
 func objectiveOf(w *fixture, st queue.Step) int64 {
-	row, _ := w.s.Document().Queue("urgent")
-	return ObjectiveMS(row, &queue.Job{Spec: queue.Spec{Steps: []queue.Step{st}}}, nil)
+	q, _ := w.s.Document().Queue("urgent")
+	return ObjectiveMS(q, &queue.Job{Spec: queue.Spec{Steps: []queue.Step{st}}}, nil)
 }
 
 func TestJobOrder(t *testing.T) {
@@ -326,8 +326,8 @@
 }
 
 func TestSpeculativeCopies(t *testing.T) {
-	twice := cpuStep(4000)
-	twice.Speculative, twice.Count = true, 3
+	speculative := cpuStep(4000)
+	speculative.Speculative, speculative.Count = true, 3
 	// begun returns a step running on three VMs, and a free fourth VM.
 	begun := func(t *testing.T, st queue.Step) (w *fixture, k queue.TaskKey) {
 		w = newFixture(t, 3)
@@ -357,7 +357,7 @@
 		{"it lags behind its siblings", func(w *fixture, k queue.TaskKey) { w.progress(k, 20, 80, 80) }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w, k := begun(t, twice)
+			w, k := begun(t, speculative)
 			c.change(w, k)
 			places := w.startPlanned()
 			assert.Equal(t, places["j.0.0.0"] == "vm4", c.copied)
@@ -366,14 +366,14 @@
 		})
 	}
 	t.Run("never if the step does not allow it", func(t *testing.T) {
-		once := twice
-		once.Speculative = false
-		w, _ := begun(t, once)
+		plain := speculative
+		plain.Speculative = false
+		w, _ := begun(t, plain)
 		w.view.VMs["vm1"] = VMView{}
 		assert.Equal(t, len(w.startPlanned()), 0)
 	})
 	t.Run("the other run is stopped when one is done", func(t *testing.T) {
-		w, k := begun(t, twice)
+		w, k := begun(t, speculative)
 		w.progress(k, 20, 80, 80)
 		w.startPlanned()
 		w.s.Apply(queue.Command{Ends: &queue.Ends{VM: "vm4", Incarnation: "life", List: []queue.End{{Task: k, Run: 2, Outcome: queue.OutcomeDone}}}}, w.view.Now)
@@ -522,11 +522,11 @@
 func TestForecastGuidesFillers(t *testing.T) {
 	w := newFixture(t, 2)
 	w.pressures[[2]string{"audio", "roster"}] = 8
-	for i, ahead := range []float64{-1.2, 0.1} {
+	for i, change := range []float64{-1.2, 0.1} {
 		k := w.submit("urgent", fmt.Sprintf("feed%d", i), 1000, servingStep("audio", 1000))
 		vm := rudderfork.VMID(fmt.Sprintf("vm%d", i+1))
 		w.s.Apply(queue.Command{Starts: []queue.Start{{Task: k, VM: vm, Incarnation: "life"}}}, 1000)
-		w.view.Runs[k.Run(1)] = RunView{Percent: 100, Load: int64(6 + i), ForecastHeadroomChange: ahead}
+		w.view.Runs[k.Run(1)] = RunView{Percent: 100, Load: int64(6 + i), ForecastHeadroomChange: change}
 	}
 	k := w.submit("later", "roster", 1000, fillerStep("roster", 400))
 	assert.Equal(t, w.startPlanned()[k.String()], rudderfork.VMID("vm2"))
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -12,7 +12,7 @@
 type jobState struct {
 	job     *queue.Job
 	changes uint64 // change counter of the job when it was read
-	row     queue.Queue
+	queue   queue.Queue // definition of the queue in the current document, see State.CurrentQueue
 
 	objectiveFrom int64 // when the objective begins to run, Unix ms
 	lasting       bool
@@ -100,8 +100,8 @@
 
 // newJobState reads a job.
 func (p *pass) newJobState(j *queue.Job) *jobState {
-	row := p.state.CurrentQueue(j)
-	js := &jobState{job: j, changes: j.Changes(), row: row, objectiveFrom: objectiveFromMS(j), lasting: hasLastingStep(j)}
+	q := p.state.CurrentQueue(j)
+	js := &jobState{job: j, changes: j.Changes(), queue: q, objectiveFrom: objectiveFromMS(j), lasting: hasLastingStep(j)}
 	for i := range j.Spec.Steps {
 		st := &j.Spec.Steps[i]
 		js.images = append(js.images, p.images.number(st.Image))
@@ -120,8 +120,8 @@
 // estimate updates the estimates that depend on expected work times.
 func (js *jobState) estimate(p *pass) {
 	j := js.job
-	js.workMS, js.workTimeVersion = p.view.WorkTime.estimates(js.row, j, openOccurrence(j)), p.view.WorkTimeVersion
-	js.objective, js.pathLeft, js.workLeft = objectiveMS(js.row, j, js.workMS), pathLeftMS(j, js.workMS), workLeft(j, js.workMS)
+	js.workMS, js.workTimeVersion = p.view.WorkTime.estimates(js.queue, j, openOccurrence(j)), p.view.WorkTimeVersion
+	js.objective, js.pathLeft, js.workLeft = objectiveMS(js.queue, j, js.workMS), pathLeftMS(j, js.workMS), workLeft(j, js.workMS)
 	js.fillerWork = js.fillerWork[:0]
 	for i := range j.Spec.Steps {
 		st := &j.Spec.Steps[i]
--- a/dispatch/load_test.go
+++ b/dispatch/load_test.go
@@ -111,7 +111,7 @@
 
 // inTimeShare returns the share of a queue's jobs that were done within their objective.
 func (sim *simulation) inTimeShare(queueName string) float64 {
-	row, _ := sim.s.Document().Queue(queueName)
+	q, _ := sim.s.Document().Queue(queueName)
 	all, good := 0, 0
 	for i, j := range sim.jobs {
 		if j.queue != queueName {
@@ -123,7 +123,7 @@
 		for _, took := range j.trueMS {
 			chain += took
 		}
-		if sim.jobs[i].done-j.at <= int64(max(1, row.Stretch)*float64(chain))+row.LatencyMS {
+		if sim.jobs[i].done-j.at <= int64(max(1, q.Stretch)*float64(chain))+q.LatencyMS {
 			good++
 		}
 	}
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -14,7 +14,7 @@
 // taskClass is what the tasks of one occurrence of a step have in common. They differ
 // only in where they run and where they have failed.
 type taskClass struct {
-	state   *jobState
+	js      *jobState
 	job     *queue.Job
 	key     queue.StepKey
 	step    *queue.Step
@@ -29,9 +29,9 @@
 func (p *pass) classOf(js *jobState, key queue.StepKey) *taskClass {
 	st := &js.job.Spec.Steps[key.Step]
 	return &taskClass{
-		state: js, job: js.job, key: key, step: st, tasks: js.job.Occurrences[key.Occurrence].Steps[key.Step],
+		js: js, job: js.job, key: key, step: st, tasks: js.job.Occurrences[key.Occurrence].Steps[key.Step],
 		need: st.Need(), image: js.images[key.Step],
-		advised: js.row.Advice != nil, tickets: p.view.Tickets[key],
+		advised: js.queue.Advice != nil, tickets: p.view.Tickets[key],
 	}
 }
 
@@ -111,7 +111,7 @@
 // isFeasible reports whether a VM can take another task of a class in this plan.
 // rejectReason explains the same conditions.
 func (p *pass) isFeasible(cl *taskClass, v *vmState) bool {
-	if !v.schedulable || !cl.need.Fits(v.free) || v.vm.Service != cl.state.row.Service || !v.vm.HasLabel(cl.step.Label) {
+	if !v.schedulable || !cl.need.Fits(v.free) || v.vm.Service != cl.js.queue.Service || !v.vm.HasLabel(cl.step.Label) {
 		return false
 	}
 	if cl.advised && cl.tickets[v.vm.ID] == "" {
@@ -148,7 +148,7 @@
 }
 
 func (cl *taskClass) requirement(image int) requirement {
-	return requirement{cl.state.row.Service, cl.step.Label, cl.need, image, cl.step.Size.CPUMilli}
+	return requirement{cl.js.queue.Service, cl.step.Label, cl.need, image, cl.step.Size.CPUMilli}
 }
 
 // impliedBy reports whether every VM that meets o also meets w.
--- a/dispatch/drawn_test.go
+++ b/dispatch/random_test.go
@@ -237,8 +237,8 @@
 				slack -= p.view.Pressure(image, f.image) * f.cpu / whole
 			}
 		}
-		if harm := p.view.Pressure(image, st.Image) * cpu / whole; harm >= pace.NegligibleImpact {
-			speed = min(speed, max(0, slack)/harm)
+		if impact := p.view.Pressure(image, st.Image) * cpu / whole; impact >= pace.NegligibleImpact {
+			speed = min(speed, max(0, slack)/impact)
 		}
 	}
 	return speed
@@ -313,7 +313,7 @@
 	return float64(st.Size.CPUMilli)
 }
 
-func (p *reference) fillerTolerance(tasks map[string]int, more []string) (open float64) {
+func (p *reference) fillerTolerance(tasks map[string]int, extra []string) (tolerated float64) {
 	work, sum := map[string]float64{}, 0.0
 	for _, j := range p.s.Live() {
 		for i, st := range j.Spec.Steps {
@@ -330,12 +330,12 @@
 		for image := range tasks {
 			most = max(most, p.view.Pressure(image, filler))
 		}
-		for _, image := range more {
+		for _, image := range extra {
 			most = max(most, p.view.Pressure(image, filler))
 		}
-		open += part / max(1, sum) / (1 + most*most/(halfTolerancePressure*halfTolerancePressure))
+		tolerated += part / max(1, sum) / (1 + most*most/(halfTolerancePressure*halfTolerancePressure))
 	}
-	return open
+	return tolerated
 }
 
 // cheapest returns the feasible VM with the lowest cost for a task.
--- a/dispatch/rank.go
+++ b/dispatch/rank.go
@@ -27,7 +27,7 @@
 func (js *jobState) rank(now int64) rank {
 	r := rank{
 		worthless: now > js.objectiveFrom+worthlessFactor*js.objective && !js.lasting,
-		priority:  js.row.Priority,
+		priority:  js.queue.Priority,
 		late:      now+js.pathLeft > js.objectiveFrom+js.objective && !js.lasting,
 		deadline:  js.objectiveFrom + js.objective,
 	}
@@ -81,13 +81,13 @@
 type WorkTimeFunc func(queueName string, k queue.StepKey, st *queue.Step) float64
 
 // estimates returns the estimates for an occurrence of a job, in ms by step.
-func (w WorkTimeFunc) estimates(row queue.Queue, j *queue.Job, occurrence int) []float64 {
+func (w WorkTimeFunc) estimates(q queue.Queue, j *queue.Job, occurrence int) []float64 {
 	list := make([]float64, len(j.Spec.Steps))
 	for i := range list {
 		st := &j.Spec.Steps[i]
 		list[i] = float64(st.ExpectedMS)
 		if w != nil {
-			list[i] = w(row.Name, queue.StepKey{Job: j.ID, Occurrence: occurrence, Step: i}, st)
+			list[i] = w(q.Name, queue.StepKey{Job: j.ID, Occurrence: occurrence, Step: i}, st)
 		}
 	}
 	return list
@@ -95,13 +95,13 @@
 
 // ObjectiveMS returns how long a job of the queue may take, in ms: a multiple of the
 // estimated length of its critical path, plus the queue's latency.
-func ObjectiveMS(row queue.Queue, j *queue.Job, w WorkTimeFunc) int64 {
-	return objectiveMS(row, j, w.estimates(row, j, openOccurrence(j)))
+func ObjectiveMS(q queue.Queue, j *queue.Job, w WorkTimeFunc) int64 {
+	return objectiveMS(q, j, w.estimates(q, j, openOccurrence(j)))
 }
 
-func objectiveMS(row queue.Queue, j *queue.Job, workMS []float64) int64 {
+func objectiveMS(q queue.Queue, j *queue.Job, workMS []float64) int64 {
 	path := criticalPathMS(j.Spec, workMS, func(int) bool { return true })
-	return int64(max(1, row.Stretch)*path) + row.LatencyMS
+	return int64(max(1, q.Stretch)*path) + q.LatencyMS
 }
 
 // openOccurrence returns the oldest unfinished occurrence of a job, or the last one.
--- a/dispatch/vm.go
+++ b/dispatch/vm.go
@@ -38,10 +38,10 @@
 
 // readVMs returns all VMs. It reads a VM again if it has changed or if the previous
 // plan added starts to it.
-func (pl *Planner) readVMs(p *pass) (vms []*vmState, at map[rudderfork.VMID]int) {
+func (pl *Planner) readVMs(p *pass) (vms []*vmState, index map[rudderfork.VMID]int) {
 	list := p.state.VMs()
 	vms = make([]*vmState, len(list))
-	at = make(map[rudderfork.VMID]int, len(list))
+	index = make(map[rudderfork.VMID]int, len(list))
 	for i, vm := range list {
 		v := pl.vms[vm.ID]
 		view := p.view.VMs[vm.ID]
@@ -57,9 +57,9 @@
 		}
 		v.colocation.tolerance = nil // depends on demand and pressures, which differ from plan to plan
 		v.colocation.updateSlack(p)
-		vms[i], at[vm.ID] = v, i
+		vms[i], index[vm.ID] = v, i
 	}
-	return vms, at
+	return vms, index
 }
 
 // isStale reports whether the VM has to be read again.
--- a/queue/apply.go
+++ b/queue/apply.go
@@ -8,8 +8,8 @@
 	"rudderfork.example/rudderfork"
 )
 
-// jobIDForm is the syntax of a job ID in a path.
-var jobIDForm = regexp.MustCompile(`^[0-9A-Za-z_-]{1,64}$`)
+// jobIDPattern is the syntax of a job ID in a path.
+var jobIDPattern = regexp.MustCompile(`^[0-9A-Za-z_-]{1,64}$`)
 
 // Apply applies a command. at is the proposer's clock, Unix ms.
 func (s *State) Apply(c Command, at int64) Result {
@@ -85,7 +85,7 @@
 	if !found {
 		return q, "", Result{Code: NoQueue, Text: "no queue has this host and path"}, false
 	}
-	if !jobIDForm.MatchString(rest) {
+	if !jobIDPattern.MatchString(rest) {
 		return q, "", Result{Code: Invalid, Text: "the path does not end with a job's ID"}, false
 	}
 	return q, rudderfork.JobID(rest), refusal, true
@@ -252,7 +252,7 @@
 			s.removeRun(j, e.Task, t, i)
 			if e.Outcome.hasBegun() {
 				j.Begun = true
-				t.recordEnd(e.Outcome, at-r.StartedAt)
+				t.clearIfProven(e.Outcome, at-r.StartedAt)
 			}
 			if e.Outcome == OutcomeDone {
 				t.TookMS = at - r.StartedAt
@@ -383,12 +383,13 @@
 	return tasks, true
 }
 
-// mayBeSame reports whether the name now may denote the incarnation that the name before denoted.
+// mayBeSame reports whether two names, of a VM's previous and its current registration, may denote the
+// same incarnation.
 // Agents of earlier releases name incarnations by the executor ID alone. When an agent adds the
 // start time to such a name, the runs of the incarnation must not count as ended.
-func mayBeSame(before, now string) bool {
-	id, _ := rudderfork.SplitIncarnation(now)
-	return before == now || before == id
+func mayBeSame(previous, current string) bool {
+	id, _ := rudderfork.SplitIncarnation(current)
+	return previous == current || previous == id
 }
 
 func (s *State) loseVM(c VMLoss, at int64) Result {
--- a/queue/blame.go
+++ b/queue/blame.go
@@ -201,9 +201,9 @@
 	}
 }
 
-// recordEnd clears the task if a run that an executor has listed as ended shows that it does not
+// clearIfProven clears the task if a run that an executor has listed as ended shows that it does not
 // crash its executor.
-func (t *Task) recordEnd(outcome Outcome, tookMS int64) {
+func (t *Task) clearIfProven(outcome Outcome, tookMS int64) {
 	if outcome == OutcomeDone || outcome == OutcomeFailed || tookMS >= provenRunMS {
 		t.clear()
 	}
--- a/queue/blame_test.go
+++ b/queue/blame_test.go
@@ -8,7 +8,7 @@
 	"rudderfork.example/rudderfork"
 )
 
-// firstIncarnation is the incarnation in which newWorld registers its VMs.
+// firstIncarnation is the incarnation in which newFixture registers its VMs.
 const firstIncarnation = "life-1"
 
 // ageOf returns the report of an agent on a confirmed run.
@@ -17,20 +17,20 @@
 }
 
 // crash registers another incarnation of a VM's executor, with a crash report that lists runs.
-func (w *world) crash(vm rudderfork.VMID, inc string, runs ...RunAge) Result {
+func (w *fixture) crash(vm rudderfork.VMID, inc string, runs ...RunAge) Result {
 	w.n += 3_000
 	old := w.s.VM(vm)
 	v := VM{ID: vm, Incarnation: inc, Domain: old.Domain, Rack: old.Rack, Service: old.Service, Capacity: old.Capacity, Labels: old.Labels}
 	return w.apply(Command{Register: &v, Crash: &Crash{Incarnation: old.Incarnation, Runs: runs}})
 }
 
-func (w *world) lose(vm rudderfork.VMID, c VMLoss) Result {
+func (w *fixture) lose(vm rudderfork.VMID, c VMLoss) Result {
 	w.n += 5_000
 	c.VM, c.Incarnation = vm, w.s.VM(vm).Incarnation
 	return w.apply(Command{Lost: &c})
 }
 
-func (w *world) task(k TaskKey) *Task { return w.s.Job(k.Job).Task(k) }
+func (w *fixture) task(k TaskKey) *Task { return w.s.Job(k.Job).Task(k) }
 
 func checkCounts(t *testing.T, task *Task, crashes, losses int) {
 	t.Helper()
@@ -39,8 +39,8 @@
 }
 
 // startTwo starts two tasks of two jobs on the first VM.
-func startTwo(t *testing.T, step Step) (w *world, bad, good TaskKey) {
-	w = newWorld(t, 4)
+func startTwo(t *testing.T, step Step) (w *fixture, bad, good TaskKey) {
+	w = newFixture(t, 4)
 	w.submit("bad", step)
 	w.submit("good", step)
 	bad, good = key("bad", 0, 0), key("good", 0, 0)
@@ -116,18 +116,18 @@
 		assert.Equal(t, w.apply(Command{Clear: &TaskKey{Job: "none"}}).Code, NoJob)
 	})
 	t.Run("crashes of idle executors raise the rate of spontaneous crashes", func(t *testing.T) {
-		w := newWorld(t, 4)
+		w := newFixture(t, 4)
 		inc := 1
 		for range 20 { // without runs that began recently
 			inc++
 			w.crash("vm4", string(rune('a'+inc)))
 		}
-		quiet, unstable := newWorld(t, 4).s.base, w.s.base
+		quiet, unstable := newFixture(t, 4).s.base, w.s.base
 		assert.Assert(t, unstable.weight() > quiet.weight())
 	})
 }
 
-func TestNotCharged(t *testing.T) {
+func TestNoCrashCounted(t *testing.T) {
 	t.Run("a shutdown notice", func(t *testing.T) {
 		w, bad, _ := startTwo(t, one)
 		w.lose("vm1", VMLoss{Departed: true})
@@ -178,7 +178,7 @@
 // TestUnresolvedLossesBoundStarts checks that losses that may have been crashes count until the VMs are
 // back.
 func TestUnresolvedLossesBoundStarts(t *testing.T) {
-	w := newWorld(t, 8)
+	w := newFixture(t, 8)
 	w.submit("j1", one)
 	k := key("j1", 0, 0)
 	starts := 0
@@ -196,7 +196,7 @@
 // TestTaskOfVMsLostForGoodRunsAgain guards against unresolved losses that are only resolved if the
 // VM returns.
 func TestTaskOfVMsLostForGoodRunsAgain(t *testing.T) {
-	w := newWorld(t, 8)
+	w := newFixture(t, 8)
 	w.submit("j1", one)
 	k := key("j1", 0, 0)
 	for vm, ok := w.startAnywhere(k); ok; vm, ok = w.startAnywhere(k) {
@@ -223,7 +223,7 @@
 
 // TestLongRunLeavesNoUnresolvedLoss checks that a loss counts no more than a crash would.
 func TestLongRunLeavesNoUnresolvedLoss(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newFixture(t, 1)
 	w.submit("j1", one)
 	k := key("j1", 0, 0)
 	w.start(k, "vm1")
--- a/queue/capacity_test.go
+++ b/queue/capacity_test.go
@@ -9,7 +9,7 @@
 )
 
 // resize registers another capacity of a VM, with the same incarnation.
-func (w *world) resize(id rudderfork.VMID, cpu int64) {
+func (w *fixture) resize(id rudderfork.VMID, cpu int64) {
 	vm := *w.s.VM(id)
 	vm.Capacity.CPUMilli = cpu
 	w.apply(Command{Register: &vm})
@@ -17,10 +17,10 @@
 
 // TestCapacityChanges checks that a VM that runs tasks may shrink and grow.
 func TestCapacityChanges(t *testing.T) {
-	four := one
-	four.Count = 6
-	w := newWorld(t, 1)
-	w.submit("j1", four)
+	six := one
+	six.Count = 6
+	w := newFixture(t, 1)
+	w.submit("j1", six)
 	for i := range 3 {
 		assert.Assert(t, w.start(key("j1", 0, i), "vm1") > 0)
 	}
--- a/queue/crash_test.go
+++ b/queue/crash_test.go
@@ -15,7 +15,7 @@
 const mostCrashes = 5
 
 // startAnywhere starts a task on the first VM that accepts it.
-func (w *world) startAnywhere(k TaskKey) (on rudderfork.VMID, ok bool) {
+func (w *fixture) startAnywhere(k TaskKey) (on rudderfork.VMID, ok bool) {
 	for _, vm := range w.s.VMs() {
 		if vm.Live && w.start(k, vm.ID) != 0 {
 			return vm.ID, true
@@ -33,7 +33,7 @@
 	lasting.Lasting = true
 	for name, step := range map[string]Step{"short": one, "lasting": lasting} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, 12)
+			w := newFixture(t, 12)
 			w.submit("j1", step)
 			k := key("j1", 0, 0)
 			crashes := 0
@@ -73,7 +73,7 @@
 	lasting := one
 	lasting.Lasting = true
 	const away = 4 // VMs that are down before the first one is back
-	w := newWorld(t, 12)
+	w := newFixture(t, 12)
 	w.submit("j1", lasting)
 	k := key("j1", 0, 0)
 	var down []rudderfork.VMID
@@ -117,7 +117,7 @@
 func TestSpontaneousCrashesDoNotFailLastingJob(t *testing.T) {
 	lasting := one
 	lasting.Lasting = true
-	w := newWorld(t, 4)
+	w := newFixture(t, 4)
 	w.submit("feed", lasting)
 	k := key("feed", 0, 0)
 	for i := range 2 * MaxCrashes {
@@ -143,15 +143,15 @@
 
 // TestCrashCountsOnceInBaseRate guards against counting one spontaneous crash twice.
 func TestCrashCountsOnceInBaseRate(t *testing.T) {
-	for name, outage := range map[string]func(w *world){
-		"a crash": func(w *world) { w.crash("vm1", "life-2") },
-		"a crash that was a loss first": func(w *world) {
+	for name, outage := range map[string]func(w *fixture){
+		"a crash": func(w *fixture) { w.crash("vm1", "life-2") },
+		"a crash that was a loss first": func(w *fixture) {
 			w.lose("vm1", VMLoss{Crash: &Crash{Incarnation: firstIncarnation}})
 			w.crash("vm1", "life-2")
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, 1)
+			w := newFixture(t, 1)
 			outage(w)
 			assert.Equal(t, w.s.base.CrashesMilli, int64(1000))
 		})
@@ -173,7 +173,7 @@
 		"always soon after the start":       {{"vm1", 10, Running}, {"vm2", 10, Failed}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, 4)
+			w := newFixture(t, 4)
 			w.submit("job", one)
 			k := key("job", 0, 0)
 			for i, c := range crashes {
--- a/queue/document.go
+++ b/queue/document.go
@@ -84,20 +84,20 @@
 		}
 		pools[p.Service] = true
 	}
-	names, places := map[string]bool{}, map[string]bool{}
+	names, addresses := map[string]bool{}, map[string]bool{}
 	for _, q := range d.Queues {
-		place := q.Host + " " + q.Prefix
+		address := q.Host + " " + q.Prefix
 		switch {
 		case q.Name == "" || names[q.Name]:
 			return fmt.Errorf("queue %q: missing or doubled name", q.Name)
 		case !strings.HasPrefix(q.Prefix, "/"):
 			return fmt.Errorf("queue %s: prefix %q; want a path", q.Name, q.Prefix)
-		case places[place]:
+		case addresses[address]:
 			return fmt.Errorf("queue %s: another queue has its host and prefix", q.Name)
 		case !pools[q.Service]:
 			return fmt.Errorf("queue %s: service %q is unknown", q.Name, q.Service)
 		}
-		names[q.Name], places[place] = true, true
+		names[q.Name], addresses[address] = true, true
 	}
 	return nil
 }
--- a/queue/evacuation_test.go
+++ b/queue/evacuation_test.go
@@ -9,12 +9,12 @@
 )
 
 // evacuate orders the evacuation of a failure domain, or revokes it.
-func (w *world) evacuate(d rudderfork.Domain, end bool) Result {
+func (w *fixture) evacuate(d rudderfork.Domain, end bool) Result {
 	return w.apply(Command{Evacuate: &Evacuate{Domain: d, End: end}})
 }
 
 // setDomain moves a VM to a failure domain.
-func (w *world) setDomain(id rudderfork.VMID, d rudderfork.Domain) {
+func (w *fixture) setDomain(id rudderfork.VMID, d rudderfork.Domain) {
 	vm := *w.s.VM(id)
 	vm.Domain = d
 	assert.Equal(w.t, w.apply(Command{Register: &vm}).Code, OK)
@@ -32,8 +32,8 @@
 // TestEvacuation checks that nothing is started in an evacuated failure domain, however the start
 // is requested, until the order is revoked.
 func TestEvacuation(t *testing.T) {
-	setup := func(t *testing.T) *world {
-		w := newWorld(t, 2)
+	setup := func(t *testing.T) *fixture {
+		w := newFixture(t, 2)
 		w.setDomain("vm1", "north")
 		w.setDomain("vm2", "south")
 		w.submit("j", Step{Count: 3, Speculative: true}, Step{Count: 2, Gang: true})
--- a/queue/model.go
+++ b/queue/model.go
@@ -207,7 +207,7 @@
 
 // hasBegun reports whether an executor had begun the run, which is so if the executor has listed
 // its end.
-func (e Outcome) hasBegun() bool { return e != OutcomeRefused && e != OutcomeLost }
+func (o Outcome) hasBegun() bool { return o != OutcomeRefused && o != OutcomeLost }
 
 // Run is an active run of a task on a VM: it has been started, and its end is not known yet.
 type Run struct {
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -16,15 +16,15 @@
 	hour     = 3_600_000 // ms
 )
 
-// world is a state with a document of two queues, and some VMs.
-type world struct {
+// fixture is a state with a document of two queues, and some VMs.
+type fixture struct {
 	t *testing.T
 	s *State
 	n int64 // clock, ms
 }
 
-func newWorld(t *testing.T, vms int) *world {
-	w := &world{t: t, s: New(), n: 1000}
+func newFixture(t *testing.T, vms int) *fixture {
+	w := &fixture{t: t, s: New(), n: 1000}
 	w.apply(Command{Document: document(1)})
 	for i := range vms {
 		w.register(rudderfork.VMID(fmt.Sprintf("vm%d", i+1)), "life-1")
@@ -43,7 +43,7 @@
 	}
 }
 
-func (w *world) apply(c Command) Result {
+func (w *fixture) apply(c Command) Result {
 	w.n++
 	before := usedOf(w.s)
 	res := w.s.Apply(c, w.n)
@@ -53,7 +53,7 @@
 }
 
 // restore replaces the state by one restored from its encoded snapshot.
-func (w *world) restore() {
+func (w *fixture) restore() {
 	w.t.Helper()
 	data, err := cbor.Marshal(w.s.Snapshot())
 	assert.NilError(w.t, err)
@@ -79,26 +79,26 @@
 	}
 }
 
-func (w *world) register(id rudderfork.VMID, inc string) {
+func (w *fixture) register(id rudderfork.VMID, inc string) {
 	w.apply(Command{Register: &VM{
 		ID: id, Incarnation: inc, Domain: "hall", Rack: "r-" + string(id), Service: "desk",
 		Capacity: rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}, Labels: []string{"a"},
 	}})
 }
 
-func (w *world) submit(id string, steps ...Step) Result {
+func (w *fixture) submit(id string, steps ...Step) Result {
 	return w.apply(Command{Submit: &Submit{Host: testHost, Path: "/holds/" + id, Spec: Spec{Steps: steps}, KeepMS: hour}})
 }
 
-func (w *world) start(k TaskKey, vm rudderfork.VMID) uint32 {
+func (w *fixture) start(k TaskKey, vm rudderfork.VMID) uint32 {
 	return w.apply(Command{Starts: []Start{{Task: k, VM: vm, Incarnation: w.s.VM(vm).Incarnation}}}).Numbers[0]
 }
 
-func (w *world) end(k TaskKey, vm rudderfork.VMID, run uint32, outcome Outcome) bool {
+func (w *fixture) end(k TaskKey, vm rudderfork.VMID, run uint32, outcome Outcome) bool {
 	return w.apply(Command{Ends: &Ends{VM: vm, Incarnation: w.s.VM(vm).Incarnation, List: []End{{Task: k, Run: run, Outcome: outcome}}}}).Accepted[0]
 }
 
-func (w *world) status(id rudderfork.JobID) Status { return w.s.Job(id).Status }
+func (w *fixture) status(id rudderfork.JobID) Status { return w.s.Job(id).Status }
 
 func key(job rudderfork.JobID, step, index int) TaskKey {
 	return TaskKey{Job: job, Step: step, Index: index}
@@ -141,7 +141,7 @@
 var one = Step{Count: 1, Size: rudderfork.Resources{CPUMilli: 1000}}
 
 func TestSubmit(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newFixture(t, 1)
 	assert.Equal(t, w.submit("j1", one).Code, OK)
 	t.Run("the same ID again is the same job", func(t *testing.T) {
 		two := one
@@ -188,7 +188,7 @@
 }
 
 func TestDocument(t *testing.T) {
-	w := newWorld(t, 0)
+	w := newFixture(t, 0)
 	assert.Equal(t, w.apply(Command{Document: document(5)}).Code, OK)
 	t.Run("a version that is not newer changes nothing", func(t *testing.T) {
 		other := document(5)
@@ -217,7 +217,7 @@
 }
 
 func TestStart(t *testing.T) {
-	w := newWorld(t, 2)
+	w := newFixture(t, 2)
 	big := Step{Count: 2, Size: rudderfork.Resources{CPUMilli: 3000}}
 	w.submit("j", big, Step{Count: 1, DependsOn: []int{0}}, Step{Count: 1, Label: "gpu"}, Step{Count: 2, MaxPerVM: 1}, Step{Count: 1, Filler: true, Size: rudderfork.Resources{CPUMilli: 9000, MemoryMB: 10}})
 	assert.Equal(t, w.start(key("j", 0, 0), "vm1"), uint32(1))
@@ -255,7 +255,7 @@
 }
 
 func TestGang(t *testing.T) {
-	w := newWorld(t, 2)
+	w := newFixture(t, 2)
 	gang := Step{Count: 3, Gang: true, Checkpoints: true, Size: rudderfork.Resources{CPUMilli: 2000}}
 	w.submit("g", gang)
 	together := func(vms ...rudderfork.VMID) []uint32 {
@@ -288,7 +288,7 @@
 
 func TestEnds(t *testing.T) {
 	t.Run("a task that is done stays done", func(t *testing.T) {
-		w := newWorld(t, 1)
+		w := newFixture(t, 1)
 		w.submit("j", one)
 		w.start(key("j", 0, 0), "vm1")
 		assert.Assert(t, w.end(key("j", 0, 0), "vm1", 1, OutcomeDone))
@@ -297,7 +297,7 @@
 		assert.Equal(t, w.start(key("j", 0, 0), "vm1"), uint32(0))
 	})
 	t.Run("only failures count as attempts", func(t *testing.T) {
-		w := newWorld(t, 1)
+		w := newFixture(t, 1)
 		w.submit("j", one)
 		for run, outcome := range []Outcome{OutcomeRefused, OutcomeLeaseExpired, OutcomeStopped, OutcomeLost, OutcomeFailed, OutcomeGangIncomplete, OutcomeFailed} {
 			assert.Equal(t, w.status("j") == Failed, false)
@@ -308,7 +308,7 @@
 		assert.Equal(t, w.start(key("j", 0, 0), "vm1"), uint32(0))
 	})
 	t.Run("a lasting task starts again whatever its outcome", func(t *testing.T) {
-		w := newWorld(t, 1)
+		w := newFixture(t, 1)
 		lasting := one
 		lasting.Lasting = true
 		w.submit("j", lasting)
@@ -319,7 +319,7 @@
 		assert.Equal(t, w.status("j"), Running)
 	})
 	t.Run("an end of another run or incarnation is not accepted", func(t *testing.T) {
-		w := newWorld(t, 2)
+		w := newFixture(t, 2)
 		w.submit("j", one)
 		w.start(key("j", 0, 0), "vm1")
 		assert.Assert(t, !w.end(key("j", 0, 0), "vm1", 2, OutcomeDone))
@@ -328,7 +328,7 @@
 		assert.Assert(t, !res.Accepted[0])
 	})
 	t.Run("checkpoints are kept if the step has them", func(t *testing.T) {
-		w := newWorld(t, 1)
+		w := newFixture(t, 1)
 		saving := one
 		saving.Checkpoints = true
 		w.submit("j", saving, one)
@@ -341,7 +341,7 @@
 }
 
 func TestCancel(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newFixture(t, 1)
 	w.submit("j", one)
 	cancel := func(id string) Code {
 		return w.apply(Command{Cancel: &Cancel{Host: testHost, Path: "/holds/" + id}}).Code
@@ -361,7 +361,7 @@
 }
 
 func TestVMIncarnations(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newFixture(t, 1)
 	saving := one
 	saving.Checkpoints = true
 	w.submit("j", saving)
@@ -392,7 +392,7 @@
 }
 
 func TestRepeats(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newFixture(t, 1)
 	spec := Spec{Steps: []Step{one}, Repeat: &Repeat{Count: 2, FirstMS: 5000, EveryMS: 1000}}
 	w.apply(Command{Submit: &Submit{Host: testHost, Path: "/holds/r", Spec: spec, KeepMS: hour}})
 	assert.Equal(t, w.start(TaskKey{Job: "r"}, "vm1"), uint32(0))
@@ -408,7 +408,7 @@
 }
 
 // pass advances the clock by ms while a leader proposes commands at intervals of at most maxTickMS.
-func (w *world) pass(ms int64) {
+func (w *fixture) pass(ms int64) {
 	for end := w.n + ms; w.n < end; {
 		w.n += min(maxTickMS-1, end-w.n-1)
 		w.apply(Command{Ends: &Ends{VM: "unknown"}})
@@ -416,7 +416,7 @@
 }
 
 func TestForget(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newFixture(t, 1)
 	w.submit("old", one)
 	w.apply(Command{Cancel: &Cancel{Host: testHost, Path: "/holds/old"}})
 	w.pass(hour - 100)
@@ -428,7 +428,7 @@
 }
 
 func TestWaiting(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newFixture(t, 1)
 	w.submit("a", one)
 	w.submit("b", one)
 	w.submit("rosters/c", one)
@@ -449,7 +449,7 @@
 
 // TestSnapshot checks that a restored state continues like the original.
 func TestSnapshot(t *testing.T) {
-	w := newWorld(t, 2)
+	w := newFixture(t, 2)
 	w.submit("j", Step{Count: 2, Size: rudderfork.Resources{CPUMilli: 1000}}, Step{Count: 1, DependsOn: []int{0}})
 	w.submit("done", one)
 	w.start(key("done", 0, 0), "vm2")
--- a/queue/state.go
+++ b/queue/state.go
@@ -53,8 +53,8 @@
 
 // setVM adds a VM or replaces it.
 func (s *State) setVM(vm *VM) {
-	i, there := slices.BinarySearchFunc(s.vmsByID, vm.ID, func(v *VM, id rudderfork.VMID) int { return cmp.Compare(v.ID, id) })
-	if there {
+	i, found := slices.BinarySearchFunc(s.vmsByID, vm.ID, func(v *VM, id rudderfork.VMID) int { return cmp.Compare(v.ID, id) })
+	if found {
 		s.vmsByID[i] = vm
 	} else {
 		s.vmsByID = slices.Insert(s.vmsByID, i, vm)
@@ -119,7 +119,7 @@
 // RejectReason returns why a VM cannot take a run of the task, or "" if it can.
 func (s *State) RejectReason(j *Job, k TaskKey, vm *VM) string {
 	st := j.Spec.Steps[k.Step]
-	_, there := vm.runs[k]
+	_, hasRun := vm.runs[k]
 	switch {
 	case !vm.Live:
 		return "the VM is lost"
@@ -129,7 +129,7 @@
 		return "the queue is not served there"
 	case !vm.HasLabel(st.Label):
 		return "it lacks the label " + st.Label
-	case there:
+	case hasRun:
 		return "a run of the task is there already"
 	case st.MaxPerVM > 0 && s.CountRuns(vm, k) >= st.MaxPerVM:
 		return "it holds as many tasks of the step as it may"
--- a/queue/unresolved.go
+++ b/queue/unresolved.go
@@ -63,15 +63,15 @@
 
 // addUnresolved adds step (1 or -1) to the unresolved losses of the tasks of vm.UnresolvedRuns.
 // Runs older than provenRunMS are skipped, since a crash under them would clear their task.
-func (s *State) addUnresolved(vm *VM, step int) {
+func (s *State) addUnresolved(vm *VM, delta int) {
 	for _, r := range vm.UnresolvedRuns {
 		t := s.openTask(r.Task)
 		if t == nil || r.AgeMS >= provenRunMS {
 			continue
 		}
-		t.UnresolvedLosses = max(0, t.UnresolvedLosses+step)
+		t.UnresolvedLosses = max(0, t.UnresolvedLosses+delta)
 		if vm.ExecutorSilent {
-			t.UnresolvedSilent = max(0, t.UnresolvedSilent+step)
+			t.UnresolvedSilent = max(0, t.UnresolvedSilent+delta)
 		}
 	}
 }
--- a/queue/waiting_test.go
+++ b/queue/waiting_test.go
@@ -9,7 +9,7 @@
 )
 
 // waiting returns the number of waiting jobs of a queue according to the state alone.
-func (w *world) waiting(name string) int {
+func (w *fixture) waiting(name string) int {
 	n, _ := w.s.Waiting(name, func(rudderfork.JobID) bool { return false })
 	return n
 }
@@ -18,17 +18,17 @@
 // its run.
 func TestJobWhoseStartsFailedWaits(t *testing.T) {
 	k := key("j", 0, 0)
-	for name, undo := range map[string]func(w *world, run uint32){
-		"refused":          func(w *world, run uint32) { w.end(k, "vm1", run, OutcomeRefused) },
-		"unknown there":    func(w *world, run uint32) { w.end(k, "vm1", run, OutcomeLost) },
-		"its VM is lost":   func(w *world, _ uint32) { w.lose("vm1", VMLoss{}) },
-		"its VM shut down": func(w *world, _ uint32) { w.lose("vm1", VMLoss{Departed: true}) },
-		"new incarnation":  func(w *world, _ uint32) { w.crash("vm1", "life-2") },
+	for name, fail := range map[string]func(w *fixture, run uint32){
+		"refused":          func(w *fixture, run uint32) { w.end(k, "vm1", run, OutcomeRefused) },
+		"unknown there":    func(w *fixture, run uint32) { w.end(k, "vm1", run, OutcomeLost) },
+		"its VM is lost":   func(w *fixture, _ uint32) { w.lose("vm1", VMLoss{}) },
+		"its VM shut down": func(w *fixture, _ uint32) { w.lose("vm1", VMLoss{Departed: true}) },
+		"new incarnation":  func(w *fixture, _ uint32) { w.crash("vm1", "life-2") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, 1)
+			w := newFixture(t, 1)
 			w.submit("j", one)
-			undo(w, w.start(k, "vm1"))
+			fail(w, w.start(k, "vm1"))
 			assert.Equal(t, w.waiting("holds"), 1)
 		})
 	}
@@ -39,7 +39,7 @@
 	k := key("j", 0, 0)
 	for _, outcome := range []Outcome{OutcomeFailed, OutcomeStopped, OutcomeLeaseExpired, OutcomeGangBroken, OutcomeGangIncomplete} {
 		t.Run(string(outcome), func(t *testing.T) {
-			w := newWorld(t, 1)
+			w := newFixture(t, 1)
 			w.submit("j", one)
 			w.end(k, "vm1", w.start(k, "vm1"), outcome)
 			assert.Equal(t, w.waiting("holds"), 0)
--- a/queue/wave.go
+++ b/queue/wave.go
@@ -73,18 +73,18 @@
 	return Result{Code: OK}
 }
 
-func (s *State) recordUpkeep(n UpkeepReport) Result {
-	if !n.Gone {
-		s.markLeaving(n.Incarnation)
+func (s *State) recordUpkeep(r UpkeepReport) Result {
+	if !r.Gone {
+		s.markLeaving(r.Incarnation)
 	}
-	w := s.Wave(n.Wave)
-	if w == nil || !slices.Contains(w.Remaining(), n.Machine) {
+	w := s.Wave(r.Wave)
+	if w == nil || !slices.Contains(w.Remaining(), r.Machine) {
 		return Result{Code: Stale}
 	}
-	if n.Gone {
-		w.Gone = append(w.Gone, n.Machine)
+	if r.Gone {
+		w.Gone = append(w.Gone, r.Machine)
 	} else {
-		w.Begun = append(w.Begun, n.Machine)
+		w.Begun = append(w.Begun, r.Machine)
 	}
 	return Result{Code: OK}
 }
