--- a/executor.go
+++ b/executor.go
@@ -26,14 +26,14 @@
 
 // The outcomes. With all but Started the call has not started the run.
 const (
-	Started         StartOutcome = iota // also if the run had been started before
-	StartFenced                         // a higher fencing token was received before
-	StartEnded                          // the run, or a later run of the task, has ended there
-	StartExpired                        // the lease had expired
-	StartNoCapacity                     // the run does not fit
-	StartTicket                         // the ticket is not valid
-	StartInvalid                        // the executor cannot parse the order
-	StartBusy                           // the executor reports that it is overloaded or unavailable
+	Started            StartOutcome = iota // also if the run had been started before
+	StartFenced                            // a higher fencing token was received before
+	StartEnded                             // the run, or a later run of the task, has ended there
+	StartExpired                           // the lease had expired
+	StartNoCapacity                        // the run does not fit
+	StartTicketInvalid                     // the ticket is not valid
+	StartMalformed                         // the executor cannot parse the order
+	StartBusy                              // the executor reports that it is overloaded or unavailable
 )
 
 // String returns the name of the outcome, as it is logged.
--- a/runs/reconciler_test.go
+++ b/runs/reconciler_test.go
@@ -313,7 +313,7 @@
 		checkEnds(t, r.HandleStatus(rudderfork.ExecutorStatus{}, t0.Add(time.Second)), queue.OutcomeLost)
 	})
 	again := wire.Orders{Incarnation: "life-1", Epoch: 1, Full: true, Start: []wire.RunOrder{{RunRef: ref(1)}}}
-	for _, why := range []rudderfork.StartOutcome{rudderfork.StartTicket, rudderfork.StartNoCapacity} {
+	for _, why := range []rudderfork.StartOutcome{rudderfork.StartTicketInvalid, rudderfork.StartNoCapacity} {
 		t.Run("in a later session with the same leader a refused run has ended at once: "+why.String(), func(t *testing.T) {
 			r := newSynced()
 			r.SetTerm(3)
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -374,7 +374,7 @@
 		v.addFailures(failureStep, now)
 		f.recordFailedOn(e.Task, vm)
 	}
-	if e.Outcome == queue.OutcomeRefused && e.Reason == rudderfork.StartTicket.String() {
+	if e.Outcome == queue.OutcomeRefused && e.Reason == rudderfork.StartTicketInvalid.String() {
 		f.advice.dropTicket(e.Task.StepKey(), vm)
 	}
 	if e.Outcome == queue.OutcomeRefused {
