--- a/event.go
+++ b/event.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Event is one entry of the timeline.
+// Event is one entry of the timeline, the list of what the processes have done.
 type Event struct {
 	At       int64    `cbor:"1,keyasint" json:"at"` // Unix microseconds
 	Process  string   `cbor:"2,keyasint" json:"process"`
-	VM       VMID     `cbor:"3,keyasint" json:"vm"`
-	Domain   Domain   `cbor:"4,keyasint" json:"domain"`
-	Seq      uint64   `cbor:"5,keyasint" json:"seq"` // order within the process
+	VM       VMID     `cbor:"3,keyasint" json:"vm"`     // on which the process runs
+	Domain   Domain   `cbor:"4,keyasint" json:"domain"` // of that VM
+	Seq      uint64   `cbor:"5,keyasint" json:"seq"`    // order within the process
 	Kind     string   `cbor:"6,keyasint" json:"kind"`
 	Subject  string   `cbor:"7,keyasint,omitempty" json:"subject,omitempty"` // request, task, job, VM or cell
 	Revision Revision `cbor:"8,keyasint,omitempty" json:"revision,omitempty"`
@@ -36,7 +36,8 @@
 	return b.String()
 }
 
-// Recorder records events. Implementations set the time, process, place and sequence number.
+// Recorder records events. Implementations set the time, process, VM, failure domain and sequence
+// number.
 type Recorder interface {
 	Record(e Event)
 }
--- a/executor.go
+++ b/executor.go
@@ -24,15 +24,15 @@
 // StartOutcome is an executor's response to a start.
 type StartOutcome int
 
-// The outcomes. With all but Started the call has not started the run.
+// The outcomes. With any but Started, this call has not started the run.
 const (
-	Started            StartOutcome = iota // also if the run had been started before
-	StartFenced                            // a higher fencing token was received before
+	Started            StartOutcome = iota // by this or an earlier call
+	StartFenced                            // the executor had received a higher fencing token
 	StartEnded                             // the run, or a later run of the task, has ended there
 	StartExpired                           // the lease had expired
-	StartNoCapacity                        // the run does not fit
+	StartNoCapacity                        // the executor has too little free capacity
 	StartTicketInvalid                     // the ticket is not valid
-	StartMalformed                         // the executor cannot parse the order
+	StartMalformed                         // the executor cannot parse the start
 	StartBusy                              // the executor reports that it is overloaded or unavailable
 )
 
@@ -50,8 +50,8 @@
 	RunRef           `cbor:"1,keyasint"`
 	Checkpoint       string `cbor:"2,keyasint,omitempty"`
 	Percent          int    `cbor:"3,keyasint,omitempty"` // progress of the work; 100 for a lasting task that is at work
-	Load             int64  `cbor:"4,keyasint,omitempty"` // of a serving task the tail latency of its responses, ms; else thousandths of a core
-	PacedDownPercent int    `cbor:"5,keyasint,omitempty"` // percent by which its speed is reduced, as last ordered
+	Load             int64  `cbor:"4,keyasint,omitempty"` // tail latency in ms for a serving task; otherwise CPU use in thousandths of a core
+	PacedDownPercent int    `cbor:"5,keyasint,omitempty"` // percent by which its speed is reduced, as last requested; 0 for full speed
 }
 
 // EndedRun is a run that has ended. Its executor lists it until the entry is acknowledged.
@@ -67,24 +67,24 @@
 	ClockMS int64 // the executor's own clock, ms
 	Running []RunStatus
 	Ended   []EndedRun
-	// Partial means that entries could not be parsed: runs that are not listed may exist all the
-	// same.
+	// Partial means that entries of the response could not be parsed. A run that is not listed may
+	// therefore exist.
 	Partial bool
 }
 
 // PollRequest requests an ExecutorStatus.
 type PollRequest struct {
-	UntilMS   int64  // extends the lease of all runs to this time; 0 leaves it
+	UntilMS   int64  // extends the lease of all runs to this time, ms on the executor's clock; 0 for no change
 	Fence     uint64 // as in RunStart
 	AckedUpTo uint64 // acknowledges the ended runs up to this Seq
-	WaitMS    int64  // how long to wait for an ended run that is not acknowledged
+	WaitMS    int64  // maximum delay of the response while all ended runs are acknowledged, ms
 }
 
-// ErrStaleIncarnation means that the executor has another incarnation than the one that was
-// addressed, which has been replaced.
+// ErrStaleIncarnation means that a call addressed an earlier incarnation of the executor than the
+// present one.
 var ErrStaleIncarnation = errors.New("the executor has another incarnation now")
 
-// ErrNoStatus means that an executor has answered a poll with something else than its status.
+// ErrNoStatus means that an executor has answered a poll with something other than its status.
 var ErrNoStatus = errors.New("the response to the poll is not an executor status")
 
 // ErrNotReached means that nothing listens at the address of the executor: the call was not carried
@@ -93,10 +93,10 @@
 
 // Executor runs tasks on one VM. Each call addresses one incarnation and is carried out by no
 // other. After any error except ErrNotReached the call may have been carried out, or may still be,
-// even after later calls; but a run that was stopped never starts afterwards.
+// even after later calls. However, a run that was stopped never starts afterwards.
 type Executor interface {
 	Start(ctx context.Context, inc string, s RunStart) (StartOutcome, error)
-	// Stop ends a run. A run that does not exist will never start.
+	// Stop ends a run. If the run has not started, it never will.
 	Stop(ctx context.Context, inc string, r RunRef, fence uint64) error
 	// Poll returns the status, or ErrNoStatus if the response is something else.
 	Poll(ctx context.Context, inc string, r PollRequest) (ExecutorStatus, error)
--- a/incarnation_test.go
+++ b/incarnation_test.go
@@ -6,7 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestIncarnationName checks that names of incarnations are split into the same parts.
+// TestIncarnationName checks that SplitIncarnation returns the parts that IncarnationName was given,
+// also for IDs that contain startMark.
 func TestIncarnationName(t *testing.T) {
 	for _, want := range []struct {
 		id      string
--- a/job.go
+++ b/job.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// JobSpec is a batch job as an operator submits it. Sizes are in the job's row of the table; the
-// spec contains what cannot change.
+// JobSpec is a batch job as an operator submits it. The spec never changes afterwards, except that
+// the operator can change the job's cells in the table, for example the size of its tasks.
 type JobSpec struct {
 	ID       JobID            `cbor:"1,keyasint" json:"id"`
 	Team     Team             `cbor:"2,keyasint" json:"team"`
-	Kind     string           `cbor:"3,keyasint" json:"kind"`  // jobs of one kind interfere with services in the same way
-	Tasks    int              `cbor:"4,keyasint" json:"tasks"` // number of tasks
-	Units    int64            `cbor:"5,keyasint" json:"units"` // units of work in each task
-	Cells    map[string]int64 `cbor:"6,keyasint,omitempty" json:"cells,omitempty"`
-	Attempts int              `cbor:"7,keyasint,omitempty" json:"attempts,omitempty"` // failures a task may have; 0 means DefaultAttempts
+	Kind     string           `cbor:"3,keyasint" json:"kind"`                         // jobs of one kind interfere with services in the same way
+	Tasks    int              `cbor:"4,keyasint" json:"tasks"`                        // number of tasks
+	Units    int64            `cbor:"5,keyasint" json:"units"`                        // units of work in each task
+	Cells    map[string]int64 `cbor:"6,keyasint,omitempty" json:"cells,omitempty"`    // initial cells of the job's row, by column
+	Attempts int              `cbor:"7,keyasint,omitempty" json:"attempts,omitempty"` // number of failures after which a task fails for good; 0 means DefaultAttempts
 }
 
 // Limits of a job's spec.
@@ -69,19 +69,19 @@
 // Holds reports whether a task in this phase holds capacity on a VM.
 func (p TaskPhase) Holds() bool { return p == TaskRunning || p == TaskEvicting }
 
-// Lease permits one VM to run one attempt of a task. It is valid while the VM's own lease is, that
-// is until the deadline that control last granted to the VM.
+// Lease permits one VM to run one attempt of a task. It is valid as long as the VM's own lease, whose
+// deadline the leader of the control processes extends.
 type Lease struct {
 	Task       TaskID    `cbor:"1,keyasint" json:"task"`
 	Token      Token     `cbor:"2,keyasint" json:"token"`
 	Size       Resources `cbor:"3,keyasint" json:"size"`
 	Kind       string    `cbor:"4,keyasint,omitempty" json:"kind,omitempty"`
-	Checkpoint int64     `cbor:"5,keyasint,omitempty" json:"checkpoint,omitempty"` // units already done
-	Units      int64     `cbor:"6,keyasint,omitempty" json:"units,omitempty"`
-	Stop       bool      `cbor:"7,keyasint,omitempty" json:"stop,omitempty"` // checkpoint and stop
-	Discard    bool      `cbor:"8,keyasint,omitempty" json:"discard,omitempty"`
-	Weight     int64     `cbor:"9,keyasint,omitempty" json:"weight,omitempty"`
-	Slowdown   float64   `cbor:"10,keyasint,omitempty" json:"slowdown,omitempty"` // expected factor by which the kind slows the VM's services
+	Checkpoint int64     `cbor:"5,keyasint,omitempty" json:"checkpoint,omitempty"` // units of work already done
+	Units      int64     `cbor:"6,keyasint,omitempty" json:"units,omitempty"`      // units of work in the task
+	Stop       bool      `cbor:"7,keyasint,omitempty" json:"stop,omitempty"`       // stop the attempt, after a checkpoint unless Discard is set
+	Discard    bool      `cbor:"8,keyasint,omitempty" json:"discard,omitempty"`    // with Stop: take no checkpoint
+	Weight     int64     `cbor:"9,keyasint,omitempty" json:"weight,omitempty"`     // of the job, from its row of the table
+	Slowdown   float64   `cbor:"10,keyasint,omitempty" json:"slowdown,omitempty"`  // expected factor by which tasks of this kind raise the latency of the VM's services
 }
 
 // Outcome is how an attempt ended.
@@ -92,11 +92,11 @@
 	OutcomeDone    Outcome = "done"
 	OutcomeFailed  Outcome = "failed"
 	OutcomeStopped Outcome = "stopped" // stopped on request, with a checkpoint
-	OutcomeLost    Outcome = "lost"    // the worker restarted, or stopped it because its lease expired
+	OutcomeLost    Outcome = "lost"    // the worker restarted, or stopped the attempt because its lease expired
 )
 
-// Report tells control how an attempt ended. It may arrive late or more than once: control accepts
-// it only if the token is that of the current lease of the task.
+// Report tells the leader of the control processes how an attempt ended. It may arrive late or more
+// than once. The leader accepts it only if the token is that of the task's current lease.
 type Report struct {
 	Task       TaskID  `cbor:"1,keyasint" json:"task"`
 	Token      Token   `cbor:"2,keyasint" json:"token"`
--- a/placer.go
+++ b/placer.go
@@ -9,7 +9,7 @@
 	Free     Resources
 	Services []Service
 	Tasks    map[string]int // running batch tasks by kind
-	Pressure float64        // 0 for none; 1 and above if a service misses its target
+	Pressure float64        // tail latency of its services over their target; above 1 the target is missed, 0 if unknown
 }
 
 // TaskView is a pending task as a Placer sees it.
@@ -29,7 +29,7 @@
 type Choice struct {
 	VM         VMID
 	Reason     string
-	Rejections []Rejection // other VMs that were considered; bounded
+	Rejections []Rejection // some of the VMs that were not chosen, up to a limit
 }
 
 // Rejection is the reason why a VM was not chosen.
@@ -40,13 +40,14 @@
 
 // Placer chooses a VM for a task.
 type Placer interface {
-	// Place chooses among vms. ok is false if no VM fits now; the choice then still has the
-	// rejections.
+	// Place chooses among vms. ok is false if the task fits on no VM now; c then
+	// contains only the rejections.
 	Place(t TaskView, vms []VMView, now time.Time) (c Choice, ok bool)
 }
 
 // Interference estimates how much kinds of batch job slow down services.
 type Interference interface {
-	// Slowdown returns the expected factor (1 is none) and its standard error.
+	// Slowdown returns the expected factor by which tasks of the kind raise the latency of the
+	// service, 1 for no effect, and its standard error.
 	Slowdown(s Service, kind string, now time.Time) (factor, stderr float64)
 }
--- a/problem.go
+++ b/problem.go
@@ -5,8 +5,8 @@
 // Ran says whether a refused or failed request was executed.
 type Ran string
 
-// The values. RanNo means that the request was never sent to the upstream; RanUnknown is used
-// whenever that is uncertain.
+// The values of Ran. RanNo means that the request was never sent to the upstream. RanUnknown means
+// that it is uncertain whether the request was executed.
 const (
 	RanNo      Ran = "no"
 	RanYes     Ran = "yes"
@@ -20,9 +20,9 @@
 	Status  int       `json:"status"`
 	Detail  string    `json:"detail"`
 	Ran     Ran       `json:"ran"`
-	RetryAt time.Time `json:"retry_at,omitzero"` // earliest time for a retry; zero if a retry is useless
+	RetryAt time.Time `json:"retry_at,omitzero"` // earliest time for a retry; zero if a retry cannot succeed
 	Request string    `json:"request,omitempty"`
-	Version Revision  `json:"revision,omitempty"` // of the table that was used
+	Version Revision  `json:"revision,omitempty"` // revision of the table by which the request was handled
 }
 
 // Error implements error.
--- a/provider.go
+++ b/provider.go
@@ -5,29 +5,28 @@
 	"errors"
 )
 
-// Machine is a host in the list of the provider. VMs run on machines.
+// Machine is a physical host, as the provider lists it. VMs run on machines.
 type Machine struct {
 	Name     string
-	Up       bool   // not migrating, in upkeep or down
-	Executor string // ID of the executor on it, without its incarnation, or ""
+	Up       bool   // false while it migrates, is in upkeep or is down
+	Executor string // ID of the executor on the machine, without its start time; "" if there is none
 }
 
-// Issuer identifies the process that gives an order to the provider. Of two orders for a machine
+// Issuer identifies the process that gives an order to the provider. Of two orders for one machine,
 // the one with the higher fencing token is newer.
 type Issuer struct {
 	Holder string
 	Fence  uint64
 }
 
-// Errors of orders to the provider. After any other error the order may have been carried
-// out.
+// Errors of orders to the provider. After any other error, the order may have been carried out.
 var (
 	// ErrNoMachine means that the provider does not know the machine.
 	ErrNoMachine = errors.New("the provider does not know the machine")
 	// ErrRefused means that the order was not carried out. It may be retried.
 	ErrRefused = errors.New("the provider refused the order")
 	// ErrFenced means that the order was not carried out because an order with a higher fencing
-	// token was given for the machine.
+	// token was given for the machine before.
 	ErrFenced = errors.New("an order with a higher fencing token exists")
 )
 
--- a/resources.go
+++ b/resources.go
@@ -14,25 +14,26 @@
 	return Resources{r.CPUMilli + o.CPUMilli, r.MemoryMB + o.MemoryMB, r.Accelerators + o.Accelerators}
 }
 
-// Sub returns r minus o. Parts may be negative.
+// Sub returns r minus o. Fields of the result may be negative.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{r.CPUMilli - o.CPUMilli, r.MemoryMB - o.MemoryMB, r.Accelerators - o.Accelerators}
 }
 
-// Min returns the part-wise minimum of r and o.
+// Min returns the minimum of r and o, field by field.
 func (r Resources) Min(o Resources) Resources {
 	return Resources{min(r.CPUMilli, o.CPUMilli), min(r.MemoryMB, o.MemoryMB), min(r.Accelerators, o.Accelerators)}
 }
 
-// Max returns the part-wise maximum of r and o.
+// Max returns the maximum of r and o, field by field.
 func (r Resources) Max(o Resources) Resources {
 	return Resources{max(r.CPUMilli, o.CPUMilli), max(r.MemoryMB, o.MemoryMB), max(r.Accelerators, o.Accelerators)}
 }
 
-// Fits reports whether no part of r exceeds free, the free capacity.
+// Fits reports whether r fits into free, the free capacity.
 func (r Resources) Fits(free Resources) bool { return r.Lacking(free) == "" }
 
-// Lacking returns the first part in which r exceeds free, or "" if r fits.
+// Lacking returns the name of the first resource of which r needs more than free has, or "" if r
+// fits.
 func (r Resources) Lacking(free Resources) string {
 	switch {
 	case r.CPUMilli > free.CPUMilli:
--- a/rudderfork.go
+++ b/rudderfork.go
@@ -4,8 +4,9 @@
 // each cell of a row is a number: a weight, a limit or a size. Three kinds of process work with the
 // table:
 //
-//   - control processes replicate the table, the jobs, the leases and the claims
-//     by a quorum; the leader among them decides where tasks run;
+//   - control processes replicate the table, the jobs, the leases and the claims (rights to run a
+//     request that must run at most once) by a quorum; the leader among them decides where tasks
+//     run;
 //   - an agent runs beside the upstream and worker of each VM; it admits requests,
 //     runs tasks under leases and makes the final check of what its VM may run;
 //   - an entry accepts requests from clients and chooses an upstream for each.
@@ -30,7 +31,7 @@
 // Region names a group of failure domains that can lose contact with other groups.
 type Region string
 
-// Team names a customer. Quotas and fairness apply per team.
+// Team names a client account. Quotas and fairness apply per team.
 type Team string
 
 // Service names a latency-critical service.
@@ -49,7 +50,7 @@
 // rises by one with each attempt to run the task.
 type Token uint64
 
-// Place is the location of a process, according to its settings.
+// Place is where a process runs, according to its settings.
 type Place struct {
 	VM     VMID   `cbor:"1,keyasint" json:"vm"`
 	Domain Domain `cbor:"2,keyasint" json:"domain"`
--- a/table.go
+++ b/table.go
@@ -50,8 +50,8 @@
 	return CellKey{RowKind(parts[0]), parts[1], parts[2]}, nil
 }
 
-// Cell is a number of the table and the revision that last changed it. A removed cell keeps its
-// revision, so that removals are replicated like changes.
+// Cell is a number in the table, with the revision that last changed it. A removed cell is kept with
+// its revision, so that removals are replicated like changes.
 type Cell struct {
 	Key      CellKey  `cbor:"1,keyasint" json:"key"`
 	Value    int64    `cbor:"2,keyasint" json:"value"`
