--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -11,7 +11,7 @@
 // jobState is what a planner has read of a job.
 type jobState struct {
 	job     *queue.Job
-	changes uint64 // change counter of the job when it was read
+	changes uint64      // change counter of the job when it was read
 	queue   queue.Queue // definition of the queue in the current document, see State.CurrentQueue
 
 	objectiveFrom int64 // when the objective begins to run, Unix ms
--- a/queue/apply.go
+++ b/queue/apply.go
@@ -11,7 +11,8 @@
 // jobIDPattern is the syntax of a job ID in a path.
 var jobIDPattern = regexp.MustCompile(`^[0-9A-Za-z_-]{1,64}$`)
 
-// Apply applies a command. at is the proposer's clock, Unix ms.
+// Apply applies a command and returns its result. at is the proposer's clock, Unix ms. The other
+// parameters named at in this package are the same time.
 func (s *State) Apply(c Command, at int64) Result {
 	s.base.addObserved(s.clock.tick(at), len(s.vms))
 	s.resolveOldLosses()
@@ -63,7 +64,8 @@
 	}
 }
 
-// forget drops the jobs that ended before a time of the state clock, ms.
+// forget deletes the oldest ended jobs: those that ended before a time of the state clock, ms, up to
+// the first that has active runs.
 func (s *State) forget(before int64) {
 	for len(s.ended) > 0 {
 		j := s.jobs[s.ended[0]]
@@ -75,8 +77,8 @@
 	}
 }
 
-// locate returns the queue and the job ID of a host and path, or ok false and the result that
-// refuses the request.
+// locate returns the queue and the job ID that a host and URL path denote. If they denote none, ok
+// is false and refusal is the result for the client.
 func (s *State) locate(host, urlPath string) (q Queue, id rudderfork.JobID, refusal Result, ok bool) {
 	if s.doc == nil {
 		return q, "", Result{Code: NoDocument, Text: "no document was ever taken"}, false
@@ -92,7 +94,7 @@
 }
 
 func (s *State) submit(c Submit, at int64) Result {
-	// A known job stays accepted even if its queue has been removed since.
+	// A repeated submission succeeds even if the queue of the known job has been removed since.
 	last := rudderfork.JobID(path.Base(c.Path))
 	if j := s.jobs[last]; j != nil {
 		return Result{Code: OK, Job: last, Queue: j.Queue.Name, Text: "handed in before"}
@@ -153,7 +155,7 @@
 	s.retire(j)
 }
 
-// start assigns run numbers to those starts that are still valid.
+// start starts runs and assigns their run numbers. It leaves out starts that are no longer valid.
 func (s *State) start(starts []Start, at int64) Result {
 	res := Result{Code: OK, Numbers: make([]uint32, len(starts))}
 	for i := 0; i < len(starts); {
@@ -176,7 +178,8 @@
 	}
 }
 
-// startGroup starts all runs of the list under one run number, or none of them.
+// startGroup starts all runs of the list under one run number, or none of them if a start is no
+// longer valid. A list of one need not be of a gang.
 func (s *State) startGroup(list []Start, numbers []uint32, at int64) {
 	number := uint32(0)
 	for _, st := range list {
@@ -209,6 +212,7 @@
 	}
 }
 
+// startable reports whether a start is still valid.
 func (s *State) startable(st Start, at int64) bool {
 	j, vm := s.jobs[st.Task.Job], s.vms[st.VM]
 	if j == nil || vm == nil || vm.Incarnation != st.Incarnation || !s.Runnable(j, st.Task, at) {
@@ -304,6 +308,7 @@
 	}
 }
 
+// taskDone marks a task as done, and completes the job if it was the last one.
 func (s *State) taskDone(j *Job, k TaskKey, at int64) {
 	t := j.Task(k)
 	if t.Done {
@@ -319,8 +324,8 @@
 	s.finish(j, Completed, at)
 }
 
-// taskFailed counts a failed attempt. The failures of all members of a gang are counted on its
-// first task.
+// taskFailed counts a failed attempt, and fails the job once a task has no attempt left. The failures
+// of all members of a gang are counted on its first task.
 func (s *State) taskFailed(j *Job, k TaskKey, at int64) {
 	if j.Spec.Steps[k.Step].Gang {
 		k.Index = 0
@@ -332,8 +337,8 @@
 	}
 }
 
-// register adds or updates a VM. If the incarnation is another one, all runs of the previous one
-// end.
+// register adds or updates a VM. If its incarnation differs from the registered one, all runs of the
+// registered one end.
 func (s *State) register(v VM, crash *Crash, at int64) Result {
 	res := Result{Code: OK}
 	v.Epoch, v.Leaving = 1, false
@@ -383,10 +388,9 @@
 	return tasks, true
 }
 
-// mayBeSame reports whether two names, of a VM's previous and its current registration, may denote the
-// same incarnation.
-// Agents of earlier releases name incarnations by the executor ID alone. When an agent adds the
-// start time to such a name, the runs of the incarnation must not count as ended.
+// mayBeSame reports whether the names in a VM's previous and current registrations may denote the
+// same incarnation. Agents of earlier releases name incarnations by the executor ID alone. When an
+// agent adds the start time to such a name, the runs of the incarnation must not count as ended.
 func mayBeSame(previous, current string) bool {
 	id, _ := rudderfork.SplitIncarnation(current)
 	return previous == current || previous == id
@@ -408,8 +412,8 @@
 	return res
 }
 
-// loseAgain handles a repeated loss of an incarnation. Its runs have ended already, but that its
-// end was planned may be new.
+// loseAgain handles a second loss of the same incarnation. The first loss has ended its runs, but
+// only the second may tell that the end of the incarnation was planned.
 func (s *State) loseAgain(vm *VM, term termination, at int64) {
 	if term.planned {
 		s.resolveReturned(vm, term, true, at)
--- a/queue/blame_test.go
+++ b/queue/blame_test.go
@@ -49,6 +49,7 @@
 	return w, bad, good
 }
 
+// TestBlame checks which tasks are suspected after crashes, given up or cleared.
 func TestBlame(t *testing.T) {
 	t.Run("a task is given up after two crashes right after its starts", func(t *testing.T) {
 		w, bad, good := startTwo(t, one)
@@ -127,6 +128,8 @@
 	})
 }
 
+// TestNoCrashCounted checks that no crash is counted where an executor ended as planned or the VM only
+// lost contact.
 func TestNoCrashCounted(t *testing.T) {
 	t.Run("a shutdown notice", func(t *testing.T) {
 		w, bad, _ := startTwo(t, one)
@@ -157,8 +160,8 @@
 	})
 }
 
-// TestCrashFoundLate checks that a crash is blamed on the tasks if the VM's lease runs out before
-// its executor is back.
+// TestCrashFoundLate checks that a crash is still counted against the tasks if the VM's lease runs
+// out before its executor has started again.
 func TestCrashFoundLate(t *testing.T) {
 	w, bad, good := startTwo(t, one)
 	w.lose("vm1", VMLoss{Crash: &Crash{Incarnation: firstIncarnation, Runs: []RunAge{ageOf(bad, 1, 0), ageOf(good, 1, 900)}}})
@@ -175,8 +178,8 @@
 	assert.Equal(t, w.status("good"), Running)
 }
 
-// TestUnresolvedLossesBoundStarts checks that losses that may have been crashes count until the VMs are
-// back.
+// TestUnresolvedLossesBoundStarts checks that losses that may have been crashes keep a task from
+// being started until the VMs register again.
 func TestUnresolvedLossesBoundStarts(t *testing.T) {
 	w := newFixture(t, 8)
 	w.submit("j1", one)
@@ -221,7 +224,8 @@
 	})
 }
 
-// TestLongRunLeavesNoUnresolvedLoss checks that a loss counts no more than a crash would.
+// TestLongRunLeavesNoUnresolvedLoss checks that a loss is not counted against the task of a run that
+// is so old that a crash would not be counted against it either.
 func TestLongRunLeavesNoUnresolvedLoss(t *testing.T) {
 	w := newFixture(t, 1)
 	w.submit("j1", one)
--- a/queue/command.go
+++ b/queue/command.go
@@ -16,16 +16,17 @@
 	Wave   *Wave         `cbor:"8,keyasint,omitempty"`
 	Upkeep *UpkeepReport `cbor:"9,keyasint,omitempty"`
 
-	// Crash accompanies Register: what the VM's agent knows of the end of the previous incarnation,
-	// if it saw it.
+	// Crash accompanies Register. It is the report of the VM's agent on the end of the previous
+	// incarnation, or nil if the agent did not observe that.
 	Crash *Crash `cbor:"10,keyasint,omitempty"`
 
-	// Clear resets the suspicion against a task.
+	// Clear resets the crash counts of a task and the suspicion against it.
 	Clear *TaskKey `cbor:"11,keyasint,omitempty"`
 
 	Evacuate *Evacuate `cbor:"12,keyasint,omitempty"`
 
-	// Begun accompanies Starts: jobs of which VMs have reported since then that a task has begun.
+	// Begun accompanies Starts. It lists jobs with a task that a VM has reported as begun and that
+	// the state does not mark as begun yet.
 	Begun []rudderfork.JobID `cbor:"13,keyasint,omitempty"`
 }
 
@@ -38,7 +39,7 @@
 	// KeepMS is how long the status of a finished job is kept, ms.
 	KeepMS int64 `cbor:"4,keyasint"`
 
-	// BodyBytes and HeaderBytes are the sizes of the client's request.
+	// BodyBytes and HeaderBytes are the sizes of the body and the header of the client's request.
 	BodyBytes   int64 `cbor:"5,keyasint,omitempty"`
 	HeaderBytes int64 `cbor:"6,keyasint,omitempty"`
 }
@@ -58,7 +59,8 @@
 	Copy        bool            `cbor:"4,keyasint,omitempty"`
 	Group       int             `cbor:"5,keyasint,omitempty"` // 0 means none
 
-	// Ticket is the adviser's permission to run the step on the VM, if the queue has an adviser.
+	// Ticket is the adviser's permission to run the step on the VM. It is empty if the queue has no
+	// adviser.
 	Ticket string `cbor:"6,keyasint,omitempty"`
 }
 
@@ -78,15 +80,16 @@
 	List        []End           `cbor:"3,keyasint"`
 }
 
-// VMLoss says that an incarnation of a VM's executor runs nothing any more, because the VM's lease
-// has run out or the executor has shut down. Checkpoints are the newest known ones of its runs.
+// VMLoss reports that an incarnation of a VM's executor runs nothing any more, because the VM's
+// lease has run out or the executor has shut down. Checkpoints are the newest known ones of its
+// runs.
 type VMLoss struct {
 	VM          rudderfork.VMID    `cbor:"1,keyasint"`
 	Incarnation string             `cbor:"2,keyasint"`
 	Checkpoints map[TaskKey]string `cbor:"3,keyasint,omitempty"`
 
-	// Departed means that the executor has given notice of its shutdown. Crash is what the VM's
-	// agent knows of an executor that does not answer.
+	// Departed means that the executor has sent its shutdown notice. Crash is the report of the VM's
+	// agent on an executor that does not answer, or nil.
 	Departed bool   `cbor:"4,keyasint,omitempty"`
 	Crash    *Crash `cbor:"5,keyasint,omitempty"`
 
@@ -101,7 +104,7 @@
 // The codes of a Result.
 const (
 	OK         Code = "ok"
-	Stale      Code = "stale"       // not newer than the state, or about an earlier incarnation
+	Stale      Code = "stale"       // not newer than the state, or about an earlier incarnation or epoch
 	NoDocument Code = "no-document" // no document has been accepted yet
 	NoQueue    Code = "no-queue"
 	NoJob      Code = "no-job"
--- a/queue/crash_test.go
+++ b/queue/crash_test.go
@@ -10,8 +10,8 @@
 	"rudderfork.example/rudderfork"
 )
 
-// mostCrashes is how many executors a task may crash: once three have crashed under it, it is
-// started at most twice more.
+// mostCrashes is how many executors a task may crash: once three have crashed while it ran on them,
+// it is started at most twice more.
 const mostCrashes = 5
 
 // startAnywhere starts a task on the first VM that accepts it.
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestLossReportedTwice guards against an unresolved loss that is never resolved because the loss
-// of a VM is proposed again while its commit is slow.
+// TestLossReportedTwice guards against an unresolved loss that is counted twice and resolved once,
+// because the leader proposes the loss of a VM again while the first commit is slow.
 func TestLossReportedTwice(t *testing.T) {
 	for name, second := range map[string]VMLoss{"lost again": {}, "lost with a shutdown notice": {Departed: true}} {
 		t.Run(name, func(t *testing.T) {
@@ -68,11 +68,12 @@
 }
 
 // TestCrashingTaskOfSlowExecutors guards against a lasting task that crashes executors without
-// bound because those it crashed before are not back yet.
+// bound because the executors that it crashed have not registered again, so that their crashes are
+// not counted yet.
 func TestCrashingTaskOfSlowExecutors(t *testing.T) {
 	lasting := one
 	lasting.Lasting = true
-	const away = 4 // VMs that are down before the first one is back
+	const away = 4 // VMs that are down at the same time
 	w := newFixture(t, 12)
 	w.submit("j1", lasting)
 	k := key("j1", 0, 0)
@@ -131,8 +132,8 @@
 	assert.Equal(t, w.status("feed"), Running)
 }
 
-// TestFirstCrashInDays guards against a crash that cannot be applied because the base rate has
-// fallen to 0.
+// TestFirstCrashInDays guards against a division by 0 when a crash follows a long time without any,
+// in which the base rate could be rounded to 0.
 func TestFirstCrashInDays(t *testing.T) {
 	w, bad, good := startTwo(t, one)
 	w.s.base.addObserved((30 * 24 * time.Hour).Milliseconds(), 3_900)
--- a/queue/document.go
+++ b/queue/document.go
@@ -8,21 +8,26 @@
 	"rudderfork.example/rudderfork"
 )
 
-// Queue is one row of the operator's document: where clients submit jobs, which service's VMs run
-// them, and their priority and objectives.
+// Queue is the definition of a queue in the operator's document: where clients submit jobs, which
+// service's VMs run them, and their priority and objectives.
 type Queue struct {
 	Name        string             `cbor:"1,keyasint" json:"name"`
 	Host        string             `cbor:"2,keyasint" json:"host"`
 	Prefix      string             `cbor:"3,keyasint" json:"prefix"` // of the URL path
 	Service     rudderfork.Service `cbor:"4,keyasint" json:"service"`
-	Priority    int                `cbor:"5,keyasint,omitempty" json:"priority"`   // 0 is the most important
-	MaxAttempts int                `cbor:"6,keyasint" json:"attempts"`             // failed attempts a task may have
-	Stretch     float64            `cbor:"7,keyasint,omitempty" json:"stretch"`    // objective for the completion time, as a multiple of the critical path
-	LatencyMS   int64              `cbor:"8,keyasint,omitempty" json:"latency_ms"` // objective, added to the stretched critical path
-	Advice      *Advice            `cbor:"9,keyasint,omitempty" json:"advice,omitempty"`
+	Priority    int                `cbor:"5,keyasint,omitempty" json:"priority"` // 0 is the most important
+	MaxAttempts int                `cbor:"6,keyasint" json:"attempts"`           // failures of a task at which its job fails; 0 means 1
+
+	// The objective for the completion time of a job is Stretch, or 1 if that is less, times the
+	// length of its critical path, plus LatencyMS.
+	Stretch   float64 `cbor:"7,keyasint,omitempty" json:"stretch"`
+	LatencyMS int64   `cbor:"8,keyasint,omitempty" json:"latency_ms"`
+
+	Advice *Advice `cbor:"9,keyasint,omitempty" json:"advice,omitempty"` // nil if the queue has no adviser
 }
 
-// Advice means that an adviser decides which VMs may run a step. The fields describe its timing.
+// Advice means that an adviser decides which VMs may run a step. The fields describe its timing. Only
+// ValidMS is used: how long a ticket stays valid, 0 for a default.
 type Advice struct {
 	DecideMS int64 `cbor:"1,keyasint,omitempty" json:"decide_ms"`
 	EachMS   int64 `cbor:"2,keyasint,omitempty" json:"each_ms"`
@@ -63,7 +68,7 @@
 	Limits  Limits  `cbor:"5,keyasint,omitempty" json:"limits"`
 }
 
-// maxQueues bounds the size of a document. The users' largest has 1,100 queues.
+// maxQueues bounds the number of queues in a document. The users' largest document has 1,100.
 const maxQueues = 10_000
 
 // Check returns an error for the first invalid part of the document.
--- a/queue/evacuation.go
+++ b/queue/evacuation.go
@@ -26,7 +26,7 @@
 	return ordered
 }
 
-// Evacuations returns the orders in force, sorted by failure domain.
+// Evacuations returns the orders that are not revoked, sorted by failure domain.
 func (s *State) Evacuations() (list []Evacuation) {
 	for _, d := range slices.Sorted(maps.Keys(s.evacuations)) {
 		list = append(list, s.evacuations[d])
--- a/queue/incarnation_test.go
+++ b/queue/incarnation_test.go
@@ -48,8 +48,8 @@
 }
 
 // TestIncarnationNameGainsStartTime checks an agent that adds the start time to the name of an
-// incarnation that an agent of an earlier release registered by its ID alone. It may be the same
-// incarnation, whose runs must go on; if it is the next one, the orders start the runs again.
+// incarnation that an agent of an earlier release registered by its executor ID alone. It may be the
+// same incarnation, so its runs must not be ended.
 func TestIncarnationNameGainsStartTime(t *testing.T) {
 	named := rudderfork.IncarnationName("i-1", 1000)
 	for _, x := range []struct {
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestUnresolvedLossOfIncarnation checks a lease that runs out under a run: the next incarnation
-// shows that the executor had crashed, the same one that it had not.
+// TestUnresolvedLossOfIncarnation checks how the loss of a VM with an active run is resolved: if the
+// VM registers the next incarnation, its executor had crashed; if the same one, it had not.
 func TestUnresolvedLossOfIncarnation(t *testing.T) {
 	first, second := rudderfork.IncarnationName("i-1", 1000), rudderfork.IncarnationName("i-1", 2000)
 	k := TaskKey{Job: "j"}
--- a/queue/model.go
+++ b/queue/model.go
@@ -14,11 +14,13 @@
 //   - a run ends only by an end that its own VM reports, by a new incarnation of
 //     that VM's executor, or once the VM's lease has run out (VMLoss).
 //
-// Three kinds of task recur in the code. A lasting task (Step.Lasting) is restarted until its job
-// is cancelled. A serving task answers requests itself and has a tail latency objective
-// (Step.TailMS). A filler (Step.Filler) reserves no processors and uses only idle ones.
+// These terms for tasks recur in the code. A lasting task (Step.Lasting) is restarted until its job
+// is cancelled. A serving task is one, usually lasting, that answers requests itself and has a tail
+// latency objective (Step.TailMS). A filler (Step.Filler) reserves no processors and uses only idle
+// ones. All tasks that are neither lasting nor fillers are short.
 //
 // A run is started when the leader has ordered it, and has begun when an executor has confirmed it.
+// It is active from its start until its end is known.
 package queue
 
 import (
@@ -41,19 +43,19 @@
 	DependsOn   []int  `cbor:"4,keyasint,omitempty" json:"after,omitempty"`       // earlier steps, all of whose tasks must be done
 	Checkpoints bool   `cbor:"5,keyasint,omitempty" json:"checkpoints,omitempty"` // progress survives a stop
 	Gang        bool   `cbor:"6,keyasint,omitempty" json:"gang,omitempty"`        // all tasks run together or not at all
-	SameRack    bool   `cbor:"7,keyasint,omitempty" json:"one_rack,omitempty"`    // a gang that is slow when spread over several racks
-	Label       string `cbor:"8,keyasint,omitempty" json:"label,omitempty"`       // label that the VM must carry
-	DataRack    string `cbor:"9,keyasint,omitempty" json:"data_rack,omitempty"`   // rack that is close to the input data
-	MaxPerVM    int    `cbor:"10,keyasint,omitempty" json:"max_per_vm,omitempty"`
-	Speculative bool   `cbor:"11,keyasint,omitempty" json:"copies,omitempty"`   // two copies of a task may run
-	Lasting     bool   `cbor:"12,keyasint,omitempty" json:"lasting,omitempty"`  // runs until the job is cancelled
-	Image       string `cbor:"13,keyasint,omitempty" json:"image,omitempty"`    // tasks of one image behave alike
-	TailMS      int64  `cbor:"14,keyasint,omitempty" json:"tail_ms,omitempty"`  // tail latency objective of a lasting task's own responses
-	Filler      bool   `cbor:"15,keyasint,omitempty" json:"filler,omitempty"`   // reserves no processors, uses only idle ones
-	MaxAway     int    `cbor:"16,keyasint,omitempty" json:"max_away,omitempty"` // disruption budget of a lasting step: tasks that may be down at once
+	SameRack    bool   `cbor:"7,keyasint,omitempty" json:"one_rack,omitempty"`    // prefer one rack for a gang, which is slow when spread over several
+	Label       string `cbor:"8,keyasint,omitempty" json:"label,omitempty"`       // label that the VM must carry; "" for none
+	DataRack    string `cbor:"9,keyasint,omitempty" json:"data_rack,omitempty"`   // rack that holds the input data; "" for none
+	MaxPerVM    int    `cbor:"10,keyasint,omitempty" json:"max_per_vm,omitempty"` // tasks of one occurrence that a VM may run at once; 0 means no limit
+	Speculative bool   `cbor:"11,keyasint,omitempty" json:"copies,omitempty"`     // two copies of a task may run
+	Lasting     bool   `cbor:"12,keyasint,omitempty" json:"lasting,omitempty"`    // runs until the job is cancelled
+	Image       string `cbor:"13,keyasint,omitempty" json:"image,omitempty"`      // name of the tasks' image; tasks of one image are assumed to behave alike
+	TailMS      int64  `cbor:"14,keyasint,omitempty" json:"tail_ms,omitempty"`    // tail latency objective of a serving task's responses; 0 for other tasks
+	Filler      bool   `cbor:"15,keyasint,omitempty" json:"filler,omitempty"`     // reserves no processors, uses only idle ones
+	MaxAway     int    `cbor:"16,keyasint,omitempty" json:"max_away,omitempty"`   // disruption budget of a lasting step: tasks that may be down at once; 0 means no limit
 }
 
-// Repeat runs all steps of a job Count times, at fixed times.
+// Repeat runs all steps of a job Count times, at fixed times. Each time is an Occurrence.
 type Repeat struct {
 	Count   int   `cbor:"1,keyasint" json:"count,omitempty"`
 	FirstMS int64 `cbor:"2,keyasint" json:"first_ms,omitempty"` // Unix ms
@@ -120,7 +122,8 @@
 	return nil
 }
 
-// TaskKey identifies a task of a job. Occurrence counts the repeats of the job, from 0.
+// TaskKey identifies a task of a job. Occurrence, Step and Index count from 0; a job that is not
+// repeated has only occurrence 0.
 type TaskKey struct {
 	Job        rudderfork.JobID `cbor:"1,keyasint"`
 	Occurrence int              `cbor:"2,keyasint,omitempty"`
@@ -202,11 +205,11 @@
 	OutcomeGangBroken     Outcome = "broken"  // another member of its gang ended
 	OutcomeGangIncomplete Outcome = "alone"   // the other members of its gang did not start
 	OutcomeRefused        Outcome = "refused" // the VM refused to start it
-	OutcomeLost           Outcome = "gone"    // the VM does not have it and will never start it
+	OutcomeLost           Outcome = "gone"    // the VM does not have it and will never start it, or its executor's incarnation ended
 )
 
-// hasBegun reports whether an executor had begun the run, which is so if the executor has listed
-// its end.
+// hasBegun reports whether the outcome shows that an executor had begun the run. All outcomes do
+// that an executor reports; refused and lost runs are reported by the VM's agent or found by Apply.
 func (o Outcome) hasBegun() bool { return o != OutcomeRefused && o != OutcomeLost }
 
 // Run is an active run of a task on a VM: it has been started, and its end is not known yet.
@@ -239,10 +242,10 @@
 	EndedAt    int64  `cbor:"6,keyasint,omitempty"` // end of the last run, Unix ms
 	TookMS     int64  `cbor:"7,keyasint,omitempty"` // duration of the run that was done, from its start
 
-	// The counts below estimate whether the task crashes its executors; see blame.go.
+	// The figures below show whether the task may be crashing its executors; see blame.go.
 	Crashes          int `cbor:"8,keyasint,omitempty"`  // executors that crashed while it ran
 	PromptCrashes    int `cbor:"11,keyasint,omitempty"` // of these, crashes soon after its run was confirmed to have begun
-	UnresolvedLosses int `cbor:"10,keyasint,omitempty"` // recent runs that ended with the lease of a VM that is not back
+	UnresolvedLosses int `cbor:"10,keyasint,omitempty"` // recent runs that ended with the lease of a VM that has not registered since
 	Suspicion        int `cbor:"9,keyasint,omitempty"`  // probability that it crashes its executors, in thousandths
 	// UnresolvedSilent counts those of UnresolvedLosses whose VM's agent has reported that the
 	// executor does not answer.
@@ -263,7 +266,7 @@
 	return slices.ContainsFunc(t.Runs, func(r Run) bool { return r.VM == vm })
 }
 
-// Occurrence holds the tasks of one repeat of a job, by step and index.
+// Occurrence holds the tasks of one repetition of a job, by step and index.
 type Occurrence struct {
 	DueMS     int64    `cbor:"1,keyasint,omitempty"` // earliest start, Unix ms; 0 means at once
 	Steps     [][]Task `cbor:"2,keyasint"`
@@ -301,7 +304,7 @@
 	Occurrences []*Occurrence    `cbor:"7,keyasint"`
 	Begun       bool             `cbor:"8,keyasint,omitempty"` // an executor has begun one of its tasks
 	ActiveRuns  int              `cbor:"9,keyasint,omitempty"`
-	EndedClock  int64            `cbor:"10,keyasint,omitempty"` // State clock when it ended, ms
+	EndedClock  int64            `cbor:"10,keyasint,omitempty"` // state clock (Clock.NowMS) when it ended, ms
 
 	changes uint64
 }
@@ -333,19 +336,19 @@
 	Labels      []string             `cbor:"7,keyasint,omitempty"`
 	Live        bool                 `cbor:"8,keyasint"` // registered and not lost: it may hold runs
 
-	// Epoch rises with each registration that starts without runs.
+	// Epoch rises with each registration under which no earlier run continues.
 	Epoch uint64 `cbor:"9,keyasint,omitempty"`
 
 	// UnresolvedRuns are the runs that ended when the VM's lease ran out. Whether its executor had
 	// crashed is known once the VM registers again.
 	UnresolvedRuns []RunAge `cbor:"10,keyasint,omitempty"`
-	// LeaseExpiredAt is when the lease ran out, by the state clock, ms. Resolved means that
-	// UnresolvedRuns no longer count against their tasks.
+	// LeaseExpiredAt is when the loss of the VM was committed, by the state clock, ms. Resolved means
+	// that UnresolvedRuns no longer count against their tasks.
 	LeaseExpiredAt int64 `cbor:"12,keyasint,omitempty"`
 	Resolved       bool  `cbor:"13,keyasint,omitempty"`
 	// ExecutorSilent means that the VM's agent has reported that the executor does not answer.
 	ExecutorSilent bool `cbor:"14,keyasint,omitempty"`
-	// Leaving means that the incarnation ends as planned, so that no task is blamed for its end.
+	// Leaving means that the VM's upkeep ends the incarnation, so that no task is blamed for its end.
 	Leaving bool `cbor:"11,keyasint,omitempty"`
 	// Crashes is the crash history of the VM's executor over all its incarnations.
 	Crashes CrashHistory `cbor:"15,keyasint"`
@@ -355,8 +358,8 @@
 	changes uint64
 }
 
-// Changes rises with each change of the runs on the VM in this process. It is not replicated. A VM
-// that registers anew is represented by a new VM value.
+// Changes rises with each change, in this process, of the runs on the VM or of the suspicion against
+// their tasks. It is not replicated. A VM that registers again is represented by a new VM value.
 func (v *VM) Changes() uint64 { return v.changes }
 
 // Used returns the resources that the VM's active runs take.
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -62,6 +62,7 @@
 	w.s = Restore(snap)
 }
 
+// usedOf returns the resources that active runs use on each VM.
 func usedOf(s *State) map[rudderfork.VMID]rudderfork.Resources {
 	used := map[rudderfork.VMID]rudderfork.Resources{}
 	for id, vm := range s.vms {
@@ -70,12 +71,12 @@
 	return used
 }
 
-// checkCapacity checks that a command does not fill a VM beyond its capacity. A VM whose capacity
-// has shrunk may hold more, but no more than before.
+// checkCapacity checks that a command does not fill a VM beyond its capacity. Runs on a VM whose
+// capacity has shrunk may use more, but no more than before the command.
 func checkCapacity(t *testing.T, s *State, before map[rudderfork.VMID]rudderfork.Resources) {
 	t.Helper()
 	for id, vm := range s.vms {
-		assert.Assert(t, vm.used.Fits(vm.Capacity) || vm.used.Fits(before[id]), "%s holds %v of %v, and held %v", id, vm.used, vm.Capacity, before[id])
+		assert.Assert(t, vm.used.Fits(vm.Capacity) || vm.used.Fits(before[id]), "%s uses %v of %v, and used %v before the command", id, vm.used, vm.Capacity, before[id])
 	}
 }
 
@@ -104,7 +105,8 @@
 	return TaskKey{Job: job, Step: step, Index: index}
 }
 
-// checkInvariants checks the invariants of a state.
+// checkInvariants checks that the counts and indexes of a state agree with its runs, that no task has
+// more runs than allowed, and that no run is on a lost VM.
 func checkInvariants(t *testing.T, s *State) {
 	t.Helper()
 	used := map[rudderfork.VMID]rudderfork.Resources{}
--- a/queue/state.go
+++ b/queue/state.go
@@ -12,14 +12,14 @@
 	doc          *Document
 	queuesByName map[string]*Queue // rows of doc
 	jobs         map[rudderfork.JobID]*Job
-	ended        []rudderfork.JobID        // oldest first
-	live         map[rudderfork.JobID]*Job // jobs that may run or have active runs
+	ended        []rudderfork.JobID        // jobs with a final status, the first to end first
+	live         map[rudderfork.JobID]*Job // jobs that may still run or have active runs
 	vms          map[rudderfork.VMID]*VM
 	vmsByID      []*VM   // all of vms, sorted by ID
 	waves        []*Wave // oldest first
 	clock        Clock
 	base         BaseRate
-	losses       []unresolvedLoss // unresolved losses, oldest first; may hold resolved ones
+	losses       []unresolvedLoss // of the last unresolvedLossMS, oldest first; some may be resolved since
 
 	evacuations map[rudderfork.Domain]Evacuation
 }
@@ -71,8 +71,9 @@
 	return j.Queue
 }
 
-// Waiting returns how many accepted jobs of a queue have not begun, and for how many of these a run
-// is started. begun reports jobs that have begun and are not marked so in the state yet.
+// Waiting returns how many accepted jobs of a queue have not begun, and how many of these have a
+// run that the leader has ordered. begun reports the jobs that have begun although the state does
+// not mark them as begun yet.
 func (s *State) Waiting(name string, begun func(rudderfork.JobID) bool) (waiting, ordered int) {
 	for _, j := range s.live {
 		if j.Queue.Name != name || j.Status.Final() || j.Begun || begun(j.ID) {
@@ -97,7 +98,8 @@
 	return o.DueMS <= now && o.StepReady(j.Spec.Steps[k.Step])
 }
 
-// Need returns the resources that a run of the step takes from a VM's capacity.
+// Need returns the resources that a run of the step takes from a VM's capacity. A filler takes no
+// processors.
 func (st Step) Need() rudderfork.Resources {
 	need := st.Size
 	if st.Filler {
@@ -116,7 +118,7 @@
 	return n
 }
 
-// RejectReason returns why a VM cannot take a run of the task, or "" if it can.
+// RejectReason returns why a run of the task cannot start on a VM, or "" if it can.
 func (s *State) RejectReason(j *Job, k TaskKey, vm *VM) string {
 	st := j.Spec.Steps[k.Step]
 	_, hasRun := vm.runs[k]
--- a/queue/suspects.go
+++ b/queue/suspects.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// CrashedTask is a task under which executors have crashed or may have crashed.
+// CrashedTask is a task that was running on executors that have crashed or may have crashed.
 type CrashedTask struct {
 	Key  TaskKey
 	Task *Task
@@ -32,7 +32,7 @@
 	return list
 }
 
-// clearTask resets the suspicion against a task on an operator's order.
+// clearTask resets the crash counts of a task and the suspicion against it, on an operator's order.
 func (s *State) clearTask(k TaskKey) Result {
 	t := s.openTask(k)
 	if t == nil {
--- a/queue/termination.go
+++ b/queue/termination.go
@@ -2,12 +2,13 @@
 
 // termination is what is known of the end of an incarnation of a VM's executor.
 type termination struct {
-	planned  bool   // it shut down or was told to: no task is blamed
+	planned  bool   // the executor announced its shutdown or upkeep ended it, so no task is blamed
 	crash    *Crash // the report of the VM's agent, or nil
-	replaced bool   // another incarnation has started: it was a crash
+	replaced bool   // another incarnation has registered, so the executor crashed unless planned is set
 }
 
-// endIncarnation ends all runs on a VM and updates the suspicion against their tasks.
+// endIncarnation ends all runs on a VM. If the incarnation was replaced it updates the suspicion
+// against their tasks; otherwise it records an unresolved loss.
 func (s *State) endIncarnation(vm *VM, term termination, checkpoints map[TaskKey]string, at int64) Result {
 	res := Result{Code: OK}
 	var list []RunAge
@@ -23,8 +24,8 @@
 	return res
 }
 
-// resolveReturned resolves the loss of a VM that registers again: if its incarnation is another one
-// the executor had crashed, if it is the same one it had not.
+// resolveReturned resolves the loss of a VM that registers again. If the incarnation is the same
+// one, the executor had not crashed; if it is another one, it had, unless its end was planned.
 func (s *State) resolveReturned(vm *VM, term termination, same bool, at int64) []Assessment {
 	list := vm.UnresolvedRuns
 	s.resolveLoss(vm)
@@ -55,7 +56,7 @@
 }
 
 // activeRuns returns the active runs of a VM that may have begun, with their ages. Without a report
-// of the agent the ages are low estimates.
+// of the agent it returns all active runs, and the ages are lower bounds.
 func (s *State) activeRuns(vm *VM, crash *Crash, at int64) (list []RunAge) {
 	for _, k := range sortedKeys(vm.runs) {
 		r := RunAge{Task: k, Run: vm.runs[k]}
@@ -74,7 +75,8 @@
 	return list
 }
 
-// markLeaving marks the VM of an incarnation that ends because its VM was told to shut down.
+// markLeaving marks the VM of an incarnation that ends because the VM's upkeep has begun. If inc is
+// empty it marks none.
 func (s *State) markLeaving(inc string) {
 	for _, vm := range s.vms {
 		if inc != "" && vm.Incarnation == inc {
--- a/queue/unresolved.go
+++ b/queue/unresolved.go
@@ -7,12 +7,11 @@
 	"rudderfork.example/rudderfork"
 )
 
-// unresolvedLossMS is how long a run that ended with its VM's lease counts against its task while
-// the VM is not back, ms. It is many times what a crashed executor takes to start again.
+// unresolvedLossMS is how long a run that ended with its VM's lease counts against its task if the
+// VM does not register again, ms. It is many times what a crashed executor takes to start again.
 const unresolvedLossMS = 30_000
 
-// unresolvedLoss is a VM whose lease ran out and of whose executor it is not known yet whether it
-// had crashed.
+// unresolvedLoss is a VM whose lease ran out while it is not known whether its executor crashed.
 type unresolvedLoss struct {
 	vm rudderfork.VMID
 	at int64 // VM.LeaseExpiredAt
@@ -34,8 +33,8 @@
 	vm.Resolved = true
 }
 
-// resolveOldLosses resolves the losses of VMs that have not been back for unresolvedLossMS. A crash
-// is still counted against their tasks if the VM returns later with another incarnation.
+// resolveOldLosses resolves the losses of VMs that have not registered for unresolvedLossMS. If such
+// a VM registers later with another incarnation, a crash is still counted against the tasks.
 func (s *State) resolveOldLosses() {
 	for len(s.losses) > 0 && s.clock.NowMS >= s.losses[0].at+unresolvedLossMS {
 		c := s.losses[0]
@@ -61,7 +60,7 @@
 	slices.SortStableFunc(s.losses, func(a, b unresolvedLoss) int { return cmp.Compare(a.at, b.at) })
 }
 
-// addUnresolved adds step (1 or -1) to the unresolved losses of the tasks of vm.UnresolvedRuns.
+// addUnresolved adds delta, 1 or -1, to the unresolved losses of the tasks of vm.UnresolvedRuns.
 // Runs older than provenRunMS are skipped, since a crash under them would clear their task.
 func (s *State) addUnresolved(vm *VM, delta int) {
 	for _, r := range vm.UnresolvedRuns {
--- a/queue/wave.go
+++ b/queue/wave.go
@@ -10,8 +10,8 @@
 	DueMS    int64    `cbor:"3,keyasint" json:"due"`      // Unix ms
 	MaxDown  int      `cbor:"4,keyasint" json:"max_down"`
 
-	// Begun lists the machines whose upkeep is confirmed to have begun, and Gone those that the
-	// provider no longer knows.
+	// Begun lists the machines whose upkeep is known to have begun, and Gone those that the provider
+	// no longer knows.
 	Begun []string `cbor:"5,keyasint,omitempty" json:"begun,omitempty"`
 	Gone  []string `cbor:"6,keyasint,omitempty" json:"gone,omitempty"`
 }
