--- a/scheduler/advice.go
+++ b/scheduler/advice.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// adviceTimeout bounds one call, which takes longer the more VMs it asks about.
+	// adviceTimeout bounds one call to the adviser. A call takes longer the more VMs it names.
 	adviceTimeout = 5 * time.Second
-	// adviceBackOff is between an adviser's answer and the next call for the same step.
+	// adviceBackOff is the pause between an adviser's answer and the next call for the same step.
 	adviceBackOff = 300 * time.Millisecond
-	// defaultTicketValidity is how long a ticket is valid if the queue's settings name no time.
+	// defaultTicketValidity is how long a ticket is valid if the queue's settings do not say so.
 	defaultTicketValidity = time.Second
 )
 
@@ -25,35 +25,35 @@
 // on a VM. It is guarded by the scheduler's mu.
 type advice struct {
 	steps       map[queue.StepKey]*stepTickets
-	callRunning bool // the adviser handles one call of a process at a time
+	callRunning bool // a call is in progress; the adviser handles one call of a process at a time
 }
 
 // stepTickets holds the tickets of one step.
 type stepTickets struct {
 	tickets    map[rudderfork.VMID]ticket
 	noTicketAt map[rudderfork.VMID]time.Time // when the adviser last gave no ticket for a VM
-	nextCallAt time.Time                     // no call for the step before this time
+	nextCallAt time.Time                     // earliest time of the next call for the step
 }
 
 func newStepTickets() *stepTickets {
 	return &stepTickets{tickets: map[rudderfork.VMID]ticket{}, noTicketAt: map[rudderfork.VMID]time.Time{}}
 }
 
-// ticket is valid for one incarnation of a VM's executor, until a time.
+// ticket is an adviser's ticket. It is valid for one incarnation of a VM's executor.
 type ticket struct {
-	text        string
+	text        string // as the adviser issued it
 	incarnation string
 	until       time.Time
 }
 
 func newAdvice() *advice { return &advice{steps: map[queue.StepKey]*stepTickets{}} }
 
-// recordNoTickets records the VMs that were asked about and got no ticket. Which VMs may run a
-// step does not change, but an answer may be wrong, so these VMs are asked about again after all
-// others. asked and good are keyed by incarnation.
-func (st *stepTickets) recordNoTickets(asked map[string]rudderfork.VMID, good map[string]string, now time.Time) {
-	for inc, vm := range asked {
-		if _, ok := good[inc]; !ok {
+// recordNoTickets records the VMs for which a ticket was requested and none was issued. Which VMs
+// may run a step does not change, but an answer may be wrong, so tickets for these VMs are
+// requested again after those for all others. requested and tickets are keyed by incarnation.
+func (st *stepTickets) recordNoTickets(requested map[string]rudderfork.VMID, tickets map[string]string, now time.Time) {
+	for inc, vm := range requested {
+		if _, ok := tickets[inc]; !ok {
 			st.noTicketAt[vm] = now
 		}
 	}
@@ -68,7 +68,7 @@
 	return all
 }
 
-// view returns the valid tickets by step and VM, and drops those of jobs that have ended.
+// view returns the valid tickets by step and VM. It drops the steps of jobs that have ended.
 func (a *advice) view(s *queue.State, now time.Time) map[queue.StepKey]map[rudderfork.VMID]string {
 	all := map[queue.StepKey]map[rudderfork.VMID]string{}
 	for k, st := range a.steps {
@@ -94,9 +94,9 @@
 	}
 }
 
-// askAdviser starts a call for the due request whose step has waited longest, unless a call is
-// under way.
-func (s *Scheduler) askAdviser(reqs []dispatch.AdviceRequest) {
+// requestAdvice starts a call for the due request whose step has waited longest, unless a call is
+// in progress.
+func (s *Scheduler) requestAdvice(reqs []dispatch.AdviceRequest) {
 	if s.adviser == nil {
 		return
 	}
@@ -117,7 +117,8 @@
 	}
 }
 
-// nextCallAt returns the time before which no call for a step is made; zero if there was none.
+// nextCallAt returns the earliest time of the next call for a step, or the zero time if no call was
+// made for it.
 func (a *advice) nextCallAt(k queue.StepKey) time.Time {
 	if st := a.steps[k]; st != nil {
 		return st.nextCallAt
@@ -147,8 +148,8 @@
 		st.recordNoTickets(vms, tickets, now)
 	}
 	for inc, text := range tickets {
-		// A ticket is valid from the answer on. Counting from the start of the call is on
-		// the safe side.
+		// A ticket is valid for a time that begins with the adviser's answer. Counting from
+		// the start of the call is on the safe side.
 		st.tickets[vms[inc]] = ticket{text, inc, began.Add(validity)}
 	}
 	s.roundDue.Set()
--- a/scheduler/advice_test.go
+++ b/scheduler/advice_test.go
@@ -13,7 +13,8 @@
 	"rudderfork.example/rudderfork/state"
 )
 
-// newAdvisedLeader returns a leader with idle VMs and a queue with an adviser.
+// newAdvisedLeader returns a leader with an adviser, a queue whose steps need its tickets, and idle
+// VMs.
 func newAdvisedLeader(t *testing.T, adv *fakeAdviser, vms int) *manualLeader {
 	adv.calls = 1 // skips the first call, which fails
 	rep := newReplica(t, selfMember)
@@ -37,9 +38,8 @@
 	l.commit(queue.Command{Submit: &queue.Submit{Host: testHost, Path: "/q/" + string(id), Spec: queue.Spec{Steps: []queue.Step{smallStep}}}})
 }
 
-// planWithAdvice makes plans, each of which finds the adviser free after a call that took longer
-// than the pause between two requests for a step. It returns after the given number of calls and
-// one more plan.
+// planWithAdvice makes one plan more than the given number of calls to the adviser. Before each plan
+// after the first, the call has ended and adviceBackOff has passed.
 func (l *manualLeader) planWithAdvice(calls int) {
 	l.t.Helper()
 	for range calls {
@@ -63,8 +63,8 @@
 	return l.sched.fleet.advice.callRunning
 }
 
-// expireAdvicePause lets the pause between two requests run out for all steps but the one requested
-// last, or for the only step.
+// expireAdvicePause makes adviceBackOff run out for all steps but the one requested last, or for the
+// only step.
 func (l *manualLeader) expireAdvicePause() {
 	l.sched.mu.Lock()
 	defer l.sched.mu.Unlock()
@@ -90,6 +90,7 @@
 	return started
 }
 
+// adviserCalls is the number of calls to the adviser within which a step must have started.
 const adviserCalls = 10
 
 // TestAdviserNotAskedAboutAllVMs guards against a step that never starts because the only VM that
--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -19,18 +19,19 @@
 const (
 	// maxBody bounds the body of an operator's request, in bytes.
 	maxBody = 4 << 20
-	// maxJobEvents bounds the events that are shown of a job.
+	// maxJobEvents bounds the number of events in the view of a job.
 	maxJobEvents = 200
-	// retryPause is after how long an operator is told to retry while there is no leader.
+	// retryPause is the delay after which a client may retry a request that was refused with
+	// status 503.
 	retryPause = time.Second
 )
 
-// Routes adds the operators' HTTP interface to the queues, which is the same whatever platform
-// interface the process has beside it. events holds the events that the process has recorded.
+// Routes adds the operators' HTTP interface of the queues to mux. It does not depend on the platform
+// interface that the process also serves. events holds the events that the process has recorded.
 func (s *Scheduler) Routes(mux *http.ServeMux, events *timeline.Ring) {
 	a := &api{s, events}
 	for pattern, h := range map[string]func(w http.ResponseWriter, r *http.Request){
-		"PUT /v1/queues":             a.put,
+		"PUT /v1/queues":             a.putDocument,
 		"GET /v1/queues":             a.queues,
 		"GET /v1/queue-vms":          a.vms,
 		"GET /v1/queue-jobs":         a.jobs,
@@ -54,7 +55,8 @@
 	events *timeline.Ring
 }
 
-// onLeader redirects requests that reach a follower to the leader, and bounds their bodies.
+// onLeader wraps a handler: if another process is known to lead, the request is redirected there;
+// otherwise its body is bounded and h handles it.
 func (a *api) onLeader(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		st := a.s.rep.Status()
@@ -81,54 +83,54 @@
 	Path string `json:"path"`
 }
 
-// put replaces the document of queues. The text that is stored, and read back, is the decoded
+// putDocument replaces the document of queues. The text that is stored, and read back, is the decoded
 // document encoded again.
-func (a *api) put(w http.ResponseWriter, r *http.Request) {
+func (a *api) putDocument(w http.ResponseWriter, r *http.Request) {
 	var d queue.Document
-	if !read(w, r, &d) {
+	if !decodeBody(w, r, &d) {
 		return
 	}
 	text, err := json.Marshal(d)
 	if err != nil {
-		fail(w, http.StatusUnprocessableEntity, "invalid", err.Error(), rudderfork.RanNo)
+		writeProblem(w, http.StatusUnprocessableEntity, "invalid", err.Error(), rudderfork.RanNo)
 		return
 	}
 	d.Text = text
 	if err := d.Check(); err != nil {
-		fail(w, http.StatusUnprocessableEntity, "invalid", err.Error(), rudderfork.RanNo)
+		writeProblem(w, http.StatusUnprocessableEntity, "invalid", err.Error(), rudderfork.RanNo)
 		return
 	}
-	a.answer(w, r, wire.QueueRequest{Put: &d})
+	a.respond(w, r, wire.QueueRequest{Put: &d})
 }
 
 func (a *api) submit(w http.ResponseWriter, r *http.Request) {
 	var b SubmitBody
-	if read(w, r, &b) {
-		a.answer(w, r, wire.QueueRequest{Submit: &queue.Submit{Host: b.Host, Path: b.Path, Spec: b.Spec}})
+	if decodeBody(w, r, &b) {
+		a.respond(w, r, wire.QueueRequest{Submit: &queue.Submit{Host: b.Host, Path: b.Path, Spec: b.Spec}})
 	}
 }
 
 func (a *api) cancel(w http.ResponseWriter, r *http.Request) {
 	var b JobPathBody
-	if read(w, r, &b) {
-		a.answer(w, r, wire.QueueRequest{Cancel: &queue.Cancel{Host: b.Host, Path: b.Path}})
+	if decodeBody(w, r, &b) {
+		a.respond(w, r, wire.QueueRequest{Cancel: &queue.Cancel{Host: b.Host, Path: b.Path}})
 	}
 }
 
-// answer carries out a request and writes its result.
-func (a *api) answer(w http.ResponseWriter, r *http.Request, req wire.QueueRequest) {
+// respond carries out a request and writes its result.
+func (a *api) respond(w http.ResponseWriter, r *http.Request, req wire.QueueRequest) {
 	resp := a.s.Handle(r.Context(), req)
 	switch {
 	case resp.Unsure:
-		fail(w, http.StatusGatewayTimeout, "unknown", resp.Text, rudderfork.RanUnknown)
+		writeProblem(w, http.StatusGatewayTimeout, "unknown", resp.Text, rudderfork.RanUnknown)
 	case resp.NotTaken, resp.Code == queue.NoDocument:
-		fail(w, http.StatusServiceUnavailable, "no-leader", resp.Text, rudderfork.RanNo)
+		writeProblem(w, http.StatusServiceUnavailable, "no-leader", resp.Text, rudderfork.RanNo)
 	case resp.Code == queue.OK, resp.Code == queue.Stale:
 		admin.WriteJSON(w, map[string]string{"result": string(resp.Code), "detail": resp.Text})
 	case resp.Code == queue.NoQueue, resp.Code == queue.NoJob, resp.Code == queue.NoDomain:
-		fail(w, http.StatusNotFound, "not-found", string(resp.Code), rudderfork.RanNo)
+		writeProblem(w, http.StatusNotFound, "not-found", string(resp.Code), rudderfork.RanNo)
 	default:
-		fail(w, http.StatusUnprocessableEntity, "invalid", resp.Text, rudderfork.RanNo)
+		writeProblem(w, http.StatusUnprocessableEntity, "invalid", resp.Text, rudderfork.RanNo)
 	}
 }
 
@@ -149,17 +151,18 @@
 	Task string `json:"task"`
 }
 
+// clear resets the suspicion of a task.
 func (a *api) clear(w http.ResponseWriter, r *http.Request) {
 	var b TaskBody
-	if !read(w, r, &b) {
+	if !decodeBody(w, r, &b) {
 		return
 	}
 	k, err := queue.ParseTaskKey(b.Task)
 	if err != nil {
-		fail(w, http.StatusUnprocessableEntity, "invalid", err.Error(), rudderfork.RanNo)
+		writeProblem(w, http.StatusUnprocessableEntity, "invalid", err.Error(), rudderfork.RanNo)
 		return
 	}
-	a.answer(w, r, wire.QueueRequest{Clear: &k})
+	a.respond(w, r, wire.QueueRequest{Clear: &k})
 }
 
 func (a *api) evacuations(w http.ResponseWriter, r *http.Request) {
@@ -169,7 +172,7 @@
 // evacuate orders an evacuation (PUT) or cancels it (DELETE).
 func (a *api) evacuate(w http.ResponseWriter, r *http.Request) {
 	domain := rudderfork.Domain(r.PathValue("domain"))
-	a.answer(w, r, wire.QueueRequest{Evacuate: &queue.Evacuate{Domain: domain, End: r.Method == http.MethodDelete}})
+	a.respond(w, r, wire.QueueRequest{Evacuate: &queue.Evacuate{Domain: domain, End: r.Method == http.MethodDelete}})
 }
 
 func (a *api) jobs(w http.ResponseWriter, r *http.Request) {
@@ -198,11 +201,11 @@
 	})
 }
 
-// view writes what f returns for a state that holds all that was committed before the call; nil
-// stands for a job that does not exist.
+// view writes what f returns for a state that holds all that was committed before the call. If f
+// returns nil, there is no such job, and view answers with status 404.
 func (a *api) view(w http.ResponseWriter, r *http.Request, f func(s *queue.State, v dispatch.View) any) {
 	if err := a.s.rep.Barrier(r.Context()); err != nil {
-		fail(w, http.StatusServiceUnavailable, "no-leader", err.Error(), rudderfork.RanNo)
+		writeProblem(w, http.StatusServiceUnavailable, "no-leader", err.Error(), rudderfork.RanNo)
 		return
 	}
 	var out any
@@ -212,25 +215,25 @@
 		out = f(st.Queues(), a.s.fleet.view(st.Queues(), steady.Now()))
 	})
 	if out == nil {
-		fail(w, http.StatusNotFound, "not-found", "there is no such job", rudderfork.RanNo)
+		writeProblem(w, http.StatusNotFound, "not-found", "there is no such job", rudderfork.RanNo)
 		return
 	}
 	admin.WriteJSON(w, out)
 }
 
-// read decodes a body into v. If it fails, it writes the error and returns false.
-func read(w http.ResponseWriter, r *http.Request, v any) bool {
+// decodeBody decodes a request's body into v. If it fails, it writes the error and returns false.
+func decodeBody(w http.ResponseWriter, r *http.Request, v any) bool {
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
-		fail(w, http.StatusUnprocessableEntity, "invalid", err.Error(), rudderfork.RanNo)
+		writeProblem(w, http.StatusUnprocessableEntity, "invalid", err.Error(), rudderfork.RanNo)
 		return false
 	}
 	return true
 }
 
-// fail writes a problem document; one with status 503 says when to retry.
-func fail(w http.ResponseWriter, status int, kind, text string, ran rudderfork.Ran) {
+// writeProblem writes a problem document. With status 503 it includes the time to retry at.
+func writeProblem(w http.ResponseWriter, status int, kind, text string, ran rudderfork.Ran) {
 	p := problem.New(status, kind, text, ran)
 	if status == http.StatusServiceUnavailable {
 		p.RetryAt = steady.Now().Add(retryPause)
--- a/scheduler/begun.go
+++ b/scheduler/begun.go
@@ -8,8 +8,8 @@
 	"rudderfork.example/rudderfork/queue"
 )
 
-// newlyBegun returns the jobs of which a VM has reported a run and that the state does not have
-// as begun yet, and drops the others.
+// newlyBegun returns the jobs of which a VM has reported a run and that are not marked as begun in
+// the replicated state yet. It drops all other jobs from f.begun.
 func (f *fleet) newlyBegun(s *queue.State) []rudderfork.JobID {
 	maps.DeleteFunc(f.begun, func(id rudderfork.JobID, _ bool) bool {
 		j := s.Job(id)
@@ -18,6 +18,6 @@
 	return slices.Sorted(maps.Keys(f.begun))
 }
 
-// hasBegun reports whether a VM has reported a run of a job that the state does not have as
-// begun yet.
+// hasBegun reports whether a VM has reported a run of a job that may not be marked as begun in the
+// replicated state yet.
 func (f *fleet) hasBegun(id rudderfork.JobID) bool { return f.begun[id] }
--- a/scheduler/commit_wait_test.go
+++ b/scheduler/commit_wait_test.go
@@ -14,7 +14,7 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// gatedCluster is a cluster whose commits the test can block. Rounds run only when the test makes
+// gatedCluster is a cluster whose commits the test can block. Rounds run only when the test calls
 // them.
 type gatedCluster struct {
 	*testCluster
@@ -159,7 +159,7 @@
 	conn := c.openSession(string(onlyVM.ID))
 	c.sendHeartbeat(conn, onlyVM, 2)
 	c.waitUntil("its registration is proposed", func() bool { return c.rep.Status().LastIndex > last })
-	assert.Assert(t, c.nextGrant(conn) == nil, "the commit is held")
+	assert.Assert(t, c.nextGrant(conn) == nil, "a grant was sent although the commit of the registration is blocked")
 	release()
 	c.waitUntil("its registration is committed", func() bool { return c.isLive(onlyVM.ID) })
 	conn = c.openSession(string(onlyVM.ID))
--- a/scheduler/crash_test.go
+++ b/scheduler/crash_test.go
@@ -78,7 +78,7 @@
 }
 
 // TestCrashingTasksFailOtherJobs guards against jobs that fail because other jobs crash every
-// executor that starts them. Those jobs fail after MaxCrashes starts at most.
+// executor that starts them. The crashing jobs fail after at most MaxCrashes starts.
 func TestCrashingTasksFailOtherJobs(t *testing.T) {
 	c := newTestCluster(t, nil)
 	c.putDocument(nil)
@@ -104,7 +104,8 @@
 	return n
 }
 
-// TestOperatorsSeeAndClearSuspects lists the suspects as operators see them, and clears one.
+// TestOperatorsSeeAndClearSuspects checks that a task is listed as a suspect after its executor
+// crashed, and no longer after an operator has cleared it.
 func TestOperatorsSeeAndClearSuspects(t *testing.T) {
 	c := newTestCluster(t, nil)
 	c.putDocument(nil)
@@ -114,12 +115,12 @@
 	c.submit("feed", "", lasting)
 	c.waitUntil("the lasting task runs", func() bool { return len(e.Running()) == 1 })
 	e.Restart("life-2")
-	crashed := func() (n int) {
+	suspects := func() (n int) {
 		c.sched.rep.View(func(st *state.State) { n = len(suspectViews(st.Queues())) })
 		return n
 	}
-	c.waitUntil("the crash is counted", func() bool { return crashed() == 1 })
+	c.waitUntil("the crash is counted", func() bool { return suspects() == 1 })
 	assert.Equal(t, c.send(wire.QueueRequest{Clear: &queue.TaskKey{Job: "feed"}}).Code, queue.OK)
-	assert.Equal(t, crashed(), 0)
+	assert.Equal(t, suspects(), 0)
 	assert.Equal(t, c.send(wire.QueueRequest{Clear: &queue.TaskKey{Job: "none"}}).Code, queue.NoJob)
 }
--- a/scheduler/evacuation.go
+++ b/scheduler/evacuation.go
@@ -30,6 +30,7 @@
 	return resp
 }
 
+// evacuationText returns the first part of the event text, before the result.
 func evacuationText(e queue.Evacuate) string {
 	if e.End {
 		return "taken back: "
@@ -37,7 +38,7 @@
 	return "ordered: "
 }
 
-// domainExists reports whether the settings name a failure domain or a VM is in it.
+// domainExists reports whether the settings name a failure domain, or a registered VM is in it.
 func (s *Scheduler) domainExists(d rudderfork.Domain) (known bool) {
 	if s.cfg.HasDomain != nil && s.cfg.HasDomain(d) {
 		return true
@@ -50,18 +51,18 @@
 	return known
 }
 
-// cordoned reports whether nothing more is to be started on a VM since its failure domain is
+// cordoned reports whether no more runs may be started on a VM because its failure domain is being
 // evacuated.
-func (s *Scheduler) cordoned(id rudderfork.VMID) (closed bool) {
+func (s *Scheduler) cordoned(id rudderfork.VMID) (cordoned bool) {
 	s.rep.View(func(st *state.State) {
 		vm := st.Queues().VM(id)
-		closed = vm != nil && st.Queues().Evacuating(vm.Domain)
+		cordoned = vm != nil && st.Queues().Evacuating(vm.Domain)
 	})
-	return closed
+	return cordoned
 }
 
-// startTimeLeft returns for how long a VM may still start runs if its lease is valid for left.
-// Both the lease and the shorter StartWindow count from the same contact to the leader.
+// startTimeLeft returns for how long a VM may still start runs if the time left of its lease is
+// left. The lease and the shorter StartWindow begin at the same contact to the leader.
 func (s *Scheduler) startTimeLeft(left time.Duration) time.Duration {
 	if s.cfg.StartWindow == 0 {
 		return left
--- a/scheduler/evacuation_test.go
+++ b/scheduler/evacuation_test.go
@@ -18,11 +18,12 @@
 
 func (c *testCluster) evacuate(d rudderfork.Domain, end bool, want queue.Code) {
 	c.t.Helper()
-	ans := c.send(wire.QueueRequest{Evacuate: &queue.Evacuate{Domain: d, End: end}})
-	assert.Equal(c.t, ans.Code, want, "%+v", ans)
+	resp := c.send(wire.QueueRequest{Evacuate: &queue.Evacuate{Domain: d, End: end}})
+	assert.Equal(c.t, resp.Code, want, "%+v", resp)
 }
 
-// TestEvacuation evacuates failure domains whose VMs run tasks, as operators do.
+// TestEvacuation checks what an operator's evacuation of a failure domain does to running tasks, new
+// tasks and the operators' view.
 func TestEvacuation(t *testing.T) {
 	c := newTestCluster(t, nil)
 	first, second := c.addVM(executor.Config{}), c.addVM(executor.Config{})
@@ -57,8 +58,8 @@
 	t.Run("tasks wait while all domains are evacuated", func(*testing.T) {
 		c.evacuate(domainOf("vm2"), false, queue.OK)
 		c.submit("late", "work=1ms", smallStep)
-		place := wire.HostPath{Host: testHost, Path: "/q/"}
-		c.waitUntil("the job waits", func() bool { return c.send(wire.QueueRequest{Status: &place}).Waiting == 1 })
+		path := wire.HostPath{Host: testHost, Path: "/q/"}
+		c.waitUntil("the job waits", func() bool { return c.send(wire.QueueRequest{Status: &path}).Waiting == 1 })
 		c.evacuate(domainOf("vm1"), true, queue.OK)
 		c.waitForStatus("late", queue.Completed)
 	})
@@ -78,7 +79,7 @@
 
 // TestStartsLeft checks that starts are allowed for StartWindow or the lease, whichever is shorter,
 // counted from the same time.
-func TestStartsLeft(t *testing.T) {
+func TestStartTimeLeft(t *testing.T) {
 	for _, c := range []struct {
 		name               string
 		window, left, want time.Duration
--- a/scheduler/failure_test.go
+++ b/scheduler/failure_test.go
@@ -18,14 +18,14 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// manualLeader is a leader that plans only when the test calls plan. session is that of "vm1", the
-// VM that the planner prefers to "vm2".
+// manualLeader is a leader that plans only when the test calls plan.
 type manualLeader struct {
 	*testCluster
 	store   *gatedStore
-	session *session
+	session *session // session of vm1, which the planner prefers to vm2
 }
 
+// reportedTask is the task whose end the tests report.
 var reportedTask = queue.TaskKey{Job: "job"}
 
 // newManualLeader returns a leader with a submitted job of one task, whose run is started on vm1.
@@ -104,7 +104,7 @@
 	last := l.sched.rep.Status().LastIndex
 	done = make(chan error, 1)
 	go func() {
-		done <- l.session.ends(ctx, wire.EndsReport{Seq: 1, Ends: queue.Ends{
+		done <- l.session.commitEnds(ctx, wire.EndsReport{Seq: 1, Ends: queue.Ends{
 			VM: "vm1", Incarnation: "vm1-life", List: []queue.End{{Task: reportedTask, Run: 1, Outcome: outcome}},
 		}})
 	}()
@@ -121,7 +121,7 @@
 	name    string
 	lasting bool
 	outcome queue.Outcome
-	stop    string // the reason for which the leader stopped the run; "" if it didn't
+	stop    string // reason why the leader stopped the run; "" if it did not stop it
 }{
 	{"a short task that has one attempt left", false, queue.OutcomeFailed, ""},
 	{"a lasting task", true, queue.OutcomeFailed, ""},
@@ -129,7 +129,7 @@
 	{"a lasting task that made no progress", true, queue.OutcomeStopped, dispatch.ReasonStalled},
 }
 
-// forEachFailure calls test for each of failureCases, before the end is reported.
+// forEachFailure calls test for each of failureCases. The end of the run is not reported yet.
 func forEachFailure(t *testing.T, test func(l *manualLeader, outcome queue.Outcome)) {
 	for _, c := range failureCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -160,8 +160,9 @@
 	})
 }
 
-// TestFirstPlanAfterFailureIgnoresIt guards against the same when a plan is made right after the
-// commit of the failure, before the session that reported it continues.
+// TestFirstPlanAfterFailureIgnoresIt guards against a task that is started again on the VM where it
+// has just failed, by a plan that is made after the commit of the failure and before the session that
+// reported it continues.
 func TestFirstPlanAfterFailureIgnoresIt(t *testing.T) {
 	forEachFailure(t, func(l *manualLeader, outcome queue.Outcome) {
 		commit, done := l.reportEnd(l.ctx, outcome)
--- a/scheduler/fault_vm_test.go
+++ b/scheduler/fault_vm_test.go
@@ -29,9 +29,9 @@
 
 	mu           sync.Mutex
 	rng          *rand.Rand // draws the executor's answers
-	wrongAnswers int        // polls to be answered as by another incarnation
+	wrongAnswers int        // number of polls left to answer as another incarnation does
 	agent        *runner.Agent
-	stop         func()
+	stop         func() // stops the agent
 }
 
 func (v *faultVM) nextIncarnation() string {
@@ -91,8 +91,8 @@
 	}
 }
 
-// takeWrongAnswer reports whether a poll is to be answered as by another incarnation, and counts
-// that answer.
+// takeWrongAnswer reports whether to answer a poll as another incarnation does, and decrements
+// wrongAnswers.
 func (v *faultVM) takeWrongAnswer() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/scheduler/faults_test.go
+++ b/scheduler/faults_test.go
@@ -25,9 +25,9 @@
 const (
 	faultVMs        = 4
 	faultTasks      = 6   // tasks of the lasting job
-	maxFaultCrashes = 1   // executor crashes in a schedule; with more, jobs fail for them
+	maxFaultCrashes = 1   // executor crashes in a schedule; with more, jobs fail because of them
 	faultEvents     = 80  // events of a schedule with an even seed; twice as many with an odd one
-	executorStartMS = 500 // start time in the name of an incarnation with a new id, Unix ms
+	executorStartMS = 500 // start time in the name of the first incarnation of an executor id, Unix ms
 	// maxPlatformLease is the longest lease that the users' platform grants.
 	maxPlatformLease = 5 * time.Second
 )
@@ -38,7 +38,7 @@
 	faultWrongIncarnation = flag.Bool("calm.misled", false, "have executors answer a poll as another incarnation once")
 )
 
-// faultCluster is a cluster with random faults that end.
+// faultCluster is a cluster with random faults, all of which end.
 type faultCluster struct {
 	*testCluster
 	rng          *rand.Rand // draws the schedule
@@ -47,9 +47,10 @@
 	vmList       []*faultVM
 	crashes      int           // crash events so far
 	outageFactor int           // mean time for which commits are blocked, in units of about 0.7 s
-	gate         chan struct{} // what the store waits for; nil if it doesn't wait
+	gate         chan struct{} // closed to unblock commits; nil while they are not blocked
 }
 
+// vmCPUMilli is the capacity of each VM while no fault reduces it, in thousandths of a core.
 const vmCPUMilli = 4000
 
 var faultDocument = &queue.Document{
@@ -137,7 +138,7 @@
 	}
 }
 
-// releaseCommits lets the store save again.
+// releaseCommits unblocks commits.
 func (c *faultCluster) releaseCommits() {
 	if c.gate != nil {
 		c.store.gate.Store(nil)
@@ -168,8 +169,8 @@
 	}
 }
 
-// stalledTask describes a task of the lasting job without a run, or an active run that its
-// executor does not run. It returns "" if there is none.
+// stalledTask describes a task of the lasting job that has no run, or whose active run its executor
+// does not run. It returns "" if there is none.
 func (c *faultCluster) stalledTask() (what string) {
 	working := map[rudderfork.RunRef]string{}
 	for _, v := range c.vmList {
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -26,10 +26,9 @@
 	failureStep     = 0.5
 	failureHalfLife = 3 * time.Second
 	// crashHalfLife is how long it takes until a crash of a VM's executor counts half. The
-	// first crash is not held against the VM; each further one adds failureStep to its
-	// failure score.
+	// first crash does not raise the VM's failure score; each further one adds failureStep.
 	crashHalfLife = 10 * time.Second
-	// maxFailedOn is how many VMs are remembered for a task that failed on them.
+	// maxFailedOn bounds the number of VMs that are remembered as those on which a task failed.
 	maxFailedOn = 64
 	// pacedDownPercent is by how many percent of full speed a filler must be paced down for
 	// the planner to consider another place for it. Below that, what it would gain elsewhere
@@ -37,31 +36,31 @@
 	pacedDownPercent = 35
 )
 
-// fleet is what the leader knows of VMs and runs beside the replicated state. It is made anew
-// in each term, and guarded by the scheduler's mu.
+// fleet is what the leader knows of VMs and runs in addition to the replicated state. A new one is
+// made in each term. It is guarded by the scheduler's mu.
 type fleet struct {
 	vms          map[rudderfork.VMID]*vmInfo
 	stops        map[rudderfork.RunRef]string        // runs that the newest plan stops, with the reason
 	stopsOn      map[rudderfork.VMID]bool            // the VMs of these runs
-	lastOfStep   map[rudderfork.VMID][]queue.RunKey  // fillers that the rest of their step waits for
-	loggedStops  map[rudderfork.RunRef]bool          // stops that were logged
+	lastOfStep   map[rudderfork.VMID][]queue.RunKey  // fillers that are among the last tasks of their step
+	loggedStops  map[rudderfork.RunRef]bool          // runs whose stop was logged
 	failedOn     map[queue.TaskKey][]rudderfork.VMID // where a task has failed, oldest first
-	backOffUntil map[queue.TaskKey]time.Time         // tasks that are not started before a time
-	pruneAt      time.Time
+	backOffUntil map[queue.TaskKey]time.Time         // earliest time of a task's next start
+	pruneAt      time.Time                           // when outdated data is dropped next
 	pressures    *pressures
 	advice       *advice
 	planner      *dispatch.Planner
 	runs         map[queue.RunKey]dispatch.RunView // the runs of all VMs, as dispatch reads them
-	begun        map[rudderfork.JobID]bool         // jobs of which a run was reported, until that is committed
+	begun        map[rudderfork.JobID]bool         // jobs of which a run was reported, until they are marked as begun in the state
 
 	relocateAt     time.Time           // when the planner next looks for a serving task to relocate
-	lastRelocation dispatch.Relocation // the newest one, which may be under way
+	lastRelocation dispatch.Relocation // the newest one, which may be in progress
 	summaryAt      time.Time           // when the fleet is summarized in the log next
 	expiryCheckAt  time.Time           // when leases are checked for expiry next
 	shortDemand    dispatch.ShortDemand
 	workTimes      *worktime.Model
 	swings         *swing.Model
-	// cordonedForUpkeep is the VM that gets no new tasks since its upkeep is next.
+	// cordonedForUpkeep is the VM that gets no new tasks because its upkeep is next.
 	cordonedForUpkeep rudderfork.VMID
 }
 
@@ -73,11 +72,11 @@
 	// heartbeat. registering says that a session is registering the VM.
 	latestSession uint64
 	registering   bool
-	lossPending   bool   // the commit of its loss is under way
-	lostEpoch     uint64 // in which its lease expired last
+	lossPending   bool   // the commit of its loss is in progress
+	lostEpoch     uint64 // epoch in which its lease expired last; 0 for none
 
-	heartbeatAt time.Time
-	changes     uint64 // rises with each change of runs
+	heartbeatAt time.Time // when the newest heartbeat arrived
+	changes     uint64    // incremented with each change of runs
 	// prunedAt is the version of the VM for which runs were pruned last.
 	prunedAt   vmVersion
 	heartbeat  wire.VMHeartbeat // the newest, without the status of runs
@@ -87,7 +86,7 @@
 
 	crashes            float64 // decayed count of its executor's crashes and of losses, as of crashAt
 	crashAt            time.Time
-	crashedIncarnation string // the one whose crash was counted last
+	crashedIncarnation string // incarnation whose crash was counted last
 }
 
 // vmVersion changes whenever the runs that are committed for a VM change.
@@ -101,10 +100,10 @@
 // runInfo is what heartbeats have reported of one run.
 type runInfo struct {
 	status         rudderfork.RunStatus // the newest
-	firstPercent   int                  // percent when it was first reported
+	firstPercent   int                  // status.Percent when the run was first reported
 	firstSeenAt    time.Time
 	progressedAt   time.Time // when its percent last changed
-	pacedDownSince time.Time // since when it is paced down by pacedDownPercent or more; zero if it is not
+	pacedDownSince time.Time // since when the run is paced down by pacedDownPercent or more; zero if it is not
 
 	workedMS       float64   // work time from firstSeenAt to reportedAt, as if at full speed
 	reportedAt     time.Time // when a heartbeat last reported it
@@ -120,7 +119,7 @@
 	}
 }
 
-// vm returns the entry of a VM, which it adds if there is none.
+// vm returns the entry of a VM. It adds one if there is none.
 func (f *fleet) vm(id rudderfork.VMID) *vmInfo {
 	v := f.vms[id]
 	if v == nil {
@@ -141,32 +140,32 @@
 	return m
 }
 
-// recordHeartbeat stores a VM's heartbeat and updates its runs. With a new incarnation, what was
-// known of the old one's runs and failures is dropped.
-func (f *fleet) recordHeartbeat(v *vmInfo, b wire.VMHeartbeat, now time.Time) {
-	if v.heartbeat.VM.Incarnation != b.VM.Incarnation {
+// recordHeartbeat stores a VM's heartbeat and updates its runs. With a new incarnation, the
+// runs and failures of the old one are dropped.
+func (f *fleet) recordHeartbeat(v *vmInfo, hb wire.VMHeartbeat, now time.Time) {
+	if v.heartbeat.VM.Incarnation != hb.VM.Incarnation {
 		for k := range v.runs {
 			f.dropRun(v, k)
 		}
 		v.failures = 0
 	}
-	v.heartbeat, v.heartbeatAt = b, now
-	for _, row := range b.Runs {
-		k, err := queue.ParseTaskKey(string(row.Task))
+	v.heartbeat, v.heartbeatAt = hb, now
+	for _, status := range hb.Runs {
+		k, err := queue.ParseTaskKey(string(status.Task))
 		if err != nil {
 			continue // not a run of this leader; the agent stops it
 		}
-		if r := v.runs[k]; r != nil && r.status.Run != row.Run {
+		if r := v.runs[k]; r != nil && r.status.Run != status.Run {
 			f.dropRun(v, k)
 		}
 		r := v.runs[k]
 		if r == nil {
-			r = &runInfo{firstSeenAt: now, progressedAt: now, reportedAt: now, firstPercent: row.Percent}
+			r = &runInfo{firstSeenAt: now, progressedAt: now, reportedAt: now, firstPercent: status.Percent}
 			v.runs[k] = r
 			f.begun[k.Job] = true
 		}
-		r.update(row, now)
-		f.runs[k.Run(row.Run)] = r.view()
+		r.update(status, now)
+		f.runs[k.Run(status.Run)] = r.view()
 		v.changes++
 	}
 	v.heartbeat.Runs = nil
@@ -210,23 +209,23 @@
 	return v.session != nil && v.session.epoch != 0 && !v.heartbeat.Unresponsive && now.Sub(v.heartbeatAt) < heartbeatLimit && v.lease.Leased(now)
 }
 
-// renew allows lease grants again if the VM has registered in a later epoch than the one that
-// was lost. It covers registrations that were committed although their proposer got no answer.
-// vm is nil if the VM is not registered.
-func (v *vmInfo) renew(vm *queue.VM) {
+// resumeGrants allows lease grants again if the VM has registered in a later epoch than the one in
+// which its lease expired. It covers registrations that were committed although their proposer got
+// no answer. vm is nil if the VM is not registered.
+func (v *vmInfo) resumeGrants(vm *queue.VM) {
 	if vm != nil && v.lease.Expired() && !v.lossPending && vm.Live && vm.Epoch > v.lostEpoch {
 		v.lease.AllowGrants()
 	}
 }
 
-// addFailures adds step to the failures, which is negative for a success.
+// addFailures adds step to the failures. step is negative for a success.
 func (v *vmInfo) addFailures(step float64, now time.Time) {
 	v.failures = max(0, v.failuresNow(now)+step)
 	v.failuresAt = now
 }
 
-// failureScore returns the VM's failure score: the decayed failures, and failureStep for each
-// decayed crash but the first.
+// failureScore returns the VM's failure score: the decayed failures, plus failureStep for each
+// crash in the decayed count above one.
 func (v *vmInfo) failureScore(now time.Time) float64 {
 	return v.failuresNow(now) + failureStep*max(0, v.crashesNow(now)-1)
 }
@@ -315,19 +314,19 @@
 	}
 }
 
-// relocatePause is between two searches for a serving task to relocate, each of which weighs all
-// serving tasks against all VMs.
+// relocatePause is the pause between two searches for a serving task to relocate. Each search
+// compares all serving tasks with all VMs.
 const relocatePause = 500 * time.Millisecond
 
 func (f *fleet) relocateDue(now time.Time) bool { return due(&f.relocateAt, relocatePause, now) }
 
-// summaryPause is between two summaries of the fleet in the log, which take a few megabytes a
-// day.
+// summaryPause is the pause between two summaries of the fleet in the log, which take a few
+// megabytes a day.
 const summaryPause = 2 * time.Second
 
 func (f *fleet) summaryDue(now time.Time) bool { return due(&f.summaryAt, summaryPause, now) }
 
-// due reports whether the time *at has come, and if so sets it to the next one.
+// due reports whether the time *at has come. If so, it sets *at to pause after now.
 func due(at *time.Time, pause time.Duration, now time.Time) bool {
 	if now.Before(*at) {
 		return false
@@ -359,15 +358,15 @@
 	return true
 }
 
-// recordEnd records what the end of a run says of the VM, of the task and of its ticket.
+// recordEnd records what the end of a run shows about the VM, the task and its ticket.
 func (f *fleet) recordEnd(vm rudderfork.VMID, e queue.End, now time.Time) {
 	v := f.vm(vm)
 	ref := e.Task.Ref(e.Run)
 	switch {
 	case e.Outcome == queue.OutcomeRefused && e.Reason == runs.ReasonCordoned:
-		return // not held against the VM, and the task may start elsewhere at once
+		return // does not count against the VM, and the task may start elsewhere at once
 	case e.Outcome == queue.OutcomeFailed && v.hadWorked(e, now):
-		return // not held against the VM
+		return // does not count against the VM
 	case e.Outcome == queue.OutcomeDone:
 		v.addFailures(-failureStep, now)
 	case e.Outcome == queue.OutcomeFailed, e.Outcome == queue.OutcomeRefused, f.stops[ref] == dispatch.ReasonStalled, f.stops[ref] == dispatch.ReasonSlow:
@@ -382,19 +381,20 @@
 	}
 }
 
-// minWorkedSpan is how long a lasting task must have worked for its failure not to count against
-// the VM: a VM that fails the tasks it starts does so sooner.
+// minWorkedSpan is how long a run must have been reported for its failure not to count against the
+// VM: a VM on which all tasks fail fails them sooner.
 const minWorkedSpan = 2 * time.Second
 
-// hadWorked reports whether a run that has ended was a lasting task's that had worked for
-// minWorkedSpan.
+// hadWorked reports whether a run that has ended was first reported at least minWorkedSpan ago and
+// was last reported at fullPercent, as lasting tasks are while they work.
 func (v *vmInfo) hadWorked(e queue.End, now time.Time) bool {
 	r := v.runs[e.Task]
 	return r != nil && r.status.Run == e.Run && r.status.Percent == fullPercent && now.Sub(r.firstSeenAt) >= minWorkedSpan
 }
 
-// recordCrash records a crash of the VM's previous incarnation, if a new one (vm, with what it
-// reports of the crash) shows that it crashed: for the VM, and for the tasks that ran there.
+// recordCrash records a crash of the VM's previous incarnation, both for the VM and for the tasks
+// that ran there, if the registration of a new incarnation shows one. vm is the VM as it registers
+// now, and crash what its agent reports of the previous incarnation; it may be nil.
 func (f *fleet) recordCrash(s *queue.State, vm queue.VM, crash *queue.Crash, now time.Time) {
 	tasks, crashed := s.TasksAtCrash(vm, crash)
 	if !crashed {
@@ -410,9 +410,9 @@
 	}
 }
 
-// recordLoss records the loss of a VM. The tasks that ran there prefer other VMs should it return,
-// and repeated losses raise its failure score. A loss that is proposed again in the same epoch
-// is not counted again.
+// recordLoss records the loss of a VM. If the VM returns, the tasks that ran there prefer other VMs.
+// Repeated losses raise its failure score. A loss that is proposed again in the same epoch is not
+// counted again.
 func (f *fleet) recordLoss(vm *queue.VM, now time.Time) {
 	v := f.vm(vm.ID)
 	if v.lostEpoch == vm.Epoch {
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -13,7 +13,9 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-func TestMovedTask(t *testing.T) {
+// TestRelocatedTask checks what the leader remembers of the latest relocation, and that upkeep counts
+// the relocated task as away.
+func TestRelocatedTask(t *testing.T) {
 	key := queue.TaskKey{Job: "feed"}
 	stop := dispatch.Stop{Task: key, Run: 1, VM: "vm1", Reason: dispatch.ReasonRelocated}
 	at := steady.Now()
@@ -43,7 +45,7 @@
 	})
 }
 
-// TestRunStatuses checks what the leader keeps of the run statuses that agents report.
+// TestRunStatuses checks which of the run statuses that agents report the leader keeps.
 func TestRunStatuses(t *testing.T) {
 	key, at := queue.TaskKey{Job: "j"}, steady.Now()
 	sendStatus := func(f *fleet, inc string, run uint32, percent int, checkpoint string) {
--- a/scheduler/incarnation_test.go
+++ b/scheduler/incarnation_test.go
@@ -70,8 +70,8 @@
 	assert.Equal(t, v.failures, 0.0)
 }
 
-// addRestartableVM is addVM with an executor whose incarnation names contain its start time, so that
-// it may restart under the same id: a call for the id alone would reach its next incarnation.
+// addRestartableVM adds a VM whose executor may restart under the same id: the names of its
+// incarnations contain its start time. A call for the id alone would reach the next incarnation.
 func (c *testCluster) addRestartableVM(cfg executor.Config) *executor.Executor {
 	cfg.Now, cfg.Capacity = steady.Now, rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
 	e := executor.New(firstIncarnation, cfg)
@@ -79,8 +79,8 @@
 	return e
 }
 
-// TestRestartUnderSameID restarts an executor under the same id while it runs a lasting task: the
-// leader registers the new incarnation, and starts the task again once.
+// TestRestartUnderSameID checks that after an executor restarts under the same id while it runs a
+// lasting task, the leader registers the new incarnation and starts the task again once.
 func TestRestartUnderSameID(t *testing.T) {
 	c := newTestCluster(t, nil)
 	var starts atomic.Int32
@@ -109,7 +109,7 @@
 	*executor.Executor
 	blockFrom atomic.Uint64 // number of acknowledged ends from which the poll is held back; 0 for none
 	held      chan struct{} // closed when the poll is held back
-	release   chan struct{}
+	release   chan struct{} // closed to let the poll go on
 }
 
 // Poll implements rudderfork.Executor.
--- a/scheduler/last_of_step_test.go
+++ b/scheduler/last_of_step_test.go
@@ -10,8 +10,8 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// TestGrantNamesLastFillers checks that the agent's grants name the fillers that the rest of their
-// step waits for, and only for as long as it waits.
+// TestGrantNamesLastFillers checks that the agent's grants name the fillers that are the last of
+// their step to remain, and only while they remain.
 func TestGrantNamesLastFillers(t *testing.T) {
 	c := newTestCluster(t, nil)
 	client := c.connectAgent()
--- a/scheduler/liveness_test.go
+++ b/scheduler/liveness_test.go
@@ -139,9 +139,9 @@
 // placed on the one VM of the fleet whose executor crashes whatever it runs.
 func TestRepeatedCrashesOfOneVMFailLastingJobs(t *testing.T) {
 	const crashes = 20
-	for _, seen := range []bool{true, false} {
+	for _, reported := range []bool{true, false} {
 		for _, every := range []time.Duration{time.Second, 3 * time.Second, 8 * time.Second} {
-			t.Run(fmt.Sprintf("every %v, reported by its agent: %t", every, seen), func(t *testing.T) {
+			t.Run(fmt.Sprintf("every %v, reported by its agent: %t", every, reported), func(t *testing.T) {
 				s := newSimFleet(t, 8)
 				for i := range s.vms {
 					s.submit(fmt.Sprintf("feed%d", i), lastingStep(1))
@@ -149,7 +149,7 @@
 				s.advance(longRunTime)
 				bad := s.vmOf(queue.TaskKey{Job: "feed0"})
 				for range crashes {
-					s.crash(bad, seen)
+					s.crash(bad, reported)
 					s.advance(every)
 				}
 				failed := 0
@@ -372,17 +372,17 @@
 // is counted as a loss of its lease and again as a crash of its executor.
 func TestOutageCountedTwice(t *testing.T) {
 	lose := func(s *simFleet, v *simVM) { s.expireLease(v) }
-	back := func(s *simFleet, v *simVM) { s.register(v, nil) }
+	rejoin := func(s *simFleet, v *simVM) { s.register(v, nil) }
 	restart := func(s *simFleet, v *simVM) { s.crash(v, true) }
 	for name, c := range map[string]struct {
 		outages []func(*simFleet, *simVM)
 		scored  bool // whether the VM has a failure score afterwards
 	}{
-		"lost, then returned":                                {[]func(*simFleet, *simVM){lose, back}, false},
+		"lost, then returned":                                {[]func(*simFleet, *simVM){lose, rejoin}, false},
 		"lost, then restarted":                               {[]func(*simFleet, *simVM){lose, restart}, false},
-		"lost, then returned, then restarted":                {[]func(*simFleet, *simVM){lose, back, restart}, true},
+		"lost, then returned, then restarted":                {[]func(*simFleet, *simVM){lose, rejoin, restart}, true},
 		"lost, then restarted, twice":                        {[]func(*simFleet, *simVM){lose, restart, lose, restart}, true},
-		"lost, then restarted, then lost again and returned": {[]func(*simFleet, *simVM){lose, restart, lose, back}, true},
+		"lost, then restarted, then lost again and returned": {[]func(*simFleet, *simVM){lose, restart, lose, rejoin}, true},
 		"restarted twice":                                    {[]func(*simFleet, *simVM){restart, restart}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/scheduler/loss_proposed_twice_test.go
+++ b/scheduler/loss_proposed_twice_test.go
@@ -14,8 +14,8 @@
 	"rudderfork.example/rudderfork/state"
 )
 
-// TestLossProposedTwiceLeavesCrashSuspicion guards against tasks that stay suspected of a crash, and
-// so are never started again, after the loss of their VM was committed twice.
+// TestLossProposedTwiceLeavesCrashSuspicion guards against an unresolved loss that stays counted for
+// a task, so that it is never started again, after the loss of its VM was committed twice.
 func TestLossProposedTwiceLeavesCrashSuspicion(t *testing.T) {
 	store := &gatedStore{}
 	rep := newReplicaWithStore(t, func(s replica.Store) replica.Store { store.Store = s; return store }, selfMember)
--- a/scheduler/lostruns.go
+++ b/scheduler/lostruns.go
@@ -23,8 +23,8 @@
 // maxLostRunsLogged bounds the runs that one log line names.
 const maxLostRunsLogged = 16
 
-// logLostRuns logs the runs that ended with an incarnation of a VM's executor. If it crashed,
-// one of them may be the cause.
+// logLostRuns logs the runs that ended with an incarnation of a VM's executor. If the executor
+// crashed, one of them may be the cause.
 func (s *Scheduler) logLostRuns(vm rudderfork.VMID, how incarnationEnd, res queue.Result) {
 	s.logAssessments(vm, res.Assessments)
 	lost := res.LostRuns
@@ -33,31 +33,31 @@
 	}
 	s.met.lostRuns.WithLabelValues(string(how)).Add(float64(len(lost)))
 	names := zerolog.Arr()
-	for _, g := range lost[:min(len(lost), maxLostRunsLogged)] {
-		names.Str(g.Task.Run(g.Run).String())
+	for _, r := range lost[:min(len(lost), maxLostRunsLogged)] {
+		names.Str(r.Task.Run(r.Run).String())
 	}
 	s.log.Info().Str("on", string(vm)).Str("life_end", string(how)).Int("count", len(lost)).Array("runs", names).Msg("runs_gone")
-	for _, g := range lost {
-		s.record("task_ended", g.Task.String(), "on "+string(vm)+": gone with its executor, which was "+string(how))
+	for _, r := range lost {
+		s.record("task_ended", r.Task.String(), "on "+string(vm)+": gone with its executor, which was "+string(how))
 	}
 }
 
-// logAssessments logs the tasks that are suspected of a crash, and those that are given up for
-// it.
+// logAssessments logs the tasks that are suspected of having caused a crash, and those that are
+// given up because of it.
 func (s *Scheduler) logAssessments(vm rudderfork.VMID, list []queue.Assessment) {
-	for _, v := range list {
-		if v.Suspicion < queue.SuspectMilli && !v.GivenUp {
+	for _, a := range list {
+		if a.Suspicion < queue.SuspectMilli && !a.GivenUp {
 			continue
 		}
 		event := "task_suspected"
-		if v.GivenUp {
+		if a.GivenUp {
 			event = "task_given_up"
 			s.met.givenUp.Inc()
 		}
 		s.met.suspected.Inc()
-		s.log.Info().Str("task", v.Task.String()).Uint32("run", v.Run).Str("on", string(vm)).Int64("age_ms", v.AgeMS).
-			Int("crashes", v.Crashes).Int("suspicion_mille", v.Suspicion).Int("beside", len(list)-1).Msg(event)
-		s.record(event, v.Task.String(), fmt.Sprintf("the executor of %s crashed %d ms into run %d, beside %d others: %d crashes, suspicion %d of 1000",
-			vm, v.AgeMS, v.Run, len(list)-1, v.Crashes, v.Suspicion))
+		s.log.Info().Str("task", a.Task.String()).Uint32("run", a.Run).Str("on", string(vm)).Int64("age_ms", a.AgeMS).
+			Int("crashes", a.Crashes).Int("suspicion_mille", a.Suspicion).Int("beside", len(list)-1).Msg(event)
+		s.record(event, a.Task.String(), fmt.Sprintf("the executor of %s crashed %d ms into run %d, beside %d others: %d crashes, suspicion %d of 1000",
+			vm, a.AgeMS, a.Run, len(list)-1, a.Crashes, a.Suspicion))
 	}
 }
--- a/scheduler/metrics.go
+++ b/scheduler/metrics.go
@@ -13,8 +13,8 @@
 	response, startWait      *prometheus.HistogramVec
 }
 
-// latencyBuckets are the bounds of histograms, in seconds; they suit objectives of a few hundred
-// milliseconds.
+// latencyBuckets are the upper bounds of the buckets of histograms, in seconds. They suit latency
+// objectives of a few hundred milliseconds.
 var latencyBuckets = []float64{.001, .0025, .005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5}
 
 func newMetrics() *metrics {
--- a/scheduler/overdue.go
+++ b/scheduler/overdue.go
@@ -10,7 +10,7 @@
 )
 
 // overdueAfter is how long after the commit of its start a run of a usable VM may be missing from
-// the VM's heartbeats. It covers sending the order, the start, a poll of the executor and a
+// the VM's heartbeats. It is enough to send the order, start the run, poll the executor and send a
 // heartbeat, with one retry.
 const overdueAfter = 2500 * time.Millisecond
 
@@ -19,12 +19,12 @@
 	queue.RunKey
 	vm           rudderfork.VMID
 	age          time.Duration // since its start was committed
-	heartbeatAge time.Duration // of the VM's newest heartbeat
+	heartbeatAge time.Duration // age of the VM's newest heartbeat
 	epoch        uint64
-	reported     int // how many runs the VM does report
+	reported     int // number of runs that the VM reports
 }
 
-// logOverdue logs each run once that has become overdue, and sets the metric of overdue runs.
+// logOverdue logs each run when it becomes overdue, and sets the metric of overdue runs.
 func (s *Scheduler) logOverdue() {
 	now := steady.Now()
 	list := s.overdueRuns(now)
--- a/scheduler/pressures.go
+++ b/scheduler/pressures.go
@@ -11,14 +11,16 @@
 )
 
 const (
-	// An agent is sent a pressure anew when it has changed by minRelativeChange of its old
-	// value and by minAbsoluteChange; smaller changes hardly alter a filler's pace.
+	// A pressure is sent to an agent again when it has changed by at least minRelativeChange
+	// of its old value and at least minAbsoluteChange. Smaller changes hardly alter a
+	// filler's pace.
 	minRelativeChange = 0.15
 	minAbsoluteChange = 0.3
 	// stderrWeight is how many standard errors are added to a pressure, to be on the safe side
 	// while it is uncertain.
 	stderrWeight = 0.3
-	// fullPercent is the percent of a lasting task that works, and full speed of a filler.
+	// fullPercent is the percent that a lasting task reports while it works, and the speed of
+	// a filler that is not paced down.
 	fullPercent = 100
 )
 
@@ -30,48 +32,50 @@
 
 func newPressures() *pressures { return &pressures{interference.NewPressureModel()} }
 
-// workload is the serving tasks and fillers that run on a VM.
+// workload describes the serving tasks and fillers that run on a VM.
 type workload struct {
 	serving map[string]bool               // images of serving tasks
 	fillers map[string]bool               // images of fillers, including those paced down to zero
-	figures []interference.HeadroomSample // measurements of the serving tasks that work
+	samples []interference.HeadroomSample // measurements of the serving tasks that work
 }
 
+// workloadOf returns the workload of a VM, from the runs that it reports and that are committed
+// for it.
 func workloadOf(s *queue.State, vm *queue.VM, v *vmInfo) workload {
-	c := workload{serving: map[string]bool{}, fillers: map[string]bool{}}
+	w := workload{serving: map[string]bool{}, fillers: map[string]bool{}}
 	for k, r := range v.runs {
 		if vm.Runs()[k] != r.status.Run {
 			continue
 		}
 		st := s.Job(k.Job).Spec.Steps[k.Step]
-		c.add(st)
+		w.add(st)
 		if st.TailMS > 0 && r.status.Percent == fullPercent && r.status.Load > 0 {
-			c.figures = append(c.figures, interference.HeadroomSample{
+			w.samples = append(w.samples, interference.HeadroomSample{
 				Image: st.Image, Run: r.status.RunRef, Headroom: pace.Headroom(st.TailMS, r.status.Load),
 			})
 		}
 	}
-	return c
+	return w
 }
 
-// add adds the image of a step that runs on the VM.
-func (c workload) add(st queue.Step) {
+// add adds the image of a step of which a task runs on the VM.
+func (w workload) add(st queue.Step) {
 	if st.TailMS > 0 {
-		c.serving[st.Image] = true
+		w.serving[st.Image] = true
 	}
 	if st.Filler {
-		c.fillers[st.Image] = true
+		w.fillers[st.Image] = true
 	}
 }
 
 // observe adds the measurements in a VM's heartbeat to the model.
-func (p *pressures) observe(c workload, b wire.VMHeartbeat, now time.Time) {
-	if !b.Measured {
+func (p *pressures) observe(w workload, hb wire.VMHeartbeat, now time.Time) {
+	if !hb.Measured {
 		return
 	}
-	for _, f := range c.figures {
-		f.At, f.Shares = now, b.FillerUsage
-		p.model.Observe(f)
+	for _, sample := range w.samples {
+		sample.At, sample.Shares = now, hb.FillerUsage
+		p.model.Observe(sample)
 	}
 }
 
@@ -88,7 +92,7 @@
 	s.log.Info().Int("told", len(list)).Int("taken", taken).Msg("pressures_assumed")
 }
 
-// estimate returns the pressure of a pair of images, plus stderrWeight standard errors.
+// estimate returns the estimated pressure of a pair of images plus stderrWeight standard errors.
 func (p *pressures) estimate(serving, filler string, now time.Time) float64 {
 	pressure, stderr := p.model.Estimate(serving, filler, now)
 	return pressure + stderrWeight*stderr
@@ -96,9 +100,9 @@
 
 // changedFor returns the pressures between the images on a VM that its agent lacks or that have
 // changed much since they were sent, and records them in sent.
-func (p *pressures) changedFor(c workload, sent map[interference.Pair]float64, now time.Time) (list []wire.PairPressure) {
-	for serving := range c.serving {
-		for filler := range c.fillers {
+func (p *pressures) changedFor(w workload, sent map[interference.Pair]float64, now time.Time) (list []wire.PairPressure) {
+	for serving := range w.serving {
+		for filler := range w.fillers {
 			pair := interference.Pair{Serving: serving, Filler: filler}
 			pressure := p.estimate(serving, filler, now)
 			old, ok := sent[pair]
--- a/scheduler/refusal_test.go
+++ b/scheduler/refusal_test.go
@@ -23,7 +23,7 @@
 
 // newRefusedRun returns a cluster whose only VM has reported refusedRun as refused. The commit of
 // that report is proposed, but blocked until release is called.
-func newRefusedRun(t *testing.T) (c *gatedCluster, conn *wire.Conn[wire.FromNode, wire.ToQueueNode], vm queue.VM, release func()) {
+func newClusterWithRefusal(t *testing.T) (c *gatedCluster, conn *wire.Conn[wire.FromNode, wire.ToQueueNode], vm queue.VM, release func()) {
 	c = newGatedCluster(t, Settings{Lease: time.Hour})
 	vm = onlyVM
 	vm.Service, vm.Capacity = "desk", rudderfork.Resources{CPUMilli: 4_000, MemoryMB: 1_000}
@@ -105,7 +105,7 @@
 // start the task elsewhere as well.
 func TestFullListOrdersRefusedRun(t *testing.T) {
 	t.Run("in the next session, which reports the refusal again", func(t *testing.T) {
-		c, conn, vm, release := newRefusedRun(t)
+		c, conn, vm, release := newClusterWithRefusal(t)
 		conn.Close()
 		conn = c.openSession(string(vm.ID))
 		c.refuse(conn, vm)
@@ -113,14 +113,14 @@
 		c.assertNotOrdered(c.awaitFullOrders(conn, release))
 	})
 	t.Run("in the next session, of an agent that was restarted", func(t *testing.T) {
-		c, conn, vm, release := newRefusedRun(t)
+		c, conn, vm, release := newClusterWithRefusal(t)
 		conn.Close()
 		conn = c.openSession(string(vm.ID))
 		c.sendHeartbeatWithoutOrders(conn, vm, 2)
 		c.assertNotOrdered(c.awaitFullOrders(conn, release))
 	})
 	t.Run("in the same session", func(t *testing.T) {
-		c, conn, vm, release := newRefusedRun(t)
+		c, conn, vm, release := newClusterWithRefusal(t)
 		c.sched.mu.Lock()
 		c.sched.fleet.vm(vm.ID).session.fullListDeadline = time.Time{} // as if the first list was sent long ago
 		c.sched.mu.Unlock()
@@ -131,13 +131,13 @@
 
 // noRoomExecutor answers starts with StartNoCapacity while refusesStart returns true, and receives no
 // stops.
-type noRoomExecutor struct {
+type noCapacityExecutor struct {
 	*executor.Executor
 	refusesStart func() bool
 }
 
 // Start implements rudderfork.Executor.
-func (e *noRoomExecutor) Start(ctx context.Context, inc string, s rudderfork.RunStart) (out rudderfork.StartOutcome, err error) {
+func (e *noCapacityExecutor) Start(ctx context.Context, inc string, s rudderfork.RunStart) (out rudderfork.StartOutcome, err error) {
 	if e.refusesStart() {
 		return rudderfork.StartNoCapacity, nil
 	}
@@ -145,12 +145,12 @@
 }
 
 // Stop implements rudderfork.Executor. The call is lost.
-func (e *noRoomExecutor) Stop(context.Context, string, rudderfork.RunRef, uint64) error {
+func (e *noCapacityExecutor) Stop(context.Context, string, rudderfork.RunRef, uint64) error {
 	return context.DeadlineExceeded
 }
 
 // runAgent runs an agent of a VM until stop is called or the test ends.
-func (c *gatedCluster) runAgent(name string, e *noRoomExecutor) (stop func()) {
+func (c *gatedCluster) runAgent(name string, e *noCapacityExecutor) (stop func()) {
 	ctx, cancel := context.WithCancel(c.ctx)
 	var wg sync.WaitGroup
 	a := runner.New(name, c.seeds, e, zerolog.Nop())
@@ -172,7 +172,7 @@
 // commits are blocked from then on until release is called.
 type twoVMCluster struct {
 	*gatedCluster
-	executors     map[string]*noRoomExecutor
+	executors     map[string]*noCapacityExecutor
 	stopAgent     map[string]func()
 	mu            sync.Mutex
 	refuser       string // VM that refused a run
@@ -182,13 +182,13 @@
 }
 
 func newTwoVMCluster(t *testing.T) *twoVMCluster {
-	c := &twoVMCluster{gatedCluster: newGatedCluster(t, Settings{Lease: testLease}), executors: map[string]*noRoomExecutor{}, stopAgent: map[string]func(){}}
+	c := &twoVMCluster{gatedCluster: newGatedCluster(t, Settings{Lease: testLease}), executors: map[string]*noCapacityExecutor{}, stopAgent: map[string]func(){}}
 	c.commit(queue.Command{Document: &queue.Document{
 		Version: 1, Queues: []queue.Queue{{Name: "q", Host: testHost, Prefix: "/q/", Service: "desk", MaxAttempts: 2}},
 		Pools: []queue.Pool{{Service: "desk"}},
 	}})
 	for _, name := range []string{"vm1", "vm2"} {
-		c.executors[name] = &noRoomExecutor{
+		c.executors[name] = &noCapacityExecutor{
 			Executor: executor.New(name+"-life", executor.Config{
 				Now: steady.Now, Capacity: rudderfork.Resources{CPUMilli: 4_000, MemoryMB: 1_000},
 				OnStart: func(rudderfork.RunRef) { c.recordStart(name) },
@@ -250,7 +250,7 @@
 	})
 	c.stopAgent[c.refuser]()
 	c.runAgent(c.refuser, c.executors[c.refuser])
-	for by := steady.Now().Add(testLease / 2); !c.isRunning(refusedRun.Run) && steady.Now().Before(by); {
+	for deadline := steady.Now().Add(testLease / 2); !c.isRunning(refusedRun.Run) && steady.Now().Before(deadline); {
 		steady.Pause(c.ctx, 10*time.Millisecond)
 	}
 	c.release()
--- a/scheduler/reports.go
+++ b/scheduler/reports.go
@@ -17,8 +17,8 @@
 	commit func(ctx context.Context, r wire.EndsReport) error
 }
 
-// report is one report (ends), or a marker whose channel done is closed once all reports before
-// it are committed.
+// report is an entry of the queue: a report of ended runs (ends), or a marker whose channel done is
+// closed once all reports before it are committed. Exactly one of the fields is set.
 type report struct {
 	ends *wire.EndsReport
 	done chan struct{}
@@ -45,7 +45,7 @@
 }
 
 // Add queues a report. If the report says that the incarnation gave its shutdown notice, Add
-// returns only when it is committed: a heartbeat after it is of another incarnation, or of one
+// returns only when it is committed: the next heartbeat is that of another incarnation, or of one
 // that has to be registered again.
 func (q *reportQueue) Add(ctx context.Context, ends wire.EndsReport) error {
 	if err := q.add(ctx, report{ends: &ends}); err != nil || !ends.Departed {
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -144,7 +144,7 @@
 	return wire.QueueResponse{Code: queue.OK, Status: j.Status}
 }
 
-// countWaiting returns the number of a queue's jobs of which no task has begun.
+// countWaiting returns the number of a queue's jobs of which no task has begun to run.
 func (s *Scheduler) countWaiting(st *queue.State, name string) wire.QueueResponse {
 	s.mu.Lock()
 	waiting, ordered := st.Waiting(name, s.fleet.hasBegun)
@@ -153,7 +153,7 @@
 	return wire.QueueResponse{Code: queue.OK, IsQueue: true, Waiting: waiting}
 }
 
-// waveOf returns how many machines of a wave are left.
+// waveOf returns the number of machines of a wave whose upkeep has not begun.
 func waveOf(st *queue.State, id uint64) wire.QueueResponse {
 	w := st.Wave(id)
 	if w == nil {
--- a/scheduler/round.go
+++ b/scheduler/round.go
@@ -6,11 +6,11 @@
 	"rudderfork.example/rudderfork/internal/steady"
 )
 
-// slowRound is the duration from which a round is logged: a tenth of the time after which users
-// count a short task's start as late.
+// slowRound is the shortest duration of a round that is logged. It is a tenth of the delay from
+// which users consider the start of a short task late.
 const slowRound = 25 * time.Millisecond
 
-// roundTimes is how long the parts of a round took.
+// roundTimes holds the durations of the parts of a round, and the number of starts in its plan.
 type roundTimes struct {
 	expire, plan, commit, wake time.Duration
 	starts                     int
@@ -25,11 +25,11 @@
 
 func (t roundTimes) sum() time.Duration { return t.work() + t.commit }
 
-// work returns the duration of the round without the wait for its commit.
+// work returns the duration of the round without the wait for the commit of its starts.
 func (t roundTimes) work() time.Duration { return t.expire + t.plan + t.wake }
 
-// pause returns how long the next round waits even if something changes, so that rounds take at
-// most half of a processor. In a burst, a large fleet has hundreds of changes a second, and the
+// pause returns the minimum delay before the next round. It applies even if something changes, so
+// that rounds take at most half of a processor. In a burst, a large fleet has hundreds of changes a second, and the
 // cost of a round grows with the number of VMs; changes during the pause share one round.
 func (t roundTimes) pause() time.Duration { return min(t.work(), roundPause) }
 
--- a/scheduler/round_test.go
+++ b/scheduler/round_test.go
@@ -14,12 +14,12 @@
 	for _, c := range []struct {
 		name  string
 		times roundTimes
-		rest  time.Duration
+		pause time.Duration
 	}{
 		{"short", roundTimes{plan: time.Millisecond}, time.Millisecond},
 		{"all parts but the wait for the commit", roundTimes{expire: 1, plan: 2, commit: time.Second, wake: 4}, 7},
 		{"long", roundTimes{plan: time.Minute}, roundPause},
 	} {
-		t.Run(c.name, func(t *testing.T) { assert.Equal(t, c.times.pause(), c.rest) })
+		t.Run(c.name, func(t *testing.T) { assert.Equal(t, c.times.pause(), c.pause) })
 	}
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -4,8 +4,9 @@
 // their tasks.
 //
 // Every control process has a Scheduler; only the leader's does anything. In each term it
-// begins with an empty fleet: what it knows of VMs and runs beside the replicated state,
-// such as heartbeats, the progress of runs, failure scores and advisers' tickets.
+// begins with an empty fleet. The fleet holds what the leader knows of VMs and runs in
+// addition to the replicated state: heartbeats, the progress of runs, failure scores and
+// advisers' tickets.
 //
 // Sessions: a node opens one connection to the leader; other control processes redirect
 // it. A front sends requests (requests.go). An agent sends heartbeats (vm.go): they register
@@ -19,8 +20,9 @@
 // Stops are not committed: every plan computes all of them anew, and stopping a run twice does
 // nothing. The end of a run is committed once the agent reports it.
 //
-// Nothing is sent before a quorum has committed it: neither to a front that a job is
-// accepted, nor to an agent that an end is recorded, nor to a VM what to run. Fronts' and
+// Nothing is sent before a quorum has committed what it says: not the acceptance of a job
+// to a front, not the acknowledgement of ended runs to an agent, and not an order to start
+// a run. Fronts' and
 // operators' reads pass a barrier first, so that they see all that was committed before
 // the call.
 //
@@ -47,8 +49,8 @@
 	// roundPause is the longest pause between two rounds. Leases expire, and stalled runs
 	// are found, without an event that starts a round.
 	roundPause = 100 * time.Millisecond
-	// commandTimeout bounds one command. A leader that cannot commit for that long has
-	// most likely lost its quorum.
+	// commandTimeout bounds the commit of one command. A leader that cannot commit for that
+	// long has most likely lost its quorum.
 	commandTimeout = 3 * time.Second
 )
 
@@ -78,15 +80,15 @@
 
 	adviser rudderfork.Adviser
 
-	roundDue wakeup.Signal // the next round needn't wait for roundPause
+	roundDue wakeup.Signal // starts the next round without waiting for roundPause
 
 	mu             sync.Mutex
-	term           uint64 // in which sessions are accepted; 0 while not leading
+	term           uint64 // term in which sessions are accepted; 0 while not leading
 	fleet          *fleet
 	sessions       map[*session]bool
-	sessionsOpened uint64 // number of the newest session
+	sessionsOpened uint64 // number of sessions opened so far, and so the number of the newest
 
-	losses  sync.WaitGroup        // commits of VM losses that are under way
+	losses  sync.WaitGroup        // commits of VM losses that are in progress
 	overdue map[queue.RunKey]bool // runs logged as overdue; only rounds use it
 }
 
@@ -170,6 +172,7 @@
 	s.log.Info().Uint64("term", term).Int("vms", len(vms)).Msg("queues_leading")
 }
 
+// endTerm makes the scheduler accept no sessions until the next term, and closes the open ones.
 func (s *Scheduler) endTerm() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -219,12 +222,13 @@
 	}
 }
 
-// loss is the loss of a VM whose commit is under way.
+// loss is the loss of a VM that is being committed, and the leader's entry of that VM.
 type loss struct {
 	queue.VMLoss
 	info *vmInfo
 }
 
+// commitLoss commits the loss of a VM and logs its result.
 func (s *Scheduler) commitLoss(ctx context.Context, l loss) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
@@ -244,8 +248,8 @@
 	s.record("vm_lost", string(l.VM), "its lease ran out and it did not come back")
 }
 
-// expiredLeases returns the losses of VMs whose lease has expired, without those whose
-// commit is under way.
+// expiredLeases returns the losses of VMs whose lease has expired, except those whose commit is in
+// progress. It checks at most once in roundPause.
 func (s *Scheduler) expiredLeases() (list []loss) {
 	now := steady.Now()
 	s.rep.View(func(st *state.State) {
@@ -295,7 +299,7 @@
 		s.logOverdue()
 	}
 	s.logStops(plan.Stops)
-	s.askAdviser(plan.AdviceRequests)
+	s.requestAdvice(plan.AdviceRequests)
 	if len(plan.Starts) == 0 {
 		return
 	}
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -158,25 +158,25 @@
 // domainOf returns the failure domain of a VM that addAgent added; each VM has its own.
 func domainOf(name string) rudderfork.Domain { return rudderfork.Domain("hall-" + name) }
 
-func (c *testCluster) send(a wire.QueueRequest) wire.QueueResponse {
+func (c *testCluster) send(req wire.QueueRequest) wire.QueueResponse {
 	ctx, cancel := context.WithTimeout(c.ctx, waitTimeout)
 	defer cancel()
-	return c.front.Do(ctx, a, waitTimeout)
+	return c.front.Do(ctx, req, waitTimeout)
 }
 
 func (c *testCluster) putDocument(advice *queue.Advice) {
 	c.t.Helper()
-	ans := c.send(wire.QueueRequest{Put: &queue.Document{
+	resp := c.send(wire.QueueRequest{Put: &queue.Document{
 		Version: 1, Queues: []queue.Queue{{Name: "q", Host: testHost, Prefix: "/q/", Service: "desk", MaxAttempts: 2, Advice: advice}},
 		Pools: []queue.Pool{{Service: "desk"}},
 	}})
-	assert.Equal(c.t, ans.Code, queue.OK, "%+v", ans)
+	assert.Equal(c.t, resp.Code, queue.OK, "%+v", resp)
 }
 
 func (c *testCluster) submit(id string, payload string, list ...queue.Step) {
 	c.t.Helper()
-	ans := c.send(wire.QueueRequest{Submit: &queue.Submit{Host: testHost, Path: "/q/" + id, Spec: queue.Spec{Payload: payload, Steps: list}}})
-	assert.Equal(c.t, ans.Code, queue.OK, "%+v", ans)
+	resp := c.send(wire.QueueRequest{Submit: &queue.Submit{Host: testHost, Path: "/q/" + id, Spec: queue.Spec{Payload: payload, Steps: list}}})
+	assert.Equal(c.t, resp.Code, queue.OK, "%+v", resp)
 }
 
 func (c *testCluster) waitUntil(what string, ok func() bool) {
@@ -276,10 +276,10 @@
 	return list, nil
 }
 
-func (p *fakeProvider) Upkeep(_ context.Context, d rudderfork.Issuer, machine string, _ uint64) error {
+func (p *fakeProvider) Upkeep(_ context.Context, issuer rudderfork.Issuer, machine string, _ uint64) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.issuers = append(p.issuers, d)
+	p.issuers = append(p.issuers, issuer)
 	if machine == "m9" {
 		return rudderfork.ErrNoMachine
 	}
@@ -341,16 +341,16 @@
 		assert.Equal(t, c.send(wire.QueueRequest{Wave: &wave}).Code, queue.OK)
 	}
 	c.waitUntil("the wave is completed", func() bool {
-		ans := c.send(wire.QueueRequest{Upkeep: 7})
+		resp := c.send(wire.QueueRequest{Upkeep: 7})
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		assert.Assert(t, ans.Left > 0 || len(p.done) == 3, "wave completed after the upkeep of only %v", p.done)
-		return ans.Code == queue.OK && ans.Left == 0
+		assert.Assert(t, resp.Left > 0 || len(p.done) == 3, "wave completed after the upkeep of only %v", p.done)
+		return resp.Code == queue.OK && resp.Left == 0
 	})
 	assert.Equal(t, p.maxDown, 1)
-	for _, d := range p.issuers {
-		assert.Equal(t, d.Holder, "c")
-		assert.Assert(t, d.Fence > 0)
+	for _, issuer := range p.issuers {
+		assert.Equal(t, issuer.Holder, "c")
+		assert.Assert(t, issuer.Fence > 0)
 	}
 	assert.Equal(t, c.send(wire.QueueRequest{Upkeep: 8}).Code, queue.NoJob)
 }
--- a/scheduler/session.go
+++ b/scheduler/session.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// outQueue is how many messages may wait for a node that reads slowly; one more ends the
+	// outQueue bounds the messages that wait for a node that reads slowly. One more ends the
 	// session.
 	outQueue = 256
 	// helloTimeout is how long a new connection may take to send its hello.
@@ -23,15 +23,15 @@
 	// silenceLimit ends a session in which nothing was received for that long; nodes send a
 	// heartbeat twice a second.
 	silenceLimit = 3 * time.Second
-	// fullListTimeout is how long after a full list was sent an agent's heartbeats may still
-	// show another epoch: two heartbeats.
+	// fullListTimeout is for how long after a full list is sent an agent's heartbeats may
+	// still show another epoch: two heartbeat intervals.
 	fullListTimeout = time.Second
 	// leaderWait is how long a hello waits for a leader to be known. It is shorter than the
 	// time after which a node gives up on a process that does not answer.
 	leaderWait = 400 * time.Millisecond
 )
 
-var errNotLeading = errors.New("another control process leads")
+var errNotLeading = errors.New("this process no longer leads in the session's term")
 
 // session is the connection of one front or agent. Its read loop (run) handles messages one
 // after the other; a second goroutine sends (write), a third commits reported ends (reports).
@@ -39,27 +39,27 @@
 	s         *Scheduler
 	conn      *wire.Conn[wire.ToQueueNode, wire.FromNode]
 	hello     wire.QueueHello
-	number    uint64 // rises with each session that is opened on this process
-	term      uint64
+	number    uint64 // 1 for the first session that this process opens, and so on
+	term      uint64 // term in which the session was opened
 	cancel    context.CancelFunc
-	out       chan wire.ToQueueNode
-	ordersDue wakeup.Signal // orders may have changed
+	out       chan wire.ToQueueNode // messages to send
+	ordersDue wakeup.Signal         // orders may have changed
 
-	reports *reportQueue // ends that an agent reports, until committed
+	reports *reportQueue // an agent's reports of ended runs, until they are committed
 
 	// Guarded by the scheduler's mu.
-	vm           rudderfork.VMID // of an agent, once its VM is registered
-	incarnation  string          // of the VM's executor
-	epoch        uint64          // of the VM's registration; 0 until registered
+	vm           rudderfork.VMID // VM of an agent, once it is registered; "" before
+	incarnation  string          // incarnation of the VM's executor
+	epoch        uint64          // epoch of the VM's registration; 0 until registered
 	fullListSent bool            // the full list was sent in this epoch
 	firstInTerm  bool            // no earlier session of the term has had a heartbeat from the VM
 	// fullListDeadline is when the agent's heartbeats must show that it has the full list.
 	fullListDeadline time.Time
-	ordersVersion    vmVersion // for which orders were computed last
+	ordersVersion    vmVersion // version of the VM for which orders were computed last
 
-	cordoned      bool                          // the last orders said that nothing more is started on the VM
+	cordoned      bool                          // the last orders said that no more runs are started on the VM
 	startsSent    map[rudderfork.RunRef]bool    // runs whose start was sent, until they end
-	stopsSent     map[rudderfork.RunRef]bool    // of these, the runs whose stop was sent
+	stopsSent     map[rudderfork.RunRef]bool    // the runs in startsSent whose stop was sent
 	pressuresSent map[interference.Pair]float64 // the values that the agent has
 }
 
@@ -84,7 +84,7 @@
 		ordersDue: wakeup.New(), startsSent: map[rudderfork.RunRef]bool{}, stopsSent: map[rudderfork.RunRef]bool{},
 		pressuresSent: map[interference.Pair]float64{},
 	}
-	ses.reports = newReportQueue(ses.ends)
+	ses.reports = newReportQueue(ses.commitEnds)
 	if !s.openOrRedirect(ctx, ses) {
 		_ = conn.Send(ctx, wire.ToQueueNode{Redirect: s.redirect()}) // if it is lost, the node tries another process
 		return
@@ -180,7 +180,7 @@
 	return addrs
 }
 
-// run serves the session until its connection fails, a message is refused or ctx ends.
+// run serves the session until its connection fails, a message cannot be processed or ctx ends.
 func (ses *session) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -205,13 +205,13 @@
 // handle processes one message of the node. An error ends the session.
 func (ses *session) handle(ctx context.Context, m wire.FromNode) error {
 	if !ses.s.leads(ses.term) {
-		return errNotLeading // the node reconnects to the process that does
+		return errNotLeading // the node reconnects, to the process that leads
 	}
 	switch {
 	case m.Request != nil:
 		go ses.handleRequest(ctx, *m.Request)
 	case m.Heartbeat != nil:
-		return ses.heartbeat(ctx, *m.Heartbeat)
+		return ses.handleHeartbeat(ctx, *m.Heartbeat)
 	case m.Ends != nil:
 		return ses.reports.Add(ctx, *m.Ends)
 	case len(m.KnownPressures) > 0:
--- a/scheduler/session_model_test.go
+++ b/scheduler/session_model_test.go
@@ -55,9 +55,9 @@
 }
 
 func (m *sessionModel) heartbeat(inc int) {
-	b := heartbeatOf(modelIncarnation(inc))
-	b.VM.ID = m.vm
-	m.send(wire.FromNode{Heartbeat: &b})
+	hb := heartbeatOf(modelIncarnation(inc))
+	hb.VM.ID = m.vm
+	m.send(wire.FromNode{Heartbeat: &hb})
 }
 
 // leave sends the report that the current incarnation has left after a shutdown notice, and begins
--- a/scheduler/simfleet_test.go
+++ b/scheduler/simfleet_test.go
@@ -138,12 +138,12 @@
 	return queue.Step{Count: count, Size: rudderfork.Resources{CPUMilli: 500, MemoryMB: 100}, Lasting: true, Image: "s", TailMS: 20}
 }
 
-func (s *simFleet) register(v *simVM, seen *queue.Crash) {
+func (s *simFleet) register(v *simVM, crash *queue.Crash) {
 	vm := queue.VM{
 		ID: v.id, Incarnation: v.incarnationName(), Service: "desk", Rack: "r", Capacity: rudderfork.Resources{CPUMilli: 8_000, MemoryMB: 16_000},
 	}
-	s.fleet.recordCrash(s.qs, vm, seen, s.leaderTime())
-	res := s.apply(queue.Command{Crash: seen, Register: &vm})
+	s.fleet.recordCrash(s.qs, vm, crash, s.leaderTime())
+	res := s.apply(queue.Command{Crash: crash, Register: &vm})
 	s.scheduler().logLostRuns(v.id, incarnationReplaced, res)
 	v.down = false
 	s.connect(v)
@@ -160,13 +160,13 @@
 
 // crash restarts the executor of a VM in a new incarnation. If seen is set, its agent reports the
 // ages of the runs that were lost.
-func (s *simFleet) crash(v *simVM, seen bool) {
+func (s *simFleet) crash(v *simVM, reported bool) {
 	c := &queue.Crash{Incarnation: v.incarnationName()}
 	for k, at := range v.begunAt {
 		c.Runs = append(c.Runs, queue.RunAge{Task: k.TaskKey, Run: k.Number, AgeMS: s.now.Sub(at).Milliseconds(), Confirmed: true})
 	}
 	slices.SortFunc(c.Runs, func(a, b queue.RunAge) int { return a.Task.Compare(b.Task) })
-	if !seen {
+	if !reported {
 		c = nil
 	}
 	v.incarnation++
@@ -196,7 +196,7 @@
 }
 
 func (s *simFleet) sendHeartbeat(v *simVM) {
-	b := wire.VMHeartbeat{VM: queue.VM{ID: v.id, Incarnation: v.incarnationName()}}
+	hb := wire.VMHeartbeat{VM: queue.VM{ID: v.id, Incarnation: v.incarnationName()}}
 	for k, at := range v.begunAt {
 		if v.omitsRuns {
 			break
@@ -205,9 +205,9 @@
 		if v.health == stuck {
 			percent = 0
 		}
-		b.Runs = append(b.Runs, rudderfork.RunStatus{RunRef: k.Ref(k.Number), Percent: percent})
+		hb.Runs = append(hb.Runs, rudderfork.RunStatus{RunRef: k.Ref(k.Number), Percent: percent})
 	}
-	s.fleet.recordHeartbeat(s.fleet.vm(v.id), b, s.leaderTime())
+	s.fleet.recordHeartbeat(s.fleet.vm(v.id), hb, s.leaderTime())
 }
 
 // executeOrders has a VM carry out its orders, report ends, and send a heartbeat.
--- a/scheduler/stale_session_test.go
+++ b/scheduler/stale_session_test.go
@@ -53,15 +53,15 @@
 // connectAgentTwice opens two sessions as the agent of testVM. The first sends a heartbeat of
 // incarnation inc, unless that is "". The second sends one of newIncarnation, on which a lasting
 // task is then started.
-func (c *testCluster) connectAgentTwice(inc string) (before, now *agentClient, epoch uint64) {
+func (c *testCluster) connectAgentTwice(inc string) (earlier, current *agentClient, epoch uint64) {
 	c.t.Helper()
-	before, now = c.connectAgent(), c.connectAgent()
+	earlier, current = c.connectAgent(), c.connectAgent()
 	if inc != "" {
-		before.heartbeat(inc)
+		earlier.heartbeat(inc)
 	}
-	epoch = now.heartbeat(newIncarnation).Epoch
-	now.startLastingTask(newIncarnation)
-	return before, now, epoch
+	epoch = current.heartbeat(newIncarnation).Epoch
+	current.startLastingTask(newIncarnation)
+	return earlier, current, epoch
 }
 
 func heartbeatOf(inc string) wire.VMHeartbeat {
@@ -73,8 +73,8 @@
 // heartbeat sends a heartbeat and returns its grant, recording the orders that arrive before it.
 func (c *agentClient) heartbeat(inc string) *wire.VMGrant {
 	c.cluster.t.Helper()
-	b := heartbeatOf(inc)
-	assert.NilError(c.cluster.t, c.conn.Send(c.cluster.ctx, wire.FromNode{Heartbeat: &b}))
+	hb := heartbeatOf(inc)
+	assert.NilError(c.cluster.t, c.conn.Send(c.cluster.ctx, wire.FromNode{Heartbeat: &hb}))
 	for {
 		m, err := c.conn.ReceiveWithin(c.cluster.ctx, waitTimeout)
 		assert.NilError(c.cluster.t, err)
@@ -113,10 +113,10 @@
 // would record for the wrong incarnation.
 func (c *agentClient) sendStaleHeartbeat(inc string) {
 	c.cluster.t.Helper()
-	b := heartbeatOf(inc)
-	b.Draining = true
-	b.Runs = []rudderfork.RunStatus{{RunRef: rudderfork.RunRef{Task: "feed.0.0.0", Run: 1}, Load: 9999, Percent: 3, PacedDownPercent: 100}}
-	c.sendAndWait(wire.FromNode{Heartbeat: &b})
+	hb := heartbeatOf(inc)
+	hb.Draining = true
+	hb.Runs = []rudderfork.RunStatus{{RunRef: rudderfork.RunRef{Task: "feed.0.0.0", Run: 1}, Load: 9999, Percent: 3, PacedDownPercent: 100}}
+	c.sendAndWait(wire.FromNode{Heartbeat: &hb})
 }
 
 // startLastingTask submits a lasting task and waits for the order to start it.
@@ -158,50 +158,50 @@
 func TestStaleSessionChangesVM(t *testing.T) {
 	t.Run("heartbeat of a registered incarnation", func(t *testing.T) {
 		c := newTestCluster(t, nil)
-		before, now, epoch := c.connectAgentTwice(oldIncarnation)
-		before.sendStaleHeartbeat(oldIncarnation)
-		c.assertCurrent(now, epoch)
+		earlier, current, epoch := c.connectAgentTwice(oldIncarnation)
+		earlier.sendStaleHeartbeat(oldIncarnation)
+		c.assertCurrent(current, epoch)
 	})
 	t.Run("heartbeat of an incarnation never registered", func(t *testing.T) {
 		c := newTestCluster(t, nil)
-		before, now, epoch := c.connectAgentTwice("")
-		before.sendStaleHeartbeat(oldIncarnation)
-		c.assertCurrent(now, epoch)
+		earlier, current, epoch := c.connectAgentTwice("")
+		earlier.sendStaleHeartbeat(oldIncarnation)
+		c.assertCurrent(current, epoch)
 	})
 	t.Run("heartbeat of the current incarnation", func(t *testing.T) {
 		c := newTestCluster(t, nil)
-		before, now, epoch := c.connectAgentTwice(newIncarnation)
-		before.sendStaleHeartbeat(newIncarnation)
+		earlier, current, epoch := c.connectAgentTwice(newIncarnation)
+		earlier.sendStaleHeartbeat(newIncarnation)
 		c.sched.mu.Lock()
 		draining := c.sched.fleet.vm(testVM).heartbeat.Draining
 		c.sched.mu.Unlock()
 		assert.Assert(t, !draining)
-		c.assertCurrent(now, epoch)
+		c.assertCurrent(current, epoch)
 	})
 	t.Run("ends of runs and the shutdown notice", func(t *testing.T) {
 		c := newTestCluster(t, nil)
-		before, now, epoch := c.connectAgentTwice(oldIncarnation)
+		earlier, current, epoch := c.connectAgentTwice(oldIncarnation)
 		list := []queue.End{{Task: queue.TaskKey{Job: "feed"}, Run: 1, Outcome: queue.OutcomeFailed}}
-		before.sendAndWait(wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: queue.Ends{VM: testVM, Incarnation: oldIncarnation, List: list}, Departed: true}})
-		c.assertCurrent(now, epoch)
+		earlier.sendAndWait(wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: queue.Ends{VM: testVM, Incarnation: oldIncarnation, List: list}, Departed: true}})
+		c.assertCurrent(current, epoch)
 	})
 	t.Run("refusal of a run that the next agent process has started", func(t *testing.T) {
 		c := newTestCluster(t, nil)
-		before, now, epoch := c.connectAgentTwice(newIncarnation)
+		earlier, current, epoch := c.connectAgentTwice(newIncarnation)
 		list := []queue.End{{Task: queue.TaskKey{Job: "feed"}, Run: 1, Outcome: queue.OutcomeRefused}}
-		before.sendAndWait(wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: queue.Ends{VM: testVM, Incarnation: newIncarnation, List: list}}})
-		c.assertCurrent(now, epoch)
+		earlier.sendAndWait(wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: queue.Ends{VM: testVM, Incarnation: newIncarnation, List: list}}})
+		c.assertCurrent(current, epoch)
 	})
 	t.Run("heartbeat after the later session has ended", func(t *testing.T) {
 		c := newTestCluster(t, nil)
-		before, now, epoch := c.connectAgentTwice(oldIncarnation)
-		now.conn.Close()
+		earlier, current, epoch := c.connectAgentTwice(oldIncarnation)
+		current.conn.Close()
 		c.waitUntil("the session has ended", func() bool {
 			c.sched.mu.Lock()
 			defer c.sched.mu.Unlock()
 			return c.sched.fleet.vm(testVM).session == nil
 		})
-		before.sendStaleHeartbeat(oldIncarnation)
+		earlier.sendStaleHeartbeat(oldIncarnation)
 		again := c.connectAgent()
 		c.assertCurrent(again, epoch)
 	})
--- a/scheduler/swings.go
+++ b/scheduler/swings.go
@@ -12,36 +12,36 @@
 	// sampleDelay is how old a measurement is on average when its heartbeat arrives: executors
 	// measure over half a second, and agents poll them four times a second.
 	sampleDelay = 350 * time.Millisecond
-	// forecastSpan is how far ahead a filler's place is chosen for: about as long as usual
-	// fillers work. Longer ones are paced by what is measured later.
+	// forecastSpan is the time ahead for which the place of a filler is chosen. Most fillers
+	// work about that long. Longer ones are paced by what is measured later.
 	forecastSpan = 1500 * time.Millisecond
-	// minForecastChange is the smallest change of a forecast for which the planner weighs a
-	// VM anew.
+	// minForecastChange is the smallest change of a forecast that is passed to the planner,
+	// which then evaluates the VM again.
 	minForecastChange = 0.05
 )
 
 // observeSwings adds the measurements in a VM's heartbeat to the model of periodic load on serving
 // steps: the headrooms as they would be without the fillers on the VM.
-func (f *fleet) observeSwings(s *queue.State, c workload, b wire.VMHeartbeat, now time.Time) {
-	if !b.Measured {
+func (f *fleet) observeSwings(s *queue.State, w workload, hb wire.VMHeartbeat, now time.Time) {
+	if !hb.Measured {
 		return
 	}
-	for _, fig := range c.figures {
-		k, err := queue.ParseTaskKey(string(fig.Run.Task))
+	for _, sample := range w.samples {
+		k, err := queue.ParseTaskKey(string(sample.Run.Task))
 		if err != nil {
 			continue // not a run of this leader
 		}
-		own := fig.Headroom
-		for image, share := range b.FillerUsage {
-			pressure, _ := f.pressures.model.Estimate(fig.Image, image, now)
-			own += pressure * share
+		headroom := sample.Headroom
+		for image, share := range hb.FillerUsage {
+			pressure, _ := f.pressures.model.Estimate(sample.Image, image, now)
+			headroom += pressure * share
 		}
-		f.swings.Observe(s.CurrentQueue(s.Job(k.Job)).Name, k.StepKey(), own, now.Add(-sampleDelay))
+		f.swings.Observe(s.CurrentQueue(s.Job(k.Job)).Name, k.StepKey(), headroom, now.Add(-sampleDelay))
 	}
 }
 
 // updateForecasts updates the forecast change of the headroom of a VM's serving tasks: the lowest
-// headroom within forecastSpan, less that at the time of the newest measurement.
+// headroom within forecastSpan minus the headroom at the time of the newest measurement.
 func (f *fleet) updateForecasts(s *queue.State, v *vmInfo, now time.Time) {
 	for k, r := range v.runs {
 		j := s.Job(k.Job)
--- a/scheduler/swings_test.go
+++ b/scheduler/swings_test.go
@@ -29,14 +29,14 @@
 }
 
 // takeTails delivers a heartbeat that reports the same tail latency, in ms, for all of the tasks.
-func takeTails(qs *queue.State, f *fleet, tasks int, tail int64, at time.Time) {
-	b := wire.VMHeartbeat{VM: *qs.VM("vm1"), Measured: true}
+func reportTails(qs *queue.State, f *fleet, tasks int, tail int64, at time.Time) {
+	hb := wire.VMHeartbeat{VM: *qs.VM("vm1"), Measured: true}
 	for i := range tasks {
 		k := queue.TaskKey{Job: "feed", Index: i}
-		b.Runs = append(b.Runs, rudderfork.RunStatus{RunRef: k.Ref(1), Percent: fullPercent, Load: tail})
+		hb.Runs = append(hb.Runs, rudderfork.RunStatus{RunRef: k.Ref(1), Percent: fullPercent, Load: tail})
 	}
 	v := f.vm("vm1")
-	f.recordHeartbeat(v, b, at)
+	f.recordHeartbeat(v, hb, at)
 	f.observeSwings(qs, workloadOf(qs, qs.VM("vm1"), v), v.heartbeat, at)
 	f.updateForecasts(qs, v, at)
 }
@@ -50,7 +50,7 @@
 	forecast := map[time.Duration]float64{}
 	for at := time.Duration(0); at < 4*period; at += interval {
 		headroom := 2.6 + 1.1*math.Cos(2*math.Pi*at.Seconds()/period.Seconds())
-		takeTails(qs, f, tasks, int64(math.Round(18/headroom)), t0.Add(sampleDelay+at))
+		reportTails(qs, f, tasks, int64(math.Round(18/headroom)), t0.Add(sampleDelay+at))
 		forecast[at%period] = f.runs[queue.RunKey{TaskKey: queue.TaskKey{Job: "feed"}, Number: 1}].ForecastHeadroomChange
 	}
 	assert.Assert(t, forecast[period/10] < -0.5, "the headroom falls, forecast: %.2f", forecast[period/10])
--- a/scheduler/upkeep.go
+++ b/scheduler/upkeep.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// wavePause is between two rounds of upkeep while there are waves. Each reads the
-	// provider's list of machines.
+	// wavePause is the pause between two rounds of upkeep while there are waves. Each round
+	// reads the provider's list of machines.
 	wavePause = 500 * time.Millisecond
-	// idlePause is between two rounds while there are none.
+	// idlePause is the pause between two rounds while there are no waves.
 	idlePause = time.Second
 	// providerTimeout bounds the calls to the provider in one round.
 	providerTimeout = 2 * time.Second
 	// listLag is how long a machine whose upkeep was ordered counts as down even if the
 	// provider's list, which lags behind, still shows it as up.
 	listLag = 3 * time.Second
-	// refusedUpkeepBackOff is how long a machine is passed over after the provider refused an
-	// order for it, so that the other machines of its wave go on.
+	// refusedUpkeepBackOff is how long a machine is skipped after the provider refused an
+	// order for it, so that the other machines of its wave get their upkeep meanwhile.
 	refusedUpkeepBackOff = 2 * time.Second
 	// drainTime is how long a machine gets no new tasks before its upkeep, so that its short
 	// tasks end by themselves.
@@ -40,22 +40,22 @@
 type upkeep struct {
 	s        *Scheduler
 	provider rudderfork.Provider
-	holder   string
-	wait     time.Duration // from an election until the first order
+	holder   string        // name of this process in orders to the provider
+	wait     time.Duration // from the start of a term until the first order
 
 	term       uint64
 	ordersFrom time.Time            // no orders before this time
-	orderedAt  map[string]time.Time // by machine: when an order may have been carried out
+	orderedAt  map[string]time.Time // by machine: when its upkeep was ordered last, unless the order was refused
 	refusedAt  map[string]time.Time // by machine: when an order was refused last
-	// fenced says that the provider refused this term's fencing token, since a newer leader
-	// has given orders. This one gives no more orders in its term.
+	// fenced says that the provider refused this term's fencing token because a newer leader
+	// has given orders. This process gives no more orders in its term.
 	fenced     bool
 	cordoned   string // the machine that gets no new tasks since cordonedAt; "" for none
 	cordonedAt time.Time
 }
 
-// Upkeep returns the service that carries out waves. holder is the name of this process for the
-// provider; wait is how long orders of an earlier leader may still be under way.
+// Upkeep returns the service that carries out waves. holder is the name of this process in
+// orders to the provider. wait is how long orders of an earlier leader may still take effect.
 func (s *Scheduler) Upkeep(p rudderfork.Provider, holder string, wait time.Duration) suture.Service {
 	return &upkeep{s: s, provider: p, holder: holder, wait: wait, orderedAt: map[string]time.Time{}, refusedAt: map[string]time.Time{}}
 }
@@ -139,7 +139,7 @@
 	// An order that got no answer may have been carried out. It is repeated first, since
 	// repeating it does no harm and its machine counts as down already.
 	for _, name := range w.Remaining() {
-		if at, asked := u.orderedAt[name]; asked && now.Sub(at) < listLag {
+		if at, ordered := u.orderedAt[name]; ordered && now.Sub(at) < listLag {
 			u.order(ctx, w, name, byName[name].Executor, now)
 			return
 		}
@@ -182,7 +182,8 @@
 }
 
 // candidates returns the machines of a wave that may be taken down now: those that are not down,
-// were not refused a moment ago, and break no step's disruption budget.
+// were not refused within refusedUpkeepBackOff, and break no step's disruption budget. They include
+// machines that the provider does not list: an order shows whether such a machine is gone.
 func (u *upkeep) candidates(w queue.Wave, byName map[string]rudderfork.Machine, now time.Time) (list []candidate) {
 	u.s.rep.View(func(st *state.State) {
 		u.s.mu.Lock()
@@ -228,7 +229,7 @@
 }
 
 // breaksBudget reports whether ending all runs on a VM would leave more tasks of a lasting step
-// away, which means not at work, than its MaxAway allows. The caller holds mu.
+// away (not working) than the step's MaxAway allows. The caller holds mu.
 func (s *Scheduler) breaksBudget(qs *queue.State, vm *queue.VM) bool {
 	ending := map[queue.StepKey]int{}
 	for k := range vm.Runs() {
@@ -244,7 +245,8 @@
 }
 
 // countAway counts the tasks of a step that are away: without a run, being relocated, or not
-// reported to work yet. Runs on the VM except are left out. The caller holds mu.
+// reported to work yet. Runs on the VM except do not count, unless they are being relocated. The
+// caller holds mu.
 func (s *Scheduler) countAway(j *queue.Job, step queue.StepKey, except *queue.VM) (n int) {
 	now := rudderfork.Millis(steady.Now())
 	tasks := j.Occurrences[step.Occurrence].Steps[step.Step]
--- a/scheduler/views.go
+++ b/scheduler/views.go
@@ -33,8 +33,8 @@
 	Runs         int                  `json:"runs"`
 }
 
-// JobView is one job as operators see it. Tasks and Events are set only where a single job is
-// read: its tasks, with the reason why each waits, and the events that the leader has recorded.
+// JobView is one job as operators see it. Tasks and Events are set only in the view of a single job.
+// Tasks includes the reasons why tasks wait, and Events is what the leader has recorded of the job.
 type JobView struct {
 	ID          rudderfork.JobID `json:"job"`
 	Queue       string           `json:"queue"`
@@ -54,15 +54,15 @@
 	Runs     uint32 `json:"runs"` // number of starts so far
 }
 
-// SuspectView is a task under which executors have crashed, as operators see it. An unresolved
-// loss is a run on a VM whose lease expired, and of which it is unknown whether it crashed.
+// SuspectView is a task that ran on executors when they crashed, as operators see it. An unresolved
+// loss is a run of the task on a VM whose lease expired and whose executor may have crashed.
 type SuspectView struct {
 	Task             string   `json:"task"`
 	Queue            string   `json:"queue"`
 	Crashes          int      `json:"crashes"`
 	UnresolvedLosses int      `json:"doubts"`
 	Suspicion        int      `json:"suspicion"` // thousandths
-	Suspect          bool     `json:"suspect"`   // it runs apart from other suspects
+	Suspect          bool     `json:"suspect"`   // its next run starts in quarantine
 	VMs              []string `json:"on"`
 }
 
@@ -101,10 +101,10 @@
 
 func vmViews(s *queue.State, view dispatch.View) (views []VMView) {
 	for _, vm := range s.VMs() {
-		now := view.VMs[vm.ID]
+		current := view.VMs[vm.ID]
 		views = append(views, VMView{
 			ID: vm.ID, Service: vm.Service, Domain: vm.Domain, Rack: vm.Rack, Incarnation: vm.Incarnation, Live: vm.Live,
-			Usable: now.Usable, Draining: now.Draining, FailureScore: now.FailureScore,
+			Usable: current.Usable, Draining: current.Draining, FailureScore: current.FailureScore,
 			Capacity: vm.Capacity, Used: vm.Used(), Runs: len(vm.Runs()),
 		})
 	}
@@ -119,12 +119,12 @@
 	}
 }
 
-// taskViews returns the tasks of a job, with the reasons for what waits.
+// taskViews returns the tasks of a job, with the reasons why tasks wait.
 func taskViews(j *queue.Job, now int64, e dispatch.Explanation) (views []TaskView) {
-	for time, o := range j.Occurrences {
+	for occurrence, o := range j.Occurrences {
 		for step, tasks := range o.Steps {
 			for index := range tasks {
-				k := queue.TaskKey{Job: j.ID, Occurrence: time, Step: step, Index: index}
+				k := queue.TaskKey{Job: j.ID, Occurrence: occurrence, Step: step, Index: index}
 				t := &tasks[index]
 				views = append(views, TaskView{k.String(), taskState(j, k, now, e), t.Failures, t.LastRun})
 			}
@@ -133,25 +133,26 @@
 	return views
 }
 
+// taskState returns the text of TaskView.State.
 func taskState(j *queue.Job, k queue.TaskKey, now int64, e dispatch.Explanation) string {
 	t := j.Task(k)
-	var on []string
+	var vms []string
 	for _, r := range t.Runs {
-		on = append(on, string(r.VM))
+		vms = append(vms, string(r.VM))
 	}
 	switch {
 	case t.Done:
 		return "done"
-	case len(on) > 0:
-		return "running on " + strings.Join(on, " and ")
+	case len(vms) > 0:
+		return "running on " + strings.Join(vms, " and ")
 	case j.Status.Final():
 		return "the job is " + string(j.Status)
 	}
 	return "waiting: " + whyWaiting(j, k, now, e)
 }
 
-// whyWaiting returns why a task waits. If its turn has come, these are the reasons why VMs cannot
-// run it, each with the number of VMs.
+// whyWaiting returns why a task waits. If it is due and its step is ready, these are the reasons why
+// VMs cannot run it, each with the number of VMs.
 func whyWaiting(j *queue.Job, k queue.TaskKey, now int64, e dispatch.Explanation) string {
 	o := j.Occurrences[k.Occurrence]
 	switch {
@@ -161,18 +162,18 @@
 		return "an earlier step is not done"
 	}
 	counts := map[string]int{}
-	for _, why := range e.RejectReasons(k) {
-		counts[why]++
+	for _, reason := range e.RejectReasons(k) {
+		counts[reason]++
 	}
 	if len(counts) == 0 {
 		return "no VM is known"
 	}
 	var reasons []string
-	for why, n := range counts {
-		if why == "" {
-			why = "it could take the task"
+	for reason, n := range counts {
+		if reason == "" {
+			reason = "it could take the task"
 		}
-		reasons = append(reasons, fmt.Sprintf("%d VMs: %s", n, why))
+		reasons = append(reasons, fmt.Sprintf("%d VMs: %s", n, reason))
 	}
 	slices.Sort(reasons)
 	return strings.Join(reasons, "; ")
--- a/scheduler/vm.go
+++ b/scheduler/vm.go
@@ -57,8 +57,9 @@
 			ses.startsSent[ref] = true
 			o.Start = append(o.Start, orderOf(j, k, ref))
 		}
-		// A new leader has sessions before its first plan. A final job's runs are known
-		// from the state, so their stops go with their starts, and the agent makes neither.
+		// A new leader has sessions before its first plan. The runs of a final job are
+		// known from the state, so their stops are sent together with their starts, and
+		// the agent neither starts nor stops them.
 		_, stop := ses.s.fleet.stops[ref]
 		if (stop || j.Status.Final()) && !ses.stopsSent[ref] {
 			ses.stopsSent[ref] = true
@@ -69,8 +70,8 @@
 		if active[ref] {
 			continue
 		}
-		// The run has ended, as the agent reported or as was concluded without it.
-		// Stopping an ended run does nothing.
+		// The run is no longer active: the agent has reported its end, or the leader has
+		// ended it without a report. Stopping an ended run does nothing.
 		delete(ses.startsSent, ref)
 		if !ses.stopsSent[ref] {
 			o.Stop = append(o.Stop, ref)
@@ -79,15 +80,16 @@
 	}
 	if len(o.Start) > 0 {
 		// The agent needs the pressures to pace a filler correctly from its start on.
-		c := workloadOf(qs, vm, ses.s.fleet.vm(ses.vm))
+		w := workloadOf(qs, vm, ses.s.fleet.vm(ses.vm))
 		for k := range vm.Runs() {
-			c.add(qs.Job(k.Job).Spec.Steps[k.Step])
+			w.add(qs.Job(k.Job).Spec.Steps[k.Step])
 		}
-		o.Pressures = ses.s.fleet.pressures.changedFor(c, ses.pressuresSent, steady.Now())
+		o.Pressures = ses.s.fleet.pressures.changedFor(w, ses.pressuresSent, steady.Now())
 	}
 	return o
 }
 
+// orderOf returns the order to start a run of task k of job j.
 func orderOf(j *queue.Job, k queue.TaskKey, ref rudderfork.RunRef) wire.RunOrder {
 	st, t := j.Spec.Steps[k.Step], j.Task(k)
 	run, _ := t.Run(ref.Run)
@@ -134,18 +136,18 @@
 // caller holds mu.
 func (ses *session) superseded(v *vmInfo) bool { return ses.number < v.latestSession }
 
-// heartbeat processes a VM's heartbeat: it registers the VM if its description is new, records
+// handleHeartbeat processes a VM's heartbeat: it registers the VM if its description is new, records
 // the status of its runs, and replies with a lease grant. A VM whose executor does not respond
 // gets a grant without a lease.
-func (ses *session) heartbeat(ctx context.Context, b wire.VMHeartbeat) error {
-	if err := ses.claimVM(b.VM.ID); err != nil {
+func (ses *session) handleHeartbeat(ctx context.Context, hb wire.VMHeartbeat) error {
+	if err := ses.claimVM(hb.VM.ID); err != nil {
 		return err
 	}
-	if !b.Unresponsive {
-		if err := ses.register(ctx, b.VM, b.Crash); err != nil {
+	if !hb.Unresponsive {
+		if err := ses.register(ctx, hb.VM, hb.Crash); err != nil {
 			return err
 		}
-		if err := ses.checkEpoch(ctx, b); err != nil {
+		if err := ses.checkEpoch(ctx, hb); err != nil {
 			return err
 		}
 	}
@@ -154,18 +156,18 @@
 	if !s.leads(ses.term) {
 		return errNotLeading
 	}
-	grant := wire.VMGrant{Sent: b.Sent, Incarnation: b.VM.Incarnation, Epoch: ses.epoch, Cordoned: s.cordoned(b.VM.ID)}
+	grant := wire.VMGrant{Sent: hb.Sent, Incarnation: hb.VM.Incarnation, Epoch: ses.epoch, Cordoned: s.cordoned(hb.VM.ID)}
 	s.mu.Lock()
-	v := s.fleet.vm(b.VM.ID)
+	v := s.fleet.vm(hb.VM.ID)
 	if ses.superseded(v) {
 		s.mu.Unlock()
-		return errSuperseded // the later session began during the registration
+		return errSuperseded // the later session had its first heartbeat during the registration
 	}
 	firstHeartbeat := v.session != ses
 	v.session = ses
-	s.fleet.recordHeartbeat(v, b, now)
-	if !b.Unresponsive && ses.epoch != 0 && ses.incarnation == b.VM.Incarnation {
-		for _, k := range s.fleet.lastOfStep[b.VM.ID] {
+	s.fleet.recordHeartbeat(v, hb, now)
+	if !hb.Unresponsive && ses.epoch != 0 && ses.incarnation == hb.VM.Incarnation {
+		for _, k := range s.fleet.lastOfStep[hb.VM.ID] {
 			grant.LastOfStep = append(grant.LastOfStep, k.Ref(k.Number))
 		}
 		left := v.lease.Grant(time.Unix(0, st.QuorumContactNS), now, s.cfg.Lease)
@@ -173,7 +175,7 @@
 		grant.LeaseMS, grant.StartMS = left.Milliseconds(), &starts
 	}
 	s.mu.Unlock()
-	grant.Pressures = ses.observe(now)
+	grant.Pressures = ses.updateModels(now)
 	ses.reply(wire.ToQueueNode{Grant: &grant})
 	if firstHeartbeat {
 		ses.ordersDue.Set()
@@ -182,9 +184,9 @@
 	return nil
 }
 
-// observe updates the models of pressure and of load from the VM's heartbeat, and returns the
-// pressures that its agent lacks.
-func (ses *session) observe(now time.Time) (list []wire.PairPressure) {
+// updateModels updates the models of pressure and of periodic load from the VM's heartbeat. It
+// returns the pressures that the VM's agent lacks.
+func (ses *session) updateModels(now time.Time) (list []wire.PairPressure) {
 	ses.s.rep.View(func(st *state.State) {
 		ses.s.mu.Lock()
 		defer ses.s.mu.Unlock()
@@ -193,11 +195,11 @@
 			return
 		}
 		v := ses.s.fleet.vm(ses.vm)
-		c := workloadOf(st.Queues(), vm, v)
-		ses.s.fleet.pressures.observe(c, v.heartbeat, now)
-		ses.s.fleet.observeSwings(st.Queues(), c, v.heartbeat, now)
+		w := workloadOf(st.Queues(), vm, v)
+		ses.s.fleet.pressures.observe(w, v.heartbeat, now)
+		ses.s.fleet.observeSwings(st.Queues(), w, v.heartbeat, now)
 		ses.s.fleet.updateForecasts(st.Queues(), v, now)
-		list = ses.s.fleet.pressures.changedFor(c, ses.pressuresSent, now)
+		list = ses.s.fleet.pressures.changedFor(w, ses.pressuresSent, now)
 	})
 	return list
 }
@@ -262,8 +264,8 @@
 	return ok
 }
 
-// inSync reports whether the VM is registered with the description vm and the session has the
-// epoch of that registration, so that a heartbeat needs no further step.
+// inSync reports whether the VM is registered with the description vm, the session has the epoch of
+// that registration and the lease has not expired, so that a heartbeat needs no further step.
 func (ses *session) inSync(vm queue.VM) (ok bool) {
 	ses.s.rep.View(func(st *state.State) {
 		ses.s.mu.Lock()
@@ -296,7 +298,7 @@
 		defer ses.s.mu.Unlock()
 		v = ses.s.fleet.vm(id)
 		known := st.Queues().VM(id)
-		v.renew(known)
+		v.resumeGrants(known)
 		ok = !ses.superseded(v) && !v.registering && (!v.lease.Expired() || known == nil || !known.Live)
 		if ok {
 			v.registering = true
@@ -315,27 +317,27 @@
 }
 
 // adoptEpoch takes over the epoch of the VM's registration if the VM is registered with the
-// description vm, and reports whether it is. A new epoch makes the session send the full list.
+// description vm and its lease has not expired, and reports whether that is so. A new epoch makes the session send the full list.
 func (ses *session) adoptEpoch(vm queue.VM) (ok bool) {
 	ses.s.rep.View(func(st *state.State) {
 		ses.s.mu.Lock()
 		defer ses.s.mu.Unlock()
 		known, v := st.Queues().VM(vm.ID), ses.s.fleet.vm(vm.ID)
-		v.renew(known)
+		v.resumeGrants(known)
 		ok = known.RegisteredAs(vm) && !v.lease.Expired()
 		if !ok {
 			return
 		}
 		if ses.epoch != known.Epoch {
 			ses.vm, ses.incarnation, ses.epoch = vm.ID, known.Incarnation, known.Epoch
-			ses.sendFull()
+			ses.sendFullListNext()
 		}
 	})
 	return ok
 }
 
-// sendFull makes the next orders the full list. The caller holds mu.
-func (ses *session) sendFull() {
+// sendFullListNext makes the next orders of the session the full list. The caller holds mu.
+func (ses *session) sendFullListNext() {
 	ses.fullListSent = false
 	clear(ses.startsSent)
 	clear(ses.stopsSent)
@@ -345,8 +347,8 @@
 // checkEpoch sends the full list again if the agent has lost it. An agent drops its orders when
 // it takes its executor's incarnation to have ended, and lacks them if the same incarnation
 // then turns out to run on.
-func (ses *session) checkEpoch(ctx context.Context, b wire.VMHeartbeat) error {
-	if !ses.lacksList(b) {
+func (ses *session) checkEpoch(ctx context.Context, hb wire.VMHeartbeat) error {
+	if !ses.lacksFullList(hb) {
 		return nil
 	}
 	if err := ses.reports.Wait(ctx); err != nil {
@@ -354,26 +356,26 @@
 	}
 	ses.s.mu.Lock()
 	defer ses.s.mu.Unlock()
-	ses.s.log.Warn().Str("vm", string(ses.vm)).Str("life", ses.incarnation).Uint64("epoch", ses.epoch).Uint64("agent_epoch", *b.Epoch).Msg("orders_missing")
-	ses.sendFull()
+	ses.s.log.Warn().Str("vm", string(ses.vm)).Str("life", ses.incarnation).Uint64("epoch", ses.epoch).Uint64("agent_epoch", *hb.Epoch).Msg("orders_missing")
+	ses.sendFullListNext()
 	return nil
 }
 
-// lacksList reports whether the agent's heartbeat shows another epoch although it has had time
+// lacksFullList reports whether the agent's heartbeat shows another epoch although it has had time
 // to receive the full list.
-func (ses *session) lacksList(b wire.VMHeartbeat) bool {
+func (ses *session) lacksFullList(hb wire.VMHeartbeat) bool {
 	ses.s.mu.Lock()
 	defer ses.s.mu.Unlock()
-	return b.Epoch != nil && *b.Epoch != ses.epoch && ses.incarnation == b.VM.Incarnation && ses.fullListSent && !steady.Now().Before(ses.fullListDeadline)
+	return hb.Epoch != nil && *hb.Epoch != ses.epoch && ses.incarnation == hb.VM.Incarnation && ses.fullListSent && !steady.Now().Before(ses.fullListDeadline)
 }
 
-// ends commits the ends that a VM reports, then acknowledges them.
+// commitEnds commits the ends of runs that an agent reports, then acknowledges the report.
 //
 // Reports of a superseded session are dropped. A start that was refused there may have been
 // made again in the later session; committing the refusal would let the task start elsewhere
 // beside that run. Nothing is lost: the agent repeats its reports in its next session, and an
 // executor goes on to list the runs that have ended.
-func (ses *session) ends(ctx context.Context, r wire.EndsReport) error {
+func (ses *session) commitEnds(ctx context.Context, r wire.EndsReport) error {
 	if err := ses.checkCurrent(r.Ends.VM); err != nil {
 		return err
 	}
@@ -404,10 +406,10 @@
 	return nil
 }
 
-// recordEnds records for the planner what reported ends say of a VM. It comes before their
+// recordEnds records for the planner what the reported ends of runs show about a VM. It comes before their
 // commit, so that the first plan that finds a task without a run knows why. Ends of runs that
 // are not active are skipped, as they were recorded before. It returns how long each run
-// worked, in ms, since that is dropped with the run.
+// worked, in ms, because that is dropped together with the run.
 func (s *Scheduler) recordEnds(ends queue.Ends) (worked []float64) {
 	worked = make([]float64, len(ends.List))
 	s.rep.View(func(st *state.State) {
--- a/scheduler/worktimes_test.go
+++ b/scheduler/worktimes_test.go
@@ -13,7 +13,7 @@
 
 // TestLearnedWorktimeIsAtFullSpeed checks that the work time observed for a run is what it would take
 // at full speed.
-func TestLearnedWorktimeIsAtFullSpeed(t *testing.T) {
+func TestWorkTimeIsAtFullSpeed(t *testing.T) {
 	key := queue.TaskKey{Job: "j"}
 	done := queue.End{Task: key, Run: 1, Outcome: queue.OutcomeDone}
 	at := time.Unix(1000, 0)
