--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -54,7 +54,7 @@
 	ProgressedAt     int64 // when Percent last changed, leader's clock, Unix ms
 	Load             int64 // tail latency of a serving task, ms; CPU use of others, thousandths of a core
 	PacedDownPercent int   // percent by which pacing reduces its speed; 0 is full speed
-	PacedDownSince   int64 // since when it has been paced down enough to be moved, Unix ms; 0 if it is not
+	PacedDownSince   int64 // since when it has been paced down by enough to consider a move, Unix ms; 0 if it is not
 
 	// ForecastHeadroomChange is the lowest headroom that a serving task is expected to
 	// have while a filler that starts now works, less its present headroom. It takes only
@@ -67,8 +67,8 @@
 	Now  int64 // leader's clock, Unix ms
 	VMs  map[rudderfork.VMID]VMView
 	Runs map[queue.RunKey]RunView
-	// FailedOn lists the VMs on which a task has failed: its run there failed, was refused,
-	// or was stopped for ReasonStalled or ReasonSlow.
+	// FailedOn lists, by task, the VMs to avoid because a run of the task there has failed,
+	// was refused, or was stopped for ReasonStalled or ReasonSlow.
 	FailedOn map[queue.TaskKey][]rudderfork.VMID
 	// BackOffUntil is the time, Unix ms, before which a task is not started again since a VM
 	// has refused to start it.
@@ -286,7 +286,7 @@
 			}
 			c = p.findCandidates(cl, "")
 		}
-		v, reason, wait := p.chooseVMFor(&c, k)
+		v, reason, wait := p.chooseVMOrWait(&c, k)
 		if wait {
 			continue
 		}
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -11,8 +11,8 @@
 	"rudderfork.example/rudderfork/queue"
 )
 
-// taskClass is what the tasks of one occurrence of a step have in common. They differ
-// only in where they run and where they have failed.
+// taskClass is what the tasks of one occurrence of a step have in common. They differ only
+// in where they run, where they have failed, and whether they are suspects.
 type taskClass struct {
 	js      *jobState
 	job     *queue.Job
--- a/dispatch/quarantine.go
+++ b/dispatch/quarantine.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// chooseVMFor is like chooseVM, but chooses a VM for the quarantine of a task that is a
+// chooseVMOrWait is like chooseVM, but chooses a VM for the quarantine of a task that is a
 // suspect. wait reports that the suspect must wait for such a VM.
-func (p *pass) chooseVMFor(c *candidates, k queue.TaskKey) (v *vmState, reason string, wait bool) {
+func (p *pass) chooseVMOrWait(c *candidates, k queue.TaskKey) (v *vmState, reason string, wait bool) {
 	t := &c.class.tasks[k.Index]
 	if !t.Suspect() {
 		v, reason = p.chooseVM(c, k)
--- a/dispatch/relocate.go
+++ b/dispatch/relocate.go
@@ -39,7 +39,7 @@
 	return m.Task == k && (m.Run == run || m.InProgress(now))
 }
 
-// noImage is used in place of an image's number where there is none.
+// noImage is used in place of an image's number where no image is meant.
 const noImage = -1
 
 // fillerDemand returns the remaining work of waiting and running fillers by image, as
@@ -63,9 +63,9 @@
 }
 
 // fillerCapacity returns the capacity of a VM for the waiting and running fillers, as a
-// share of its processors: those that tasks other than fillers leave idle times
-// fillerTolerance.
-// If extra is not nil, a further serving task of that step and image is assumed on the VM.
+// share of its processors: the share that tasks other than fillers leave idle, times
+// fillerTolerance. If extra is not nil, a further serving task of that step and image is
+// assumed on the VM.
 func (p *pass) fillerCapacity(c *colocation, extra *queue.Step, image int) float64 {
 	idle := c.spareCPU
 	if extra != nil {
--- a/queue/blame.go
+++ b/queue/blame.go
@@ -18,14 +18,15 @@
 // likelier cause than one that has run for a minute, and the likelier the more its task was
 // suspected before. Task.clear resets the figures after a run that caused no crash.
 const (
-	// priorMilli is the prior probability, in thousandths, that a task is a poison task. Suspicion
-	// is never taken as lower.
+	// priorMilli is the prior probability, in thousandths, that a task is a poison task. A lower
+	// suspicion counts as this.
 	priorMilli = 2
 	// maxMilli is the highest suspicion, in thousandths.
 	maxMilli = 998
-	// crashDelayMS is the median time from the start of a poison run to the crash, ms. The density
-	// falls with the square of the age, so that little depends on the value: poison tasks crash
-	// their executors after some 10 ms, and the intervals of the agent's calls add to that.
+	// crashDelayMS is the median time from the start of a run of a poison task to the crash, ms. The
+	// density of crash times falls with the square of the age, so that little depends on this value:
+	// poison tasks crash their executors after some 10 ms, and the intervals of the agent's calls
+	// add to that.
 	crashDelayMS = 50
 	// promptCrashMS is the highest age of a run, ms, at which a crash counts towards PromptCrashes.
 	// Most poison tasks crash their executors sooner, including the intervals of the agent's calls.
@@ -124,7 +125,8 @@
 		}
 		delay := max(0, r.AgeMS) + crashDelayMS
 		p := t.prior()
-		// The odds of a poison task times the density of its crashes at the age of the run.
+		// The odds that the task is a poison task, times the density of the crash times of poison
+		// tasks at the age of the run.
 		weights[i] = p * weightScale / (1000 - p) / delay * crashDelayMS / delay
 		total += weights[i]
 	}
--- a/queue/command.go
+++ b/queue/command.go
@@ -50,8 +50,8 @@
 	Path string `cbor:"2,keyasint"`
 }
 
-// Start starts a run of a task on a VM. Tasks of a gang that share Group start together or not at
-// all. Copy allows a second run beside an active one.
+// Start starts a run of a task on a VM. Successive starts with the same Group, those of a gang, take
+// effect together or not at all. Copy allows a second run of a task that has an active one.
 type Start struct {
 	Task        TaskKey         `cbor:"1,keyasint"`
 	VM          rudderfork.VMID `cbor:"2,keyasint"`
@@ -125,8 +125,8 @@
 	Accepted []bool    // per end: whether its run was active
 	LostRuns []LostRun // runs that ended with the incarnation of their executor
 
-	// Assessments holds one entry for each task of LostRuns that may have caused the crash, the
-	// most suspected first. It is empty if the incarnation ended as planned.
+	// Assessments holds one entry for each task that may have caused a crash of an executor, the
+	// most suspected first. It is empty unless a registration shows that there was a crash.
 	Assessments []Assessment
 }
 
--- a/queue/crashrate.go
+++ b/queue/crashrate.go
@@ -11,7 +11,8 @@
 	// is the count divided by the time since its oldest crash, or by this if it is shorter.
 	crashWindowMS = 14_400
 	// crashPriorMilli is the weight of the rate over all VMs in the rate of one VM, in thousandths
-	// of a crash. It is low because the rates of VMs differ widely. A count below it is dropped.
+	// of a crash. It is low because the rates of VMs differ widely. A count of crashes that has
+	// decayed below it is dropped at the next crash.
 	crashPriorMilli = 50
 )
 
--- a/queue/model.go
+++ b/queue/model.go
@@ -4,15 +4,16 @@
 // A job is a list of steps. A step is a number of equal tasks and may wait for earlier steps. A
 // task runs on a VM under a run number that rises with each start, until one run ends with
 // OutcomeDone. State changes only in Apply, which every replica calls with the same commands in the
-// same order; it reads no clock and no randomness. A command that was decided on an older state is
-// checked again there:
+// same order; it reads no clock and no randomness. Since a command may have been decided on an older
+// state, Apply checks it again, so that these rules hold:
 //
 //   - a task has at most one active run, or two where its step allows copies;
-//   - no run starts after its task is done, or its job has ended or failed;
-//   - the sizes of a VM's active runs never exceed the VM's capacity, and a run
-//     that is being stopped counts until its end is known;
+//   - no run starts after its task is done or its job has a final status;
+//   - no run starts if the VM's active runs would then take more than the VM's
+//     capacity, and a run that is being stopped counts until its end is known;
 //   - a run ends only by an end that its own VM reports, by a new incarnation of
-//     that VM's executor, or once the VM's lease has run out (VMLoss).
+//     that VM's executor, or when the VM is lost (VMLoss): its lease has run out
+//     or its executor has shut down.
 //
 // These terms for tasks recur in the code. A lasting task (Step.Lasting) is restarted until its job
 // is cancelled. A serving task is one, usually lasting, that answers requests itself and has a tail
--- a/queue/unresolved.go
+++ b/queue/unresolved.go
@@ -61,7 +61,7 @@
 }
 
 // addUnresolved adds delta, 1 or -1, to the unresolved losses of the tasks of vm.UnresolvedRuns.
-// Runs older than provenRunMS are skipped, since a crash under them would clear their task.
+// Runs that are at least provenRunMS old are skipped, since a crash clears their tasks.
 func (s *State) addUnresolved(vm *VM, delta int) {
 	for _, r := range vm.UnresolvedRuns {
 		t := s.openTask(r.Task)
