--- a/runs/cancel_test.go
+++ b/runs/cancel_test.go
@@ -14,8 +14,8 @@
 
 const (
 	// cancelLimit is how long a run may be at work after its job was cancelled or a delayed
-	// start was carried out (the users' pages say 3 s for both). stopLimit is how much longer
-	// the stop itself may take.
+	// start was carried out (3 s for both in the platform's documentation). stopLimit is how
+	// much longer the stop itself may take.
 	cancelLimit = 3 * time.Second
 	stopLimit   = 200 * time.Millisecond
 	// minDelay and maxDelay bound how long executors delay calls.
@@ -30,12 +30,12 @@
 	pollSteps   = int(time.Second / stepTime)
 
 	// minAgentLifetime is the least time between two replacements of one VM's agent. An agent
-	// that runs for less than two polls and two stops take ends no run.
+	// needs two polls and two stops to end a run, so one that is replaced sooner ends none.
 	minAgentLifetime = 4 * time.Second
 
 	cancelSeeds = 100
 	cancelSteps = 1500 // 30 s
-	slotSteps   = 60   // between the submission of a job and its cancel, and until the next job
+	slotSteps   = 60   // from the submission of a job to its cancellation, and from there to the next submission
 	cancelJobs  = 12
 )
 
@@ -45,7 +45,7 @@
 	*simulation
 	cancelled  map[rudderfork.JobID]time.Time
 	startedAt  map[rudderfork.RunRef]time.Time
-	stopCalls  map[rudderfork.RunRef]int // how many stops of a run were called
+	stopCalls  map[rudderfork.RunRef]int // how often the stop of a run was called
 	replacedAt map[rudderfork.VMID]time.Time
 	lateRuns   int // runs that started after their job was cancelled
 }
@@ -156,8 +156,8 @@
 
 // TestCancelledJobsEnd guards against runs that go on after their job was cancelled. Half of the
 // starts are delayed for 2 to 12 s, every other stop of a run is unanswered, and agents, leaders
-// and sessions are replaced. Forgetful executors keep no record of stops that come before the
-// start.
+// and sessions are replaced. With forgets, executors keep no record of a stop that arrives before
+// the start.
 func TestCancelledJobsEnd(t *testing.T) {
 	for _, forgets := range []bool{false, true} {
 		lateRuns := 0
@@ -182,11 +182,11 @@
 // delayed. The run must end with the lease that the start carried.
 func TestDelayedStartWithoutAgent(t *testing.T) {
 	for _, x := range []struct {
-		name   string
-		delay  time.Duration
-		polls  time.Duration // how long the agent keeps polling before it is removed
-		starts bool
-		most   time.Duration // how long the run may last
+		name        string
+		delay       time.Duration // of the start
+		polls       time.Duration // how long the agent keeps polling before it is removed
+		starts      bool          // whether the run starts
+		maxDuration time.Duration // how long the run may last
 	}{
 		{"removed at once, started after the least delay", minDelay, 0, true, maxLease - minDelay},
 		{"started when the lease has nearly run out", 4500 * time.Millisecond, 0, true, maxLease - 4500*time.Millisecond},
@@ -226,7 +226,7 @@
 			}
 			assert.Equal(t, !started.IsZero(), x.starts)
 			assert.Assert(t, !x.starts || !ended.IsZero(), "the run never ends")
-			assert.Assert(t, ended.Sub(started) <= x.most, "the run was at work for %v", ended.Sub(started))
+			assert.Assert(t, ended.Sub(started) <= x.maxDuration, "the run was at work for %v", ended.Sub(started))
 		})
 	}
 }
--- a/runs/capacity.go
+++ b/runs/capacity.go
@@ -11,11 +11,11 @@
 // runs that the leader already counts as ended.
 const capacityTimeout = 500 * time.Millisecond
 
-// awaitCapacity delays the start of a run that, with all that may be running, would exceed
-// the executor's capacity, and refuses the run if no capacity is freed in time. The leader
-// counts the capacity before it orders a start. But the capacity may shrink while the order
-// is under way, and not every executor guards its own: without this check delayed starts
-// exceed a capacity that has shrunk more than 2 s before.
+// awaitCapacity delays the start of a run that would exceed the executor's capacity together
+// with all runs that may be at work, and refuses the run if no capacity is freed in time. The
+// leader checks the capacity before it orders a start. But the capacity may shrink while the
+// order is under way, and not every executor enforces its own limit. Without this check,
+// delayed starts exceed a capacity that shrank more than 2 s earlier.
 func (r *Reconciler) awaitCapacity(o *order, now time.Time) *queue.End {
 	switch {
 	case r.capacity == (rudderfork.Resources{}) || !o.needsStart():
--- a/runs/cordon.go
+++ b/runs/cordon.go
@@ -11,7 +11,8 @@
 const ReasonCordoned = "closed"
 
 // refuseIfDisallowed refuses a run that has yet to start on a draining executor or on a
-// cordoned VM.
+// cordoned VM. A run that an earlier call may have started is stopped instead if the executor
+// is draining; on a cordoned VM, settleCordoned decides about it.
 func (r *Reconciler) refuseIfDisallowed(o *order) *queue.End {
 	switch {
 	case !o.needsStart():
--- a/runs/cordon_test.go
+++ b/runs/cordon_test.go
@@ -71,8 +71,8 @@
 	})
 }
 
-// TestStartDeadline checks that a VM that is cut off from the leader stops sending starts well
-// before its lease ends.
+// TestStartDeadline checks that a VM that is cut off from the leader sends no starts after the
+// deadline of its last grant, although its lease is still valid.
 func TestStartDeadline(t *testing.T) {
 	r := newSynced()
 	r.Grant("life-1", 1, Lease{Until: t0.Add(6 * time.Second), StartBy: t0.Add(5 * time.Second)})
--- a/runs/evacuate_test.go
+++ b/runs/evacuate_test.go
@@ -15,8 +15,8 @@
 	evacuationSeeds = 250
 	evacuationSteps = 600
 	// cordonDelay is how long starts may still be sent after an evacuation was acknowledged:
-	// as long as a grant allows them, and one step for rounding. Agents that are cut off, frozen
-	// or replaced and absent leaders add nothing to it.
+	// as long as a grant allows them, and one step for rounding. It is no longer if agents are
+	// cut off, frozen or replaced, or if there is no leader.
 	cordonDelay = startWindow + stepTime
 )
 
@@ -33,7 +33,7 @@
 	return e
 }
 
-// check checks that no start is sent in a failure domain later than cordonDelay after its
+// check checks that no start is sent to a failure domain later than cordonDelay after its
 // evacuation was acknowledged.
 func (e *evacuator) check(v *vm, ref rudderfork.RunRef) {
 	e.startCalls++
--- a/runs/grant.go
+++ b/runs/grant.go
@@ -5,8 +5,8 @@
 // Lease is what the leader grants to a VM.
 type Lease struct {
 	Until time.Time // runs may be at work until then
-	// StartBy is the deadline for sending starts. It is earlier than Until, so that a VM
-	// that cannot receive the order to start nothing more soon starts nothing either.
+	// StartBy is the deadline for sending starts. It is earlier than Until, so that a VM which
+	// an order to start nothing more cannot reach soon stops sending starts as well.
 	StartBy  time.Time
 	Cordoned bool // the leader allows no new starts on the VM
 }
--- a/runs/lessor.go
+++ b/runs/lessor.go
@@ -5,8 +5,8 @@
 const (
 	// maxClockDrift is the fraction of a lease by which two monotonic clocks may disagree.
 	maxClockDrift = 0.01
-	// expirySlack is waited after a lease has run out, for rounding and for the time that
-	// an executor takes to kill its runs.
+	// expirySlack is how long after its end a lease is marked as expired, to allow for
+	// rounding and for the time that an executor takes to kill its runs.
 	expirySlack = 100 * time.Millisecond
 )
 
@@ -44,9 +44,9 @@
 func (l *Lessor) Leased(now time.Time) bool { return !l.expired && now.Before(l.until) }
 
 // TryExpire marks the VM's lease as expired if the last one has certainly run out, and
-// reports whether it has. From then on no lease is granted until AllowGrants: one that
-// is granted while the loss of the VM is being committed would outlive the runs that it
-// was granted for.
+// reports whether it has. From then on no lease is granted until AllowGrants is called:
+// with a lease that is granted while the loss of the VM is being committed, runs could go
+// on that count as ended after the commit.
 func (l *Lessor) TryExpire(now time.Time, length time.Duration) bool {
 	slack := expirySlack + time.Duration(maxClockDrift*float64(length))
 	if now.Before(l.until.Add(slack)) {
--- a/runs/liveness_test.go
+++ b/runs/liveness_test.go
@@ -25,8 +25,8 @@
 	liveTasks      = 4 // of the job with lasting tasks
 	failingTasks   = 2 // of another job, whose runs fail
 
-	// seedsPerGivenUp is the least number of schedules per schedule in which the lasting job is
-	// given up because executors crash under it. (4 of 1,500 schedules do.)
+	// seedsPerGivenUp bounds how often the lasting job is given up because executors crash under
+	// it: in one schedule out of this many. It happens in 4 of 1,500.
 	seedsPerGivenUp = 200
 )
 
@@ -36,12 +36,12 @@
 type livenessSimulation struct {
 	*simulation
 	faults      faultRates
-	lastRunning map[queue.RunKey]time.Time
+	lastRunning map[queue.RunKey]time.Time // when an active run was last seen at work
 	longestIdle time.Duration
 }
 
-// faultRates are the rates of faults that simulation itself does not inject. Each is the mean
-// number of polls or steps per fault; 0 means none.
+// faultRates sets how often faults occur that simulation itself does not inject. Each field is the
+// mean number of polls, or of steps for capacityChanges, per fault; 0 means none.
 type faultRates struct{ staleIncarnations, partialStatuses, capacityChanges int }
 
 func newLivenessSimulation(t *testing.T, seed uint64, faults faultRates) *livenessSimulation {
@@ -69,7 +69,7 @@
 				return minDelay + time.Duration(l.rng.Int64N(int64(maxDelay-minDelay)))
 			},
 			OnStart:  func(r rudderfork.RunRef) { l.recordStart(v, r) },
-			OnFinish: func(r rudderfork.RunRef, how string) { l.recordEnd(v, r, how) },
+			OnFinish: func(r rudderfork.RunRef, outcome string) { l.recordEnd(v, r, outcome) },
 		})
 		v.restartAgent()
 	}
@@ -81,7 +81,8 @@
 	assert.Equal(l.t, res.Code, queue.OK)
 }
 
-// corruptStatus makes some polls answer for another incarnation, or in part.
+// corruptStatus makes some polls fail as if another incarnation had answered, and makes some
+// statuses partial.
 func (l *livenessSimulation) corruptStatus(status *rudderfork.ExecutorStatus) error {
 	if !l.faulty {
 		return nil
@@ -108,7 +109,8 @@
 	}
 }
 
-// checkActiveRuns checks that no active run is idle for longer than settleTime.
+// checkActiveRuns checks that no active run is idle for longer than settleTime after calmAt, the
+// time of the last fault.
 func (l *livenessSimulation) checkActiveRuns(calmAt time.Time) {
 	for _, v := range l.vms {
 		vm := l.state.VM(v.id)
@@ -156,7 +158,7 @@
 }
 
 // checkRecovered checks that each lasting task is at work, and that each VM has run a task of the
-// probe. The lasting job may be given up as the users' pages allow.
+// probe. The lasting job may be given up as the platform's documentation allows, see givenUp.
 func (l *livenessSimulation) checkRecovered() (givenUp bool) {
 	l.t.Helper()
 	j := l.state.Job("probe")
@@ -167,8 +169,8 @@
 		return true
 	}
 	for i := range liveTasks {
-		_, there := l.running[rudderfork.TaskID(fmt.Sprintf("feed.0.0.%d", i))]
-		assert.Assert(l.t, there, "feed task %d is not at work", i)
+		_, atWork := l.running[rudderfork.TaskID(fmt.Sprintf("feed.0.0.%d", i))]
+		assert.Assert(l.t, atWork, "feed task %d is not at work", i)
 	}
 	return false
 }
--- a/runs/model_test.go
+++ b/runs/model_test.go
@@ -45,7 +45,7 @@
 	quorumContact time.Time // latest contact of the leader with its quorum
 	lessors       map[rudderfork.VMID]*runs.Lessor
 	vms           []*vm
-	faulty        bool
+	faulty        bool // random faults are injected
 
 	// sameIDs makes crashed executors restart under the same id.
 	sameIDs     bool
@@ -81,19 +81,19 @@
 	sessionOpen      bool     // agent and leader have a session
 	sessionID        int      // number of the present session
 	lastSession      int      // latest session from which the leader received a heartbeat
-	lateMessages     []func() // sent to this leader in earlier sessions and not delivered yet
+	lateMessages     []func() // sent to the present leader in earlier sessions and not delivered yet
 	epoch            uint64
-	fullListDeadline time.Time // the agent must report the epoch of the full list by then
-	sentStarts       map[rudderfork.RunRef]bool
-	sentStops        map[rudderfork.RunRef]bool
-	toAgent          []func()
-	toLeader         []func()
+	fullListDeadline time.Time                  // the agent must report the epoch of the full list by then
+	sentStarts       map[rudderfork.RunRef]bool // runs whose start the leader has ordered in this session
+	sentStops        map[rudderfork.RunRef]bool // runs whose stop the leader has ordered in this session
+	toAgent          []func()                   // messages under way
+	toLeader         []func()                   // messages under way
 	pendingCalls     []pendingCall
 	uncommittedEnds  []queue.End // reported, and not known to be committed
 	starts           map[rudderfork.RunRef]startRecord
 	capacity         int64         // of the executor, thousandths of a core
 	reportedCapacity int64         // as the executor has last reported it
-	crash            *queue.Crash  // the agent's report about the incarnation before
+	crash            *queue.Crash  // the agent's report about the previous incarnation
 	clockLag         time.Duration // by which the agent's clock is behind
 	frozenSteps      int           // steps for which the agent does nothing
 	cutSteps         int           // steps for which agent and leader are cut off from each other
@@ -133,7 +133,7 @@
 		v.exec = executor.New(v.nextIncarnation(), executor.Config{
 			Now: func() time.Time { return s.now }, ClockRate: 1 - 0.02*s.rng.Float64(), Fate: v.fate,
 			OnStart:  func(r rudderfork.RunRef) { s.recordStart(v, r) },
-			OnFinish: func(r rudderfork.RunRef, how string) { s.recordEnd(v, r, how) },
+			OnFinish: func(r rudderfork.RunRef, outcome string) { s.recordEnd(v, r, outcome) },
 		})
 		v.restartAgent()
 		s.vms = append(s.vms, v)
@@ -160,8 +160,8 @@
 	}
 }
 
-func (s *simulation) recordEnd(v *vm, r rudderfork.RunRef, how string) {
-	if how == "crashed" {
+func (s *simulation) recordEnd(v *vm, r rudderfork.RunRef, outcome string) {
+	if outcome == "crashed" {
 		s.crashes[r.Task]++
 	}
 	if s.running[r.Task] == v.id {
@@ -195,7 +195,7 @@
 		term = v.reconciler.FencingToken()
 	}
 	v.reconciler = runs.New()
-	v.reconciler.SetTerm(term * 0) // a new process has not met any leader
+	v.reconciler.SetTerm(term * 0) // 0, since a new process knows no leader's term
 	v.reconciler.Reset(v.exec.Incarnation())
 	v.reconciler.SetCapacity(rudderfork.Resources{CPUMilli: v.reportedCapacity})
 	v.ackedSeq, v.crash, v.starts, v.uncommittedEnds = 0, nil, nil, nil
@@ -342,16 +342,17 @@
 	}
 }
 
-func deliver(box *[]func()) {
-	all := *box
-	*box = nil
+// deliver delivers all messages and empties the list.
+func deliver(messages *[]func()) {
+	all := *messages
+	*messages = nil
 	for _, f := range all {
 		f()
 	}
 }
 
-// post appends a message to a queue.
-func (v *vm) post(box *[]func(), f func()) { *box = append(*box, f) }
+// post appends a message to messages, which deliver delivers.
+func (v *vm) post(messages *[]func(), f func()) { *messages = append(*messages, f) }
 
 // sendHeartbeat sends a heartbeat. It opens a session if there is none.
 func (v *vm) sendHeartbeat() {
@@ -368,7 +369,7 @@
 	v.post(&v.toLeader, func() { v.handleHeartbeat(session, sent, desc, crash, reportedEpoch) })
 }
 
-// recordCrash records what the agent knows of the ended incarnation, as package runner does.
+// recordCrash records what the agent knows about the ended incarnation, as package runner does.
 func (v *vm) recordCrash() {
 	v.crash = &queue.Crash{Incarnation: v.reconciler.Incarnation()}
 	for _, ref := range slices.SortedFunc(maps.Keys(v.starts), compareRefs) {
@@ -380,7 +381,7 @@
 	v.starts = nil
 }
 
-// recordStartResult records what the agent knows of a run after a start.
+// recordStartResult records what the agent knows about a run after a start.
 func (v *vm) recordStartResult(ref rudderfork.RunRef, out rudderfork.StartOutcome, err error) {
 	if v.starts == nil {
 		v.starts = map[rudderfork.RunRef]startRecord{}
@@ -566,12 +567,12 @@
 
 // finishCall passes the result of a call to the reconciler: at once if the call was answered,
 // otherwise when the call times out.
-func (v *vm) finishCall(err error, tell func()) {
+func (v *vm) finishCall(err error, finish func()) {
 	if err == nil || v.s.callTimeout == 0 {
-		tell()
+		finish()
 		return
 	}
-	v.pendingCalls = append(v.pendingCalls, pendingCall{v.reconciler, v.reconciler.Incarnation(), v.s.now.Add(v.s.callTimeout), tell})
+	v.pendingCalls = append(v.pendingCalls, pendingCall{v.reconciler, v.reconciler.Incarnation(), v.s.now.Add(v.s.callTimeout), finish})
 }
 
 // timeOutCalls finishes the calls that have timed out.
@@ -589,12 +590,12 @@
 	}
 }
 
-// minCrashes is how many executors must have crashed under a task that is given up (the users'
-// pages).
+// minCrashes is how many executors must have crashed under a task before its job may be given up,
+// according to the platform's documentation.
 const minCrashes = 2
 
-// maxGivenUp bounds the jobs given up in all schedules. Executors crash every 12 s there, under
-// whatever tasks they run, and 3 of 3,200 jobs are given up for it.
+// maxGivenUp bounds the jobs given up in all schedules. Executors crash every 12 s there, whatever
+// tasks they run, and 3 of 3,200 jobs are given up because of that.
 const maxGivenUp = 4
 
 // givenUp reports whether a job has failed for a task under which at least minCrashes executors
@@ -625,10 +626,11 @@
 
 // TestModel runs schedules with lost, repeated and late calls, late heartbeats and ends of
 // earlier sessions, changes of leader, restarts, freezes and network cuts. recordStart checks
-// each start. In the end every job must be completed, or be given up as the users' pages allow.
+// each start. In the end every job must be completed, or be given up as the platform's
+// documentation allows, see givenUp.
 func TestModel(t *testing.T) { checkSchedules(t, seeds, false) }
 
-// TestModelSecondStarts runs them with executors that restart under the same id.
+// TestModelSecondStarts runs such schedules with executors that restart under the same id.
 func TestModelSecondStarts(t *testing.T) { checkSchedules(t, sameIDSeeds, true) }
 
 func checkSchedules(t *testing.T, seeds uint64, sameIDs bool) {
--- a/runs/new_incarnation_test.go
+++ b/runs/new_incarnation_test.go
@@ -10,8 +10,8 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// TestNewIncarnationSameID has an executor restart under the same id. Clock, lease and orders of
-// the first incarnation, and late messages for it, must not count for the second.
+// TestNewIncarnationSameID guards against a clock, lease, orders or late messages of the first
+// incarnation that are applied to the second, when an executor restarts under the same id.
 func TestNewIncarnationSameID(t *testing.T) {
 	first, second := rudderfork.IncarnationName("i-1", 1000), rudderfork.IncarnationName("i-1", 2000)
 	lease := fullLease(t0.Add(5 * time.Second))
--- a/runs/overdue.go
+++ b/runs/overdue.go
@@ -12,7 +12,7 @@
 // call, one retry and their timeouts.
 const overdueAfter = 1500 * time.Millisecond
 
-// unanswered stands for the answer to a call that got none.
+// unanswered is the value of order.lastAnswer after a call without an answer.
 const unanswered = "unanswered"
 
 // OverdueStart is a start that has been due for overdueAfter and is not confirmed.
--- a/runs/partial_test.go
+++ b/runs/partial_test.go
@@ -10,8 +10,8 @@
 	"rudderfork.example/rudderfork/queue"
 )
 
-// TestPartialStatus guards against taking a run for gone because a status with unreadable rows
-// does not list it: one of these rows may be the run.
+// TestPartialStatus guards against treating a run as ended because a status with malformed entries
+// does not list it: one of these entries may be the run.
 func TestPartialStatus(t *testing.T) {
 	polledAt := t0.Add(time.Second)
 	t.Run("a run that is not listed is not reported as lost", func(t *testing.T) {
--- a/runs/reconciler.go
+++ b/runs/reconciler.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	// maxClockSlowdown is the fraction by which an executor's clock may run slow (the
-	// users' pages say 2%).
+	// maxClockSlowdown is the fraction by which an executor's clock may run slow. The
+	// platform's documentation allows 2%.
 	maxClockSlowdown = 0.02
 	// leaseMargin is kept between the end of the grant and the end that is given to the
 	// executor, for rounding on both clocks.
@@ -35,8 +35,8 @@
 	// minLeaseLeft is the least remaining lease with which a start is sent.
 	minLeaseLeft = 200 * time.Millisecond
 	// stopGrace is how long an executor may list a run after it has confirmed the stop.
-	// Then the stop is sent again. It is longer than any executor takes to stop a run (the
-	// users' pages say 200 and 400 ms).
+	// Then the stop is sent again. It is longer than any executor takes to stop a run: 200 or
+	// 400 ms according to the platform's documentation.
 	stopGrace = 500 * time.Millisecond
 )
 
@@ -50,8 +50,8 @@
 // concurrent use.
 type Reconciler struct {
 	incarnation  string // of the executor
-	epoch        uint64 // of the VM in the leader's state; it rises with each registration that starts without runs
-	maxTerm      uint64 // highest term of any leader seen; the fencing token
+	epoch        uint64 // of the VM in the leader's state; it rises when the VM is registered anew, without runs
+	maxTerm      uint64 // highest term of any leader so far; the fencing token
 	sessionTerm  uint64 // term of the leader of the present session
 	synced       bool   // the full list of the epoch was received
 	fullListTerm uint64 // term of the leader that sent the latest full list
@@ -66,19 +66,21 @@
 	clockMS     int64 // the executor's clock, read not later than clockReadAt
 	clockReadAt time.Time
 
-	orders  map[rudderfork.TaskID]*order
-	orphans map[rudderfork.RunRef]*order // runs without an order: stopped until they are listed no more; their ends are not reported
+	orders map[rudderfork.TaskID]*order
+	// orphans are runs without an order. They are stopped, and kept here until the stop is
+	// confirmed and a later poll does not list them. Their ends are not reported.
+	orphans map[rudderfork.RunRef]*order
 }
 
 // order is a run that the leader has ordered to start, and may since have ordered to stop.
 type order struct {
 	wire.RunOrder
-	stop             bool
+	stop             bool      // the run is to be stopped, or was stopped
 	inFlight         bool      // a call is under way
 	maybeStarted     bool      // a start may have been sent without an answer
 	confirmedAt      time.Time // when the executor confirmed the start, or the stop
-	retryAt          time.Time
-	endReported      bool
+	retryAt          time.Time // no call is made before; zero for no limit
+	endReported      bool      // the end of the run was returned to the caller, to be reported
 	capacityDeadline time.Time // the start waits for free capacity until then; zero if there is enough
 	dueAt            time.Time // when the start first became due; zero before
 	lastAnswer       string    // to the latest call that tried to start it
@@ -134,7 +136,7 @@
 func (r *Reconciler) LeaseEnd() time.Time { return r.leaseEnd }
 
 // SetClock sets the executor's clock, in milliseconds, as read not later than now. It
-// rejects a time before the latest one of the incarnation: it was read earlier.
+// rejects a time before the latest one of the incarnation, because it was read earlier.
 func (r *Reconciler) SetClock(ms int64, now time.Time) (accepted bool) {
 	if ms < r.clockMS {
 		return false
@@ -172,7 +174,8 @@
 
 // ApplyOrders takes orders of the leader. It ignores orders for another incarnation of the
 // executor, and those of an earlier epoch: their runs are over, since the epochs of a VM
-// only rise. It also ignores a superseded leader, which may not know what runs here.
+// only rise. It also ignores orders of a superseded leader, which may not know what runs
+// here.
 func (r *Reconciler) ApplyOrders(o wire.Orders) {
 	if r.leaderStale() || o.Incarnation != r.incarnation || o.Epoch < r.epoch {
 		return
@@ -189,8 +192,9 @@
 		if old := r.orders[ro.Task]; old == nil || old.Run < ro.Run {
 			// An earlier agent of this VM may have sent starts of the runs in a leader's
 			// first full list, and the executor may still carry these out. This holds for
-			// the first list of each leader: a superseded leader that does not know it yet
-			// leaves out what its successor had the earlier agent start.
+			// the first list of each leader, not only for the first list of all. The first
+			// may come from a leader that was already superseded, and then lacks runs that
+			// its successor has ordered the earlier agent to start.
 			r.orders[ro.Task] = &order{RunOrder: ro, maybeStarted: maybeStarted}
 		}
 	}
@@ -337,7 +341,7 @@
 	case out == rudderfork.StartExpired || out == rudderfork.StartFenced:
 		o.retryAt = now.Add(retryDelay)
 	case o.maybeStarted && out != rudderfork.StartEnded:
-		// An earlier try may still be carried out; only a stop rules that out.
+		// An earlier start may still be carried out; only a stop rules that out.
 		o.stop = true
 	default:
 		return r.refuse(o, out.String())
@@ -345,15 +349,16 @@
 	return nil
 }
 
-// refuse returns the end to report of a run that was not started.
+// refuse returns the end to report of a run that was not started. It returns nil if the
+// executor has refused the start because the run has ended: then the next poll decides.
 func (r *Reconciler) refuse(o *order, reason string) *queue.End {
 	key, err := queue.ParseTaskKey(string(o.Task))
 	if err != nil {
 		return nil
 	}
 	if reason == rudderfork.StartEnded.String() {
-		// The run has started and ended there. The next poll either lists its end or
-		// shows that the run is gone.
+		// The run has started and ended there. The next poll either lists its end or lists
+		// neither the run nor its end.
 		o.confirmedAt, o.stop = r.clockReadAt, true
 		return nil
 	}
@@ -385,9 +390,9 @@
 // does not.
 func (r *Reconciler) HandleStatus(status rudderfork.ExecutorStatus, polledAt time.Time) (ends []queue.End) {
 	listed := map[rudderfork.RunRef]bool{}
-	for _, row := range status.Running {
-		listed[row.RunRef] = true
-		r.stopUnwanted(row.RunRef, polledAt)
+	for _, run := range status.Running {
+		listed[run.RunRef] = true
+		r.stopUnwanted(run.RunRef, polledAt)
 	}
 	missing := func(ref rudderfork.RunRef) bool { return !listed[ref] && !status.Partial }
 	maps.DeleteFunc(r.orphans, func(ref rudderfork.RunRef, o *order) bool { return missing(ref) && o.stopConfirmedBefore(polledAt) })
@@ -420,9 +425,9 @@
 }
 
 // ParseEnds converts the ends that an executor lists. It leaves out runs whose task is not
-// one of a queue; they are acknowledged with the others.
-func ParseEnds(rows []rudderfork.EndedRun) (ends []queue.End) {
-	for _, e := range rows {
+// one of a queue; these are acknowledged to the executor with the others.
+func ParseEnds(ended []rudderfork.EndedRun) (ends []queue.End) {
+	for _, e := range ended {
 		if key, err := queue.ParseTaskKey(string(e.Task)); err == nil {
 			ends = append(ends, queue.End{Task: key, Run: e.Run, Outcome: queue.Outcome(e.Outcome), Checkpoint: e.Checkpoint})
 		}
@@ -433,9 +438,9 @@
 // stopUnwanted stops a run that is listed by a poll that was sent at the given time, if the
 // leader does not want it here. A delayed start may start a run after its stop was confirmed
 // or its end was reported, and only a poll shows this. By its contract an executor carries
-// out no start of a run after its stop; only the conclusion that the run has ended relies on
-// that. A run is also listed while it is being stopped, and its stop is not sent again for
-// that.
+// out no start of a run after its stop, but only the conclusion that the run has ended relies
+// on this. A run is also listed while it is being stopped; its stop is not sent again until
+// stopGrace has passed.
 func (r *Reconciler) stopUnwanted(ref rudderfork.RunRef, polledAt time.Time) {
 	if !r.synced {
 		return
--- a/runs/reconciler_test.go
+++ b/runs/reconciler_test.go
@@ -62,6 +62,8 @@
 	}
 }
 
+// TestLeaseChain guards against runs that outlive the leader's grant: because the lease ends too late
+// on the executor's clock, or because a grant is accepted that is not for this VM's present state.
 func TestLeaseChain(t *testing.T) {
 	r := newSynced()
 	until, ok := r.ExecutorLeaseEnd(t0)
@@ -94,6 +96,8 @@
 	})
 }
 
+// TestStart guards against starts that are not retried although they were not answered, and against
+// starts that are sent again after they were confirmed.
 func TestStart(t *testing.T) {
 	r := newSynced(1)
 	c := onlyCall(t, r, t0)
@@ -113,6 +117,8 @@
 	})
 }
 
+// TestRefused checks when a run that is refused counts as ended. It must not while an earlier,
+// unanswered start of it may still be carried out.
 func TestRefused(t *testing.T) {
 	t.Run("a run whose first start is refused has ended", func(t *testing.T) {
 		r := newSynced(1)
@@ -147,6 +153,8 @@
 	})
 }
 
+// TestHandleStatus checks which ends are reported and which runs are stopped because of the runs that
+// a poll lists.
 func TestHandleStatus(t *testing.T) {
 	running := func(run uint32) rudderfork.ExecutorStatus {
 		return rudderfork.ExecutorStatus{Running: []rudderfork.RunStatus{{RunRef: ref(run)}}}
@@ -293,8 +301,8 @@
 	})
 }
 
-// TestEarlierAgent gives a new agent the orders of its predecessor, whose calls may still be
-// under way.
+// TestEarlierAgent guards against a run that counts as ended although a start that an earlier agent
+// sent may still be carried out. A new agent gets the orders of its predecessor.
 func TestEarlierAgent(t *testing.T) {
 	fullList := func() *Reconciler {
 		r := New()
@@ -366,6 +374,8 @@
 	})
 }
 
+// TestEpochs guards against orders and leases of an earlier epoch or incarnation, whose runs the
+// leader counts as ended.
 func TestEpochs(t *testing.T) {
 	r := newSynced(1)
 	onlyCall(t, r, t0)
@@ -395,6 +405,8 @@
 	})
 }
 
+// TestStopBeforeStart guards against starting a run that the leader has ordered to stop before its
+// start was sent.
 func TestStopBeforeStart(t *testing.T) {
 	r := newSynced(1)
 	r.ApplyOrders(wire.Orders{Incarnation: "life-1", Epoch: 1, Stop: []rudderfork.RunRef{ref(1)}})
--- a/runs/shrink_test.go
+++ b/runs/shrink_test.go
@@ -14,15 +14,15 @@
 const (
 	shrinkSeeds = 250
 	// shrinkGrace is how long after a VM's capacity has shrunk starts may still exceed it: until
-	// the leader counts the VM as out of contact, and one heartbeat of the executor (the users'
-	// pages: contact_ms and one beat).
+	// the leader counts the VM as out of contact (contact_ms in the platform's documentation),
+	// plus one heartbeat of the executor.
 	shrinkGrace = 3*time.Second + reportSteps*stepTime
-	reportSteps = 55 // between two heartbeats of an executor
-	taskSize    = 500
+	reportSteps = 55  // between two heartbeats of an executor
+	taskSize    = 500 // thousandths of a core
 	shrinkSteps = 2500
 )
 
-// shrinker changes the capacities of VMs whose executors do not guard them.
+// shrinker changes the capacities of VMs whose executors do not enforce them.
 type shrinker struct {
 	s        *simulation
 	shrunkAt map[*vm]time.Time
--- a/runs/stale_test.go
+++ b/runs/stale_test.go
@@ -25,7 +25,7 @@
 	return r
 }
 
-// checkUnchanged checks that run and lease are as newRestarted leaves them.
+// checkUnchanged checks that the run and the lease are as newRestarted leaves them.
 func checkUnchanged(t *testing.T, r *Reconciler) {
 	t.Helper()
 	checkNoCalls(t, r, t0.Add(time.Second))
--- a/runs/start_timeout.go
+++ b/runs/start_timeout.go
@@ -6,9 +6,9 @@
 	"rudderfork.example/rudderfork/queue"
 )
 
-// startTimeout is how long a start is retried that the executor neither confirms nor
-// refuses for good: four tries without an answer. Users consider a task lost that has
-// nothing running for 3 s.
+// startTimeout is how long a start is retried while the executor neither confirms nor finally
+// refuses it: the time of four unanswered tries. It is shorter than the 3 s without a run after
+// which users consider a task lost.
 const startTimeout = 2 * time.Second
 
 // reasonNotStarted is the reason for refusing a run that the executor did not start in time.
--- a/runs/suspend_test.go
+++ b/runs/suspend_test.go
@@ -31,9 +31,9 @@
 	return s.doubleRuns
 }
 
-// TestSuspended guards against tasks that run twice because an agent on a suspended VM takes an
-// expired lease for a valid one. VMs are suspended for up to 4 s. With a clock that counts the
-// suspension no task runs twice, as recordStart checks. With a clock that stops meanwhile, some do.
+// TestSuspended guards against tasks that run twice because an agent, after its VM was suspended,
+// treats an expired lease as valid. VMs are suspended for up to 4 s. With a clock that goes on during
+// the suspension, no task runs twice, as recordStart checks. With a clock that stops, some do.
 func TestSuspended(t *testing.T) {
 	doubleRuns := 0
 	for seed := range uint64(suspendSeeds) {
