--- a/dispatch/colocate.go
+++ b/dispatch/colocate.go
@@ -217,14 +217,14 @@
 		if part == 0 {
 			continue
 		}
-		most := 0.0
+		highest := 0.0
 		if image != noImage {
-			most = p.pressure(image, filler)
+			highest = p.pressure(image, filler)
 		}
 		for i := range c.serving {
-			most = max(most, p.pressure(c.serving[i].image, filler))
+			highest = max(highest, p.pressure(c.serving[i].image, filler))
 		}
-		tolerated += part / (1 + most*most/(halfTolerancePressure*halfTolerancePressure))
+		tolerated += part / (1 + highest*highest/(halfTolerancePressure*halfTolerancePressure))
 	}
 	c.tolerance[image+1] = tolerated
 	return tolerated
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -14,7 +14,8 @@
 //
 // Headroom and pressure have the meanings of package pace: the headroom of a serving task
 // is its tail latency objective over its tail latency, and the pressure of a pair of images
-// is the headroom that serving tasks of the one lose to fillers of the other.
+// is the headroom that serving tasks of the one lose to fillers of the other. The pressure
+// of package usage is another figure, of a VM.
 //
 // A Planner caches what it has read of each VM (vmState) and job (jobState) and reads
 // again only what has changed. All tasks of a step share one list of candidate VMs
--- a/dispatch/image.go
+++ b/dispatch/image.go
@@ -28,7 +28,8 @@
 
 func (m *images) tooMany() bool { return len(m.names) > maxImages }
 
-// pressure returns View.Pressure of a pair of images, cached for the plan.
+// pressure returns View.Pressure of a pair of images given by their numbers, and caches it
+// for the plan.
 func (p *pass) pressure(serving, filler int) float64 {
 	for len(p.pressures) <= serving {
 		p.pressures = append(p.pressures, nil)
--- a/dispatch/random_test.go
+++ b/dispatch/random_test.go
@@ -327,14 +327,14 @@
 		}
 	}
 	for filler, part := range work {
-		most := 0.0
+		highest := 0.0
 		for image := range tasks {
-			most = max(most, p.view.Pressure(image, filler))
+			highest = max(highest, p.view.Pressure(image, filler))
 		}
 		for _, image := range extra {
-			most = max(most, p.view.Pressure(image, filler))
+			highest = max(highest, p.view.Pressure(image, filler))
 		}
-		tolerated += part / max(1, sum) / (1 + most*most/(halfTolerancePressure*halfTolerancePressure))
+		tolerated += part / max(1, sum) / (1 + highest*highest/(halfTolerancePressure*halfTolerancePressure))
 	}
 	return tolerated
 }
