--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -17,142 +17,142 @@
 
 // fault is one of the schedule.
 type fault struct {
-	at, lasts time.Duration
-	kind      string
-	cores     int   // core processes it takes, of those that draw decides on
-	draw      int   // from the seed
-	machines  []int // side machines it takes
+	at, duration time.Duration
+	kind         string
+	cores        int   // core processes it takes, of those that draw decides on
+	draw         int   // from the seed
+	machines     []int // side machines it takes
 }
 
 func (f fault) String() string {
-	return fmt.Sprintf("%s for %v, cores %d from %d, machines %v", f.kind, f.lasts, f.cores, f.draw, f.machines)
+	return fmt.Sprintf("%s for %v, cores %d from %d, machines %v", f.kind, f.duration, f.cores, f.draw, f.machines)
 }
 
-// The kinds, the heavier ones less often.
-var kinds = []string{
+// The faultKinds, the heavier ones less often.
+var faultKinds = []string{
 	"kill-cores", "kill-cores", "lose-disks", "lose-disks", "kill-all-cores", "stop-leader", "stop-leader", "stop-followers",
 	"kill-agents", "kill-agents", "crash-executors", "crash-executors", "flap-executors", "flap-executors",
 	"sick-executors", "sick-executors", "late-executors", "late-executors", "disown-calls", "stutter", "stutter", "lose-machines", "lose-machines",
 }
 
 const (
-	firstStorm = 5 * time.Second
-	stormSpan  = 5 * time.Second
-	leastCalm  = 13 * time.Second
-	darkBefore = 16 * time.Second // the end of the traffic
+	firstGroup         = 5 * time.Second
+	groupSpan          = 5 * time.Second
+	minFaultFree       = 13 * time.Second
+	powerLossBeforeEnd = 16 * time.Second // the end of the traffic
 )
 
-// plan draws a schedule: storms of overlapping faults with calm between them, and at last,
+// drawSchedule draws a schedule: storms of overlapping faults with calm between them, and at last,
 // if asked for, the loss of two disks with all other processes killed.
-func plan(u setup) (fs []fault) {
-	rnd := rand.New(rand.NewPCG(u.seed, 1))
-	ms := func(least, span int) time.Duration { return time.Duration(least+rnd.IntN(span)) * time.Millisecond }
-	dark := u.length - darkBefore
-	for at := firstStorm; at+stormSpan < dark; {
+func drawSchedule(cfg setup) (faults []fault) {
+	rnd := rand.New(rand.NewPCG(cfg.seed, 1))
+	ms := func(minMS, span int) time.Duration { return time.Duration(minMS+rnd.IntN(span)) * time.Millisecond }
+	powerLossAt := cfg.duration - powerLossBeforeEnd
+	for at := firstGroup; at+groupSpan < powerLossAt; {
 		end := at
 		for range 1 + rnd.IntN(5) {
-			f := fault{at: at + ms(0, int(stormSpan.Milliseconds())), kind: u.kinds[rnd.IntN(len(u.kinds))], lasts: ms(200, 4000), draw: rnd.IntN(1000)}
-			f.cores = 1 + rnd.IntN(maxLost)
-			f.machines = rnd.Perm(u.machines)[:1+rnd.IntN(max(1, u.machines/3))]
+			f := fault{at: at + ms(0, int(groupSpan.Milliseconds())), kind: cfg.kinds[rnd.IntN(len(cfg.kinds))], duration: ms(200, 4000), draw: rnd.IntN(1000)}
+			f.cores = 1 + rnd.IntN(maxLostDisks)
+			f.machines = rnd.Perm(cfg.machines)[:1+rnd.IntN(max(1, cfg.machines/3))]
 			switch f.kind {
 			case "kill-all-cores":
-				f.lasts = ms(200, 1500)
+				f.duration = ms(200, 1500)
 			case "stop-leader", "stop-followers":
-				f.lasts = ms(1000, 9000)
+				f.duration = ms(1000, 9000)
 			case "sick-executors":
-				f.lasts, f.machines = ms(2000, 6000), f.machines[:min(3, len(f.machines))]
+				f.duration, f.machines = ms(2000, 6000), f.machines[:min(3, len(f.machines))]
 			case "lose-machines":
-				f.lasts = ms(1000, 12000)
+				f.duration = ms(1000, 12000)
 			case "flap-executors":
-				f.lasts = ms(4000, 6000)
+				f.duration = ms(4000, 6000)
 			}
-			f.lasts = min(f.lasts, dark-f.at)
-			fs, end = append(fs, f), max(end, f.at+f.lasts)
+			f.duration = min(f.duration, powerLossAt-f.at)
+			faults, end = append(faults, f), max(end, f.at+f.duration)
 		}
-		at = end + leastCalm + ms(0, 6000)
+		at = end + minFaultFree + ms(0, 6000)
 	}
-	if u.dark {
-		fs = append(fs, fault{at: dark, lasts: ms(500, 1000), kind: "dark", cores: maxLost, draw: rnd.IntN(1000)})
+	if cfg.powerLoss {
+		faults = append(faults, fault{at: powerLossAt, duration: ms(500, 1000), kind: "dark", cores: maxLostDisks, draw: rnd.IntN(1000)})
 	}
-	slices.SortFunc(fs, func(a, b fault) int { return int(a.at - b.at) })
-	return fs
+	slices.SortFunc(faults, func(a, b fault) int { return int(a.at - b.at) })
+	return faults
 }
 
 // inject carries out a schedule, and returns when all is back.
-func (s *site) inject(fs []fault) {
-	var wait sync.WaitGroup
-	for _, f := range fs {
-		time.Sleep(time.Until(s.watch.begin.Add(f.at)))
-		wait.Go(func() { s.carryOut(f) })
+func (s *site) inject(faults []fault) {
+	var wg sync.WaitGroup
+	for _, f := range faults {
+		time.Sleep(time.Until(s.checker.startedAt.Add(f.at)))
+		wg.Go(func() { s.injectOne(f) })
 	}
-	wait.Wait()
+	wg.Wait()
 }
 
-func (s *site) carryOut(f fault) {
-	s.watch.fault(true, "+ "+f.String())
-	back := s.strike(f)
-	time.Sleep(f.lasts)
-	back()
-	s.watch.fault(false, "- "+f.String())
+func (s *site) injectOne(f fault) {
+	s.checker.logFault(true, "+ "+f.String())
+	heal := s.apply(f)
+	time.Sleep(f.duration)
+	heal()
+	s.checker.logFault(false, "- "+f.String())
 }
 
-// pick returns the core machines that a fault takes; the first is the leader at times.
-func (s *site) pick(f fault) (list []int) {
-	first := f.draw % cores
+// pickCores returns the core machines that a fault takes; the first is the leader at times.
+func (s *site) pickCores(f fault) (list []int) {
+	first := f.draw % coreCount
 	if f.draw%2 == 0 {
 		first = s.leader()
 	}
-	step := 1 + f.draw%(cores-1)
+	step := 1 + f.draw%(coreCount-1)
 	for i := range f.cores {
-		list = append(list, (first+i*step)%cores)
+		list = append(list, (first+i*step)%coreCount)
 	}
 	return list
 }
 
-// strike begins a fault and returns what ends it.
-func (s *site) strike(f fault) (back func()) {
+// apply begins a fault and returns what ends it.
+func (s *site) apply(f fault) (heal func()) {
 	var ms []*machine
 	for _, i := range f.machines {
 		ms = append(ms, s.machines[i])
 	}
 	switch f.kind {
 	case "kill-cores":
-		return s.kill(s.corePrograms(s.pick(f)))
+		return s.kill(s.coreProcesses(s.pickCores(f)))
 	case "lose-disks":
-		return s.loseDisks(s.pick(f), nil)
+		return s.loseDisks(s.pickCores(f), nil)
 	case "kill-all-cores":
-		s.watch.killsAll()
-		return s.kill(s.corePrograms([]int{0, 1, 2, 3, 4}))
+		s.checker.noteAllKilled()
+		return s.kill(s.coreProcesses([]int{0, 1, 2, 3, 4}))
 	case "stop-leader":
-		return s.stop([]int{s.leader()})
+		return s.freeze([]int{s.leader()})
 	case "stop-followers":
 		l := s.leader()
-		return s.stop([]int{(l + 1) % cores, (l + 2) % cores, (l + 3) % cores})
+		return s.freeze([]int{(l + 1) % coreCount, (l + 2) % coreCount, (l + 3) % coreCount})
 	case "kill-agents":
-		return s.kill(s.agents(ms))
+		return s.kill(s.agentProcesses(ms))
 	case "crash-executors":
 		return s.crashAll(ms)
 	case "lose-machines":
-		agents, executors := s.kill(s.agents(ms)), s.crashAll(ms)
+		agents, executors := s.kill(s.agentProcesses(ms)), s.crashAll(ms)
 		return func() { agents(); executors() }
 	case "flap-executors":
 		return s.flap(ms, f)
 	case "sick-executors":
-		return each(ms, func(m *machine) { m.sick.Store(true) }, func(m *machine) { m.sick.Store(false) })
+		return onEach(ms, func(m *machine) { m.failsAll.Store(true) }, func(m *machine) { m.failsAll.Store(false) })
 	case "stutter":
-		return each(ms, s.stutter, func(m *machine) { m.twice.Store(false) })
+		return onEach(ms, s.duplicateAnswers, func(m *machine) { m.duplicates.Store(false) })
 	case "late-executors":
-		return each(ms, s.holdBack, func(m *machine) { s.Execs[m.index].SetFate(usual) })
+		return onEach(ms, s.delayOrders, func(m *machine) { s.Execs[m.index].SetFate(usualFate) })
 	case "disown-calls":
-		return each(ms, s.disown, func(*machine) {})
+		return onEach(ms, s.rejectOneCall, func(*machine) {})
 	case "dark":
-		return s.dark(s.pick(f))
+		return s.losePower(s.pickCores(f))
 	}
 	panic("no fault " + f.kind)
 }
 
-// each begins something on machines, and returns what ends it there.
-func each(ms []*machine, begin, end func(*machine)) (back func()) {
+// onEach begins something on machines, and returns what ends it there.
+func onEach(ms []*machine, begin, end func(*machine)) (heal func()) {
 	for _, m := range ms {
 		begin(m)
 	}
@@ -163,90 +163,90 @@
 	}
 }
 
-func (s *site) corePrograms(list []int) (ps []program) {
+func (s *site) coreProcesses(list []int) (ps []process) {
 	for _, i := range list {
-		ps = append(ps, s.core(i))
+		ps = append(ps, s.coreProcess(i))
 	}
 	return ps
 }
 
-func (s *site) agents(ms []*machine) (ps []program) {
+func (s *site) agentProcesses(ms []*machine) (ps []process) {
 	for _, m := range ms {
-		ps = append(ps, s.agent(m))
+		ps = append(ps, s.agentProcess(m))
 	}
 	return ps
 }
 
-func (s *site) crashAll(ms []*machine) (back func()) { return each(ms, s.crash, s.bringUp) }
+func (s *site) crashAll(ms []*machine) (heal func()) { return onEach(ms, s.crash, s.restart) }
 
 // loseDisks kills core machines and others, and loses the disks of the former; but if the
 // group is not whole yet from a loss before, they are only killed.
-func (s *site) loseDisks(list []int, others []program) (back func()) {
-	s.disks.Lock()
-	defer s.disks.Unlock()
-	whole := s.HasAllVoters()
-	back = s.kill(append(s.corePrograms(list), others...))
+func (s *site) loseDisks(list []int, others []process) (heal func()) {
+	s.disksMu.Lock()
+	defer s.disksMu.Unlock()
+	allVoters := s.HasAllVoters()
+	heal = s.kill(append(s.coreProcesses(list), others...))
 	for _, i := range list {
-		if whole {
+		if allVoters {
 			_ = os.RemoveAll(s.DataDir(i)) // what is left shows in its log
 		}
 	}
-	s.watch.say("  disks of cores %v, counted from 0, lost: %v", list, whole)
-	return back
+	s.checker.logf("  disks of cores %v, counted from 0, lost: %v", list, allVoters)
+	return heal
 }
 
-// stutter has an executor answer each call twice, and begin another life while its
+// duplicateAnswers has an executor answer each call twice, and begin another life while its
 // connections stay.
-func (s *site) stutter(m *machine) {
-	m.twice.Store(true)
+func (s *site) duplicateAnswers(m *machine) {
+	m.duplicates.Store(true)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.up {
-		m.lives++
-		s.Execs[m.index].Restart(fmt.Sprintf("i-%d-%d", m.index+1, m.lives))
+		m.incarnations++
+		s.Execs[m.index].Restart(fmt.Sprintf("i-%d-%d", m.index+1, m.incarnations))
 	}
 }
 
-// dark kills every process at once, the executors' work with them, and loses disks.
-func (s *site) dark(list []int) (back func()) {
-	var others []program
-	for i := range cores {
+// losePower kills every process at once, the executors' work with them, and loses disks.
+func (s *site) losePower(list []int) (heal func()) {
+	var others []process
+	for i := range coreCount {
 		if !slices.Contains(list, i) {
-			others = append(others, s.core(i))
+			others = append(others, s.coreProcess(i))
 		}
 	}
-	for i := range entries {
-		others = append(others, s.entry(i))
+	for i := range entryCount {
+		others = append(others, s.entryProcess(i))
 	}
-	s.watch.killsAll()
-	programs, executors := s.loseDisks(list, append(others, s.agents(s.machines)...)), s.crashAll(s.machines)
-	return func() { programs(); executors() }
+	s.checker.noteAllKilled()
+	processes, executors := s.loseDisks(list, append(others, s.agentProcesses(s.machines)...)), s.crashAll(s.machines)
+	return func() { processes(); executors() }
 }
 
-// stop makes core processes fall silent.
-func (s *site) stop(list []int) (back func()) {
+// freeze makes core processes fall silent.
+func (s *site) freeze(list []int) (heal func()) {
 	signal := func(sig os.Signal) {
 		for _, i := range list {
-			s.Signal(s.core(i).node, sig)
+			s.Signal(s.coreProcess(i).node, sig)
 		}
 	}
-	s.watch.say("  stopped: %v, counted from 0", list)
+	s.checker.logf("  stopped: %v, counted from 0", list)
 	signal(syscall.SIGSTOP)
 	return func() { signal(syscall.SIGCONT) }
 }
 
 // flap has executors go down and come up by turns.
-func (s *site) flap(ms []*machine, f fault) (back func()) {
+func (s *site) flap(ms []*machine, f fault) (heal func()) {
 	stop := make(chan struct{})
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, m := range ms {
 		rnd := rand.New(rand.NewPCG(s.seed, uint64(f.draw*1000+m.index)))
-		wait.Go(func() {
-			for turn := s.crash; ; {
-				turn(m)
-				turn = s.bringUp
+		wg.Go(func() {
+			for next := s.crash; ; {
+				next(m)
+				next = s.restart
 				if rnd.IntN(2) == 0 {
-					turn = s.crash
+					next = s.crash
 				}
 				select {
 				case <-stop:
@@ -258,13 +258,13 @@
 	}
 	return func() {
 		close(stop)
-		wait.Wait()
-		each(ms, s.bringUp, nil)
+		wg.Wait()
+		onEach(ms, s.restart, nil)
 	}
 }
 
-// holdBack has an executor leave orders unanswered, and carry them out later.
-func (s *site) holdBack(m *machine) {
+// delayOrders has an executor leave orders unanswered, and carry them out later.
+func (s *site) delayOrders(m *machine) {
 	s.Execs[m.index].SetFate(func(call string) executor.Fate {
 		if call == "start" || call == "stop" {
 			return executor.Delayed
@@ -273,14 +273,14 @@
 	})
 }
 
-// disown has an executor answer one call as another life answers, as one does that it
+// rejectOneCall has an executor answer one call as another life answers, as one does that it
 // reaches by a connection to the life before.
-func (s *site) disown(m *machine) {
-	var done atomic.Bool
+func (s *site) rejectOneCall(m *machine) {
+	var rejected atomic.Bool
 	s.Execs[m.index].SetFate(func(call string) executor.Fate {
-		if done.CompareAndSwap(false, true) {
+		if rejected.CompareAndSwap(false, true) {
 			return executor.RejectedAsStale
 		}
-		return usual(call)
+		return usualFate(call)
 	})
 }
--- a/soak/setups_test.go
+++ b/soak/setups_test.go
@@ -11,23 +11,23 @@
 
 // setup is what a run's schedule follows from.
 type setup struct {
-	seed     uint64
-	machines int
-	length   time.Duration // of the traffic
-	kinds    []string
-	dark     bool // at last all lose power, and two core machines their disks
+	seed      uint64
+	machines  int
+	duration  time.Duration // of the traffic
+	kinds     []string
+	powerLoss bool // at last all lose power, and two core machines their disks
 }
 
-// short are the setups of a short run: one with all kinds of faults but that of an open
+// shortRun are the setups of a shortRun run: one with all kinds of faults but that of an open
 // one, and one without the restarts that mend what the others may leave behind.
-var short = []setup{
+var shortRun = []setup{
 	{66, 12, 27 * time.Second, withoutStutter, true},
 	{1, 12, 27 * time.Second, []string{"disown-calls"}, false},
 }
 
-// failed are the setups that have failed, each with its cause. Their kinds stand here,
+// failedSetups are the setups that have failedSetups, each with its cause. Their kinds stand here,
 // since another list of kinds draws another schedule from the same seed.
-var failed = []struct {
+var failedSetups = []struct {
 	cause string
 	setup setup
 }{
@@ -52,29 +52,29 @@
 }
 
 // setups returns those that the flags ask for.
-func setups() (us []setup) {
+func setups() (list []setup) {
 	if testing.Short() {
-		return short
+		return shortRun
 	}
-	if *again {
-		for _, f := range failed {
-			us = append(us, f.setup)
+	if *rerunFailed {
+		for _, f := range failedSetups {
+			list = append(list, f.setup)
 		}
-		return us
+		return list
 	}
-	for i := range *seeds {
-		us = append(us, setup{*firstSeed + uint64(i), *machines, time.Duration(*seconds) * time.Second, chosen(*only, *without), *dark})
+	for i := range *seedCount {
+		list = append(list, setup{*firstSeed + uint64(i), *machineCount, time.Duration(*trafficSeconds) * time.Second, selectKinds(*onlyKinds, *excludedKinds), *endWithPowerLoss})
 	}
-	return us
+	return list
 }
 
-// chosen returns the kinds of a comma-separated list, or all if it is empty, but for those
+// selectKinds returns the kinds of a comma-separated list, or all if it is empty, but for those
 // of another list.
-func chosen(only, without string) (list []string) {
-	list = kinds
+func selectKinds(only, without string) (list []string) {
+	list = faultKinds
 	if only != "" {
 		list = strings.Split(only, ",")
 	}
-	out := strings.Split(without, ",")
-	return slices.DeleteFunc(slices.Clone(list), func(k string) bool { return slices.Contains(out, k) })
+	excluded := strings.Split(without, ",")
+	return slices.DeleteFunc(slices.Clone(list), func(k string) bool { return slices.Contains(excluded, k) })
 }
