--- a/proof/audit_test.go
+++ b/proof/audit_test.go
@@ -15,18 +15,18 @@
 
 // attempt is one attempt at a task, as the workers' audits show it.
 type attempt struct {
-	vm, boot  string
-	task      string
-	token     uint64
-	from, to  int64 // Unix µs; to is the last sign of life
-	startUnit int64
-	lastUnit  int64
-	end       string // "" if the worker died
-	cpu, mem  int64
+	vm, boot       string
+	task           string
+	token          uint64
+	from, lastSeen int64 // Unix µs; to is the last sign of life
+	startUnit      int64
+	lastUnit       int64
+	outcome        string // "" if the worker died
+	cpu, mem       int64
 }
 
-// attempts gathers the audits' lines, in the order of their start.
-func attempts(t *testing.T, us []standin.Unit) []*attempt {
+// collectAttempts gathers the audits' lines, in the order of their start.
+func collectAttempts(t *testing.T, us []standin.Unit) []*attempt {
 	t.Helper()
 	type key struct {
 		boot, task string
@@ -43,11 +43,11 @@
 			byKey[k] = a
 			all = append(all, a)
 		}
-		a.to = max(a.to, u.To)
+		a.lastSeen = max(a.lastSeen, u.To)
 		a.lastUnit = max(a.lastUnit, u.Unit)
 		if u.What != "start" && u.What != "unit" {
-			assert.Equal(t, a.end, "", "task %s token %d ended twice", u.Task, u.Token)
-			a.end = u.What
+			assert.Equal(t, a.outcome, "", "task %s token %d ended twice", u.Task, u.Token)
+			a.outcome = u.What
 		}
 	}
 	slices.SortFunc(all, func(a, b *attempt) int { return cmp.Compare(a.from, b.from) })
@@ -56,7 +56,7 @@
 
 // checkCapacity checks that attempts never exceed a VM's room, and returns the
 // fullest that one was, as a share.
-func checkCapacity(t *testing.T, as []*attempt, cpu, mem int64) (fullest float64) {
+func checkCapacity(t *testing.T, as []*attempt, cpu, mem int64) (peak float64) {
 	t.Helper()
 	type event struct {
 		at       int64
@@ -64,7 +64,7 @@
 	}
 	byVM := map[string][]event{}
 	for _, a := range as {
-		byVM[a.vm] = append(byVM[a.vm], event{a.from, a.cpu, a.mem}, event{a.to, -a.cpu, -a.mem})
+		byVM[a.vm] = append(byVM[a.vm], event{a.from, a.cpu, a.mem}, event{a.lastSeen, -a.cpu, -a.mem})
 	}
 	for vm, es := range byVM {
 		slices.SortStableFunc(es, func(a, b event) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.cpu, b.cpu)) })
@@ -72,10 +72,10 @@
 		for _, e := range es {
 			c, m = c+e.cpu, m+e.mem
 			assert.Assert(t, c <= cpu && m <= mem, "%s holds %d milli and %d MB of %d and %d", vm, c, m, cpu, mem)
-			fullest = max(fullest, float64(c)/float64(cpu))
+			peak = max(peak, float64(c)/float64(cpu))
 		}
 	}
-	return fullest
+	return peak
 }
 
 // byTask groups attempts by task.
@@ -87,15 +87,15 @@
 	return m
 }
 
-// checkOnePlace checks that no two attempts at a task overlap, and that tokens
+// checkNoOverlap checks that no two attempts at a task overlap, and that tokens
 // rise and are used once.
-func checkOnePlace(t *testing.T, as []*attempt) {
+func checkNoOverlap(t *testing.T, as []*attempt) {
 	t.Helper()
 	for task, list := range byTask(as) {
 		for i, a := range list[1:] {
 			prev := list[i]
-			assert.Assert(t, a.from >= prev.to, "task %s ran on %s (token %d) until %d and on %s (token %d) from %d",
-				task, prev.vm, prev.token, prev.to, a.vm, a.token, a.from)
+			assert.Assert(t, a.from >= prev.lastSeen, "task %s ran on %s (token %d) until %d and on %s (token %d) from %d",
+				task, prev.vm, prev.token, prev.lastSeen, a.vm, a.token, a.from)
 			assert.Assert(t, a.token > prev.token, "task %s: token %d after %d", task, a.token, prev.token)
 		}
 	}
@@ -110,7 +110,7 @@
 	t.Helper()
 	for task, list := range byTask(as) {
 		for i, a := range list {
-			if a.end == "done" {
+			if a.outcome == "done" {
 				assert.Equal(t, a.lastUnit, units, "task %s is done at another unit", task)
 			}
 			if i == 0 {
@@ -118,23 +118,23 @@
 				continue
 			}
 			prev := list[i-1]
-			if prev.end == "done" {
+			if prev.outcome == "done" {
 				redone++
 			}
 			assert.Assert(t, a.startUnit <= prev.lastUnit, "task %s skipped units %d to %d", task, prev.lastUnit, a.startUnit)
-			if prev.end == "stopped" {
+			if prev.outcome == "stopped" {
 				assert.Equal(t, a.startUnit, prev.lastUnit, "task %s token %d was stopped and did not resume there: %s", task, prev.token, describe(list))
 				resumed++
 			}
 		}
-		assert.Equal(t, list[len(list)-1].end, "done", "task %s: %s", task, describe(list))
+		assert.Equal(t, list[len(list)-1].outcome, "done", "task %s: %s", task, describe(list))
 	}
 	return resumed, redone
 }
 
 func describe(list []*attempt) (s string) {
 	for _, a := range list {
-		s += fmt.Sprintf("[%s token %d units %d-%d %s] ", a.vm, a.token, a.startUnit, a.lastUnit, a.end)
+		s += fmt.Sprintf("[%s token %d units %d-%d %s] ", a.vm, a.token, a.startUnit, a.lastUnit, a.outcome)
 	}
 	return s
 }
--- a/proof/batch_test.go
+++ b/proof/batch_test.go
@@ -39,36 +39,36 @@
 // system has taken notice.
 type fault struct {
 	name string
-	do   func(ctx context.Context, t *testing.T, c *harness.Cluster)
+	run  func(ctx context.Context, t *testing.T, c *harness.Cluster)
 }
 
 var batchFaults = []fault{
 	{"the leader is killed", func(ctx context.Context, t *testing.T, c *harness.Cluster) {
-		l := leader(ctx, t, c, "")
+		l := waitLeader(ctx, t, c, "")
 		c.Proc(l).Kill()
-		leader(ctx, t, c, l)
+		waitLeader(ctx, t, c, l)
 		assert.NilError(t, c.StartProc(l))
 	}},
 	{"the leader is frozen and thaws under another", func(ctx context.Context, t *testing.T, c *harness.Cluster) {
-		l := leader(ctx, t, c, "")
+		l := waitLeader(ctx, t, c, "")
 		c.Proc(l).Freeze()
-		leader(ctx, t, c, l)
+		waitLeader(ctx, t, c, l)
 		c.Proc(l).Thaw()
 	}},
 	{"the leader is cut off in silence", func(ctx context.Context, t *testing.T, c *harness.Cluster) {
-		l := leader(ctx, t, c, "")
+		l := waitLeader(ctx, t, c, "")
 		c.Isolate(l)
-		leader(ctx, t, c, l)
+		waitLeader(ctx, t, c, l)
 		c.Rejoin(l)
 	}},
 	{"the leader can send and not hear", func(ctx context.Context, t *testing.T, c *harness.Cluster) {
-		l := leader(ctx, t, c, "")
-		for _, n := range controls {
+		l := waitLeader(ctx, t, c, "")
+		for _, n := range controlNames {
 			if n != l {
 				c.Link(n, l).CutOneWay(true)
 			}
 		}
-		leader(ctx, t, c, l)
+		waitLeader(ctx, t, c, l)
 		c.Rejoin(l)
 	}},
 	{"an agent is killed and back within its lease", func(_ context.Context, t *testing.T, c *harness.Cluster) {
@@ -112,11 +112,11 @@
 		waitVM(ctx, t, c, "vm3", true)
 	}},
 	{"a VM is killed whole, with the leader", func(ctx context.Context, t *testing.T, c *harness.Cluster) {
-		l := leader(ctx, t, c, "")
+		l := waitLeader(ctx, t, c, "")
 		c.Proc("a4").Kill()
 		c.Proc("w4").Kill()
 		c.Proc(l).Kill()
-		leader(ctx, t, c, l)
+		waitLeader(ctx, t, c, l)
 		waitVM(ctx, t, c, "vm4", false)
 		for _, n := range []string{l, "w4", "a4"} {
 			assert.NilError(t, c.StartProc(n))
@@ -150,8 +150,8 @@
 	}))
 }
 
-// checkDecided checks that control took exactly one end of each task.
-func checkDecided(ctx context.Context, t *testing.T, c *harness.Cluster, jobs []rudderfork.JobSpec) {
+// checkDoneOnce checks that control took exactly one end of each task.
+func checkDoneOnce(ctx context.Context, t *testing.T, c *harness.Cluster, jobs []rudderfork.JobSpec) {
 	t.Helper()
 	for _, j := range jobs {
 		d, err := c.Operator().Job(ctx, j.ID)
@@ -208,7 +208,7 @@
 	prove(t, "evicted work resumes exactly once", func() string {
 		return fmt.Sprintf("%d attempts stopped and resumed at their checkpoint, the end of every task taken once, %d ended on a VM that was lost before it could tell, and ran again from the last checkpoint known", resumed, redone)
 	})
-	ctx, c := start(t, batchOptions())
+	ctx, c := startCluster(t, batchOptions())
 	op := c.Operator()
 	var jobs []rudderfork.JobSpec
 	for i, f := range batchFaults {
@@ -219,7 +219,7 @@
 		assert.NilError(t, err)
 		waitStarted(ctx, t, c, job)
 		at := time.Now()
-		f.do(ctx, t, c)
+		f.run(ctx, t, c)
 		t.Logf("%s: noticed and put right after %v", f.name, time.Since(at).Round(time.Millisecond))
 	}
 	drain(ctx, t, c, "vm2")
@@ -229,17 +229,17 @@
 	}
 	us, err := c.Units()
 	assert.NilError(t, err)
-	as = attempts(t, us)
-	checkDecided(ctx, t, c, jobs)
+	as = collectAttempts(t, us)
+	checkDoneOnce(ctx, t, c, jobs)
 	fullest = checkCapacity(t, as, vmCPU, vmMemory)
-	checkOnePlace(t, as)
+	checkNoOverlap(t, as)
 	resumed, redone = checkResumes(t, as, taskUnits)
 	assert.Assert(t, resumed > 0)
 }
 
-// handOver are the points at which TestProveHandOver kills a process, with the
+// handOverPoints are the points at which TestProveHandOver kills a process, with the
 // role that has them.
-var handOver = []struct{ role, point string }{
+var handOverPoints = []struct{ role, point string }{
 	{"control", crash.ControlSave},
 	{"control", crash.ControlSaved},
 	{"control", crash.ControlApplied},
@@ -259,16 +259,16 @@
 	var as []*attempt
 	var resumed, redone int
 	prove(t, "a hand-over survives a kill at each step", func() string {
-		return fmt.Sprintf("%d named points, %d attempts at %d tasks, %d resumed, %d ended untold, none overlap", len(handOver), len(as), len(byTask(as)), resumed, redone)
+		return fmt.Sprintf("%d named points, %d attempts at %d tasks, %d resumed, %d ended untold, none overlap", len(handOverPoints), len(as), len(byTask(as)), resumed, redone)
 	})
 	opt := batchOptions()
 	opt.SnapshotEvery = 40
-	ctx, c := start(t, opt)
+	ctx, c := startCluster(t, opt)
 	op := c.Operator()
-	for i, h := range handOver {
+	for i, h := range handOverPoints {
 		victims := []string{"a1"}
 		if h.role == "control" {
-			victims = controls // whichever leads then
+			victims = controlNames // whichever leads then
 		}
 		for _, v := range victims {
 			c.Proc(v).Kill()
@@ -297,9 +297,9 @@
 	}
 	us, err := c.Units()
 	assert.NilError(t, err)
-	as = attempts(t, us)
+	as = collectAttempts(t, us)
 	checkCapacity(t, as, vmCPU, vmMemory)
-	checkOnePlace(t, as)
+	checkNoOverlap(t, as)
 	resumed, redone = checkResumes(t, as, handOverUnits)
 	assert.Assert(t, resumed > 0)
 }
@@ -309,7 +309,7 @@
 func drainUntilExit(ctx context.Context, t *testing.T, c *harness.Cluster, victims []string, prefix string) (jobs []rudderfork.JobSpec) {
 	t.Helper()
 	op := c.Operator()
-	off := true
+	undo := true
 	rounds := 0
 	assert.NilError(t, harness.Until(ctx, fmt.Sprint(victims, " to come to a point"), func() error {
 		for _, v := range victims {
@@ -327,9 +327,9 @@
 		rounds++
 		// Both may fail while the leader is ending. A job that was not taken is
 		// submitted again below.
-		_ = op.Drain(dctx, "vm1", off)
+		_ = op.Drain(dctx, "vm1", undo)
 		_, _ = op.Submit(dctx, jobs[len(jobs)-1])
-		off = !off
+		undo = !undo
 		time.Sleep(300 * time.Millisecond)
 		return errors.New("they run")
 	}))
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -26,16 +26,16 @@
 	"rudderfork.example/rudderfork/operator"
 )
 
-// access is one read or compare-and-set of a cell by an operator.
-type access struct {
+// cellInput is one read or compare-and-set of a cell by an operator.
+type cellInput struct {
 	cell  string
 	write bool
 	ifRev rudderfork.Revision
 	value int64
 }
 
-// result is what the operator got.
-type result struct {
+// cellOutput is what the operator got.
+type cellOutput struct {
 	ok    bool // a write that was accepted
 	rev   rudderfork.Revision
 	value int64
@@ -53,7 +53,7 @@
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		m := map[string][]porcupine.Operation{}
 		for _, op := range history {
-			k := op.Input.(access).cell
+			k := op.Input.(cellInput).cell
 			m[k] = append(m[k], op)
 		}
 		var parts [][]porcupine.Operation
@@ -64,7 +64,7 @@
 	},
 	Init: func() any { return cellState{value: 64} },
 	Step: func(st, in, out any) (bool, any) {
-		s, a, r := st.(cellState), in.(access), out.(result)
+		s, a, r := st.(cellState), in.(cellInput), out.(cellOutput)
 		switch {
 		case !a.write:
 			return r.rev == s.rev && r.value == s.value, s
@@ -78,12 +78,12 @@
 // operators edit cells at random, each with the revision it read, and resend
 // with the same id until they have an answer.
 type operators struct {
-	c      *harness.Cluster
-	mu     sync.Mutex
-	ops    []porcupine.Operation
-	won    int
-	lost   int
-	newest rudderfork.Revision
+	c             *harness.Cluster
+	mu            sync.Mutex
+	ops           []porcupine.Operation
+	acceptedEdits int
+	conflicts     int
+	newest        rudderfork.Revision
 }
 
 func (o *operators) run(ctx context.Context, t *testing.T, client int, stop <-chan struct{}) {
@@ -103,8 +103,8 @@
 			return
 		}
 		assert.Check(t, err)
-		o.note(client, from, access{cell: row}, result{rev: cell.Revision, value: cell.Value})
-		a := access{cell: row, write: true, ifRev: cell.Revision, value: rng.Int64N(10_000)}
+		o.record(client, from, cellInput{cell: row}, cellOutput{rev: cell.Revision, value: cell.Value})
+		a := cellInput{cell: row, write: true, ifRev: cell.Revision, value: rng.Int64N(10_000)}
 		from = time.Now().UnixNano()
 		res, err := op.Set(ctx, k, a.value, a.ifRev, operator.NewID())
 		if ctx.Err() != nil {
@@ -115,28 +115,28 @@
 			assert.Check(t, err)
 			return
 		}
-		o.note(client, from, a, result{ok: err == nil, rev: res.Revision})
+		o.record(client, from, a, cellOutput{ok: err == nil, rev: res.Revision})
 	}
 }
 
-func (o *operators) note(client int, from int64, a access, r result) {
+func (o *operators) record(client int, from int64, a cellInput, r cellOutput) {
 	to := time.Now().UnixNano()
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.ops = append(o.ops, porcupine.Operation{ClientId: client, Input: a, Output: r, Call: from, Return: to})
 	switch {
 	case a.write && r.ok:
-		o.won++
+		o.acceptedEdits++
 		o.newest = max(o.newest, r.rev)
 	case a.write:
-		o.lost++
+		o.conflicts++
 	}
 }
 
 func (o *operators) accepted() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.won
+	return o.acceptedEdits
 }
 
 // revision reads the table revision in force at an entry or agent; ok is false
@@ -158,9 +158,9 @@
 	return 0, false
 }
 
-// watch looks at the revision in force on every node, all the time, and reports
+// watchRevisions looks at the revision in force on every node, all the time, and reports
 // any that falls, also over a restart of the process.
-func watch(ctx context.Context, t *testing.T, c *harness.Cluster, nodes []string) {
+func watchRevisions(ctx context.Context, t *testing.T, c *harness.Cluster, nodes []string) {
 	highest := map[string]rudderfork.Revision{}
 	for ctx.Err() == nil {
 		for _, n := range nodes {
@@ -174,28 +174,28 @@
 }
 
 var configFaults = []fault{
-	{"the leader is killed", batchFaults[0].do},
-	{"the leader is frozen and thaws under another", batchFaults[1].do},
-	{"the leader is cut off in silence", batchFaults[2].do},
-	{"the leader can send and not hear", batchFaults[3].do},
+	{"the leader is killed", batchFaults[0].run},
+	{"the leader is frozen and thaws under another", batchFaults[1].run},
+	{"the leader is cut off in silence", batchFaults[2].run},
+	{"the leader can send and not hear", batchFaults[3].run},
 	{"operators' answers are lost", func(ctx context.Context, t *testing.T, c *harness.Cluster) {
-		for _, n := range controls {
+		for _, n := range controlNames {
 			c.Link("op", n).LoseAnswers(100)
 		}
 		time.Sleep(time.Second)
-		for _, n := range controls {
+		for _, n := range controlNames {
 			c.Link("op", n).Heal()
 		}
-		leader(ctx, t, c, "")
+		waitLeader(ctx, t, c, "")
 	}},
 	{"all control processes are killed at once", func(ctx context.Context, t *testing.T, c *harness.Cluster) {
-		for _, n := range controls {
+		for _, n := range controlNames {
 			c.Proc(n).Kill()
 		}
-		for _, n := range controls {
+		for _, n := range controlNames {
 			assert.NilError(t, c.StartProc(n))
 		}
-		leader(ctx, t, c, "")
+		waitLeader(ctx, t, c, "")
 	}},
 	{"an entry and an agent are killed", func(_ context.Context, t *testing.T, c *harness.Cluster) {
 		for _, n := range []string{"e1", "a1"} {
@@ -211,7 +211,7 @@
 		c.Proc("c3").Kill()
 		flipBit(t, c.Data("c3"))
 		assert.NilError(t, c.StartProc("c3"))
-		waitMember(ctx, t, c, "c3")
+		waitVoter(ctx, t, c, "c3")
 	}},
 	{"an entry restarts while control cannot be reached", func(_ context.Context, t *testing.T, c *harness.Cluster) {
 		c.Isolate("e2")
@@ -230,18 +230,18 @@
 	c.Proc(name).Kill()
 	assert.NilError(t, os.RemoveAll(c.Data(name)))
 	assert.NilError(t, c.StartProc(name))
-	waitMember(ctx, t, c, name)
+	waitVoter(ctx, t, c, name)
 }
 
-// waitMember waits until the newest life of name votes and no other does.
-func waitMember(ctx context.Context, t *testing.T, c *harness.Cluster, name string) {
+// waitVoter waits until the newest life of name votes and no other does.
+func waitVoter(ctx context.Context, t *testing.T, c *harness.Cluster, name string) {
 	t.Helper()
 	assert.NilError(t, harness.Until(ctx, name+" to be a voter again", func() error {
 		self, err := status(ctx, c, name)
 		if err != nil {
 			return err
 		}
-		st, err := status(ctx, c, leader(ctx, t, c, ""))
+		st, err := status(ctx, c, waitLeader(ctx, t, c, ""))
 		if err != nil {
 			return err
 		}
@@ -253,7 +253,7 @@
 				found = found || m.ID == self.ID
 			}
 		}
-		if !found || voters != len(controls) {
+		if !found || voters != len(controlNames) {
 			return fmt.Errorf("the members are %v", st.Members)
 		}
 		return nil
@@ -282,14 +282,14 @@
 			len(times), times[len(times)/2].Round(time.Millisecond), times[len(times)-1].Round(time.Millisecond), len(configFaults))
 	})
 	prove(t, "no accepted edit is lost", func() string {
-		return fmt.Sprintf("%d reads and edits by 4 operators are linearizable, %d edits won, %d lost a race", len(o.ops), o.won, o.lost)
+		return fmt.Sprintf("%d reads and edits by 4 operators are linearizable, %d edits won, %d lost a race", len(o.ops), o.acceptedEdits, o.conflicts)
 	})
-	ctx, c := start(t, harness.Options{Agents: 3, Entries: 2, SnapshotEvery: 300})
+	ctx, c := startCluster(t, harness.Options{Agents: 3, Entries: 2, SnapshotEvery: 300})
 	o.c = c
 	nodes := []string{"e1", "e2", "a1", "a2", "a3"}
 	var wg sync.WaitGroup
-	watched, endWatch := context.WithCancel(ctx)
-	wg.Go(func() { watch(watched, t, c, nodes) })
+	watchCtx, stopWatch := context.WithCancel(ctx)
+	wg.Go(func() { watchRevisions(watchCtx, t, c, nodes) })
 	stop := make(chan struct{})
 	var editing sync.WaitGroup
 	for i := range 4 {
@@ -297,7 +297,7 @@
 	}
 	for _, f := range configFaults {
 		at := time.Now()
-		f.do(ctx, t, c)
+		f.run(ctx, t, c)
 		t.Logf("%s: put right after %v", f.name, time.Since(at).Round(time.Millisecond))
 		times = append(times, timeInForce(ctx, t, c, nodes, len(times)))
 	}
@@ -310,14 +310,14 @@
 	close(stop)
 	editing.Wait()
 	// Restart after more than 1,000 changes.
-	for _, n := range controls {
+	for _, n := range controlNames {
 		c.Proc(n).Kill()
 	}
-	for _, n := range controls {
+	for _, n := range controlNames {
 		assert.NilError(t, c.StartProc(n))
 	}
 	times = append(times, timeInForce(ctx, t, c, nodes, len(times)))
-	endWatch()
+	stopWatch()
 	wg.Wait()
 	o.finalReads(ctx, t)
 	res := porcupine.CheckOperationsTimeout(cellModel, o.ops, time.Minute)
@@ -332,7 +332,7 @@
 		from := time.Now().UnixNano()
 		cell, err := o.c.Operator().Cell(ctx, rudderfork.CellKey{Kind: rudderfork.RowService, Row: row, Column: rudderfork.ColQueue})
 		assert.NilError(t, err)
-		o.note(9, from, access{cell: row}, result{rev: cell.Revision, value: cell.Value})
+		o.record(9, from, cellInput{cell: row}, cellOutput{rev: cell.Revision, value: cell.Value})
 	}
 }
 
--- a/proof/input_test.go
+++ b/proof/input_test.go
@@ -27,7 +27,7 @@
 	return cmd.ProcessState.ExitCode(), b.String()
 }
 
-func checkLine(t *testing.T, got string, want ...string) {
+func checkOutput(t *testing.T, got string, want ...string) {
 	t.Helper()
 	assert.Assert(t, !strings.Contains(got, "panic"), "%s", got)
 	for _, w := range want {
@@ -38,7 +38,7 @@
 // TestBadInput gives every kind of bad input: each gets one clear line that says
 // what and where.
 func TestBadInput(t *testing.T) {
-	ctx, c := start(t, harness.Options{Agents: 1, Entries: 1})
+	ctx, c := startCluster(t, harness.Options{Agents: 1, Entries: 1})
 	control := strings.Join(c.ControlAddrs(), ",")
 	bad := filepath.Join(t.TempDir(), "bad.ini")
 	assert.NilError(t, os.WriteFile(bad, []byte("[place]\nvm = v m\n[entry]\nname = e\nlisten = here\nbeat = -1s\n"), 0o644))
@@ -47,13 +47,13 @@
 		for _, args := range [][]string{{"rudder-entry", "run", "-settings", bad}, {"rudder-entry", "check", "-settings", bad}, {"rudderctl", "check", "entry", bad}} {
 			code, out := runProgram(t, args[0], args[1:]...)
 			assert.Equal(t, code, 2, "%v", args)
-			checkLine(t, out, "bad.ini: [place] vm", "bad.ini: [place] domain: is missing", `[entry] listen: "here" is not an address`, `[entry] beat: "-1s"`, "[entry] admin", "[entry] control")
+			checkOutput(t, out, "bad.ini: [place] vm", "bad.ini: [place] domain: is missing", `[entry] listen: "here" is not an address`, `[entry] beat: "-1s"`, "[entry] admin", "[entry] control")
 		}
 	})
 	t.Run("unreachable control", func(t *testing.T) {
 		code, out := runProgram(t, "rudderctl", "-control", "127.0.0.1:1", "-timeout", "300ms", "vms")
 		assert.Equal(t, code, 1)
-		checkLine(t, out, "GET /v1/vms", "127.0.0.1:1")
+		checkOutput(t, out, "GET /v1/vms", "127.0.0.1:1")
 	})
 	t.Run("taken port", func(t *testing.T) {
 		taken := filepath.Join(t.TempDir(), "taken.ini")
@@ -61,19 +61,19 @@
 		assert.NilError(t, os.WriteFile(taken, []byte(text), 0o644))
 		code, out := runProgram(t, "rudder-entry", "run", "-settings", taken)
 		assert.Equal(t, code, 1)
-		checkLine(t, out, "entry e", c.Proc("e1").Listen(), "address already in use")
+		checkOutput(t, out, "entry e", c.Proc("e1").Listen(), "address already in use")
 	})
 	t.Run("impossible number", func(t *testing.T) {
 		code, out := runProgram(t, "rudderctl", "-control", control, "set", "service/tour-desk/slots=0")
 		assert.Equal(t, code, 1)
-		checkLine(t, out, "service/tour-desk/slots: 0 is out of range; want 1 to 64")
+		checkOutput(t, out, "service/tour-desk/slots: 0 is out of range; want 1 to 64")
 	})
 	t.Run("unknown column", func(t *testing.T) {
 		_, out := runProgram(t, "rudderctl", "-control", control, "set", "service/tour-desk/wieght=1")
-		checkLine(t, out, `has no column "wieght"; want one of weight, slots`)
+		checkOutput(t, out, `has no column "wieght"; want one of weight, slots`)
 	})
 	post := func(body string) (int, string) {
-		resp, err := http.Post("http://"+c.Proc(leader(ctx, t, c, "")).Listen()+"/v1/jobs", "application/json", strings.NewReader(body))
+		resp, err := http.Post("http://"+c.Proc(waitLeader(ctx, t, c, "")).Listen()+"/v1/jobs", "application/json", strings.NewReader(body))
 		assert.NilError(t, err)
 		defer resp.Body.Close()
 		b, err := io.ReadAll(resp.Body)
@@ -83,12 +83,12 @@
 	t.Run("malformed body", func(t *testing.T) {
 		code, out := post(`{"id": `)
 		assert.Equal(t, code, http.StatusBadRequest)
-		checkLine(t, out, "body: unexpected EOF", `"ran":"no"`)
+		checkOutput(t, out, "body: unexpected EOF", `"ran":"no"`)
 	})
 	t.Run("oversize body", func(t *testing.T) {
 		code, out := post(`{"id": "` + strings.Repeat("x", 2<<20) + `"}`)
 		assert.Equal(t, code, http.StatusRequestEntityTooLarge)
-		checkLine(t, out, "larger than 1048576 bytes")
+		checkOutput(t, out, "larger than 1048576 bytes")
 	})
 	t.Run("oversize body of a keyed request", func(t *testing.T) {
 		a := c.Caller("e1").Do(ctx, http.MethodPost, "/echo", map[string]string{"Idempotency-Key": "big"}, strings.NewReader(strings.Repeat("x", 2<<20)))
--- a/proof/main_test.go
+++ b/proof/main_test.go
@@ -22,8 +22,8 @@
 // testLimit bounds one proof. It ends a proof that hangs; no promise rests on it.
 const testLimit = 100 * time.Second
 
-// start starts a cluster and waits until it serves.
-func start(t *testing.T, opt harness.Options) (context.Context, *harness.Cluster) {
+// startCluster starts a cluster and waits until it serves.
+func startCluster(t *testing.T, opt harness.Options) (context.Context, *harness.Cluster) {
 	t.Helper()
 	bin := os.Getenv("RUDDER_BIN")
 	assert.Assert(t, bin != "", "RUDDER_BIN names the folder of the programs; run make real or make prove")
@@ -43,26 +43,26 @@
 }
 
 // prove prints the line of a promise when the test ends.
-func prove(t *testing.T, promise string, figures func() string) {
+func prove(t *testing.T, guarantee string, figures func() string) {
 	t.Helper()
 	t.Cleanup(func() {
 		if t.Failed() {
-			fmt.Printf("FAILED %s\n", promise)
+			fmt.Printf("FAILED %s\n", guarantee)
 			return
 		}
-		fmt.Printf("PROVED %s: %s\n", promise, figures())
+		fmt.Printf("PROVED %s: %s\n", guarantee, figures())
 	})
 }
 
-// controls are the names of the control processes.
-var controls = []string{"c1", "c2", "c3"}
+// controlNames are the names of the control processes.
+var controlNames = []string{"c1", "c2", "c3"}
 
-// leader waits for a settled leader and returns its name; not is left out.
-func leader(ctx context.Context, t *testing.T, c *harness.Cluster, not string) (name string) {
+// waitLeader waits for a settled waitLeader and returns its name; not is left out.
+func waitLeader(ctx context.Context, t *testing.T, c *harness.Cluster, except string) (name string) {
 	t.Helper()
 	assert.NilError(t, harness.Until(ctx, "a leader", func() error {
-		for _, n := range controls {
-			if n == not || !c.Proc(n).Running() {
+		for _, n := range controlNames {
+			if n == except || !c.Proc(n).Running() {
 				continue
 			}
 			if st, err := status(ctx, c, n); err == nil && st.Role == "leader" && st.Ready {
--- a/proof/requests_test.go
+++ b/proof/requests_test.go
@@ -20,52 +20,52 @@
 	"rudderfork.example/rudderfork/operator"
 )
 
-// spell is how long a fault on the request path lasts: many requests long.
-const spell = 700 * time.Millisecond
+// faultDuration is how long a fault on the request path lasts: many requests long.
+const faultDuration = 700 * time.Millisecond
 
-// during breaks something for a spell.
-func during(broken, mended func(c *harness.Cluster)) func(context.Context, *testing.T, *harness.Cluster) {
+// timedFault breaks something for a spell.
+func timedFault(inject, heal func(c *harness.Cluster)) func(context.Context, *testing.T, *harness.Cluster) {
 	return func(_ context.Context, _ *testing.T, c *harness.Cluster) {
-		broken(c)
-		time.Sleep(spell)
-		mended(c)
+		inject(c)
+		time.Sleep(faultDuration)
+		heal(c)
 	}
 }
 
-func killed(name string) fault {
+func killFault(name string) fault {
 	return fault{name + " is killed", func(_ context.Context, t *testing.T, c *harness.Cluster) {
 		c.Proc(name).Kill()
-		time.Sleep(spell)
+		time.Sleep(faultDuration)
 		assert.NilError(t, c.StartProc(name))
 	}}
 }
 
-func frozen(name string) fault {
-	return fault{name + " is frozen", during(
+func freezeFault(name string) fault {
+	return fault{name + " is frozen", timedFault(
 		func(c *harness.Cluster) { c.Proc(name).Freeze() }, func(c *harness.Cluster) { c.Proc(name).Thaw() })}
 }
 
-func cut(from, to string) fault {
-	return fault{from + ">" + to + " is cut", during(
+func cutFault(from, to string) fault {
+	return fault{from + ">" + to + " is cut", timedFault(
 		func(c *harness.Cluster) { c.Link(from, to).Cut() }, func(c *harness.Cluster) { c.Link(from, to).Heal() })}
 }
 
-func deaf(from, to string) fault {
-	return fault{"answers on " + from + ">" + to + " are lost", during(
+func responseLossFault(from, to string) fault {
+	return fault{"answers on " + from + ">" + to + " are lost", timedFault(
 		func(c *harness.Cluster) { c.Link(from, to).CutOneWay(false) }, func(c *harness.Cluster) { c.Link(from, to).Heal() })}
 }
 
-func short(from, to string, bytes int) fault {
-	return fault{fmt.Sprintf("answers on %s>%s end after %d bytes", from, to, bytes), during(
+func truncationFault(from, to string, bytes int) fault {
+	return fault{fmt.Sprintf("answers on %s>%s end after %d bytes", from, to, bytes), timedFault(
 		func(c *harness.Cluster) { c.Link(from, to).LoseAnswers(bytes) }, func(c *harness.Cluster) { c.Link(from, to).Heal() })}
 }
 
-func late(from, to string) fault {
-	return fault{from + ">" + to + " is late and out of order", during(
+func delayFault(from, to string) fault {
+	return fault{from + ">" + to + " is late and out of order", timedFault(
 		func(c *harness.Cluster) { c.Link(from, to).Delay(30, 60) }, func(c *harness.Cluster) { c.Link(from, to).Heal() })}
 }
 
-func crashes(name, point string) fault {
+func crashFault(name, point string) fault {
 	return fault{name + " dies at " + point, func(ctx context.Context, t *testing.T, c *harness.Cluster) {
 		c.Proc(name).Kill()
 		assert.NilError(t, c.StartWith(name, point))
@@ -87,17 +87,17 @@
 		}
 	}
 	set(1, 0)
-	time.Sleep(spell)
+	time.Sleep(faultDuration)
 	set(8, 64)
 }
 
-// allDown kills all upstreams for a spell.
-func allDown(_ context.Context, t *testing.T, c *harness.Cluster) {
+// killUpstreams kills all upstreams for a spell.
+func killUpstreams(_ context.Context, t *testing.T, c *harness.Cluster) {
 	ups := []string{"u1", "u2", "u3"}
 	for _, u := range ups {
 		c.Proc(u).Kill()
 	}
-	time.Sleep(spell)
+	time.Sleep(faultDuration)
 	for _, u := range ups {
 		assert.NilError(t, c.StartProc(u))
 	}
@@ -106,16 +106,16 @@
 // requestFaults but the first two leave e2 and vm3 alone, so that there is a way.
 var requestFaults = []fault{
 	{"the upstreams are overloaded", overload},
-	{"all upstreams are killed", allDown},
-	killed("u1"), killed("a1"), killed("e1"),
-	frozen("u1"), frozen("a2"), frozen("e1"),
-	cut("e", "a1"), deaf("e", "a2"), short("e", "a1", 150), late("e", "a2"),
-	cut("a1", "u1"), deaf("a2", "u2"), short("a1", "u1", 150), late("a1", "u1"),
-	cut("e1", "c1"),
-	crashes("e1", crash.EntryClaimed), crashes("e1", crash.EntrySent), crashes("e1", crash.EntryAnswered),
-	crashes("a1", crash.AgentBegun), crashes("a1", crash.AgentForwarded),
-	{"the leader is killed", batchFaults[0].do},
-	{"the leader is cut off", batchFaults[2].do},
+	{"all upstreams are killed", killUpstreams},
+	killFault("u1"), killFault("a1"), killFault("e1"),
+	freezeFault("u1"), freezeFault("a2"), freezeFault("e1"),
+	cutFault("e", "a1"), responseLossFault("e", "a2"), truncationFault("e", "a1", 150), delayFault("e", "a2"),
+	cutFault("a1", "u1"), responseLossFault("a2", "u2"), truncationFault("a1", "u1", 150), delayFault("a1", "u1"),
+	cutFault("e1", "c1"),
+	crashFault("e1", crash.EntryClaimed), crashFault("e1", crash.EntrySent), crashFault("e1", crash.EntryAnswered),
+	crashFault("a1", crash.AgentBegun), crashFault("a1", crash.AgentForwarded),
+	{"the leader is killed", batchFaults[0].run},
+	{"the leader is cut off", batchFaults[2].run},
 }
 
 // TestProveRequests proves the three promises about requests while callers hold
@@ -131,11 +131,11 @@
 	prove(t, "a keyed request runs at most once", func() string {
 		return fmt.Sprintf("%d keyed holds, each resent up to 5 times through other entries, none ran twice, %d were answered", keyed.Answered+keyed.Refused+keyed.Unknown, keyed.Answered)
 	})
-	ctx, c := start(t, harness.Options{Agents: 3, Entries: 2})
+	ctx, c := startCluster(t, harness.Options{Agents: 3, Entries: 2})
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
-	const endless = 1 << 20
-	load := harness.Load{Callers: 6, PerCaller: endless, Stop: stop, Pause: 3 * time.Millisecond, Timeout: 3 * time.Second}
+	const unlimited = 1 << 20
+	load := harness.Load{Callers: 6, PerCaller: unlimited, Stop: stop, Pause: 3 * time.Millisecond, Timeout: 3 * time.Second}
 	wg.Go(func() {
 		l := load
 		l.Prefix, l.Keyed, l.Resend = "k", true, 5
@@ -153,7 +153,7 @@
 	})
 	for _, f := range requestFaults {
 		at := time.Now()
-		f.do(ctx, t, c)
+		f.run(ctx, t, c)
 		t.Logf("%s: put right after %v", f.name, time.Since(at).Round(time.Millisecond))
 	}
 	close(stop)
@@ -175,8 +175,8 @@
 	assert.Assert(t, keyed.Answered > 500 && len(keyed.NotRunIDs)+len(plain.NotRunIDs) > 0, "too little was tried: %d holds", keyed.Answered)
 }
 
-// leave tells the platform that a VM leaves, and returns when it did.
-func leave(t *testing.T, c *harness.Cluster, vm string) time.Time {
+// startLeaving tells the platform that a VM leaves, and returns when it did.
+func startLeaving(t *testing.T, c *harness.Cluster, vm string) time.Time {
 	t.Helper()
 	at := time.Now()
 	resp, err := http.Post("http://"+c.Proc("platform").Listen()+"/vms/"+vm+"/leave", "", nil)
@@ -185,8 +185,8 @@
 	return at
 }
 
-// lastRun returns when the last request began on a VM's upstream.
-func lastRun(t *testing.T, c *harness.Cluster, vm string) (last time.Time) {
+// lastRequestStart returns when the last request began on a VM's upstream.
+func lastRequestStart(t *testing.T, c *harness.Cluster, vm string) (last time.Time) {
 	t.Helper()
 	rs, err := c.RequestStarts()
 	assert.NilError(t, err)
@@ -202,36 +202,36 @@
 // seconds, although the platform's list lags by one, and with control's leader
 // killed meanwhile.
 func TestProveLeaving(t *testing.T) {
-	const lag, few = time.Second, 5 * time.Second
-	var after [2]time.Duration
+	const lag, maxDelay = time.Second, 5 * time.Second
+	var delays [2]time.Duration
 	var calls *harness.Calls
 	prove(t, "a leaving upstream gets no new work after a few seconds", func() string {
 		return fmt.Sprintf("last request %v after it began to leave, %v with the leader killed meanwhile (list lags by %v); of %d requests %d were refused",
-			after[0].Round(time.Millisecond), after[1].Round(time.Millisecond), lag, calls.Answered+calls.Refused+calls.Unknown, calls.Refused)
+			delays[0].Round(time.Millisecond), delays[1].Round(time.Millisecond), lag, calls.Answered+calls.Refused+calls.Unknown, calls.Refused)
 	})
-	ctx, c := start(t, harness.Options{Agents: 4, Entries: 2, PlatformLag: lag})
+	ctx, c := startCluster(t, harness.Options{Agents: 4, Entries: 2, PlatformLag: lag})
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		calls = c.RunLoad(ctx, harness.Load{Callers: 8, PerCaller: 1 << 20, Prefix: "l", Stop: stop})
 	})
 	for i, vm := range []string{"vm1", "vm2"} {
-		at := leave(t, c, vm)
+		at := startLeaving(t, c, vm)
 		if i == 1 {
-			l := leader(ctx, t, c, "")
+			l := waitLeader(ctx, t, c, "")
 			c.Proc(l).Kill()
-			leader(ctx, t, c, l)
+			waitLeader(ctx, t, c, l)
 		}
 		waitDraining(ctx, t, c, vm)
 		// It is quiet when nothing has begun there for a while.
 		assert.NilError(t, harness.Until(ctx, vm+" to be quiet", func() error {
-			if quiet := time.Since(lastRun(t, c, vm)); quiet < 2*time.Second {
+			if quiet := time.Since(lastRequestStart(t, c, vm)); quiet < 2*time.Second {
 				return fmt.Errorf("quiet for %v", quiet)
 			}
 			return nil
 		}))
-		after[i] = lastRun(t, c, vm).Sub(at)
-		assert.Assert(t, after[i] < few, "%s got work %v after it began to leave", vm, after[i])
+		delays[i] = lastRequestStart(t, c, vm).Sub(at)
+		assert.Assert(t, delays[i] < maxDelay, "%s got work %v after it began to leave", vm, delays[i])
 	}
 	close(stop)
 	wg.Wait()
@@ -263,7 +263,7 @@
 	prove(t, "a planned stop cuts off nothing in progress", func() string {
 		return fmt.Sprintf("an entry, two agents and the leader stopped under load: %d holds and %d feeds, all whole", calls.Answered, feeds)
 	})
-	ctx, c := start(t, harness.Options{Agents: 3, Entries: 2})
+	ctx, c := startCluster(t, harness.Options{Agents: 3, Entries: 2})
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	wg.Go(func() {
@@ -276,7 +276,7 @@
 	waitFeeds(ctx, t, c, feeds)
 	for _, name := range stops {
 		if name == "" {
-			name = leader(ctx, t, c, "")
+			name = waitLeader(ctx, t, c, "")
 		}
 		c.Proc(name).Term()
 		waitExit(ctx, t, c, name)
--- a/proof/silence_test.go
+++ b/proof/silence_test.go
@@ -16,21 +16,21 @@
 const (
 	// silenceRounds is how often the connections fall silent.
 	silenceRounds = 2
-	// callerPatience is after how long a caller gives up a connection of its own: one
+	// callerTimeout is after how long a caller gives up a connection of its own: one
 	// that has gone silent on the way to an entry only the caller can notice.
-	callerPatience = 3 * time.Second
+	callerTimeout = 3 * time.Second
 )
 
-// silences are the kinds of processes whose connections fall silent together.
-var silences = []struct {
-	among    []string
-	patience time.Duration // of the caller; none if it is 0
+// silenceCases are the kinds of processes whose connections fall silent together.
+var silenceCases = []struct {
+	kinds   []string
+	timeout time.Duration // of the caller; none if it is 0
 }{
-	{among: []string{"c"}},
-	{among: []string{"c", "e", "a"}},
-	{among: []string{"e", "a"}},
-	{among: []string{"c", "e", "a", "u", "w", "op"}},
-	{among: []string{"caller", "c", "e", "a"}, patience: callerPatience},
+	{kinds: []string{"c"}},
+	{kinds: []string{"c", "e", "a"}},
+	{kinds: []string{"e", "a"}},
+	{kinds: []string{"c", "e", "a", "u", "w", "op"}},
+	{kinds: []string{"caller", "c", "e", "a"}, timeout: callerTimeout},
 }
 
 // TestProveSilence makes open connections silent for good while new ones work:
@@ -39,35 +39,35 @@
 // Edits must come into force on every node,
 // seats must be held, and each held seat was held by one run of its request.
 func TestProveSilence(t *testing.T) {
-	ctx, c := start(t, harness.Options{})
+	ctx, c := startCluster(t, harness.Options{})
 	prove(t, "silent connections stop neither edits nor holds", func() string {
-		return fmt.Sprintf("%d rounds of %d kinds", silenceRounds, len(silences))
+		return fmt.Sprintf("%d rounds of %d kinds", silenceRounds, len(silenceCases))
 	})
 	nodes := []string{"e1", "e2", "a1", "a2", "a3"}
 	caller := c.Caller("e1")
 	held := 0
 	for round := range silenceRounds {
-		for i, s := range silences {
-			n := round*len(silences) + i
-			c.Blackhole(s.among...)
+		for i, s := range silenceCases {
+			n := round*len(silenceCases) + i
+			c.Blackhole(s.kinds...)
 			timeInForce(ctx, t, c, nodes, n)
-			held += holdUntilAnswered(ctx, t, caller, n, s.patience)
+			held += holdUntilAnswered(ctx, t, caller, n, s.timeout)
 		}
 	}
-	assert.Equal(t, held, silenceRounds*len(silences))
-	assertRunOnce(t, c)
+	assert.Equal(t, held, silenceRounds*len(silenceCases))
+	assertRunAtMostOnce(t, c)
 }
 
 // holdUntilAnswered sends one keyed hold again and again until it is answered. Each
 // has no deadline if patience is 0.
-func holdUntilAnswered(ctx context.Context, t *testing.T, cl *harness.Caller, n int, patience time.Duration) (answered int) {
+func holdUntilAnswered(ctx context.Context, t *testing.T, cl *harness.Caller, n int, timeout time.Duration) (answered int) {
 	t.Helper()
 	seat := fmt.Sprintf("silent-%d", n)
 	assert.NilError(t, harness.Until(ctx, "a hold of "+seat, func() error {
 		ctx := ctx
-		if patience > 0 {
+		if timeout > 0 {
 			var cancel context.CancelFunc
-			ctx, cancel = context.WithTimeout(ctx, patience)
+			ctx, cancel = context.WithTimeout(ctx, timeout)
 			defer cancel()
 		}
 		_, err := cl.Hold(ctx, seat, "key-"+seat, seat)
@@ -76,8 +76,8 @@
 	return 1
 }
 
-// assertRunOnce asserts that no request ran twice.
-func assertRunOnce(t *testing.T, c *harness.Cluster) {
+// assertRunAtMostOnce asserts that no request ran twice.
+func assertRunAtMostOnce(t *testing.T, c *harness.Cluster) {
 	t.Helper()
 	runs, err := c.HoldCounts()
 	assert.NilError(t, err)
