--- a/soak/clients_test.go
+++ b/soak/clients_test.go
@@ -16,35 +16,37 @@
 )
 
 const (
+	// The path prefixes of the queues of short and of lasting jobs.
 	shortQueue, lastingQueue = "/short/", "/lasts/"
 
-	queueHost          = "desk.example"
-	lastingCPU         = 500
-	shortCPU           = 1000
-	lastingTasks       = 14
-	callTimeout        = time.Second // after which a client tries elsewhere
-	submitAttempts     = 20
-	countInterval      = 300 * time.Millisecond
-	stateInterval      = 50 * time.Millisecond
-	burstInterval      = 15 * time.Second
-	lastBurstBeforeEnd = powerLossBeforeEnd + 500*time.Millisecond // before the traffic ends
-	meanJobWork        = 4.5                                       // core-seconds a job
-	baseUtilization    = 0.3                                       // of the room
-	burstWork          = 5.0                                       // seconds of all room
+	queueHost          = "desk.example"                            // host of both queues
+	lastingCPU         = 500                                       // of a lasting task, in thousandths of a core
+	shortCPU           = 1000                                      // of a short task, in thousandths of a core
+	lastingTasks       = 14                                        // tasks of a lasting job
+	callTimeout        = time.Second                               // then a client tries the next entry
+	submitAttempts     = 20                                        // most calls that submit one job
+	countInterval      = 300 * time.Millisecond                    // between two queries of a count
+	stateInterval      = 50 * time.Millisecond                     // between two queries of job states
+	burstInterval      = 15 * time.Second                          // between two bursts of jobs
+	lastBurstBeforeEnd = powerLossBeforeEnd + 500*time.Millisecond // from the last burst to the end of the traffic
+	meanJobWork        = 4.5                                       // mean work of a short job, in core-seconds
+	baseUtilization    = 0.3 // share of the capacity for short jobs that those outside bursts take on average
+	burstWork          = 5.0 // work of a burst, in seconds of the capacity for short jobs
 )
 
-// clients hand in jobs, ask for states and for counts.
+// clients submits jobs, and queries the states of jobs and the counts of queues.
 type clients struct {
 	site     *site
 	checker  *checker
 	rnd      *rand.Rand
 	seed     uint64
-	created  int
-	accepted atomic.Int64
-	rejected atomic.Int64
+	created  int          // number of jobs created so far, part of the job IDs
+	accepted atomic.Int64 // number of accepted jobs
+	rejected atomic.Int64 // number of rejections
 	wg       sync.WaitGroup
 }
 
+// call sends one request to an entry. The status is 0 if there was no answer.
 func (c *clients) call(ctx context.Context, entry int, method, path string, body any) (status int, answer []byte) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -55,7 +57,8 @@
 	return status, answer
 }
 
-// submit hands in a job as the pages say: again elsewhere while there is no clear answer.
+// submit submits a job as the documentation asks of clients: it retries at the next entry
+// while there is no clear answer. It also retries a rejected lasting job.
 func (c *clients) submit(ctx context.Context, j *job, body any, firstEntry int) {
 	c.checker.addJob(j)
 	backoff := 100 * time.Millisecond
@@ -76,7 +79,7 @@
 	}
 }
 
-// submitRandom hands in a job drawn from the seed.
+// submitRandom submits the next job in the background. The size of a short job is random.
 func (c *clients) submitRandom(ctx context.Context, lasting bool) {
 	c.created++
 	j := &job{id: fmt.Sprintf("%08x%08x", c.seed, c.created), queue: shortQueue, cpu: shortCPU}
@@ -99,7 +102,8 @@
 	c.wg.Go(func() { c.submit(ctx, j, body, firstEntry) })
 }
 
-// runTraffic hands in jobs for a time: a third of the room in the mean, and bursts.
+// runTraffic submits jobs for the duration d: the lasting jobs first, then short ones that
+// take about a third of the remaining capacity on average, and bursts of short ones.
 func (c *clients) runTraffic(ctx context.Context, d time.Duration, machines int) {
 	for range max(1, machines/6) {
 		c.submitRandom(ctx, true)
@@ -119,7 +123,8 @@
 	}
 }
 
-// startQueries asks each entry for counts and states until ctx ends.
+// startQueries queries counts and states at each entry, and polls the executors, until ctx
+// ends.
 func (c *clients) startQueries(ctx context.Context) {
 	for e := range entryCount {
 		name := fmt.Sprintf("edge-%d", e+1)
@@ -149,6 +154,7 @@
 	})
 }
 
+// repeat calls fn with a pause of d in between until ctx ends.
 func (*clients) repeat(ctx context.Context, d time.Duration, fn func()) {
 	for ctx.Err() == nil {
 		fn()
@@ -159,6 +165,7 @@
 	}
 }
 
+// queryCount queries an entry for the number of waiting jobs of a queue, and checks it.
 func (c *clients) queryCount(ctx context.Context, entry int, name, queue string) {
 	askedAt := time.Now()
 	status, answer := c.call(ctx, entry, http.MethodGet, queue, nil)
@@ -170,6 +177,8 @@
 	}
 }
 
+// queryState queries an entry for the state of a job, and checks it. The status is 0 if
+// there was no answer.
 func (c *clients) queryState(ctx context.Context, entry int, j *job) (status int) {
 	askedAt := time.Now()
 	status, answer := c.call(ctx, entry, http.MethodGet, j.queue+j.id, nil)
@@ -177,7 +186,7 @@
 		State string `json:"state"`
 	}
 	if status != 0 {
-		_ = json.Unmarshal(answer, &b) // a refusal has no state
+		_ = json.Unmarshal(answer, &b) // an error answer has no state
 		c.checker.checkState(fmt.Sprintf("edge-%d", entry+1), j, askedAt, status, b.State)
 	}
 	return status
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -15,20 +15,21 @@
 	"rudderfork.example/rudderfork/standin/executor"
 )
 
-// fault is one of the schedule.
+// fault is one fault of the schedule.
 type fault struct {
-	at, duration time.Duration
+	at, duration time.Duration // at is the time from the start of the run
 	kind         string
-	cores        int   // core processes it takes, of those that draw decides on
-	draw         int   // from the seed
-	machines     []int // side machines it takes
+	cores        int   // number of core processes it hits, for kinds that hit some of them
+	draw         int   // random number that selects these processes
+	machines     []int // indexes of the side machines it hits
 }
 
 func (f fault) String() string {
 	return fmt.Sprintf("%s for %v, cores %d from %d, machines %v", f.kind, f.duration, f.cores, f.draw, f.machines)
 }
 
-// The faultKinds, the heavier ones less often.
+// faultKinds lists the kinds of faults that are drawn. The less severe ones are listed
+// twice, so they are drawn twice as often.
 var faultKinds = []string{
 	"kill-cores", "kill-cores", "lose-disks", "lose-disks", "kill-all-cores", "stop-leader", "stop-leader", "stop-followers",
 	"kill-agents", "kill-agents", "crash-executors", "crash-executors", "flap-executors", "flap-executors",
@@ -36,14 +37,15 @@
 }
 
 const (
-	firstGroup         = 5 * time.Second
-	groupSpan          = 5 * time.Second
-	minFaultFree       = 13 * time.Second
-	powerLossBeforeEnd = 16 * time.Second // the end of the traffic
+	firstGroup         = 5 * time.Second  // start of the first group of faults
+	groupSpan          = 5 * time.Second  // the faults of a group start within this time
+	minFaultFree       = 13 * time.Second // least time without faults between two groups
+	powerLossBeforeEnd = 16 * time.Second // from the power loss to the end of the traffic; all other faults end before it
 )
 
-// drawSchedule draws a schedule: storms of overlapping faults with calm between them, and at last,
-// if asked for, the loss of two disks with all other processes killed.
+// drawSchedule draws a schedule of faults from the seed: groups of overlapping faults with
+// fault-free times between them and, if cfg.powerLoss is set, a final power loss that
+// kills all processes and loses two disks.
 func drawSchedule(cfg setup) (faults []fault) {
 	rnd := rand.New(rand.NewPCG(cfg.seed, 1))
 	ms := func(minMS, span int) time.Duration { return time.Duration(minMS+rnd.IntN(span)) * time.Millisecond }
@@ -78,7 +80,7 @@
 	return faults
 }
 
-// inject carries out a schedule, and returns when all is back.
+// inject carries out a schedule, and returns when all faults are healed.
 func (s *site) inject(faults []fault) {
 	var wg sync.WaitGroup
 	for _, f := range faults {
@@ -88,6 +90,7 @@
 	wg.Wait()
 }
 
+// injectOne starts a fault and heals it after its duration.
 func (s *site) injectOne(f fault) {
 	s.checker.logFault(true, "+ "+f.String())
 	heal := s.apply(f)
@@ -96,7 +99,8 @@
 	s.checker.logFault(false, "- "+f.String())
 }
 
-// pickCores returns the core machines that a fault takes; the first is the leader at times.
+// pickCores returns the indexes of the core processes that a fault hits. The first one is
+// the leader if f.draw is even.
 func (s *site) pickCores(f fault) (list []int) {
 	first := f.draw % coreCount
 	if f.draw%2 == 0 {
@@ -109,7 +113,7 @@
 	return list
 }
 
-// apply begins a fault and returns what ends it.
+// apply starts a fault and returns a function that heals it.
 func (s *site) apply(f fault) (heal func()) {
 	var ms []*machine
 	for _, i := range f.machines {
@@ -148,10 +152,10 @@
 	case "dark":
 		return s.losePower(s.pickCores(f))
 	}
-	panic("no fault " + f.kind)
+	panic("unknown kind of fault: " + f.kind)
 }
 
-// onEach begins something on machines, and returns what ends it there.
+// onEach calls begin for each machine, and returns a function that calls end for each.
 func onEach(ms []*machine, begin, end func(*machine)) (heal func()) {
 	for _, m := range ms {
 		begin(m)
@@ -179,8 +183,9 @@
 
 func (s *site) crashAll(ms []*machine) (heal func()) { return onEach(ms, s.crash, s.restart) }
 
-// loseDisks kills core machines and others, and loses the disks of the former; but if the
-// group is not whole yet from a loss before, they are only killed.
+// loseDisks kills the given core processes and others, and removes the data of the core
+// processes. It only kills them if the group does not have all its voters back after an
+// earlier loss.
 func (s *site) loseDisks(list []int, others []process) (heal func()) {
 	s.disksMu.Lock()
 	defer s.disksMu.Unlock()
@@ -188,15 +193,15 @@
 	heal = s.kill(append(s.coreProcesses(list), others...))
 	for _, i := range list {
 		if allVoters {
-			_ = os.RemoveAll(s.DataDir(i)) // what is left shows in its log
+			_ = os.RemoveAll(s.DataDir(i)) // leftover data shows in the log of the process
 		}
 	}
 	s.checker.logf("  disks of cores %v, counted from 0, lost: %v", list, allVoters)
 	return heal
 }
 
-// duplicateAnswers has an executor answer each call twice, and begin another life while its
-// connections stay.
+// duplicateAnswers has an executor send each answer twice, and starts a new incarnation of
+// it while its connections stay open.
 func (s *site) duplicateAnswers(m *machine) {
 	m.duplicates.Store(true)
 	m.mu.Lock()
@@ -207,7 +212,8 @@
 	}
 }
 
-// losePower kills every process at once, the executors' work with them, and loses disks.
+// losePower kills all processes and crashes all executors at once, and loses the disks of
+// the given core processes.
 func (s *site) losePower(list []int) (heal func()) {
 	var others []process
 	for i := range coreCount {
@@ -223,7 +229,7 @@
 	return func() { processes(); executors() }
 }
 
-// freeze makes core processes fall silent.
+// freeze suspends core processes with SIGSTOP.
 func (s *site) freeze(list []int) (heal func()) {
 	signal := func(sig os.Signal) {
 		for _, i := range list {
@@ -235,7 +241,7 @@
 	return func() { signal(syscall.SIGCONT) }
 }
 
-// flap has executors go down and come up by turns.
+// flap crashes executors, then crashes or restarts each of them at random intervals.
 func (s *site) flap(ms []*machine, f fault) (heal func()) {
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
@@ -263,7 +269,8 @@
 	}
 }
 
-// delayOrders has an executor leave orders unanswered, and carry them out later.
+// delayOrders has an executor leave start and stop calls unanswered, and carry them out
+// later.
 func (s *site) delayOrders(m *machine) {
 	s.Execs[m.index].SetFate(func(call string) executor.Fate {
 		if call == "start" || call == "stop" {
@@ -273,8 +280,8 @@
 	})
 }
 
-// rejectOneCall has an executor answer one call as another life answers, as one does that it
-// reaches by a connection to the life before.
+// rejectOneCall has an executor reject one call as stale, as it rejects a call on a
+// connection that was opened to its previous incarnation.
 func (s *site) rejectOneCall(m *machine) {
 	var rejected atomic.Bool
 	s.Execs[m.index].SetFate(func(call string) executor.Fate {
--- a/soak/setups_test.go
+++ b/soak/setups_test.go
@@ -9,49 +9,50 @@
 	"time"
 )
 
-// setup is what a run's schedule follows from.
+// setup determines the schedule of a run.
 type setup struct {
 	seed      uint64
 	machines  int
 	duration  time.Duration // of the traffic
-	kinds     []string
-	powerLoss bool // at last all lose power, and two core machines their disks
+	kinds     []string      // kinds of faults that are drawn
+	powerLoss bool          // end with a power loss in which two core machines lose their disks
 }
 
-// shortRun are the setups of a shortRun run: one with all kinds of faults but that of an open
-// one, and one without the restarts that mend what the others may leave behind.
+// shortRun holds the setups of a short run: one with all kinds of faults but stutter,
+// which still has an open failure, and one without restarts, since a restart can repair
+// the state that other faults leave behind.
 var shortRun = []setup{
 	{66, 12, 27 * time.Second, withoutStutter, true},
 	{1, 12, 27 * time.Second, []string{"disown-calls"}, false},
 }
 
-// failedSetups are the setups that have failedSetups, each with its cause. Their kinds stand here,
-// since another list of kinds draws another schedule from the same seed.
+// failedSetups holds the setups that have failed, each with the cause. They name their
+// kinds of faults, since another list draws another schedule from the same seed.
 var failedSetups = []struct {
 	cause string
 	setup setup
 }{
-	{"an agent without an order was not sent it again", setup{1, 12, 50 * time.Second, []string{"disown-calls"}, true}},
-	{"an agent without an order was not sent it again", setup{2, 12, 50 * time.Second, []string{"disown-calls"}, true}},
-	{"an agent without an order was not sent it again", setup{3, 12, 50 * time.Second, []string{"disown-calls"}, true}},
-	{"a late second answer is taken for that of a newer call", setup{41, 12, 50 * time.Second, []string{"stutter"}, true}},
-	{"a late second answer is taken for that of a newer call", setup{42, 12, 50 * time.Second, []string{"stutter"}, true}},
-	{"another process had a port of the entries", setup{1011, 12, 30 * time.Second, withoutStutter, true}},
-	{"a suspect of a crash is put where least runs, that is where one was just now", setup{1032, 12, 30 * time.Second, withoutStutter, true}},
-	{"a task is given up after five crashes that are not its own, the fifth a loss of power", setup{3001, 12, 40 * time.Second, []string{"flap-executors"}, true}},
-	{"a task is given up after five crashes that are not its own, the fifth a loss of power", setup{3003, 12, 40 * time.Second, []string{"flap-executors"}, true}},
-	{"a crash says as much of a task where executors crash anyway as elsewhere", setup{6004, 6, 60 * time.Second, []string{"flap-executors"}, false}},
-	{"a task is given up after five crashes of one VM, the only one with room", setup{6015, 6, 60 * time.Second, []string{"flap-executors"}, false}},
+	{"an order that an agent lacked was not sent again", setup{1, 12, 50 * time.Second, []string{"disown-calls"}, true}},
+	{"an order that an agent lacked was not sent again", setup{2, 12, 50 * time.Second, []string{"disown-calls"}, true}},
+	{"an order that an agent lacked was not sent again", setup{3, 12, 50 * time.Second, []string{"disown-calls"}, true}},
+	{"a late duplicate answer is taken for the answer to a newer call", setup{41, 12, 50 * time.Second, []string{"stutter"}, true}},
+	{"a late duplicate answer is taken for the answer to a newer call", setup{42, 12, 50 * time.Second, []string{"stutter"}, true}},
+	{"a port of the entries was in use by another process", setup{1011, 12, 30 * time.Second, withoutStutter, true}},
+	{"a task suspected of a crash is placed on the VM with the fewest runs, which is the one that has just crashed", setup{1032, 12, 30 * time.Second, withoutStutter, true}},
+	{"a task is given up after five crashes that it did not cause, the fifth a power loss", setup{3001, 12, 40 * time.Second, []string{"flap-executors"}, true}},
+	{"a task is given up after five crashes that it did not cause, the fifth a power loss", setup{3003, 12, 40 * time.Second, []string{"flap-executors"}, true}},
+	{"a crash of an executor that crashes often counts as much against a task as other crashes", setup{6004, 6, 60 * time.Second, []string{"flap-executors"}, false}},
+	{"a task is given up after five crashes of one VM, the only one with free capacity", setup{6015, 6, 60 * time.Second, []string{"flap-executors"}, false}},
 }
 
-// withoutStutter are the kinds that were drawn from without stutter.
+// withoutStutter lists all kinds of faults but stutter.
 var withoutStutter = []string{
 	"kill-cores", "kill-cores", "lose-disks", "lose-disks", "kill-all-cores", "stop-leader", "stop-leader", "stop-followers",
 	"kill-agents", "kill-agents", "crash-executors", "crash-executors", "flap-executors", "flap-executors",
 	"sick-executors", "sick-executors", "late-executors", "late-executors", "disown-calls", "lose-machines", "lose-machines",
 }
 
-// setups returns those that the flags ask for.
+// setups returns the setups that the flags select.
 func setups() (list []setup) {
 	if testing.Short() {
 		return shortRun
@@ -68,8 +69,8 @@
 	return list
 }
 
-// selectKinds returns the kinds of a comma-separated list, or all if it is empty, but for those
-// of another list.
+// selectKinds returns the kinds in the comma-separated list only, or all kinds if it is
+// empty, except those in the list without.
 func selectKinds(only, without string) (list []string) {
 	list = faultKinds
 	if only != "" {
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -23,32 +23,32 @@
 )
 
 const (
-	coreCount    = 5
-	entryCount   = 2
-	maxLostDisks = 2    // core disks that may be lost at once
-	machineCPU   = 4000 // of a machine
+	coreCount    = 5    // number of core processes
+	entryCount   = 2    // number of entry processes
+	maxLostDisks = 2    // disks of core processes that may be lost at once
+	machineCPU   = 4000 // CPU capacity of a side machine, in thousandths of a core
 )
 
-// site is one deployment of real processes on loopback.
+// site is a deployment of real processes on loopback addresses.
 type site struct {
 	*standin.Site
 	dir      string
 	seed     uint64
 	checker  *checker
 	machines []*machine
-	disksMu  sync.Mutex // held while some are lost
+	disksMu  sync.Mutex // held while a fault removes the data of core processes
 }
 
 // machine is a side machine: an agent, and a stand-in for the executor beside it.
 type machine struct {
 	index      int
 	node       string
-	failsAll   atomic.Bool // fails all that it starts
-	duplicates atomic.Bool // answers each call a second time, late
+	failsAll   atomic.Bool // all runs on the machine fail
+	duplicates atomic.Bool // the executor sends each answer a second time, after a delay
 
 	mu           sync.Mutex
-	incarnations int
-	up           bool
+	incarnations int  // incarnations of the executor before the current one
+	up           bool // the executor is running
 }
 
 func newSite(bin, dir string, seed uint64, checks *checker) (s *site, err error) {
@@ -61,7 +61,7 @@
 	return s, err
 }
 
-// duplicatingListener is that of a machine's executor, which answers twice at times.
+// duplicatingListener is the listener of an executor that may send its answers twice.
 type duplicatingListener struct {
 	net.Listener
 	m *machine
@@ -73,7 +73,8 @@
 	return duplicatingConn{c, l.m}, err
 }
 
-// duplicatingConn writes what is written again, some time later.
+// duplicatingConn repeats each write after a random delay while the machine has duplicates
+// set.
 type duplicatingConn struct {
 	net.Conn
 	m *machine
@@ -83,12 +84,12 @@
 func (c duplicatingConn) Write(b []byte) (n int, err error) {
 	if c.m.duplicates.Load() {
 		duplicate := slices.Clone(b)
-		time.AfterFunc(time.Duration(20+rand.IntN(1500))*time.Millisecond, func() { _, _ = c.Conn.Write(duplicate) }) // it may be closed
+		time.AfterFunc(time.Duration(20+rand.IntN(1500))*time.Millisecond, func() { _, _ = c.Conn.Write(duplicate) }) // the connection may be closed by then
 	}
 	return c.Conn.Write(b)
 }
 
-// start starts the whole site.
+// start starts all processes of the site.
 func (s *site) start(machines int) error {
 	for i := range coreCount {
 		if err := s.StartCore(i, true); err != nil {
@@ -114,12 +115,13 @@
 			return err
 		}
 		s.Runners[i].HangFailedCalls()
-		s.checker.setUp(i, true)
+		s.checker.setExecutorUp(i, true)
 	}
 	return nil
 }
 
-// usualFate is what becomes of executors' calls beside faults.
+// usualFate returns how a call is delivered while no fault changes it: it is answered, but
+// a share of lossPercent of the start and stop calls is lost or delayed.
 func usualFate(call string) executor.Fate {
 	if call != "start" && call != "stop" || rand.IntN(100) >= *lossPercent {
 		return executor.Answered
@@ -127,14 +129,16 @@
 	return []executor.Fate{executor.RequestLost, executor.ResponseLost, executor.Delayed}[rand.IntN(3)]
 }
 
-// payloadResources is what a payload says in its word cpu.
+// payloadResources returns the resources that a payload requests with cpu=N.
 func payloadResources(payload string) rudderfork.Resources {
 	_, after, _ := strings.Cut(payload, "cpu=")
-	n, _ := strconv.ParseInt(after, 10, 64) // it is the last word, and the clients write numbers
+	n, _ := strconv.ParseInt(after, 10, 64) // cpu=N is the last word, and N is always a number
 	return rudderfork.Resources{CPUMilli: n}
 }
 
-// behave lets runs fail: all on a sick machine, else some, drawn from seed and run.
+// behave returns the payload with which a run is carried out. It makes all runs fail on a
+// machine with failsAll set, else a share of the runs that depends on the seed and the
+// run.
 func (s *site) behave(m *machine, ref rudderfork.RunRef, payload string) string {
 	if m.failsAll.Load() {
 		return "work=100ms fail"
@@ -151,13 +155,14 @@
 	return payload
 }
 
-// killAndClose kills all, since a planned stop would take its time.
+// killAndClose kills all processes, since a graceful shutdown takes longer, and closes the
+// site.
 func (s *site) killAndClose() {
 	_ = s.KillAll()
 	s.Close()
 }
 
-// restart begins the executor's interface and its heartbeats.
+// restart starts the executor of a machine again, with its heartbeats.
 func (s *site) restart(m *machine) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -170,32 +175,32 @@
 	}
 	m.up = true
 	s.Runners[m.index].HangFailedCalls()
-	s.checker.setUp(m.index, true)
+	s.checker.setExecutorUp(m.index, true)
 }
 
-// crash ends the executor's life; the next one has another id.
+// crash ends the incarnation of a machine's executor; the next one has another ID.
 func (s *site) crash(m *machine) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.up {
 		m.up = false
 		m.incarnations++
-		s.checker.setUp(m.index, false)
+		s.checker.setExecutorUp(m.index, false)
 		s.CrashExecutor(m.index, fmt.Sprintf("i-%d-%d", m.index+1, m.incarnations))
 	}
 }
 
-// leader returns the core process that leads, or the first.
+// leader returns the index of the leading core process, or 0 if none is known.
 func (s *site) leader() int {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	return max(0, s.Leader(ctx))
 }
 
-// process is one that a fault ends, and how it is started again.
+// process is a process that a fault kills.
 type process struct {
-	node  string
-	start func() error
+	node  string       // name of its node
+	start func() error // starts it again
 }
 
 func (s *site) coreProcess(i int) process {
@@ -210,11 +215,11 @@
 	return process{m.node, func() error { return s.StartAgent(m.index) }}
 }
 
-// kill ends programs at once, and returns what starts them again.
+// kill kills processes with SIGKILL, and returns a function that starts them again.
 func (s *site) kill(ps []process) (restart func()) {
 	var wg sync.WaitGroup
 	for _, p := range ps {
-		wg.Go(func() { _ = s.Kill(p.node) }) // one that has ended by itself shows it in its log
+		wg.Go(func() { _ = s.Kill(p.node) }) // a process that has already ended shows the cause in its log
 	}
 	wg.Wait()
 	return func() {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -1,11 +1,12 @@
 //go:build proof
 
-// Package soak runs the platform's path as real processes under faults drawn from a
-// seed, and checks what clients and executors see of it. The schedule of faults and the
-// jobs follow from the seed; what the processes do at which moment does not.
+// Package soak runs the real processes of the platform under faults drawn from a seed, and
+// checks what clients and executors observe. The schedule of faults and the jobs follow
+// from the seed; the timing inside the processes does not.
 //
-// A broken promise is LOST (accepted work that nobody does or tells of), TWICE (work done
-// in two places, or again), MIXED (a count or state that is not so) or UNASKED.
+// A violation is LOST (accepted work that is neither done nor reported as ended), TWICE
+// (work that runs in two places, or again), MIXED (a wrong count or state) or UNASKED
+// (work that no client submitted).
 package soak
 
 import (
@@ -44,21 +45,23 @@
 )
 
 const (
-	memoryDir    = "/dev/shm" // a file system without a disk
-	startTimeout = 30 * time.Second
-	// siteAttempts is how many sites are started at the most for one whose ports are free.
+	memoryDir    = "/dev/shm"       // a file system in memory
+	startTimeout = 30 * time.Second // until a site serves
+	// siteAttempts is how many sites are started at most until one finds its ports free.
 	siteAttempts = 4
-	// finishTimeout is how long short jobs may take once the traffic has ended.
+	// finishTimeout is how long short jobs may take after the end of the traffic.
 	finishTimeout = 14 * time.Second
-	// settleTime is between that and the last questions, in which lasting tasks are watched.
+	// settleTime is the time between the end of the short jobs and the last queries; lasting
+	// tasks are still checked meanwhile.
 	settleTime = 10 * time.Second
-	// parentInterval is how often a run looks whether what started it is there.
+	// parentInterval is the time between two checks that the parent process still exists.
 	parentInterval = time.Second
-	// queryWorkers ask for states at once.
+	// queryWorkers is the number of concurrent state queries.
 	queryWorkers = 8
 )
 
-// TestMain ends a run, and with it its processes, when the command that started it is gone.
+// TestMain ends the tests, and thereby the processes that they started, when the parent
+// process is gone.
 func TestMain(m *testing.M) {
 	parent := os.Getppid()
 	go func() {
@@ -71,7 +74,7 @@
 }
 
 func TestSoak(t *testing.T) {
-	assert.Assert(t, *binDir != "", "-bin or RUDDER_BIN names the folder of the programs")
+	assert.Assert(t, *binDir != "", "set -bin or RUDDER_BIN to the folder of the programs")
 	for _, cfg := range setups() {
 		t.Run(fmt.Sprintf("seed %d", cfg.seed), func(t *testing.T) {
 			if testing.Short() {
@@ -82,6 +85,7 @@
 	}
 }
 
+// run runs one setup, and fails the test with all violations found.
 func run(t *testing.T, cfg setup) {
 	dir := runDir(t, cfg.seed)
 	timeline, err := os.Create(filepath.Join(dir, "timeline"))
@@ -108,9 +112,9 @@
 	assert.Equal(t, logCounts[panicText], 0)
 }
 
-// runDir returns one for a run's files, which stay if it fails. It is in memory where that
-// can be: a shared disk takes seconds for a sync at times, and leaders are deposed then, which
-// no fault of the schedule explains.
+// runDir returns the folder for the files of a run, which is kept if the run fails. It is
+// in memory if possible: a sync on a shared disk sometimes takes seconds, and then the
+// group replaces its leader without any fault of the schedule.
 func runDir(t *testing.T, seed uint64) (dir string) {
 	if *keepDir != "" {
 		dir = filepath.Join(*keepDir, fmt.Sprintf("seed-%d", seed))
@@ -128,13 +132,13 @@
 			t.Logf("the files are in %s", dir)
 			return
 		}
-		_ = os.RemoveAll(dir) // what is left does no harm
+		_ = os.RemoveAll(dir) // leftover files do no harm
 	})
 	return dir
 }
 
-// startSite starts the whole site and hands in the document. A site whose ports another
-// process has taken since they were chosen gives way to one with others.
+// startSite starts all processes and submits the document. If another process has taken a
+// port since the ports were chosen, it starts a new site with other ports.
 func startSite(t *testing.T, dir string, cfg setup, checks *checker) *site {
 	for i := range siteAttempts {
 		s, err := newSite(*binDir, filepath.Join(dir, fmt.Sprintf("site-%d", i+1)), cfg.seed, checks)
@@ -153,11 +157,12 @@
 		checks.logf("another process has a port")
 		s.killAndClose()
 	}
-	t.Fatal("ports were taken each time")
+	t.Fatal("a port was in use at every attempt")
 	return nil
 }
 
-// ready reports whether the site has the document, and its entries and group are ready.
+// ready reports whether the site has accepted the document, the entries serve its queues,
+// and the group has all voters.
 func (s *site) ready(ctx context.Context) bool {
 	status, _, err := standin.Call(ctx, http.MethodPut, "http://"+s.ControlAddr(0)+"/config", "", document())
 	if err != nil || status != http.StatusOK {
@@ -174,6 +179,7 @@
 	return s.HasAllVoters()
 }
 
+// waitUntil waits until ok returns true, and fails the test after startTimeout.
 func waitUntil(t *testing.T, what string, ok func(ctx context.Context) bool) {
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -185,6 +191,7 @@
 	}, poll.WithTimeout(startTimeout), poll.WithDelay(100*time.Millisecond))
 }
 
+// document returns the document that configures the two queues.
 func document() any {
 	return standin.DocumentOf(1, "desk", true,
 		standin.Queue{Name: "short", Host: queueHost, Prefix: shortQueue, Priority: 1, MaxAttempts: maxAttempts},
@@ -192,7 +199,8 @@
 	)
 }
 
-// finish waits for the short jobs, and asks for all jobs at the end.
+// finish waits for the short jobs, reports those that have not ended, and queries the
+// states of all jobs once more.
 func (c *clients) finish(ctx context.Context) {
 	c.checker.logf("the traffic ends")
 	for end := time.Now().Add(finishTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
@@ -227,18 +235,18 @@
 	}
 }
 
-// panicText is what the log of a program says that ends by a panic.
+// panicText occurs in the log of a process that ended with a panic.
 const panicText = "panic:"
 
-// addrInUse is what the log of a program says that can't have its port.
+// addrInUse occurs in the log of a process whose port was in use.
 const addrInUse = "address already in use"
 
-// countEvents counts lines of the programs' logs that bear on a verdict.
+// countEvents counts the events in the logs of the processes that help to judge a run.
 func countEvents(dir string) map[string]int {
 	n := map[string]int{}
-	logs, _ := filepath.Glob(filepath.Join(dir, "*.log")) // the pattern is sound
+	logs, _ := filepath.Glob(filepath.Join(dir, "*.log")) // the pattern is valid
 	for _, path := range logs {
-		text, _ := os.ReadFile(path) // one that is not there counts for nothing
+		text, _ := os.ReadFile(path) // a missing file has no events
 		for _, event := range []string{"run_overdue", "start_overdue", "vm_lost", panicText, addrInUse} {
 			n[event] += strings.Count(string(text), event)
 		}
--- a/soak/watch_test.go
+++ b/soak/watch_test.go
@@ -14,51 +14,53 @@
 )
 
 const (
-	// countLag is for how long a job must have been accepted before a count has to tell it.
+	// countLag is how long after its acceptance a job may be missing from counts.
 	countLag = 5 * time.Second
-	// faultFreeBeforeCount and calmAllKilled are without faults before a count is judged.
+	// faultFreeBeforeCount is the time without faults before a count is checked, and
+	// countAfterAllKilled the time since all core processes were killed.
 	faultFreeBeforeCount = 4 * time.Second
 	countAfterAllKilled  = 8 * time.Second
-	// faultFreeBeforeRun is without faults before a lasting task's absence is judged, and absence is
-	// how long it may be.
+	// faultFreeBeforeRun is the time without faults before it is checked that lasting tasks
+	// have a run, and maxAbsence is how long a task may have none.
 	faultFreeBeforeRun = 7 * time.Second
 	maxAbsence         = 9 * time.Second
-	// minCapacityTime is for how long there has to be room.
+	// minCapacityTime is how long there must have been capacity for any task before lasting
+	// tasks are checked.
 	minCapacityTime = 3 * time.Second
-	// faultFreeBeforeState is without faults before a state is judged.
+	// faultFreeBeforeState is the time without faults before a state is checked.
 	faultFreeBeforeState = 4 * time.Second
-	maxAttempts          = 3 // of a task that fails
+	maxAttempts          = 3 // attempts at a task before its job fails
 )
 
-// job is one that a client hands in.
+// job is a job that a client submits.
 type job struct {
 	id, queue     string
 	lasting       bool
-	cpu           int64
-	tasks         int
-	acceptedAt    time.Time // zero until a client has its word
-	startedAt     time.Time
-	state         string  // as last shown
-	recordedTasks []*task // its tasks that executors have begun
+	cpu           int64     // of each task, in thousandths of a core
+	tasks         int       // number of tasks
+	acceptedAt    time.Time // when a client was first told that it is accepted; zero before
+	startedAt     time.Time // when its first run started; zero before
+	state         string    // final state that a client was last shown; empty if none
+	recordedTasks []*task   // its tasks in checker.tasks
 }
 
-// task is what executors have seen of one.
+// task records what executors report of one task.
 type task struct {
-	active      map[int]activeRun // by machine
-	endedAt     time.Time
-	lastOutcome string // how its last run ended
+	active      map[int]activeRun // runs in progress, by machine
+	endedAt     time.Time         // when its last run ended
+	lastOutcome string            // the last run and its outcome
 	done        bool
 	failures    int
-	reported    bool // its absence was reported
+	reported    bool // a violation was reported since its last start
 }
 
-// activeRun is a run at work.
+// activeRun is a run in progress.
 type activeRun struct {
 	run   uint32
 	since time.Time
 }
 
-// checker gathers what clients and executors see, and checks it.
+// checker records what clients and executors observe, and checks it.
 type checker struct {
 	startedAt time.Time
 	log       func(string)
@@ -66,17 +68,17 @@
 	mu             sync.Mutex
 	jobs           map[string]*job
 	tasks          map[rudderfork.TaskID]*task
-	usedCPU        map[int]int64     // by machine
-	upSince        map[int]time.Time // machines that are up
-	capacitySince  time.Time         // since when two machines have had room for any task; zero if not
-	activeFaults   int               // under way
-	lastFaultAt    time.Time
-	allKilledAt    time.Time
+	usedCPU        map[int]int64     // by machine, in thousandths of a core
+	upSince        map[int]time.Time // when the executors that are up came up, by machine
+	capacitySince  time.Time         // since when there has been capacity for any task (see updateCapacity); zero if there is none
+	activeFaults   int               // number of faults in progress
+	lastFaultAt    time.Time         // when a fault last began or ended
+	allKilledAt    time.Time         // when all core processes were last killed
 	violations     []string
-	undercounted   map[string]string // first of the jobs that a count left out last, by entry and queue
-	checkedCounts  int               // that were judged with a job that has to be told
-	leastShare     float64           // share of those jobs that a count told
-	longestAbsence time.Duration     // absence of a lasting task, where it is judged
+	undercounted   map[string]string // first of the jobs missing from the last reported count, by entry and queue
+	checkedCounts  int               // counts that had to include at least one job
+	leastShare     float64           // smallest share of those jobs that a count included
+	longestAbsence time.Duration     // longest time that a lasting task had no run, where it is checked
 }
 
 func newChecker(log func(string)) *checker {
@@ -86,20 +88,20 @@
 	}
 }
 
-// logf writes a line of the time line.
+// logf writes a line to the timeline.
 func (c *checker) logf(format string, args ...any) {
 	now := time.Now()
 	c.log(fmt.Sprintf("%7.3f %d %s", now.Sub(c.startedAt).Seconds(), now.UnixMicro(), fmt.Sprintf(format, args...)))
 }
 
-// addViolation notes a broken promise. The caller holds mu.
+// addViolation records a violation. The caller holds mu.
 func (c *checker) addViolation(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	c.violations = append(c.violations, text)
 	c.logf("BROKEN %s", text)
 }
 
-// logFault begins or ends a logFault.
+// logFault records the start or the end of a fault, and writes it to the timeline.
 func (c *checker) logFault(begins bool, text string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,18 +114,21 @@
 	c.logf("%s", text)
 }
 
+// noteAllKilled records that all core processes are killed now.
 func (c *checker) noteAllKilled() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.allKilledAt = time.Now()
 }
 
-// faultFree reports whether there was no fault for a time. The caller holds mu.
+// faultFree reports whether no fault is in progress and none has ended within the duration
+// d. The caller holds mu.
 func (c *checker) faultFree(now time.Time, d time.Duration) bool {
 	return c.activeFaults == 0 && now.Sub(c.lastFaultAt) >= d
 }
 
-func (c *checker) setUp(machine int, up bool) {
+// setExecutorUp records whether the executor of a machine is up.
+func (c *checker) setExecutorUp(machine int, up bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.upSince, machine)
@@ -132,12 +137,14 @@
 	}
 }
 
+// addJob adds a job before it is submitted.
 func (c *checker) addJob(j *job) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.jobs[j.id] = j
 }
 
+// markAccepted records that a client was told that its job is accepted.
 func (c *checker) markAccepted(j *job) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,6 +153,8 @@
 	}
 }
 
+// job returns the job of a task. It is a violation if no client submitted it. The caller
+// holds mu.
 func (c *checker) job(id rudderfork.TaskID) *job {
 	name, _, _ := strings.Cut(string(id), ".")
 	if c.jobs[name] == nil {
@@ -155,6 +164,7 @@
 	return c.jobs[name]
 }
 
+// task returns the record of a task, which the first call creates. The caller holds mu.
 func (c *checker) task(id rudderfork.TaskID) *task {
 	if c.tasks[id] == nil {
 		c.tasks[id] = &task{active: map[int]activeRun{}}
@@ -163,7 +173,7 @@
 	return c.tasks[id]
 }
 
-// runStarted hears of a run that begins on a machine.
+// runStarted records and checks a run that an executor starts.
 func (c *checker) runStarted(machine int, ref rudderfork.RunRef) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,12 +192,13 @@
 	t.reported = false
 }
 
-// faultFreeBefore reports whether the last fault was well before a time. The caller holds mu.
+// faultFreeBefore reports whether the last fault was well before the time at. The caller
+// holds mu.
 func (c *checker) faultFreeBefore(at time.Time) bool {
 	return c.lastFaultAt.Add(faultFreeBeforeRun).Before(at)
 }
 
-// runEnded hears of a run that ends.
+// runEnded records the end of a run.
 func (c *checker) runEnded(machine int, ref rudderfork.RunRef, outcome string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -201,7 +212,8 @@
 	}
 }
 
-// checkRuns checks what is at work. looked is when the executors were asked to end what is due.
+// checkRuns checks the runs in progress. polledAt is when the executors were polled, which
+// ends the runs that are due.
 func (c *checker) checkRuns(polledAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -229,7 +241,7 @@
 	}
 }
 
-// checkLasting checks that each task of a job is at work. The caller holds mu.
+// checkLasting checks that each task of a lasting job has a run. The caller holds mu.
 func (c *checker) checkLasting(j *job, now time.Time) {
 	for i := range j.tasks {
 		t := c.task(rudderfork.TaskID(fmt.Sprintf("%s.0.0.%d", j.id, i)))
@@ -248,7 +260,8 @@
 	}
 }
 
-// updateCapacity notes whether two machines have room for any task, and a quarter of all is free. The caller holds mu.
+// updateCapacity records whether there is capacity for any task: two machines have enough
+// free CPU for one, and a quarter of all CPU is free. The caller holds mu.
 func (c *checker) updateCapacity(now time.Time) {
 	n, used := 0, int64(0)
 	for m, since := range c.upSince {
@@ -265,7 +278,9 @@
 	}
 }
 
-// checkCount checks a queue's count, asked at a time and answered now.
+// checkCount checks the number of waiting jobs that an entry returned for a queue. The
+// query was sent at askedAt. A count is wrong if it is less than half of the jobs that it
+// must include.
 func (c *checker) checkCount(entry, queue string, askedAt time.Time, waiting int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -283,12 +298,13 @@
 	c.leastShare = min(c.leastShare, float64(waiting)/float64(len(ids)))
 	slices.Sort(ids)
 	if first := ids[0]; 2*waiting < len(ids) && first != c.undercounted[entry+queue] {
-		c.undercounted[entry+queue] = first // the same jobs are told of once
+		c.undercounted[entry+queue] = first // report the same jobs once
 		c.addViolation("MIXED: %s tells %d waiting in %s, and %d haven't begun: %v", entry, waiting, queue, len(ids), ids)
 	}
 }
 
-// checkState checks a job's state as a client is told it.
+// checkState checks the state of a job that an entry returned. The query was sent at
+// askedAt.
 func (c *checker) checkState(entry string, j *job, askedAt time.Time, status int, state string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -310,6 +326,7 @@
 	}
 }
 
+// doneTasks returns the number of tasks that are done.
 func (j *job) doneTasks() (n int) {
 	for _, t := range j.recordedTasks {
 		if t.done {
@@ -319,7 +336,7 @@
 	return n
 }
 
-// maxFailures is how often a task of the job has failed.
+// maxFailures returns the failures of the task that has failed most often.
 func (j *job) maxFailures() (n int) {
 	for _, t := range j.recordedTasks {
 		n = max(n, t.failures)
@@ -327,7 +344,8 @@
 	return n
 }
 
-// acceptedJobs returns the acceptedJobs jobs, or those short ones that no client has seen the end of.
+// acceptedJobs returns the accepted jobs; with openOnly, only short jobs of which no
+// client was shown a final state.
 func (c *checker) acceptedJobs(openOnly bool) (js []*job) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
