--- a/proof/audit_test.go
+++ b/proof/audit_test.go
@@ -18,14 +18,14 @@
 	vm, boot       string
 	task           string
 	token          uint64
-	from, lastSeen int64 // Unix µs; to is the last sign of life
+	from, lastSeen int64 // Unix µs; lastSeen is the latest time in its audit lines
 	startUnit      int64
 	lastUnit       int64
-	outcome        string // "" if the worker died
+	outcome        string // empty if the worker died
 	cpu, mem       int64
 }
 
-// collectAttempts gathers the audits' lines, in the order of their start.
+// collectAttempts builds the attempts from audit lines, sorted by their start.
 func collectAttempts(t *testing.T, us []standin.Unit) []*attempt {
 	t.Helper()
 	type key struct {
@@ -54,8 +54,8 @@
 	return all
 }
 
-// checkCapacity checks that attempts never exceed a VM's room, and returns the
-// fullest that one was, as a share.
+// checkCapacity checks that the attempts on a VM never exceed its capacity, and returns
+// the highest CPU utilization of a VM.
 func checkCapacity(t *testing.T, as []*attempt, cpu, mem int64) (peak float64) {
 	t.Helper()
 	type event struct {
@@ -71,7 +71,7 @@
 		var c, m int64
 		for _, e := range es {
 			c, m = c+e.cpu, m+e.mem
-			assert.Assert(t, c <= cpu && m <= mem, "%s holds %d milli and %d MB of %d and %d", vm, c, m, cpu, mem)
+			assert.Assert(t, c <= cpu && m <= mem, "%s runs tasks of %d thousandths of a core and %d MB; its capacity is %d and %d", vm, c, m, cpu, mem)
 			peak = max(peak, float64(c)/float64(cpu))
 		}
 	}
@@ -87,8 +87,8 @@
 	return m
 }
 
-// checkNoOverlap checks that no two attempts at a task overlap, and that tokens
-// rise and are used once.
+// checkNoOverlap checks that no two attempts at a task overlap, and that each has a higher
+// token than the one before.
 func checkNoOverlap(t *testing.T, as []*attempt) {
 	t.Helper()
 	for task, list := range byTask(as) {
@@ -101,20 +101,20 @@
 	}
 }
 
-// checkResumes checks that what was stopped with a checkpoint went on exactly
-// there, that nothing went on past what was done, and that each task's last
-// attempt, and no later one, came to its end. An earlier attempt may have come
-// to its end only on a VM that was lost before it could tell: redone counts
-// those. resumed counts attempts that were stopped and went on.
+// checkResumes checks that an attempt after a stop with a checkpoint resumes exactly
+// there, that no attempt skips units, and that the last attempt at each task completes it.
+// An earlier attempt may have completed the task only on a VM that was lost before it
+// could report that; redone counts those. resumed counts the attempts that were stopped
+// and resumed.
 func checkResumes(t *testing.T, as []*attempt, units int64) (resumed, redone int) {
 	t.Helper()
 	for task, list := range byTask(as) {
 		for i, a := range list {
 			if a.outcome == "done" {
-				assert.Equal(t, a.lastUnit, units, "task %s is done at another unit", task)
+				assert.Equal(t, a.lastUnit, units, "task %s is done at the wrong unit", task)
 			}
 			if i == 0 {
-				assert.Equal(t, a.startUnit, int64(0), "task %s begins in the middle", task)
+				assert.Equal(t, a.startUnit, int64(0), "the first attempt at task %s does not start at unit 0", task)
 				continue
 			}
 			prev := list[i-1]
@@ -123,7 +123,7 @@
 			}
 			assert.Assert(t, a.startUnit <= prev.lastUnit, "task %s skipped units %d to %d", task, prev.lastUnit, a.startUnit)
 			if prev.outcome == "stopped" {
-				assert.Equal(t, a.startUnit, prev.lastUnit, "task %s token %d was stopped and did not resume there: %s", task, prev.token, describe(list))
+				assert.Equal(t, a.startUnit, prev.lastUnit, "task %s token %d was stopped, and the next attempt did not resume at its checkpoint: %s", task, prev.token, describe(list))
 				resumed++
 			}
 		}
@@ -132,6 +132,7 @@
 	return resumed, redone
 }
 
+// describe formats attempts for failure messages.
 func describe(list []*attempt) (s string) {
 	for _, a := range list {
 		s += fmt.Sprintf("[%s token %d units %d-%d %s] ", a.vm, a.token, a.startUnit, a.lastUnit, a.outcome)
--- a/proof/batch_test.go
+++ b/proof/batch_test.go
@@ -17,11 +17,11 @@
 	"rudderfork.example/rudderfork/internal/harness"
 )
 
-// The sizes of the batch proofs: four VMs that hold three tasks each.
+// Sizes in the batch tests: each of the four VMs has capacity for three tasks.
 const (
-	vmCPU     = 4000
-	vmMemory  = 4000
-	taskUnits = 400 // of 10 ms
+	vmCPU     = 4000 // thousandths of a core
+	vmMemory  = 4000 // MB
+	taskUnits = 400  // units of work, of 10 ms each
 )
 
 func batchOptions() harness.Options {
@@ -35,8 +35,8 @@
 	}
 }
 
-// fault breaks something and puts it right again, having waited until the
-// system has taken notice.
+// fault is a fault that a test injects. run injects it, waits until the system has reacted
+// or for a fixed time, and heals it.
 type fault struct {
 	name string
 	run  func(ctx context.Context, t *testing.T, c *harness.Cluster)
@@ -49,19 +49,19 @@
 		waitLeader(ctx, t, c, l)
 		assert.NilError(t, c.StartProc(l))
 	}},
-	{"the leader is frozen and thaws under another", func(ctx context.Context, t *testing.T, c *harness.Cluster) {
+	{"the leader is frozen and thaws after another was elected", func(ctx context.Context, t *testing.T, c *harness.Cluster) {
 		l := waitLeader(ctx, t, c, "")
 		c.Proc(l).Freeze()
 		waitLeader(ctx, t, c, l)
 		c.Proc(l).Thaw()
 	}},
-	{"the leader is cut off in silence", func(ctx context.Context, t *testing.T, c *harness.Cluster) {
+	{"all links of the leader are cut", func(ctx context.Context, t *testing.T, c *harness.Cluster) {
 		l := waitLeader(ctx, t, c, "")
 		c.Isolate(l)
 		waitLeader(ctx, t, c, l)
 		c.Rejoin(l)
 	}},
-	{"the leader can send and not hear", func(ctx context.Context, t *testing.T, c *harness.Cluster) {
+	{"the leader can send but not receive", func(ctx context.Context, t *testing.T, c *harness.Cluster) {
 		l := waitLeader(ctx, t, c, "")
 		for _, n := range controlNames {
 			if n != l {
@@ -71,7 +71,7 @@
 		waitLeader(ctx, t, c, l)
 		c.Rejoin(l)
 	}},
-	{"an agent is killed and back within its lease", func(_ context.Context, t *testing.T, c *harness.Cluster) {
+	{"an agent is killed and restarted within its lease", func(_ context.Context, t *testing.T, c *harness.Cluster) {
 		c.Proc("a1").Kill()
 		assert.NilError(t, c.StartProc("a1"))
 	}},
@@ -111,7 +111,7 @@
 		c.Link("a3", "w3").Heal()
 		waitVM(ctx, t, c, "vm3", true)
 	}},
-	{"a VM is killed whole, with the leader", func(ctx context.Context, t *testing.T, c *harness.Cluster) {
+	{"a whole VM and the leader are killed", func(ctx context.Context, t *testing.T, c *harness.Cluster) {
 		l := waitLeader(ctx, t, c, "")
 		c.Proc("a4").Kill()
 		c.Proc("w4").Kill()
@@ -128,8 +128,8 @@
 	}},
 }
 
-// waitStarted waits until every task of a job has started at a worker, so that a
-// fault hits VMs at work.
+// waitStarted waits until workers have started every task of a job, so that a fault hits
+// VMs that run tasks.
 func waitStarted(ctx context.Context, t *testing.T, c *harness.Cluster, job rudderfork.JobSpec) {
 	t.Helper()
 	assert.NilError(t, harness.Until(ctx, string(job.ID)+" to start", func() error {
@@ -144,13 +144,13 @@
 			}
 		}
 		if len(started) < job.Tasks {
-			return fmt.Errorf("%d of %d tasks have", len(started), job.Tasks)
+			return fmt.Errorf("%d of %d tasks have started", len(started), job.Tasks)
 		}
 		return nil
 	}))
 }
 
-// checkDoneOnce checks that control took exactly one end of each task.
+// checkDoneOnce checks that control has recorded each task as done exactly once.
 func checkDoneOnce(ctx context.Context, t *testing.T, c *harness.Cluster, jobs []rudderfork.JobSpec) {
 	t.Helper()
 	for _, j := range jobs {
@@ -163,12 +163,12 @@
 					done++
 				}
 			}
-			assert.Equal(t, done, 1, "task %s was taken as done %d times", task.ID, done)
+			assert.Equal(t, done, 1, "task %s was recorded as done %d times", task.ID, done)
 		}
 	}
 }
 
-// drain moves everything away from a VM and lets it back.
+// drain drains a VM, waits until it has no tasks, and ends the drain.
 func drain(ctx context.Context, t *testing.T, c *harness.Cluster, vm string) {
 	t.Helper()
 	op := c.Operator()
@@ -177,6 +177,7 @@
 	assert.NilError(t, op.Drain(ctx, rudderfork.VMID(vm), true))
 }
 
+// waitEmpty waits until a VM has no tasks.
 func waitEmpty(ctx context.Context, t *testing.T, c *harness.Cluster, vm string) {
 	t.Helper()
 	assert.NilError(t, harness.Until(ctx, vm+" to be empty", func() error {
@@ -189,12 +190,13 @@
 				return nil
 			}
 		}
-		return errors.New("it holds tasks")
+		return errors.New("it still has tasks")
 	}))
 }
 
-// TestProveBatch proves the three promises about batch work under faults of
-// every role and link, one after the other, while tasks run all the time.
+// TestProveBatch tests the three guarantees about batch work: no VM is overcommitted, no
+// task runs in two places, and evicted work resumes exactly once. While tasks run, it
+// injects faults into every role and link, one after the other.
 func TestProveBatch(t *testing.T) {
 	var as []*attempt
 	var fullest float64
@@ -212,7 +214,7 @@
 	op := c.Operator()
 	var jobs []rudderfork.JobSpec
 	for i, f := range batchFaults {
-		// Four tasks leave room, so that what is freed starts elsewhere at once.
+		// Four tasks leave free capacity, so a task that loses its VM can start elsewhere at once.
 		job := batchJob(fmt.Sprintf("night-%d", i), 4)
 		jobs = append(jobs, job)
 		_, err := op.Submit(ctx, job)
@@ -220,7 +222,7 @@
 		waitStarted(ctx, t, c, job)
 		at := time.Now()
 		f.run(ctx, t, c)
-		t.Logf("%s: noticed and put right after %v", f.name, time.Since(at).Round(time.Millisecond))
+		t.Logf("%s: detected and healed after %v", f.name, time.Since(at).Round(time.Millisecond))
 	}
 	drain(ctx, t, c, "vm2")
 	drain(ctx, t, c, "vm3")
@@ -237,8 +239,8 @@
 	assert.Assert(t, resumed > 0)
 }
 
-// handOverPoints are the points at which TestProveHandOver kills a process, with the
-// role that has them.
+// handOverPoints lists the crash points at which TestProveHandOver kills a process, and
+// the role that reaches each.
 var handOverPoints = []struct{ role, point string }{
 	{"control", crash.ControlSave},
 	{"control", crash.ControlSaved},
@@ -253,8 +255,9 @@
 	{"agent", crash.AgentForget},
 }
 
-// TestProveHandOver kills the acting process at each step of a hand-over: place,
-// start, evict, checkpoint, stop, report, place elsewhere.
+// TestProveHandOver kills the acting process at each step of moving a task to another VM:
+// place, start, evict, checkpoint, stop, report, place elsewhere. After a kill, no task
+// may run in two places or lose its checkpoint.
 func TestProveHandOver(t *testing.T) {
 	var as []*attempt
 	var resumed, redone int
@@ -268,7 +271,7 @@
 	for i, h := range handOverPoints {
 		victims := []string{"a1"}
 		if h.role == "control" {
-			victims = controlNames // whichever leads then
+			victims = controlNames // the leader reaches the crash point
 		}
 		for _, v := range victims {
 			c.Proc(v).Kill()
@@ -280,7 +283,7 @@
 		at := time.Now()
 		jobs := drainUntilExit(ctx, t, c, victims, fmt.Sprintf("step-%d", i))
 		for _, v := range victims {
-			c.Proc(v).Kill() // those that did not come to the point
+			c.Proc(v).Kill() // those that did not reach the crash point
 			assert.NilError(t, c.StartProc(v))
 		}
 		assert.NilError(t, op.Drain(ctx, "vm1", false))
@@ -304,14 +307,14 @@
 	assert.Assert(t, resumed > 0)
 }
 
-// drainUntilExit submits jobs, drains vm1 and lets it back, in turn, until one
-// of the processes has come to its point. It returns the jobs.
+// drainUntilExit submits jobs, and ends and starts a drain of vm1 in turn, until one of
+// the processes has crashed at its crash point. It returns the jobs.
 func drainUntilExit(ctx context.Context, t *testing.T, c *harness.Cluster, victims []string, prefix string) (jobs []rudderfork.JobSpec) {
 	t.Helper()
 	op := c.Operator()
 	undo := true
 	rounds := 0
-	assert.NilError(t, harness.Until(ctx, fmt.Sprint(victims, " to come to a point"), func() error {
+	assert.NilError(t, harness.Until(ctx, fmt.Sprint(victims, " to reach a crash point"), func() error {
 		for _, v := range victims {
 			if !c.Proc(v).Running() {
 				return nil
@@ -325,16 +328,16 @@
 			jobs = append(jobs, j)
 		}
 		rounds++
-		// Both may fail while the leader is ending. A job that was not taken is
-		// submitted again below.
+		// Both calls may fail while the leader crashes. The caller submits all jobs
+		// again.
 		_ = op.Drain(dctx, "vm1", undo)
 		_, _ = op.Submit(dctx, jobs[len(jobs)-1])
 		undo = !undo
 		time.Sleep(300 * time.Millisecond)
-		return errors.New("they run")
+		return errors.New("all are still running")
 	}))
 	return jobs
 }
 
-// handOverUnits is the length of the tasks of TestProveHandOver.
+// handOverUnits is the number of units of the tasks of TestProveHandOver.
 const handOverUnits = 150
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -26,17 +26,17 @@
 	"rudderfork.example/rudderfork/operator"
 )
 
-// cellInput is one read or compare-and-set of a cell by an operator.
+// cellInput is a read or a compare-and-set of a cell by an operator.
 type cellInput struct {
-	cell  string
+	cell  string // its row
 	write bool
-	ifRev rudderfork.Revision
+	ifRev rudderfork.Revision // expected revision of a write
 	value int64
 }
 
-// cellOutput is what the operator got.
+// cellOutput is the answer that the operator got.
 type cellOutput struct {
-	ok    bool // a write that was accepted
+	ok    bool // the write was accepted
 	rev   rudderfork.Revision
 	value int64
 }
@@ -47,8 +47,8 @@
 	value int64
 }
 
-// cellModel is a compare-and-set register. Operators resend until they have an
-// answer, so every outcome is known.
+// cellModel is a compare-and-set register. Operators retry until they have an answer, so
+// the outcome of every operation is known.
 var cellModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		m := map[string][]porcupine.Operation{}
@@ -75,17 +75,18 @@
 	},
 }
 
-// operators edit cells at random, each with the revision it read, and resend
-// with the same id until they have an answer.
+// operators edit random cells concurrently. Each edit names the revision that was read
+// before, and is retried with the same ID until there is an answer.
 type operators struct {
 	c             *harness.Cluster
 	mu            sync.Mutex
 	ops           []porcupine.Operation
 	acceptedEdits int
-	conflicts     int
-	newest        rudderfork.Revision
+	conflicts     int                 // edits rejected because the cell had another revision
+	newest        rudderfork.Revision // highest revision of an accepted edit
 }
 
+// run reads and edits cells until stop closes.
 func (o *operators) run(ctx context.Context, t *testing.T, client int, stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(uint64(client), 7))
 	op := o.c.Operator()
@@ -119,6 +120,7 @@
 	}
 }
 
+// record adds an operation that has just returned to the history.
 func (o *operators) record(client int, from int64, a cellInput, r cellOutput) {
 	to := time.Now().UnixNano()
 	o.mu.Lock()
@@ -133,14 +135,15 @@
 	}
 }
 
+// accepted returns the number of accepted edits.
 func (o *operators) accepted() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.acceptedEdits
 }
 
-// revision reads the table revision in force at an entry or agent; ok is false
-// while it does not answer or knows none.
+// revision reads the revision of the table in force at an entry or agent from its metrics.
+// ok is false while the process does not answer or has no table.
 func revision(p *harness.Proc) (rev rudderfork.Revision, ok bool) {
 	hc := http.Client{Timeout: 500 * time.Millisecond}
 	resp, err := hc.Get("http://" + p.Admin() + "/metrics")
@@ -158,8 +161,8 @@
 	return 0, false
 }
 
-// watchRevisions looks at the revision in force on every node, all the time, and reports
-// any that falls, also over a restart of the process.
+// watchRevisions polls the revision in force at every node until ctx ends, and reports any
+// decrease, also across a restart of the process.
 func watchRevisions(ctx context.Context, t *testing.T, c *harness.Cluster, nodes []string) {
 	highest := map[string]rudderfork.Revision{}
 	for ctx.Err() == nil {
@@ -173,11 +176,12 @@
 	}
 }
 
+// configFaults are the faults of TestProveConfig.
 var configFaults = []fault{
 	{"the leader is killed", batchFaults[0].run},
-	{"the leader is frozen and thaws under another", batchFaults[1].run},
-	{"the leader is cut off in silence", batchFaults[2].run},
-	{"the leader can send and not hear", batchFaults[3].run},
+	{"the leader is frozen and thaws after another was elected", batchFaults[1].run},
+	{"all links of the leader are cut", batchFaults[2].run},
+	{"the leader can send but not receive", batchFaults[3].run},
 	{"operators' answers are lost", func(ctx context.Context, t *testing.T, c *harness.Cluster) {
 		for _, n := range controlNames {
 			c.Link("op", n).LoseAnswers(100)
@@ -203,7 +207,7 @@
 			assert.NilError(t, c.StartProc(n))
 		}
 	}},
-	{"a disk is lost, and a second VM right after the repair", func(ctx context.Context, t *testing.T, c *harness.Cluster) {
+	{"a disk is lost, and another one right after the repair", func(ctx context.Context, t *testing.T, c *harness.Cluster) {
 		loseDisk(ctx, t, c, "c1")
 		loseDisk(ctx, t, c, "c2")
 	}},
@@ -223,8 +227,8 @@
 	}},
 }
 
-// loseDisk kills a control process, removes its data folder, and waits until it
-// is a voter again under a new ID.
+// loseDisk kills a control process, removes its data folder, restarts it, and waits until
+// it is a voter again under a new ID.
 func loseDisk(ctx context.Context, t *testing.T, c *harness.Cluster, name string) {
 	t.Helper()
 	c.Proc(name).Kill()
@@ -233,7 +237,8 @@
 	waitVoter(ctx, t, c, name)
 }
 
-// waitVoter waits until the newest life of name votes and no other does.
+// waitVoter waits until a control process is a voter under its current ID, and the group
+// has no voter under an earlier one.
 func waitVoter(ctx context.Context, t *testing.T, c *harness.Cluster, name string) {
 	t.Helper()
 	assert.NilError(t, harness.Until(ctx, name+" to be a voter again", func() error {
@@ -260,6 +265,7 @@
 	}))
 }
 
+// flipBit flips a bit in the middle of a log file in dir.
 func flipBit(t *testing.T, dir string) {
 	t.Helper()
 	logs, err := filepath.Glob(filepath.Join(dir, "log-*"))
@@ -271,8 +277,9 @@
 	assert.NilError(t, os.WriteFile(logs[0], b, 0o644))
 }
 
-// TestProveConfig proves the promise about configuration and that no accepted
-// edit is lost, while operators race and resend under faults.
+// TestProveConfig tests that an accepted edit is in force on every node within seconds and
+// never reverts, and that no accepted edit is lost, while operators edit the same cells
+// concurrently under faults.
 func TestProveConfig(t *testing.T) {
 	o := &operators{}
 	var times []time.Duration
@@ -298,7 +305,7 @@
 	for _, f := range configFaults {
 		at := time.Now()
 		f.run(ctx, t, c)
-		t.Logf("%s: put right after %v", f.name, time.Since(at).Round(time.Millisecond))
+		t.Logf("%s: healed after %v", f.name, time.Since(at).Round(time.Millisecond))
 		times = append(times, timeInForce(ctx, t, c, nodes, len(times)))
 	}
 	assert.NilError(t, harness.Until(ctx, "1000 edits", func() error {
@@ -324,7 +331,7 @@
 	assert.Equal(t, res, porcupine.Ok, "the history is not linearizable")
 }
 
-// finalReads adds a read of each cell after all faults.
+// finalReads adds a read of each cell after all faults to the history.
 func (o *operators) finalReads(ctx context.Context, t *testing.T) {
 	t.Helper()
 	for i := range 3 {
@@ -350,7 +357,7 @@
 	assert.NilError(t, harness.Until(ctx, "the edit to be in force", func() error {
 		for _, node := range nodes {
 			if rev, ok := revision(c.Proc(node)); !ok || rev < res.Revision {
-				return fmt.Errorf("%s has %d of %d", node, rev, res.Revision)
+				return fmt.Errorf("%s has revision %d, want %d", node, rev, res.Revision)
 			}
 		}
 		return nil
--- a/proof/input_test.go
+++ b/proof/input_test.go
@@ -23,10 +23,11 @@
 	cmd := exec.CommandContext(t.Context(), filepath.Join(os.Getenv("RUDDER_BIN"), name), args...)
 	var b strings.Builder
 	cmd.Stderr = &b
-	_ = cmd.Run() // the exit code tells
+	_ = cmd.Run() // the exit code is returned instead
 	return cmd.ProcessState.ExitCode(), b.String()
 }
 
+// checkOutput checks that an output contains all wanted texts, and no panic.
 func checkOutput(t *testing.T, got string, want ...string) {
 	t.Helper()
 	assert.Assert(t, !strings.Contains(got, "panic"), "%s", got)
@@ -35,8 +36,8 @@
 	}
 }
 
-// TestBadInput gives every kind of bad input: each gets one clear line that says
-// what and where.
+// TestBadInput tests that each kind of bad input is answered with one clear message that
+// says what is wrong and where.
 func TestBadInput(t *testing.T) {
 	ctx, c := startCluster(t, harness.Options{Agents: 1, Entries: 1})
 	control := strings.Join(c.ControlAddrs(), ",")
--- a/proof/main_test.go
+++ b/proof/main_test.go
@@ -1,8 +1,8 @@
 //go:build proof
 
-// Package proof proves the promises of the brief with real processes, real
-// kill -9 and SIGSTOP, and a fault-injecting proxy on every link. Each TestProve
-// prints one line for its promise; docs/PROOFS.md maps promises to tests.
+// Package proof tests the guarantees of the product with real processes, SIGKILL and
+// SIGSTOP, and fault-injecting proxies on every link. Each TestProve test prints one line
+// per guarantee; docs/PROOFS.md maps guarantees to tests.
 package proof
 
 import (
@@ -19,14 +19,16 @@
 	"rudderfork.example/rudderfork/replica"
 )
 
-// testLimit bounds one proof. It ends a proof that hangs; no promise rests on it.
+// testLimit bounds the time of one test. It only ends a test that hangs; no guarantee
+// depends on it.
 const testLimit = 100 * time.Second
 
-// startCluster starts a cluster and waits until it serves.
+// startCluster starts a cluster and waits until it is ready. RUDDER_KEEP names a folder in
+// which its files are kept.
 func startCluster(t *testing.T, opt harness.Options) (context.Context, *harness.Cluster) {
 	t.Helper()
 	bin := os.Getenv("RUDDER_BIN")
-	assert.Assert(t, bin != "", "RUDDER_BIN names the folder of the programs; run make real or make prove")
+	assert.Assert(t, bin != "", "set RUDDER_BIN to the folder of the programs, or run make real or make prove")
 	ctx, cancel := context.WithTimeout(t.Context(), testLimit)
 	t.Cleanup(cancel)
 	dir := t.TempDir()
@@ -42,7 +44,7 @@
 	return ctx, c
 }
 
-// prove prints the line of a promise when the test ends.
+// prove prints the line of a guarantee when the test ends.
 func prove(t *testing.T, guarantee string, figures func() string) {
 	t.Helper()
 	t.Cleanup(func() {
@@ -57,7 +59,8 @@
 // controlNames are the names of the control processes.
 var controlNames = []string{"c1", "c2", "c3"}
 
-// waitLeader waits for a settled waitLeader and returns its name; not is left out.
+// waitLeader waits until a control process other than except leads and is ready, and
+// returns its name.
 func waitLeader(ctx context.Context, t *testing.T, c *harness.Cluster, except string) (name string) {
 	t.Helper()
 	assert.NilError(t, harness.Until(ctx, "a leader", func() error {
@@ -70,18 +73,19 @@
 				return nil
 			}
 		}
-		return errors.New("none leads")
+		return errors.New("no process leads")
 	}))
 	return name
 }
 
+// status queries the status of a control process.
 func status(ctx context.Context, c *harness.Cluster, name string) (replica.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	return c.Operator().Status(ctx, c.Proc(name).Listen())
 }
 
-// waitVM waits until a VM is live, or is not.
+// waitVM waits until control lists a VM as live, or as not live.
 func waitVM(ctx context.Context, t *testing.T, c *harness.Cluster, vm string, live bool) {
 	t.Helper()
 	assert.NilError(t, harness.Until(ctx, fmt.Sprintf("%s to be live: %t", vm, live), func() error {
@@ -103,7 +107,7 @@
 	t.Helper()
 	assert.NilError(t, harness.Until(ctx, name+" to end", func() error {
 		if c.Proc(name).Running() {
-			return errors.New("it runs")
+			return errors.New("it is still running")
 		}
 		return nil
 	}))
--- a/proof/requests_test.go
+++ b/proof/requests_test.go
@@ -20,10 +20,11 @@
 	"rudderfork.example/rudderfork/operator"
 )
 
-// faultDuration is how long a fault on the request path lasts: many requests long.
+// faultDuration is how long a fault on the request path lasts. Many requests are sent in
+// this time.
 const faultDuration = 700 * time.Millisecond
 
-// timedFault breaks something for a spell.
+// timedFault returns a function that injects a fault and heals it after faultDuration.
 func timedFault(inject, heal func(c *harness.Cluster)) func(context.Context, *testing.T, *harness.Cluster) {
 	return func(_ context.Context, _ *testing.T, c *harness.Cluster) {
 		inject(c)
@@ -66,7 +67,7 @@
 }
 
 func crashFault(name, point string) fault {
-	return fault{name + " dies at " + point, func(ctx context.Context, t *testing.T, c *harness.Cluster) {
+	return fault{name + " crashes at " + point, func(ctx context.Context, t *testing.T, c *harness.Cluster) {
 		c.Proc(name).Kill()
 		assert.NilError(t, c.StartWith(name, point))
 		waitExit(ctx, t, c, name)
@@ -74,7 +75,7 @@
 	}}
 }
 
-// overload leaves one slot and no queue at each upstream for a spell.
+// overload limits each upstream to one slot and no queue for faultDuration.
 func overload(ctx context.Context, t *testing.T, c *harness.Cluster) {
 	op := c.Operator()
 	set := func(slots, queue int64) {
@@ -91,7 +92,7 @@
 	set(8, 64)
 }
 
-// killUpstreams kills all upstreams for a spell.
+// killUpstreams kills all upstreams, and restarts them after faultDuration.
 func killUpstreams(_ context.Context, t *testing.T, c *harness.Cluster) {
 	ups := []string{"u1", "u2", "u3"}
 	for _, u := range ups {
@@ -103,7 +104,8 @@
 	}
 }
 
-// requestFaults but the first two leave e2 and vm3 alone, so that there is a way.
+// requestFaults are the faults of TestProveRequests. All but the first two spare e2 and
+// vm3, so that requests still have a working path.
 var requestFaults = []fault{
 	{"the upstreams are overloaded", overload},
 	{"all upstreams are killed", killUpstreams},
@@ -115,11 +117,13 @@
 	crashFault("e1", crash.EntryClaimed), crashFault("e1", crash.EntrySent), crashFault("e1", crash.EntryAnswered),
 	crashFault("a1", crash.AgentBegun), crashFault("a1", crash.AgentForwarded),
 	{"the leader is killed", batchFaults[0].run},
-	{"the leader is cut off", batchFaults[2].run},
+	{"all links of the leader are cut", batchFaults[2].run},
 }
 
-// TestProveRequests proves the three promises about requests while callers hold
-// seats through both entries, with and without a key, and resend those with.
+// TestProveRequests tests the three guarantees about requests: a caller gets the complete
+// response to its own request, a refusal that says that the request did not run is true,
+// and a keyed request runs at most once. Callers hold seats through both entries, with and
+// without an idempotency key, and retry the keyed holds.
 func TestProveRequests(t *testing.T) {
 	var keyed, plain, big *harness.Calls
 	prove(t, "a caller gets the whole answer to its own request", func() string {
@@ -154,7 +158,7 @@
 	for _, f := range requestFaults {
 		at := time.Now()
 		f.run(ctx, t, c)
-		t.Logf("%s: put right after %v", f.name, time.Since(at).Round(time.Millisecond))
+		t.Logf("%s: healed after %v", f.name, time.Since(at).Round(time.Millisecond))
 	}
 	close(stop)
 	wg.Wait()
@@ -172,10 +176,10 @@
 	for _, id := range append(keyed.AnsweredIDs, plain.AnsweredIDs...) {
 		assert.Check(t, runs[id] == 1, "%s was answered and ran %d times", id, runs[id])
 	}
-	assert.Assert(t, keyed.Answered > 500 && len(keyed.NotRunIDs)+len(plain.NotRunIDs) > 0, "too little was tried: %d holds", keyed.Answered)
+	assert.Assert(t, keyed.Answered > 500 && len(keyed.NotRunIDs)+len(plain.NotRunIDs) > 0, "too few requests for a verdict: %d keyed holds answered", keyed.Answered)
 }
 
-// startLeaving tells the platform that a VM leaves, and returns when it did.
+// startLeaving tells the platform that a VM is leaving, and returns the time of that call.
 func startLeaving(t *testing.T, c *harness.Cluster, vm string) time.Time {
 	t.Helper()
 	at := time.Now()
@@ -185,7 +189,7 @@
 	return at
 }
 
-// lastRequestStart returns when the last request began on a VM's upstream.
+// lastRequestStart returns when the last request started on a VM's upstream.
 func lastRequestStart(t *testing.T, c *harness.Cluster, vm string) (last time.Time) {
 	t.Helper()
 	rs, err := c.RequestStarts()
@@ -198,8 +202,8 @@
 	return last
 }
 
-// TestProveLeaving proves that a leaving upstream gets no new work after a few
-// seconds, although the platform's list lags by one, and with control's leader
+// TestProveLeaving tests that a leaving upstream gets no new requests after a few seconds,
+// although the platform's list of VMs lags by one second, and also when the leader is
 // killed meanwhile.
 func TestProveLeaving(t *testing.T) {
 	const lag, maxDelay = time.Second, 5 * time.Second
@@ -223,10 +227,10 @@
 			waitLeader(ctx, t, c, l)
 		}
 		waitDraining(ctx, t, c, vm)
-		// It is quiet when nothing has begun there for a while.
-		assert.NilError(t, harness.Until(ctx, vm+" to be quiet", func() error {
+		// Wait until no request has started there for two seconds.
+		assert.NilError(t, harness.Until(ctx, vm+" to get no more requests", func() error {
 			if quiet := time.Since(lastRequestStart(t, c, vm)); quiet < 2*time.Second {
-				return fmt.Errorf("quiet for %v", quiet)
+				return fmt.Errorf("the last one started %v ago", quiet)
 			}
 			return nil
 		}))
@@ -238,6 +242,7 @@
 	assert.Equal(t, calls.Unknown+calls.Refused, 0, calls.FirstProblem)
 }
 
+// waitDraining waits until control lists a VM as draining.
 func waitDraining(ctx context.Context, t *testing.T, c *harness.Cluster, vm string) {
 	t.Helper()
 	assert.NilError(t, harness.Until(ctx, vm+" to drain", func() error {
@@ -250,16 +255,16 @@
 				return nil
 			}
 		}
-		return errors.New("it does not drain")
+		return errors.New("it is not draining")
 	}))
 }
 
-// TestProvePlannedStop stops each kind of process as planned under load, with
-// feeds open through it: nothing in progress is cut off.
+// TestProvePlannedStop shuts down each kind of process gracefully under load, with feeds
+// open through it, and tests that nothing in progress is cut off.
 func TestProvePlannedStop(t *testing.T) {
 	const feeds = 6
 	var calls *harness.Calls
-	stops := []string{"e1", "a1", "", "a2"}
+	stops := []string{"e1", "a1", "", "a2"} // processes to stop; "" means the leader
 	prove(t, "a planned stop cuts off nothing in progress", func() string {
 		return fmt.Sprintf("an entry, two agents and the leader stopped under load: %d holds and %d feeds, all whole", calls.Answered, feeds)
 	})
@@ -291,7 +296,7 @@
 	assert.Equal(t, len(calls.Mismatched), 0)
 }
 
-// waitFeeds waits until the upstreams have n feeds open.
+// waitFeeds waits until the upstreams have n open feeds.
 func waitFeeds(ctx context.Context, t *testing.T, c *harness.Cluster, n int) {
 	t.Helper()
 	assert.NilError(t, harness.Until(ctx, "the feeds to be open", func() error {
--- a/proof/silence_test.go
+++ b/proof/silence_test.go
@@ -14,17 +14,18 @@
 )
 
 const (
-	// silenceRounds is how often the connections fall silent.
+	// silenceRounds is how often each case runs.
 	silenceRounds = 2
-	// callerTimeout is after how long a caller gives up a connection of its own: one
-	// that has gone silent on the way to an entry only the caller can notice.
+	// callerTimeout limits a caller's requests where its own connections are blackholed: only
+	// the caller can detect that its connection to an entry is silent.
 	callerTimeout = 3 * time.Second
 )
 
-// silenceCases are the kinds of processes whose connections fall silent together.
+// silenceCases lists the kinds of processes whose connections to each other are blackholed
+// together.
 var silenceCases = []struct {
 	kinds   []string
-	timeout time.Duration // of the caller; none if it is 0
+	timeout time.Duration // of a caller's request; 0 means none
 }{
 	{kinds: []string{"c"}},
 	{kinds: []string{"c", "e", "a"}},
@@ -33,11 +34,10 @@
 	{kinds: []string{"caller", "c", "e", "a"}, timeout: callerTimeout},
 }
 
-// TestProveSilence makes open connections silent for good while new ones work:
-// between the control processes, between these and the nodes, between entries and
-// agents, all of these with upstreams, workers and operators, or with callers.
-// Edits must come into force on every node,
-// seats must be held, and each held seat was held by one run of its request.
+// TestProveSilence blackholes open connections while new ones work: between control
+// processes; between these, entries and agents; between entries and agents; and between
+// all of these and upstreams, workers and operators, or callers. Edits must still come
+// into force on every node, each seat must be held, and no hold may run twice.
 func TestProveSilence(t *testing.T) {
 	ctx, c := startCluster(t, harness.Options{})
 	prove(t, "silent connections stop neither edits nor holds", func() string {
@@ -58,8 +58,8 @@
 	assertRunAtMostOnce(t, c)
 }
 
-// holdUntilAnswered sends one keyed hold again and again until it is answered. Each
-// has no deadline if patience is 0.
+// holdUntilAnswered retries a keyed hold until it is answered, and returns 1. timeout
+// limits each attempt; 0 means no limit.
 func holdUntilAnswered(ctx context.Context, t *testing.T, cl *harness.Caller, n int, timeout time.Duration) (answered int) {
 	t.Helper()
 	seat := fmt.Sprintf("silent-%d", n)
@@ -76,7 +76,7 @@
 	return 1
 }
 
-// assertRunAtMostOnce asserts that no request ran twice.
+// assertRunAtMostOnce asserts that no hold ran more than once.
 func assertRunAtMostOnce(t *testing.T, c *harness.Cluster) {
 	t.Helper()
 	runs, err := c.HoldCounts()
