--- a/proof/batch_test.go
+++ b/proof/batch_test.go
@@ -28,6 +28,7 @@
 	return harness.Options{Agents: 4, Entries: 1, CPU: vmCPU, Memory: vmMemory, WorkerFlags: []string{"-checkpoint", "20"}}
 }
 
+// batchJob returns a job whose tasks fit three to a VM.
 func batchJob(id string, tasks int) rudderfork.JobSpec {
 	return rudderfork.JobSpec{
 		ID: rudderfork.JobID(id), Team: "heritage", Kind: "roster", Tasks: tasks, Units: taskUnits, Attempts: 50,
@@ -42,6 +43,7 @@
 	run  func(ctx context.Context, t *testing.T, c *harness.Cluster)
 }
 
+// batchFaults are the faults of TestProveBatch.
 var batchFaults = []fault{
 	{"the leader is killed", func(ctx context.Context, t *testing.T, c *harness.Cluster) {
 		l := waitLeader(ctx, t, c, "")
--- a/soak/clients_test.go
+++ b/soak/clients_test.go
@@ -30,8 +30,8 @@
 	burstInterval      = 15 * time.Second                          // between two bursts of jobs
 	lastBurstBeforeEnd = powerLossBeforeEnd + 500*time.Millisecond // from the last burst to the end of the traffic
 	meanJobWork        = 4.5                                       // mean work of a short job, in core-seconds
-	baseUtilization    = 0.3 // share of the capacity for short jobs that those outside bursts take on average
-	burstWork          = 5.0 // work of a burst, in seconds of the capacity for short jobs
+	baseUtilization    = 0.3                                       // share of the capacity for short jobs that those outside bursts take on average
+	burstWork          = 5.0                                       // work of a burst, in seconds of the capacity for short jobs
 )
 
 // clients submits jobs, and queries the states of jobs and the counts of queues.
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -23,13 +23,14 @@
 )
 
 const (
-	coreCount    = 5    // number of core processes
-	entryCount   = 2    // number of entry processes
-	maxLostDisks = 2    // disks of core processes that may be lost at once
+	coreCount    = 5    // core machines, each with a control process
+	entryCount   = 2    // edge machines, each with an entry
+	maxLostDisks = 2    // disks of core machines that may be lost at once
 	machineCPU   = 4000 // CPU capacity of a side machine, in thousandths of a core
 )
 
-// site is a deployment of real processes on loopback addresses.
+// site is a deployment of real processes on loopback addresses. The machines core-N run
+// control processes (core processes here), edge-N entries, and side-N agents.
 type site struct {
 	*standin.Site
 	dir      string
