--- a/runner/calls.go
+++ b/runner/calls.go
@@ -16,7 +16,7 @@
 	timer := time.NewTimer(heartbeatInterval)
 	defer timer.Stop()
 	for {
-		timer.Reset(a.sendDue(ctx))
+		timer.Reset(a.sendDueCalls(ctx))
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -26,8 +26,9 @@
 	}
 }
 
-// sendDue sends the calls that are due, and returns how long to wait before the next time.
-func (a *Agent) sendDue(ctx context.Context) time.Duration {
+// sendDueCalls sends the calls that are due, and returns how long to wait before it
+// is to be called again.
+func (a *Agent) sendDueCalls(ctx context.Context) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := steady.Now()
@@ -44,7 +45,7 @@
 	return wait
 }
 
-// call makes one call and passes its result to the reconciler.
+// call makes one call to the incarnation inc and passes its result to the reconciler.
 func (a *Agent) call(ctx context.Context, inc string, fence uint64, c runs.Call) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -93,7 +94,7 @@
 		outcome = "unanswered"
 	}
 	a.met.calls.WithLabelValues(kind, outcome).Inc()
-	a.met.took.WithLabelValues(kind).Observe(took.Seconds())
+	a.met.callSeconds.WithLabelValues(kind).Observe(took.Seconds())
 	a.log.Info().Str("call", kind).Str("task", string(c.Ref.Task)).Uint32("run", c.Ref.Run).Str("outcome", outcome).
 		Dur("took", took).AnErr("error", err).Msg("executor_called")
 }
--- a/runner/clock_test.go
+++ b/runner/clock_test.go
@@ -10,8 +10,8 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// TestStatusBehindClock guards against a run that is reported as lost because a status from before
-// its start does not list it.
+// TestStatusBehindClock guards against a run that is reported as lost because a late status, which
+// was made before the run started, does not list it.
 func TestStatusBehindClock(t *testing.T) {
 	run := rudderfork.RunRef{Task: "5c0e7a21d94b36f8.0.0.0", Run: 1}
 	a := newTestAgent()
@@ -27,7 +27,7 @@
 	handle(80_000)
 	assert.Equal(t, a.lastStatusAt, seen, "a stale status counts as an answer")
 	assert.Equal(t, len(a.reports), 0)
-	assert.Equal(t, len(a.rows), 1)
+	assert.Equal(t, len(a.runStatuses), 1)
 	handle(90_001)
 	assert.Equal(t, len(a.reports), 1)
 }
--- a/runner/crash.go
+++ b/runner/crash.go
@@ -9,54 +9,57 @@
 	"rudderfork.example/rudderfork/queue"
 )
 
-// recordStart records after a start whether the run may be at work. The caller holds mu.
+// recordStart records the result of a start: whether the run is or may be at work, for crash
+// reports. The caller holds mu.
 func (a *Agent) recordStart(ref rudderfork.RunRef, out rudderfork.StartOutcome, err error, now time.Time) {
 	switch {
 	case errors.Is(err, rudderfork.ErrNotReached):
-		a.recordSilence(now) // nothing listens, so this call has started nothing
+		a.recordFailedCall(now) // nothing listens, so this call has started nothing
 	case err != nil:
-		a.recordSilence(now)
+		a.recordFailedCall(now)
 		if _, known := a.unansweredStarts[ref]; !known {
 			a.unansweredStarts[ref] = now
 		}
 	default:
 		delete(a.unansweredStarts, ref)
-		a.silentSince = time.Time{}
+		a.failingSince = time.Time{}
 		if out == rudderfork.Started {
 			a.startedAt[ref] = now
 		}
 	}
 }
 
-// recordSilence records that a call was not answered. The caller holds mu.
-func (a *Agent) recordSilence(now time.Time) {
-	if a.silentSince.IsZero() {
-		a.silentSince = now
+// recordFailedCall records that a start was not answered, or that a poll returned no status. The
+// caller holds mu.
+func (a *Agent) recordFailedCall(now time.Time) {
+	if a.failingSince.IsZero() {
+		a.failingSince = now
 	}
 }
 
-// crashReport returns the runs of the present incarnation, for the case that it has crashed:
-// which runs were at work when a call was first left unanswered, and for how long. A poll is
-// always under way, and a crash breaks it off, so this time is usually milliseconds after
-// the crash. Where a crash is noticed later, the ages are too high rather than too low, so
-// that a run which may have ended well before is hardly suspected. The caller holds mu.
+// crashReport returns the runs of the present incarnation, in case it has crashed: which runs
+// may have been at work when a call first failed, and how old they were. A poll is always
+// under way and fails when the executor crashes, so that time is usually milliseconds after
+// the crash. If a crash is noticed later, the ages are too high rather than too low. The
+// leader hardly suspects an old run, which may have ended well before the crash. The caller
+// holds mu.
 func (a *Agent) crashReport() *queue.Crash {
-	at := a.silentSince
+	at := a.failingSince
 	if at.IsZero() {
 		at = steady.Now()
 	}
 	c := &queue.Crash{Incarnation: a.reconciler.Incarnation(), Draining: a.draining}
 	known := map[rudderfork.RunRef]bool{}
-	add := func(ref rudderfork.RunRef, ageMS int64, seen bool) {
+	add := func(ref rudderfork.RunRef, ageMS int64, confirmed bool) {
 		if k, err := queue.ParseTaskKey(string(ref.Task)); err == nil && !known[ref] {
 			known[ref] = true
-			c.Runs = append(c.Runs, queue.RunAge{Task: k, Run: ref.Run, AgeMS: max(0, ageMS), Confirmed: seen})
+			c.Runs = append(c.Runs, queue.RunAge{Task: k, Run: ref.Run, AgeMS: max(0, ageMS), Confirmed: confirmed})
 		}
 	}
 	for ref, startedAt := range a.startedAt {
 		add(ref, at.Sub(startedAt).Milliseconds(), true)
 	}
-	for ref := range a.rows { // started by an earlier agent
+	for ref := range a.runStatuses { // started by an earlier agent
 		add(ref, at.Sub(a.incarnationSince).Milliseconds(), true)
 	}
 	for ref, called := range a.unansweredStarts {
@@ -81,9 +84,10 @@
 	}
 }
 
-// recordReachable records, after a failed poll, whether anything listened at the executor's
-// address. The caller holds mu.
-func (a *Agent) recordReachable(err error) {
+// recordReachability records, after a failed poll, whether anything listened at the executor's
+// address. The VM counts as unresponsive after unreachableAfter polls that found nothing. The
+// caller holds mu.
+func (a *Agent) recordReachability(err error) {
 	if !errors.Is(err, rudderfork.ErrNotReached) {
 		a.unreachablePolls = 0
 		return
--- a/runner/crash_test.go
+++ b/runner/crash_test.go
@@ -23,8 +23,8 @@
 	assert.DeepEqual(t, got, want)
 }
 
-// TestCrash checks what an agent reports of an executor that stops answering, and of one that
-// answers as another incarnation.
+// TestCrash checks which runs an agent reports to the leader when its executor stops answering or
+// answers as another incarnation. The leader suspects these runs of the crash.
 func TestCrash(t *testing.T) {
 	old, fresh, lost, refused := ref("old"), ref("fresh"), ref("lost"), ref("refused")
 	begin := steady.Now()
@@ -62,7 +62,7 @@
 	t.Run("a start that is answered after all counts from then on", func(t *testing.T) {
 		a := silent()
 		a.recordStart(lost, rudderfork.Started, nil, at(1000))
-		a.recordSilence(at(1010))
+		a.recordFailedCall(at(1010))
 		checkKnown(t, a.crashReport(), map[string]queue.RunAge{
 			"old.0.0.0": {AgeMS: 1010, Confirmed: true}, "fresh.0.0.0": {AgeMS: 310, Confirmed: true}, "lost.0.0.0": {AgeMS: 10, Confirmed: true},
 		})
@@ -70,7 +70,7 @@
 	t.Run("a status ends the silence", func(t *testing.T) {
 		a := silent()
 		a.handleStatus(t.Context(), "life-1", rudderfork.ExecutorStatus{ClockMS: 1, Running: []rudderfork.RunStatus{{RunRef: old}}}, at(1990))
-		assert.Assert(t, a.silentSince.IsZero())
+		assert.Assert(t, a.failingSince.IsZero())
 	})
 }
 
--- a/runner/filler_speed.go
+++ b/runner/filler_speed.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	// tailWindow is the time that the executor's figure of a tail latency covers.
+	// tailWindow is the period over which the executor measures a tail latency.
 	tailWindow = 500 * time.Millisecond
 	// paceDelay is how long a new pace takes to have effect.
 	paceDelay = 100 * time.Millisecond
 )
 
-// fillerSpeed records how fast a filler worked recently, so that a tail latency is compared with
-// the fillers that worked while it was measured.
+// fillerSpeed records how fast a filler worked recently, so that a tail latency can be compared with
+// the speeds of the fillers while it was measured.
 type fillerSpeed struct {
 	image   string
-	share   float64 // of the VM's processors at full speed
-	changes []speedChange
-	ended   time.Time // zero while it runs
+	share   float64       // of the VM's processors that the filler uses at full speed
+	changes []speedChange // in the order of time; the first may be older than tailWindow
+	ended   time.Time     // when the executor no longer listed the filler; zero while it runs
 }
 
-// speedChange is a speed, 0 to 1, from a time on.
+// speedChange is a speed, 0 to 1, and the time from which it applies.
 type speedChange struct {
 	from  time.Time
 	speed float64
 }
 
-// set records the speed from a time on, and drops changes that are older than the window.
+// set records the speed that applies from a time on, and drops changes that are older than the
+// window.
 func (s *fillerSpeed) set(speed float64, from time.Time) {
 	for len(s.changes) > 1 && from.Sub(s.changes[1].from) > tailWindow+paceDelay {
 		s.changes = s.changes[1:]
@@ -66,7 +67,7 @@
 	vmCPU := float64(max(1, a.vm.Capacity.CPUMilli))
 	for id, o := range a.reconciler.DesiredRuns() {
 		ref := rudderfork.RunRef{Task: id, Run: o.Run}
-		if _, listed := a.rows[ref]; !listed || !o.Filler || a.fillerSpeeds[ref] != nil {
+		if _, listed := a.runStatuses[ref]; !listed || !o.Filler || a.fillerSpeeds[ref] != nil {
 			continue
 		}
 		s := &fillerSpeed{image: o.Image, share: max(minShare, float64(o.CPUMilli)/vmCPU)}
@@ -78,7 +79,7 @@
 		a.fillerSpeeds[ref] = s
 	}
 	for ref, s := range a.fillerSpeeds {
-		if _, listed := a.rows[ref]; !listed && s.ended.IsZero() {
+		if _, listed := a.runStatuses[ref]; !listed && s.ended.IsZero() {
 			s.ended = now
 		}
 		if !s.ended.IsZero() && now.Sub(s.ended) > tailWindow {
@@ -86,7 +87,7 @@
 		}
 	}
 	for ref := range a.startedAt {
-		if _, listed := a.rows[ref]; !listed && now.Sub(a.startedAt[ref]) > tailWindow {
+		if _, listed := a.runStatuses[ref]; !listed && now.Sub(a.startedAt[ref]) > tailWindow {
 			delete(a.startedAt, ref)
 		}
 	}
--- a/runner/heartbeat.go
+++ b/runner/heartbeat.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// nextHeartbeat returns a heartbeat with the rows that have changed. ok is false while no
-// incarnation is recognized.
+// nextHeartbeat returns a heartbeat with the statuses of runs that have changed since the previous
+// one. ok is false while no incarnation is recognized.
 func (a *Agent) nextHeartbeat() (b wire.VMHeartbeat, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -44,16 +44,16 @@
 	if a.draining {
 		b.LeaveMS = max(0, a.leaveNotBefore.Sub(now).Milliseconds())
 	}
-	for ref, row := range a.rows {
-		row.PacedDownPercent = fullPace - a.paceOf(ref)
-		if a.reportedRows[ref] != row {
-			a.reportedRows[ref] = row
-			b.Runs = append(b.Runs, row)
+	for ref, status := range a.runStatuses {
+		status.PacedDownPercent = fullPace - a.paceOf(ref)
+		if a.reportedStatuses[ref] != status {
+			a.reportedStatuses[ref] = status
+			b.Runs = append(b.Runs, status)
 		}
 	}
-	for ref := range a.reportedRows {
-		if _, listed := a.rows[ref]; !listed {
-			delete(a.reportedRows, ref)
+	for ref := range a.reportedStatuses {
+		if _, listed := a.runStatuses[ref]; !listed {
+			delete(a.reportedStatuses, ref)
 		}
 	}
 	return b, true
--- a/runner/incarnation.go
+++ b/runner/incarnation.go
@@ -14,19 +14,19 @@
 
 const (
 	// confirmTimeout is how long after a description the agent tries to confirm that it is
-	// of the executor's present incarnation: a few of the executor's heartbeats, each of which
-	// restarts this time.
+	// of the executor's present incarnation: the time of a few heartbeats of the executor, each
+	// of which carries a description and restarts the timeout.
 	confirmTimeout = 3 * time.Second
 	// endedTTL is how long an incarnation counts as ended before the executor is polled for it
-	// again, if it still sends descriptions. It is long enough that late descriptions of ended
-	// incarnations cost few calls, and short compared to the cost of a VM that is lost because
-	// of a wrong answer.
+	// again, if descriptions of it still arrive. It is long enough that late descriptions of
+	// ended incarnations cause few calls. It is short, since the VM is unusable for that long
+	// if the answer that the incarnation has ended was wrong.
 	endedTTL = 3 * time.Second
-	// shutdownSlack is how much earlier than announced an executor may leave, since its last
-	// description may have been under way for so long.
+	// shutdownSlack is how much earlier than the agent expects an executor may leave. Its last
+	// description, which tells when it leaves, may have taken that long to arrive.
 	shutdownSlack = 500 * time.Millisecond
 	// maxIncarnations bounds the incarnations that wait to be confirmed, and those recorded as
-	// ended. It is far above how many can have a heartbeat under way.
+	// ended. It is far above the number of incarnations that can have heartbeats under way.
 	maxIncarnations = 64
 )
 
@@ -35,19 +35,19 @@
 	vm             queue.VM
 	draining       bool
 	leaveNotBefore time.Time // while it drains: the earliest time at which it leaves
-	confirmUntil   time.Time
-	shutdownNotice bool // a shutdown notice came before the incarnation was confirmed
+	confirmUntil   time.Time // the description is dropped if it is not confirmed by then
+	shutdownNotice bool      // a shutdown notice came before the incarnation was confirmed
 }
 
-// endedIncarnation is an incarnation that is not polled until a time.
+// endedIncarnation is an incarnation that counts as ended, and is not polled for, until a time.
 type endedIncarnation struct {
 	inc   string
 	until time.Time
 }
 
 // HandleDescription takes an executor's description of itself. leave is the least time until
-// the executor leaves if it is draining. It returns false if it rejects the description, as
-// one that contradicts those before.
+// the executor leaves if it is draining. It returns false if it rejects the description because
+// it contradicts the earlier ones.
 //
 // A description may arrive late, when its incarnation has ended and another has started, and
 // the names of incarnations have no order. So a description of an incarnation other than the
@@ -81,7 +81,8 @@
 const minConflicts = 3
 
 // consistent reports whether a description of the present incarnation agrees with the
-// accepted one in all but the capacity, or was repeated minConflicts times. The caller holds mu.
+// accepted one in all but the capacity, or has arrived minConflicts times in succession. The
+// caller holds mu.
 func (a *Agent) consistent(vm queue.VM) bool {
 	known := a.vm
 	known.Capacity = vm.Capacity
@@ -140,9 +141,9 @@
 
 // confirm polls the executor for one incarnation. Any other incarnation answers with
 // ErrStaleIncarnation. Without a status the incarnation is neither recognized nor given up.
-// This also holds for other answers: by the contract only the incarnation itself may give
-// them, but they carry no clock, so that the agent could neither extend a lease nor start
-// runs. It has nothing to gain from trusting an answer that may be another incarnation's.
+// This also holds for an answer without a status. By the contract only the incarnation itself
+// may give it. But it carries no clock, so the agent could neither extend a lease nor start
+// runs, and would gain nothing from trusting an answer that may be another incarnation's.
 func (a *Agent) confirm(ctx context.Context, inc string) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
@@ -170,9 +171,9 @@
 	return a.reconciler.FencingToken()
 }
 
-// recordEnded records that an incarnation has ended, as the executor has answered or because it
-// left polls unanswered after its shutdown notice. This only saves calls. It expires, since the
-// answer may be wrong: an executor may send a description before it answers under its new name,
+// recordEnded records that an incarnation has ended, because the executor has answered so or has
+// left polls unanswered after its shutdown notice. The record only saves calls. It expires, since
+// the answer may be wrong: an executor may send a description before it answers under its new name,
 // and an earlier process may still answer. The caller holds mu.
 func (a *Agent) recordEnded(inc string) {
 	delete(a.descriptions, inc)
@@ -184,8 +185,8 @@
 	a.ended = a.ended[max(0, len(a.ended)-maxIncarnations):]
 }
 
-// recentlyEnded reports whether an incarnation was recorded as ended within endedTTL. The caller
-// holds mu.
+// recentlyEnded reports whether an incarnation was recorded as ended within the last endedTTL. The
+// caller holds mu.
 func (a *Agent) recentlyEnded(inc string, now time.Time) bool {
 	a.ended = slices.DeleteFunc(a.ended, func(e endedIncarnation) bool { return !now.Before(e.until) })
 	return slices.ContainsFunc(a.ended, func(e endedIncarnation) bool { return e.inc == inc })
@@ -221,9 +222,10 @@
 	return a.reconciler.Incarnation()
 }
 
-// HandleShutdownNotice takes the executor's notice that it shuts down now. The executor is
-// polled until it no longer answers, since it may still list ends that the agent has not seen.
-// A notice of an incarnation other than the recognized one does not change that.
+// HandleShutdownNotice takes the executor's notice that it shuts down now. inc is the name of the
+// incarnation, or the executor's ID alone. The executor is polled until it no longer answers, since
+// it may still list ends that the agent has not seen. A notice of an incarnation that is not
+// confirmed yet is kept until it is; one of any other incarnation is ignored.
 func (a *Agent) HandleShutdownNotice(inc string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -239,15 +241,15 @@
 	a.shuttingDown = true
 }
 
-// matchesShutdown reports whether a shutdown notice is from the incarnation described. A notice
-// that only names the executor's id may be a late one of an earlier incarnation. It counts if
-// the incarnation has announced that it leaves about now.
-func (d *description) matchesShutdown(shutdownNotice string, now time.Time) bool {
-	if shutdownNotice == d.vm.Incarnation {
+// matchesShutdown reports whether a shutdown notice from sender is from the incarnation described.
+// If sender is only the executor's ID, the notice may be a late one of an earlier incarnation. It
+// then counts only if the incarnation described has announced that it leaves about now.
+func (d *description) matchesShutdown(sender string, now time.Time) bool {
+	if sender == d.vm.Incarnation {
 		return true
 	}
 	id, _ := rudderfork.SplitIncarnation(d.vm.Incarnation)
-	return shutdownNotice == id && d.draining && !now.Before(d.leaveNotBefore.Add(-shutdownSlack))
+	return sender == id && d.draining && !now.Before(d.leaveNotBefore.Add(-shutdownSlack))
 }
 
 // reportLeft reports to the leader that the incarnation has left, so that its tasks start
@@ -259,8 +261,8 @@
 	a.dropIncarnation()
 }
 
-// incarnationReplaced handles that the incarnation has ended and another has started. The caller
-// holds mu.
+// incarnationReplaced drops the present incarnation because the executor has another one now. The
+// caller holds mu.
 func (a *Agent) incarnationReplaced() {
 	a.log.Info().Str("life", a.reconciler.Incarnation()).Msg("executor_replaced")
 	if a.shuttingDown {
--- a/runner/lease_test.go
+++ b/runner/lease_test.go
@@ -9,8 +9,8 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// TestLeaseOf checks until when a grant allows starts. A grant that does not specify it allows them
-// until the end of the lease.
+// TestLeaseOf checks until when a grant allows starts. A grant that does not specify it, as from a
+// leader of an earlier release, allows them until the end of the lease.
 func TestLeaseOf(t *testing.T) {
 	sent := time.Unix(1000, 0)
 	starts, none := int64(2000), int64(0)
--- a/runner/new_incarnation_test.go
+++ b/runner/new_incarnation_test.go
@@ -57,8 +57,9 @@
 	}
 }
 
-// TestLateStatusOfEarlierIncarnation checks that ends in a late status of the first incarnation are
-// reported, and acknowledge nothing to the second.
+// TestLateStatusOfEarlierIncarnation guards against ends that are lost because they are in a late
+// status of the first incarnation, and against ends of the second incarnation that are acknowledged
+// because the leader has committed those of the first.
 func TestLateStatusOfEarlierIncarnation(t *testing.T) {
 	a := newTestAgent()
 	describe(a, firstInc, false, 0)
@@ -78,7 +79,8 @@
 }
 
 // TestNewIncarnationDropsState guards against state of the first incarnation that is kept for the
-// second: capacity, labels and draining are as that describes them, and all else is empty.
+// second: capacity, labels and draining must be as the second describes them, and all other state
+// must be empty.
 func TestNewIncarnationDropsState(t *testing.T) {
 	run := rudderfork.RunRef{Task: "j.0.0.0", Run: 1}
 	a := newTestAgent()
@@ -88,7 +90,7 @@
 	a.fillerUsage = map[string]float64{"loud": 1}
 	a.HandleShutdownNotice(firstInc)
 	a.nextHeartbeat()
-	assert.Assert(t, a.shuttingDown && len(a.rows) == 1 && len(a.reportedRows) == 1)
+	assert.Assert(t, a.shuttingDown && len(a.runStatuses) == 1 && len(a.reportedStatuses) == 1)
 
 	second := queue.VM{ID: "vm1", Incarnation: secondInc, Service: "desk", Capacity: rudderfork.Resources{CPUMilli: 8000}, Labels: []string{"b"}}
 	a.applyDescription(description{vm: second})
@@ -97,7 +99,7 @@
 	assert.DeepEqual(t, vm.Labels, second.Labels)
 	assert.Assert(t, !draining && !a.shuttingDown)
 	for name, n := range map[string]int{
-		"rows": len(a.rows), "rows reported": len(a.reportedRows), "paces": len(a.paces), "filler speeds": len(a.fillerSpeeds),
+		"run statuses": len(a.runStatuses), "reported statuses": len(a.reportedStatuses), "paces": len(a.paces), "filler speeds": len(a.fillerSpeeds),
 		"starts confirmed": len(a.startedAt), "starts unanswered": len(a.unansweredStarts), "filler usage": len(a.fillerUsage),
 	} {
 		assert.Equal(t, n, 0, name)
--- a/runner/pace.go
+++ b/runner/pace.go
@@ -27,14 +27,14 @@
 // setPressures takes pressures that the leader has measured. The caller holds mu.
 func (a *Agent) setPressures(list []wire.PairPressure) {
 	if len(a.pressures) > maxPressures {
-		clear(a.pressures) // the leader sends those that matter in the next session
+		clear(a.pressures) // the leader sends those of this VM's images again in the next session
 	}
 	for _, e := range list {
 		a.pressures[interference.Pair{Serving: e.Serving, Filler: e.Filler}] = float64(e.Pressure)
 	}
 }
 
-// setLastOfStep sets the runs that the rest of their steps wait for. The caller holds mu.
+// setLastOfStep sets the runs of fillers that are among the last of their step. The caller holds mu.
 func (a *Agent) setLastOfStep(list []rudderfork.RunRef) {
 	a.lastOfStep = make(map[rudderfork.RunRef]bool, len(list))
 	for _, ref := range list {
@@ -61,7 +61,7 @@
 	return interference.DefaultPressure()
 }
 
-// paceOf returns the speed of a run that was last requested, in percent. The caller holds mu.
+// paceOf returns the last requested speed of a run, in percent. The caller holds mu.
 func (a *Agent) paceOf(ref rudderfork.RunRef) int {
 	if p, ok := a.paces[ref]; ok {
 		return p
@@ -76,7 +76,7 @@
 	vmCPU := float64(max(1, a.vm.Capacity.CPUMilli))
 	for id, o := range a.reconciler.DesiredRuns() {
 		ref := rudderfork.RunRef{Task: id, Run: o.Run}
-		row, listed := a.rows[ref]
+		status, listed := a.runStatuses[ref]
 		share := float64(o.CPUMilli) / vmCPU
 		switch {
 		case o.Filler:
@@ -86,8 +86,8 @@
 			idle -= share
 		}
 		switch {
-		case listed && serves(o, row):
-			serving = append(serving, pace.ServingTask{Image: o.Image, Headroom: pace.Headroom(o.TailMS, row.Load)})
+		case listed && serves(o, status):
+			serving = append(serving, pace.ServingTask{Image: o.Image, Headroom: pace.Headroom(o.TailMS, status.Load)})
 		case o.Filler && listed:
 			fillers = append(fillers, pace.Filler{
 				Run: ref, Image: o.Image, CPUShare: max(minShare, share),
@@ -103,9 +103,9 @@
 func (a *Agent) colocated() bool {
 	serving, filler := false, false
 	for id, o := range a.reconciler.DesiredRuns() {
-		row, listed := a.rows[rudderfork.RunRef{Task: id, Run: o.Run}]
+		status, listed := a.runStatuses[rudderfork.RunRef{Task: id, Run: o.Run}]
 		switch {
-		case listed && serves(o, row):
+		case listed && serves(o, status):
 			serving = true
 		case listed && o.Filler:
 			filler = true
@@ -114,9 +114,10 @@
 	return serving && filler
 }
 
-// serves reports whether a run is a serving task at work.
-func serves(o wire.RunOrder, row rudderfork.RunStatus) bool {
-	return o.TailMS > 0 && row.Percent == fullPace
+// serves reports whether a run is a serving task at work. The progress of a serving task is 100
+// percent while it is at work.
+func serves(o wire.RunOrder, status rudderfork.RunStatus) bool {
+	return o.TailMS > 0 && status.Percent == fullPace
 }
 
 // meanSpeed returns the mean speed of a filler, 0 to 1, over the time in which the headrooms were
@@ -132,7 +133,7 @@
 // caller holds mu.
 func (a *Agent) adjustPace(ctx context.Context) {
 	for ref := range a.paces {
-		if _, listed := a.rows[ref]; !listed {
+		if _, listed := a.runStatuses[ref]; !listed {
 			delete(a.paces, ref)
 		}
 	}
@@ -150,8 +151,8 @@
 	}
 }
 
-// setPace requests a speed, in percent, unless it is close to the one last requested. The caller
-// holds mu.
+// setPace requests a speed, in percent, unless it differs from the last requested one by less than
+// paceStep. The caller holds mu.
 func (a *Agent) setPace(ctx context.Context, ref rudderfork.RunRef, percent int, minHeadroom float64) {
 	old := a.paceOf(ref)
 	if old == percent || abs(old-percent) < paceStep && percent != 0 && percent != fullPace {
--- a/runner/poll.go
+++ b/runner/poll.go
@@ -16,8 +16,8 @@
 // errStaleClock means that the clock of a status is behind an earlier reading of the incarnation.
 var errStaleClock = fmt.Errorf("%w: the clock is behind an earlier reading", rudderfork.ErrNoStatus)
 
-// pollLoop polls the executor's status again and again. Each poll extends the lease of all runs to
-// the end of the leader's grant.
+// pollLoop polls the executor's status until ctx ends. Each poll extends the lease of all runs to the
+// end of the leader's grant.
 func (a *Agent) pollLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
 		req, inc, ok := a.nextPoll()
@@ -31,22 +31,24 @@
 			return ctx.Err() // the agent shuts down, which does not concern the executor
 		}
 		var reportAcked <-chan struct{}
-		listed, accepted := false, false
+		endsListed, accepted := false, false
 		if err == nil {
-			reportAcked, listed, accepted = a.handleStatus(ctx, inc, status, polledAt)
+			reportAcked, endsListed, accepted = a.handleStatus(ctx, inc, status, polledAt)
 		}
 		if !accepted {
 			a.handlePollError(inc, cmp.Or(err, errStaleClock))
 			steady.Pause(ctx, retryDelay)
 			continue
 		}
-		if listed || req.UntilMS == 0 {
+		// In these cases the next poll may be answered at once, so wait before it is sent.
+		if endsListed || req.UntilMS == 0 {
 			await(ctx, reportAcked, ackTimeout)
 		}
 	}
 	return ctx.Err()
 }
 
+// await waits until ch is closed, ctx ends or d has passed.
 func await(ctx context.Context, ch <-chan struct{}, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -83,8 +85,8 @@
 	return a.exec.Poll(ctx, inc, req)
 }
 
-// handlePollError handles a poll that returned no status. Only if the poll was not answered at all
-// may the executor have left.
+// handlePollError handles a poll that returned no status. After a shutdown notice, leftAfter
+// unanswered polls in succession mean that the executor has left; answers without a status do not.
 func (a *Agent) handlePollError(inc string, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -102,8 +104,8 @@
 	} else {
 		outcome = "unanswered"
 	}
-	a.recordReachable(err)
-	a.recordSilence(steady.Now())
+	a.recordReachability(err)
+	a.recordFailedCall(steady.Now())
 	if a.shuttingDown && a.unansweredPolls >= leftAfter {
 		a.reportLeft()
 		return
@@ -112,11 +114,11 @@
 	a.log.Info().Err(err).Dur("silent", steady.Now().Sub(a.lastStatusAt)).Msg("look_failed")
 }
 
-// handleStatus takes the answer to a poll. It returns accepted false if the executor's clock is
-// behind an earlier reading, since the status is older than that. listed reports whether the status lists ends that
-// the leader has not acknowledged: until it has, the executor answers the next poll at once with
-// the same ends.
-func (a *Agent) handleStatus(ctx context.Context, inc string, status rudderfork.ExecutorStatus, polledAt time.Time) (reportAcked <-chan struct{}, listed, accepted bool) {
+// handleStatus takes the answer to a poll. accepted is false if the executor's clock is behind an
+// earlier reading, since the status is then outdated. endsListed reports whether the status lists
+// ends that the leader has not acknowledged. Until it has, the executor answers each poll at once
+// with the same ends; reportAcked is closed at the leader's next acknowledgement.
+func (a *Agent) handleStatus(ctx context.Context, inc string, status rudderfork.ExecutorStatus, polledAt time.Time) (reportAcked <-chan struct{}, endsListed, accepted bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.reconciler.Incarnation() != inc {
@@ -127,7 +129,7 @@
 	if !a.reconciler.SetClock(status.ClockMS, now) {
 		return nil, false, false
 	}
-	a.lastStatusAt, a.silentSince, a.unansweredPolls, a.unreachablePolls = now, time.Time{}, 0, 0
+	a.lastStatusAt, a.failingSince, a.unansweredPolls, a.unreachablePolls = now, time.Time{}, 0, 0
 	a.logEnds(inc, status)
 	upTo := a.ackedSeq
 	for _, e := range status.Ended {
@@ -137,9 +139,9 @@
 	ends := a.reconciler.HandleStatus(status, polledAt)
 	a.logLostRuns(ends, status)
 	a.reportListed(ends, upTo)
-	clear(a.rows)
+	clear(a.runStatuses)
 	for _, r := range status.Running {
-		a.rows[r.RunRef] = r
+		a.runStatuses[r.RunRef] = r
 	}
 	a.trackFillers(now)
 	a.fillerUsage = a.measureFillerUsage(now)
@@ -148,7 +150,7 @@
 	return reportAcked, upTo > a.ackedSeq, true
 }
 
-// logEnds logs which ends a status lists and up to which they were acknowledged. The caller holds
+// logEnds logs which ends a status lists, and up to which Seq ends are acknowledged. The caller holds
 // mu.
 func (a *Agent) logEnds(inc string, status rudderfork.ExecutorStatus) {
 	if len(status.Ended) == 0 {
--- a/runner/report.go
+++ b/runner/report.go
@@ -10,8 +10,8 @@
 // report is a report of ends to the leader.
 type report struct {
 	ends queue.Ends
-	left bool   // the incarnation has left, and all its other runs have ended
-	upTo uint64 // highest Seq of the executor's ends that are covered
+	left bool   // the incarnation has left, so that all its other runs have ended too
+	upTo uint64 // Seq up to which the executor's ends are acknowledged once the report is; 0 for none
 }
 
 func (r report) message(id uint64) wire.FromNode {
@@ -44,8 +44,8 @@
 // acknowledged.
 const maxReports = 32
 
-// reportListed reports the ends that follow from a poll. While maxReports reports wait, it leaves
-// out ends that the executor lists again. The caller holds mu.
+// reportListed reports the ends that follow from a poll. While maxReports reports wait, it reports
+// only lost runs and leaves out the ends that the executor will list again. The caller holds mu.
 func (a *Agent) reportListed(ends []queue.End, upTo uint64) {
 	if len(a.reports) >= maxReports {
 		ends = slices.DeleteFunc(ends, func(e queue.End) bool { return e.Outcome != queue.OutcomeLost })
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -10,8 +10,8 @@
 // An incarnation of the executor goes through these states. It sends a description of
 // itself. It is recognized once it answers a poll that is addressed to it. It may send a
 // shutdown notice. Once it no longer answers polls after that, it is reported as left. If
-// another incarnation answers a poll instead, it has ended. The executor is polled again
-// for an ended incarnation after a while if that still sends descriptions.
+// another incarnation answers a poll instead, it has ended. If descriptions of an ended
+// incarnation still arrive, the executor is polled for it again after a while.
 package runner
 
 import (
@@ -41,11 +41,11 @@
 	// in time.
 	heartbeatInterval = 500 * time.Millisecond
 	// pollWait is how long the executor may delay its answer to a poll while no run has
-	// ended. colocatedPollWait is the same while serving tasks share the VM with fillers: as
-	// often as executors renew their figures.
+	// ended. colocatedPollWait is the same while serving tasks share the VM with fillers: the
+	// period at which executors update their measurements.
 	pollWait          = 1000 * time.Millisecond
 	colocatedPollWait = 250 * time.Millisecond
-	// pollTimeout is how much longer than that the agent waits for the answer.
+	// pollTimeout is how much longer than the requested delay the agent waits for the answer.
 	pollTimeout = 700 * time.Millisecond
 	// callTimeout bounds a start, stop or change of pace.
 	callTimeout = 500 * time.Millisecond
@@ -62,8 +62,8 @@
 	// places up to ten tasks there.
 	unreachableAfter = 2
 	// leftAfter is how many polls in succession must be unanswered before an executor that
-	// has sent a shutdown notice counts as ended. A single answer may be lost, and nobody
-	// stops a run that wrongly counts as ended.
+	// has sent a shutdown notice counts as ended. One is not enough, since a single answer may
+	// be lost, and nobody stops a run that wrongly counts as ended.
 	leftAfter = 2
 )
 
@@ -78,23 +78,23 @@
 	heartbeatSignal wakeup.Signal // requests a heartbeat at once
 	confirmSignal   wakeup.Signal // wakes the confirm loop
 
-	mu             sync.Mutex
-	reconciler     *runs.Reconciler
-	vm             queue.VM
-	hasExecutor    bool                    // an incarnation is recognized, and vm describes it
-	shuttingDown   bool                    // the executor has sent a shutdown notice
-	descriptions   map[string]*description // of incarnations that are not confirmed yet
-	ended          []endedIncarnation      // incarnations that recently proved to have ended, the newest last
-	conflicting    queue.VM                // a description of the present incarnation that contradicts the accepted one
-	draining       bool
-	leaveNotBefore time.Time
-	lastStatusAt   time.Time // when the executor last answered a poll
-	rows           map[rudderfork.RunRef]rudderfork.RunStatus
-	reportedRows   map[rudderfork.RunRef]rudderfork.RunStatus // rows that were sent to the leader
-	paces          map[rudderfork.RunRef]int                  // speeds of fillers in percent, as last requested
-	pressures      map[interference.Pair]float64
-	guard          pace.Guard
-	lastOfStep     map[rudderfork.RunRef]bool // runs that the rest of their steps wait for
+	mu               sync.Mutex
+	reconciler       *runs.Reconciler
+	vm               queue.VM
+	hasExecutor      bool                    // an incarnation is recognized, and vm describes it
+	shuttingDown     bool                    // the executor has sent a shutdown notice
+	descriptions     map[string]*description // of incarnations that are not confirmed yet
+	ended            []endedIncarnation      // incarnations that recently proved to have ended, the newest last
+	conflicting      queue.VM                // a description of the present incarnation that contradicts the accepted one
+	draining         bool
+	leaveNotBefore   time.Time                                  // as in description
+	lastStatusAt     time.Time                                  // of the last accepted status, or of the recognition of the incarnation if later
+	runStatuses      map[rudderfork.RunRef]rudderfork.RunStatus // the executor's running runs, by the last status
+	reportedStatuses map[rudderfork.RunRef]rudderfork.RunStatus // statuses as last sent to the leader
+	paces            map[rudderfork.RunRef]int                  // speeds of fillers in percent, as last requested
+	pressures        map[interference.Pair]float64
+	guard            pace.Guard
+	lastOfStep       map[rudderfork.RunRef]bool // fillers that are among the last of their step
 
 	conflictCount int // how often conflicting came in succession
 
@@ -104,7 +104,7 @@
 	fillerSpeeds     map[rudderfork.RunRef]*fillerSpeed
 	startedAt        map[rudderfork.RunRef]time.Time // when starts were confirmed, by run
 	unansweredStarts map[rudderfork.RunRef]time.Time // when starts were first left unanswered, by run
-	silentSince      time.Time                       // first unanswered poll or start since the last answer; zero if none
+	failingSince     time.Time                       // when a start or poll first failed since the last status or answered start; zero if none has
 	incarnationSince time.Time                       // when the present incarnation was recognized
 	lastCrash        *queue.Crash                    // report about the previous incarnation, until the present one is registered
 	fillerUsage      map[string]float64              // CPU shares of fillers by image, as of the last poll; nil once sent
@@ -115,7 +115,8 @@
 	reportAcked chan struct{} // closed at the leader's next acknowledgement
 }
 
-// New returns an agent for the executor exec.
+// New returns an agent for the executor exec. process is the name of this process, and seeds returns
+// the addresses of control processes in the settings.
 func New(process string, seeds func() []string, exec rudderfork.Executor, log zerolog.Logger) *Agent {
 	a := &Agent{
 		exec: exec, log: log, met: newMetrics(), callSignal: wakeup.New(), heartbeatSignal: wakeup.New(), confirmSignal: wakeup.New(),
@@ -129,8 +130,8 @@
 // resetIncarnation drops the state of the present incarnation, except reports of its ends, which
 // stay valid. The caller holds mu.
 func (a *Agent) resetIncarnation() {
-	a.rows = map[rudderfork.RunRef]rudderfork.RunStatus{}
-	a.reportedRows = map[rudderfork.RunRef]rudderfork.RunStatus{}
+	a.runStatuses = map[rudderfork.RunRef]rudderfork.RunStatus{}
+	a.reportedStatuses = map[rudderfork.RunRef]rudderfork.RunStatus{}
 	a.paces = map[rudderfork.RunRef]int{}
 	a.fillerSpeeds = map[rudderfork.RunRef]*fillerSpeed{}
 	a.startedAt = map[rudderfork.RunRef]time.Time{}
@@ -141,7 +142,7 @@
 	a.shuttingDown = false
 	a.reportAcked = make(chan struct{})
 	a.lastStatusAt, a.unansweredPolls, a.unreachablePolls = steady.Now(), 0, 0
-	a.silentSince, a.incarnationSince = time.Time{}, a.lastStatusAt
+	a.failingSince, a.incarnationSince = time.Time{}, a.lastStatusAt
 }
 
 // Services returns the agent's session and loops, for a supervisor.
@@ -161,12 +162,12 @@
 // String names the service in the supervisor's log.
 func (l loop) String() string { return l.name }
 
-// Opened implements session.Handler. It sends ends before the first heartbeat: once the leader
-// receives one of a new incarnation, it counts the runs of the old one as lost.
+// Opened implements session.Handler. It sends ends before the first heartbeat: when the leader
+// receives the heartbeat of a new incarnation, it counts the remaining runs of the old one as lost.
 func (a *Agent) Opened(w wire.QueueWelcome) {
 	a.mu.Lock()
 	a.reconciler.SetTerm(w.Term)
-	a.reportedRows = map[rudderfork.RunRef]rudderfork.RunStatus{}
+	a.reportedStatuses = map[rudderfork.RunRef]rudderfork.RunStatus{}
 	for _, id := range slices.Sorted(maps.Keys(a.reports)) {
 		a.session.Send(a.reports[id].message(id)) // if it fails, the next session resends it
 	}
--- a/runner/runner_test.go
+++ b/runner/runner_test.go
@@ -97,24 +97,24 @@
 	assert.NilError(s.t, s.conn.Send(s.t.Context(), m))
 }
 
-// close ends the session, like the loss of the leader.
+// close ends the session, as if the leader had crashed.
 func (s *leaderSession) close() { close(s.done) }
 
 func isHeartbeat(m wire.FromNode) bool { return m.Heartbeat != nil }
 
 // startAgent runs an agent with the stand-in executor.
 func startAgent(t *testing.T, l *leader) *Agent {
-	room := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
-	a := New("vm1", l.seeds, executor.New("life-1", executor.Config{Now: steady.Now, Capacity: room}), zerolog.Nop())
+	capacity := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
+	a := New("vm1", l.seeds, executor.New("life-1", executor.Config{Now: steady.Now, Capacity: capacity}), zerolog.Nop())
 	for _, s := range a.Services() {
 		go func() { _ = s.Serve(t.Context()) }() // it ends with the test
 	}
-	a.HandleDescription(queue.VM{ID: "vm1", Incarnation: "life-1", Service: "desk", Capacity: room}, false, 0)
+	a.HandleDescription(queue.VM{ID: "vm1", Incarnation: "life-1", Service: "desk", Capacity: capacity}, false, 0)
 	return a
 }
 
-// TestNewLeader checks that an agent sends a new leader the pressures that it received from the
-// earlier one.
+// TestNewLeader guards against pressures that are lost with a leader: an agent must send a new leader
+// those that it received from the earlier one.
 func TestNewLeader(t *testing.T) {
 	l := newLeader(t)
 	a := startAgent(t, l)
@@ -150,7 +150,8 @@
 	return a
 }
 
-// TestShutdownNotice checks when an executor counts as left after its shutdown notice.
+// TestShutdownNotice guards against an executor that is reported as left while it still runs tasks.
+// It has left if it sent a shutdown notice and two polls in succession were not answered.
 func TestShutdownNotice(t *testing.T) {
 	run := rudderfork.RunRef{Task: "j.0.0.1", Run: 1}
 	leftOf := func(a *Agent) (inc string) {
--- a/runner/stale_model_test.go
+++ b/runner/stale_model_test.go
@@ -64,9 +64,9 @@
 
 // agentSession holds what was sent in one session and has not been delivered.
 type agentSession struct {
-	agent *Agent
-	box   []wire.FromNode
-	sent  map[uint64]bool // reports that were sent
+	agent    *Agent
+	messages []wire.FromNode
+	sent     map[uint64]bool // reports that were sent
 }
 
 // otherID names an incarnation with an id of its own. The names have no order.
@@ -125,11 +125,13 @@
 	return m.exec.Pace(ctx, inc, r, percent, fence)
 }
 
+// crash replaces the executor's incarnation without a notice.
 func (m *staleModel) crash(*rapid.T) {
 	m.inc++
 	m.exec.Restart(m.name(m.inc))
 }
 
+// leave replaces the executor's incarnation after a shutdown notice.
 func (m *staleModel) leave(t *rapid.T) {
 	m.inFlight = append(m.inFlight, executorCall{inc: m.inc, shutdownNotice: true})
 	m.crash(t)
@@ -141,8 +143,8 @@
 	m.inFlight = append(m.inFlight, executorCall{inc: m.inc, draining: true})
 }
 
-// arrive delivers any of the executor's calls to the agent, and may keep it for another delivery.
-func (m *staleModel) arrive(t *rapid.T) {
+// deliverCall delivers one of the executor's calls to the agent, and may keep it to deliver it again.
+func (m *staleModel) deliverCall(t *rapid.T) {
 	if len(m.inFlight) == 0 {
 		return
 	}
@@ -166,8 +168,8 @@
 	}
 }
 
-// forget makes the agent forget which incarnations have ended.
-func (m *staleModel) forget(*rapid.T) { m.a.ended = nil }
+// forgetEnded makes the agent forget which incarnations have ended, as if endedTTL had passed.
+func (m *staleModel) forgetEnded(*rapid.T) { m.a.ended = nil }
 
 func (m *staleModel) poll(*rapid.T) {
 	req, inc, ok := m.a.nextPoll()
@@ -200,26 +202,27 @@
 	for _, id := range slices.Sorted(maps.Keys(m.a.reports)) {
 		if !ses.sent[id] {
 			ses.sent[id] = true
-			ses.box = append(ses.box, m.a.reports[id].message(id))
+			ses.messages = append(ses.messages, m.a.reports[id].message(id))
 		}
 	}
 	if b, ok := m.a.nextHeartbeat(); ok {
-		ses.box = append(ses.box, wire.FromNode{Heartbeat: &b})
+		ses.messages = append(ses.messages, wire.FromNode{Heartbeat: &b})
 	}
 }
 
 // deliver delivers the next message of any session to the leader.
 func (m *staleModel) deliver(t *rapid.T) {
-	m.take(rapid.IntRange(0, len(m.sessions)-1).Draw(t, "session"))
+	m.deliverFrom(rapid.IntRange(0, len(m.sessions)-1).Draw(t, "session"))
 }
 
-func (m *staleModel) take(i int) {
+// deliverFrom delivers the next message of session i to the leader.
+func (m *staleModel) deliverFrom(i int) {
 	ses := &m.sessions[i]
-	if len(ses.box) == 0 {
+	if len(ses.messages) == 0 {
 		return
 	}
-	msg := ses.box[0]
-	ses.box = ses.box[1:]
+	msg := ses.messages[0]
+	ses.messages = ses.messages[1:]
 	switch {
 	case msg.Ends != nil:
 		m.apply(queue.Command{Ends: &msg.Ends.Ends})
@@ -230,7 +233,7 @@
 			ses.agent.Handle(wire.ToQueueNode{EndsAck: &wire.EndsAck{Seq: msg.Ends.Seq}})
 		}
 	case i < m.lastSession:
-		ses.box = nil // the leader closes the session
+		ses.messages = nil // the leader closes the session
 	default:
 		m.lastSession = i
 		m.register(msg.Heartbeat.VM)
@@ -256,8 +259,8 @@
 	return -1
 }
 
-// check checks that neither agent nor leader goes back to an earlier incarnation, and that nothing
-// but a later incarnation ends the run of the present one.
+// check checks that neither agent nor leader goes back to an earlier incarnation, and that the run of
+// the present incarnation has not ended.
 func (m *staleModel) check(t *rapid.T) {
 	known := m.index(m.a.Incarnation())
 	if known >= 0 {
@@ -277,8 +280,9 @@
 	}
 }
 
-// calm delivers a description of the present incarnation and then all messages that are under way.
-func (m *staleModel) calm(t *rapid.T) {
+// settle ends the faults, delivers a description of the present incarnation and then all messages
+// that are under way. Agent and leader must then know the present incarnation.
+func (m *staleModel) settle(t *rapid.T) {
 	m.mute, m.crashNext = false, false
 	m.a.HandleDescription(queue.VM{ID: modelVM, Incarnation: m.name(m.inc), Service: "desk"}, false, 0)
 	for _, inc := range m.a.unconfirmed() {
@@ -287,12 +291,12 @@
 	m.poll(t)
 	m.send(t)
 	for i := len(m.sessions) - 1; i >= 0; i-- {
-		for len(m.sessions[i].box) > 0 {
-			m.take(i)
+		for len(m.sessions[i].messages) > 0 {
+			m.deliverFrom(i)
 			m.check(t)
 		}
 	}
-	m.forget(t)
+	m.forgetEnded(t)
 	for _, c := range m.inFlight {
 		m.a.HandleDescription(queue.VM{ID: modelVM, Incarnation: m.name(c.inc), Service: "desk"}, false, 0)
 	}
@@ -318,12 +322,12 @@
 		m := newStaleModel(t, name)
 		t.Repeat(map[string]func(*rapid.T){
 			"": m.check, "crash": m.crash, "leave": m.leave, "heartbeat": m.heartbeat, "drain": m.drain,
-			"arrive": m.arrive, "arrive too": m.arrive, "confirm": m.confirm, "confirm too": m.confirm, "look": m.poll,
+			"arrive": m.deliverCall, "arrive too": m.deliverCall, "confirm": m.confirm, "confirm too": m.confirm, "look": m.poll,
 			"restart the agent": m.restartAgent, "reopen": m.reopen, "send": m.send,
 			"deliver": m.deliver, "deliver too": m.deliver,
 			"mute": func(*rapid.T) { m.mute = !m.mute }, "dies": func(*rapid.T) { m.crashNext = true },
-			"forget": m.forget,
+			"forget": m.forgetEnded,
 		})
-		m.calm(t)
+		m.settle(t)
 	})
 }
--- a/runner/stale_test.go
+++ b/runner/stale_test.go
@@ -18,7 +18,7 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// The two incarnations of the tests' executor. Their names do not tell which one is older.
+// The two incarnations of the tests' executor. Their names do not show which one is older.
 const (
 	oldInc = "life-b"
 	newInc = "life-a"
@@ -83,7 +83,8 @@
 	return New("vm1", func() []string { return nil }, e, zerolog.Nop()), e
 }
 
-// describeAndConfirm takes a description of the incarnation and tries to confirm all that wait.
+// describeAndConfirm takes a description of the incarnation and tries to confirm all incarnations
+// that are not confirmed yet.
 func (a *Agent) describeAndConfirm(ctx context.Context, inc string) {
 	a.HandleDescription(queue.VM{ID: "vm1", Incarnation: inc, Service: "desk"}, false, 0)
 	for _, l := range a.unconfirmed() {
@@ -91,9 +92,9 @@
 	}
 }
 
-// TestWrongAnswer guards against a VM that is lost because its executor once answered a poll for the
-// present incarnation with ErrStaleIncarnation: it does not have its new name yet, or an earlier
-// process answers.
+// TestWrongAnswer guards against a VM that stays unusable because its executor once answered a poll
+// for the present incarnation with ErrStaleIncarnation. That happens if the executor does not have
+// its new name yet, or if an earlier process answers.
 func TestWrongAnswer(t *testing.T) {
 	wrongOnce := func(_ context.Context, n int) error {
 		if n == 1 {
@@ -165,40 +166,42 @@
 	}
 }
 
-// staleWorld is a restarted agent with an executor in its second incarnation.
-type staleWorld struct {
+// agentFixture is a restarted agent with an executor in its second incarnation, newInc, and a fake
+// leader.
+type agentFixture struct {
 	t    *testing.T
 	exec *pollRecorder
 	a    *Agent
 	ses  *leaderSession
 }
 
-func newStaleWorld(t *testing.T) *staleWorld {
+func newAgentFixture(t *testing.T) *agentFixture {
 	l := newLeader(t)
-	w := &staleWorld{t: t, exec: &pollRecorder{Executor: executor.New(newInc, executor.Config{Now: steady.Now})}}
-	w.a = New("vm1", l.seeds, w.exec, zerolog.Nop())
-	for _, s := range w.a.Services() {
+	f := &agentFixture{t: t, exec: &pollRecorder{Executor: executor.New(newInc, executor.Config{Now: steady.Now})}}
+	f.a = New("vm1", l.seeds, f.exec, zerolog.Nop())
+	for _, s := range f.a.Services() {
 		go func() { _ = s.Serve(t.Context()) }() // it ends with the test
 	}
-	w.ses = l.next()
-	t.Cleanup(w.ses.close)
-	return w
+	f.ses = l.next()
+	t.Cleanup(f.ses.close)
+	return f
 }
 
-func (w *staleWorld) describe(inc string, draining bool) {
-	w.a.HandleDescription(queue.VM{ID: "vm1", Incarnation: inc, Service: "desk"}, draining, 0)
+func (f *agentFixture) describe(inc string, draining bool) {
+	f.a.HandleDescription(queue.VM{ID: "vm1", Incarnation: inc, Service: "desk"}, draining, 0)
 }
 
-// late delivers a heartbeat of the old incarnation and waits until the agent has polled for it.
-func (w *staleWorld) late() {
-	w.t.Helper()
-	w.describe(oldInc, true)
-	w.until("the executor is polled for the old incarnation", func() bool { return w.exec.wasPolled(oldInc) })
+// describeOld delivers a description of the old incarnation and waits until the agent has polled for
+// that.
+func (f *agentFixture) describeOld() {
+	f.t.Helper()
+	f.describe(oldInc, true)
+	f.until("the executor is polled for the old incarnation", func() bool { return f.exec.wasPolled(oldInc) })
 }
 
-func (w *staleWorld) until(what string, ok func() bool) {
-	w.t.Helper()
-	poll.WaitOn(w.t, func(poll.LogT) poll.Result {
+func (f *agentFixture) until(what string, ok func() bool) {
+	f.t.Helper()
+	poll.WaitOn(f.t, func(poll.LogT) poll.Result {
 		if ok() {
 			return poll.Success()
 		}
@@ -208,65 +211,66 @@
 
 // checkHeartbeats checks that the next n heartbeats to the leader are of the new incarnation, which
 // does not drain.
-func (w *staleWorld) checkHeartbeats(n int) {
-	w.t.Helper()
+func (f *agentFixture) checkHeartbeats(n int) {
+	f.t.Helper()
 	for range n {
-		b := w.ses.until(isHeartbeat).Heartbeat
-		assert.Equal(w.t, b.VM.Incarnation, newInc)
-		assert.Assert(w.t, !b.Draining, "the draining of the old incarnation was reported")
-		w.ses.send(wire.ToQueueNode{Pong: 1}) // an agent closes the session with a silent leader
+		b := f.ses.until(isHeartbeat).Heartbeat
+		assert.Equal(f.t, b.VM.Incarnation, newInc)
+		assert.Assert(f.t, !b.Draining, "the draining of the old incarnation was reported")
+		f.ses.send(wire.ToQueueNode{Pong: 1}) // an agent closes the session with a silent leader
 	}
 }
 
-// TestLateDescriptions sends a restarted agent descriptions of two incarnations of its executor, of
-// which one has ended.
+// TestLateDescriptions guards against an agent that takes an ended incarnation for the present one
+// because its description or shutdown notice arrives late. The agent has just restarted, so at first
+// it knows neither incarnation.
 func TestLateDescriptions(t *testing.T) {
 	t.Run("the old one's first", func(t *testing.T) {
-		w := newStaleWorld(t)
-		w.late()
-		w.describe(newInc, false)
-		w.checkHeartbeats(2)
+		f := newAgentFixture(t)
+		f.describeOld()
+		f.describe(newInc, false)
+		f.checkHeartbeats(2)
 	})
 	t.Run("the new one's first", func(t *testing.T) {
-		w := newStaleWorld(t)
-		w.describe(newInc, false)
-		w.checkHeartbeats(1)
-		w.describe(oldInc, true)
-		w.describe(oldInc, true)
-		w.checkHeartbeats(3)
-		assert.Equal(t, w.a.Incarnation(), newInc)
+		f := newAgentFixture(t)
+		f.describe(newInc, false)
+		f.checkHeartbeats(1)
+		f.describe(oldInc, true)
+		f.describe(oldInc, true)
+		f.checkHeartbeats(3)
+		assert.Equal(t, f.a.Incarnation(), newInc)
 	})
 	t.Run("both while the executor does not answer", func(t *testing.T) {
-		w := newStaleWorld(t)
-		w.exec.setMute(true)
-		w.describe(newInc, false)
-		w.late()
-		w.exec.setMute(false)
-		w.until("the new incarnation is recognized", func() bool { return w.a.Incarnation() == newInc })
-		w.checkHeartbeats(2)
+		f := newAgentFixture(t)
+		f.exec.setMute(true)
+		f.describe(newInc, false)
+		f.describeOld()
+		f.exec.setMute(false)
+		f.until("the new incarnation is recognized", func() bool { return f.a.Incarnation() == newInc })
+		f.checkHeartbeats(2)
 	})
 	t.Run("a shutdown notice of the old one", func(t *testing.T) {
-		w := newStaleWorld(t)
-		w.describe(newInc, false)
-		w.checkHeartbeats(1)
-		w.a.HandleShutdownNotice(oldInc)
-		w.late()
-		w.a.HandleShutdownNotice(oldInc)
-		w.checkHeartbeats(2)
-		w.a.mu.Lock()
-		defer w.a.mu.Unlock()
-		assert.Assert(t, !w.a.shuttingDown)
-		assert.Equal(t, len(w.a.reports), 0)
+		f := newAgentFixture(t)
+		f.describe(newInc, false)
+		f.checkHeartbeats(1)
+		f.a.HandleShutdownNotice(oldInc)
+		f.describeOld()
+		f.a.HandleShutdownNotice(oldInc)
+		f.checkHeartbeats(2)
+		f.a.mu.Lock()
+		defer f.a.mu.Unlock()
+		assert.Assert(t, !f.a.shuttingDown)
+		assert.Equal(t, len(f.a.reports), 0)
 	})
 	t.Run("a shutdown notice that arrives before the incarnation is confirmed", func(t *testing.T) {
-		w := newStaleWorld(t)
-		w.exec.setMute(true)
-		w.describe(newInc, false)
-		w.a.HandleShutdownNotice(newInc)
-		w.exec.setMute(false)
-		w.until("the new incarnation is recognized", func() bool { return w.a.Incarnation() == newInc })
-		w.exec.Restart("")
-		left := w.ses.until(func(m wire.FromNode) bool { return m.Ends != nil }).Ends
+		f := newAgentFixture(t)
+		f.exec.setMute(true)
+		f.describe(newInc, false)
+		f.a.HandleShutdownNotice(newInc)
+		f.exec.setMute(false)
+		f.until("the new incarnation is recognized", func() bool { return f.a.Incarnation() == newInc })
+		f.exec.Restart("")
+		left := f.ses.until(func(m wire.FromNode) bool { return m.Ends != nil }).Ends
 		assert.Assert(t, left.Departed)
 		assert.Equal(t, left.Ends.Incarnation, newInc)
 	})
