--- a/scheduler/fault_vm_test.go
+++ b/scheduler/fault_vm_test.go
@@ -29,7 +29,7 @@
 
 	mu           sync.Mutex
 	rng          *rand.Rand // draws the executor's answers
-	wrongAnswers int        // number of polls left to answer as another incarnation does
+	wrongAnswers int        // number of polls left to answer as another incarnation does; 0 or less for none
 	agent        *runner.Agent
 	stop         func() // stops the agent
 }
--- a/scheduler/incarnation_test.go
+++ b/scheduler/incarnation_test.go
@@ -107,7 +107,7 @@
 // ackBlockingExecutor holds back one poll that acknowledges ended runs until it is released.
 type ackBlockingExecutor struct {
 	*executor.Executor
-	blockFrom atomic.Uint64 // number of acknowledged ends from which the poll is held back; 0 for none
+	blockFrom atomic.Uint64 // blocks the first poll with this AckedUpTo or more; 0 for none
 	held      chan struct{} // closed when the poll is held back
 	release   chan struct{} // closed to let the poll go on
 }
--- a/scheduler/liveness_test.go
+++ b/scheduler/liveness_test.go
@@ -15,17 +15,16 @@
 )
 
 const (
-	// maxPendingTime is the users' limit of 3 s for how long a lasting task may lack a start that
-	// the state accepts.
+	// maxPendingTime is how long a lasting task may be without a run. It is the users' limit.
 	maxPendingTime = 3 * time.Second
-	// longRunTime is far more than a task needs to show that it doesn't crash its executor.
+	// longRunTime is far longer than a task must run to show that it does not crash its executor.
 	longRunTime = time.Minute
-	// settledTime is how long a fleet is observed after its last event.
+	// settledTime is how long a fleet is simulated after its last event.
 	settledTime = 10 * time.Second
 )
 
 // assertLastingTasksStart advances the time by settledTime without events, and checks that no
-// lasting task lacks an accepted start for longer than maxPendingTime while two VMs have free
+// lasting task is without a run for longer than maxPendingTime while at least two VMs have free
 // capacity for it.
 func (s *simFleet) assertLastingTasksStart() {
 	s.t.Helper()
@@ -42,7 +41,7 @@
 }
 
 // TestTaskOfPermanentlyLostVMsIsNotStarted guards against a lasting task that is not started again
-// after as many of its VMs as MaxCrashes were lost and never returned.
+// after MaxCrashes of its VMs were lost and never returned.
 func TestTaskOfPermanentlyLostVMsIsNotStarted(t *testing.T) {
 	k := queue.TaskKey{Job: "feed"}
 	for _, c := range []struct {
@@ -98,8 +97,8 @@
 	return s, k, on
 }
 
-// TestSuspectStaysOnVMThatDoesNotRunIt guards against a suspect that is started again and again
-// on the least loaded VM, which refuses it or makes no progress with it.
+// TestSuspectStaysOnVMThatDoesNotRunIt guards against a suspect that is started again and again on
+// the VM with the fewest runs, although that VM refuses it or makes no progress with it.
 func TestSuspectStaysOnVMThatDoesNotRunIt(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -115,8 +114,9 @@
 	}
 }
 
-// TestClockSkewOfLeaderDelaysSuspects guards against suspects that wait for quarantine longer than
-// allowed because a leader whose clock was ahead stamped them before one with the right time.
+// TestClockSkewOfLeaderDelaysSuspects guards against suspects that wait too long for a quarantine
+// place after a change of leader: the clock of the earlier leader was ahead, so for the new one their
+// last runs end in the future.
 func TestClockSkewOfLeaderDelaysSuspects(t *testing.T) {
 	const ahead = 5 * time.Second
 	s := newSimFleet(t, 4)
@@ -130,13 +130,13 @@
 	s.crash(s.vms[0], true)
 	s.changeLeader(0)
 	for _, v := range s.vms {
-		v.omitsRuns = true // no run is seen to start, so quarantine stays full
+		v.omitsRuns = true // no run is reported, so no quarantine ends
 	}
 	s.assertLastingTasksStart()
 }
 
 // TestRepeatedCrashesOfOneVMFailLastingJobs guards against jobs that fail because their tasks were
-// placed on the one VM of the fleet whose executor crashes whatever it runs.
+// placed on a VM whose executor crashes repeatedly, whatever it runs.
 func TestRepeatedCrashesOfOneVMFailLastingJobs(t *testing.T) {
 	const crashes = 20
 	for _, reported := range []bool{true, false} {
@@ -164,8 +164,8 @@
 	}
 }
 
-// TestTaskNeverReachesHealthyVM guards against a task that is tried only on unhealthy VMs: they
-// fail or refuse all runs and so are always the least loaded ones.
+// TestTaskNeverReachesHealthyVM guards against a task that is started only on unhealthy VMs. All runs
+// fail or are refused there, so these VMs are always the least loaded.
 func TestTaskNeverReachesHealthyVM(t *testing.T) {
 	const bad, good = 20, 4
 	for _, c := range []struct {
@@ -192,7 +192,7 @@
 	}
 }
 
-// fleetEvent is an event of a random history.
+// fleetEvent is a kind of event in a random sequence of events.
 type fleetEvent string
 
 const (
@@ -284,11 +284,11 @@
 	s.reportEnds(v, ends[:min(1, len(ends))]...)
 }
 
-// eventsPerHistory is the number of events in a random history.
+// eventsPerHistory is the number of events in a random sequence of events.
 const eventsPerHistory = 60
 
-// TestLastingTaskNotRestartedAfterFaults guards against lasting tasks that stay without a run after
-// a random history of faults, at whose end all VMs are healthy and have returned.
+// TestLastingTaskNotRestartedAfterFaults guards against lasting tasks that stay without a run after a
+// random sequence of faults, although all VMs have returned and are healthy.
 func TestLastingTaskNotRestartedAfterFaults(t *testing.T) {
 	for seed := range uint64(100) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -309,8 +309,8 @@
 	}
 }
 
-// TestPlannerStateChangesPlans checks, over a random history, that what the leader's planner keeps
-// between plans changes none of them: a fresh planner returns the same plan.
+// TestPlannerStateChangesPlans guards against a plan that depends on what the planner keeps from
+// earlier plans: in a random sequence of events, a new planner returns the same plans.
 func TestPlannerStateChangesPlans(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -327,8 +327,8 @@
 	}
 }
 
-// TestServingTaskNotStartedAfterIdleQueue submits a serving task to a queue of fillers that was
-// idle for a day.
+// TestServingTaskNotStartedAfterIdleQueue guards against a serving task that is not started when its
+// queue, which ran fillers before, was idle for a day.
 func TestServingTaskNotStartedAfterIdleQueue(t *testing.T) {
 	s := newSimFleet(t, 2)
 	filler := queue.Step{Count: 1, Size: rudderfork.Resources{CPUMilli: 500, MemoryMB: 100}, Filler: true, Image: "f", ExpectedMS: 500}
@@ -340,8 +340,8 @@
 	s.assertLastingTasksStart()
 }
 
-// TestNewTaskPlacedOnCrashingVM guards against a new task that is placed on a VM because it is the
-// only idle one, though its executor has crashed repeatedly.
+// TestNewTaskPlacedOnCrashingVM guards against a new task that is placed on a VM whose executor has
+// crashed repeatedly, because that VM is the only idle one.
 func TestNewTaskPlacedOnCrashingVM(t *testing.T) {
 	for _, c := range []struct {
 		crashes int
@@ -368,8 +368,8 @@
 	}
 }
 
-// TestOutageCountedTwice guards against a VM that gets a failure score after a single outage, which
-// is counted as a loss of its lease and again as a crash of its executor.
+// TestOutageCountedTwice guards against a VM that gets a failure score after a single outage, because
+// the expiry of its lease and the crash of its executor are both counted.
 func TestOutageCountedTwice(t *testing.T) {
 	lose := func(s *simFleet, v *simVM) { s.expireLease(v) }
 	rejoin := func(s *simFleet, v *simVM) { s.register(v, nil) }
@@ -397,8 +397,8 @@
 	}
 }
 
-// TestTaskReturnsToSilentVM guards against a task that is placed again on the VM that was just lost
-// under it, because that VM returns as the only idle one.
+// TestTaskReturnsToSilentVM guards against a task that is placed again on its VM after that VM was
+// lost, because the VM is the only idle one when it returns.
 func TestTaskReturnsToSilentVM(t *testing.T) {
 	s, k := newSimFleet(t, 4), queue.TaskKey{Job: "feed"}
 	plain := lastingStep(1)
@@ -418,8 +418,8 @@
 	assert.Assert(t, s.vmOf(k) != silent, "the task was placed on the same VM again")
 }
 
-// TestLateTaskFailureBlamedOnVM checks that only a failure right after the start counts against the
-// VM: a task that fails after a long run fails for its own reasons.
+// TestLateTaskFailureBlamedOnVM guards against a failure after a long run that counts against the VM.
+// Only a failure right after the start does: later ones are assumed to be the task's own.
 func TestLateTaskFailureBlamedOnVM(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/scheduler/losses_test.go
+++ b/scheduler/losses_test.go
@@ -17,7 +17,7 @@
 	"rudderfork.example/rudderfork/state"
 )
 
-// gatedStore is a store whose saves wait while gate is set, until that channel is closed.
+// gatedStore is a store whose saves wait, while gate is set, until the channel in it is closed.
 type gatedStore struct {
 	replica.Store
 	gate atomic.Pointer[chan struct{}]
@@ -31,8 +31,9 @@
 	return s.Store.Save(rd)
 }
 
-// TestLossesWaitForEachOther guards against losses of many VMs that are committed one after the
-// other, without a round in between. All are to be proposed during one sync and share the next.
+// TestLossesWaitForEachOther guards against losses of many VMs of which each is proposed only when
+// the one before is committed. All are to be proposed while one save is blocked, so that they share
+// the next.
 func TestLossesWaitForEachOther(t *testing.T) {
 	const vms = 40
 	store := &gatedStore{}
--- a/scheduler/orders_test.go
+++ b/scheduler/orders_test.go
@@ -37,7 +37,7 @@
 	assert.Equal(t, qs.Apply(queue.Command{Cancel: &queue.Cancel{Host: testHost, Path: "/q/j"}}, 2).Code, queue.OK)
 }
 
-// newSessionOfAgent returns a session of vm1's agent with a leader that hasn't made a plan yet.
+// newSessionOfAgent returns a session of vm1's agent with a leader that has not made a plan yet.
 func newSessionOfAgent(qs *queue.State) *session {
 	return &session{
 		s: &Scheduler{fleet: newFleet()}, vm: "vm1", incarnation: "life-1", epoch: qs.VM("vm1").Epoch,
@@ -46,7 +46,7 @@
 }
 
 // TestCancelledRunOrderedWithoutStop guards against an agent that receives the start order of a
-// cancelled job's run without the stop order, because the leader hasn't made a plan yet.
+// cancelled job's run without the stop order, because the leader has not made a plan yet.
 func TestCancelledRunOrderedWithoutStop(t *testing.T) {
 	run := queue.TaskKey{Job: "j"}.Ref(1)
 	t.Run("a new leader orders the start and the stop together", func(t *testing.T) {
@@ -90,10 +90,11 @@
 // no others.
 func TestSessionWakesOnlyForItsVM(t *testing.T) {
 	key := queue.TaskKey{Job: "j"}
+	// upToDate returns a session that has sent all orders of its VM.
 	upToDate := func(t *testing.T) (qs *queue.State, ses *session) {
 		qs = stateWithRun(t)
 		ses = newSessionOfAgent(qs)
-		assert.Assert(t, ses.mayHaveOrders(qs), "a session that has sent no orders is not behind")
+		assert.Assert(t, ses.mayHaveOrders(qs), "a session that has sent no orders yet does not report that it may have some")
 		ses.newOrders(qs)
 		assert.Assert(t, !ses.mayHaveOrders(qs))
 		return qs, ses
--- a/scheduler/overdue_test.go
+++ b/scheduler/overdue_test.go
@@ -9,7 +9,7 @@
 	"rudderfork.example/rudderfork/standin/executor"
 )
 
-// TestOverdueRuns checks that a run is listed as overdue while its VM, which has a session, doesn't
+// TestOverdueRuns checks that a run is listed as overdue while its VM, which has a session, does not
 // report it.
 func TestOverdueRuns(t *testing.T) {
 	c := newTestCluster(t, nil)
--- a/scheduler/refusal_test.go
+++ b/scheduler/refusal_test.go
@@ -18,11 +18,11 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// refusedRun is the run that its agent has reported as refused.
+// refusedRun is the run that the VM's agent reports as refused.
 var refusedRun = rudderfork.RunRef{Task: "job.0.0.0", Run: 1}
 
-// newRefusedRun returns a cluster whose only VM has reported refusedRun as refused. The commit of
-// that report is proposed, but blocked until release is called.
+// newClusterWithRefusal returns a cluster whose only VM has reported refusedRun as refused. The
+// commit of that report is proposed, but blocked until release is called.
 func newClusterWithRefusal(t *testing.T) (c *gatedCluster, conn *wire.Conn[wire.FromNode, wire.ToQueueNode], vm queue.VM, release func()) {
 	c = newGatedCluster(t, Settings{Lease: time.Hour})
 	vm = onlyVM
@@ -77,7 +77,7 @@
 }
 
 // awaitFullOrders returns the next full list of orders. It unblocks commits when the list has
-// arrived, or has not for fullListTimeout.
+// arrived, or after fullListTimeout if it has not.
 func (c *gatedCluster) awaitFullOrders(conn *wire.Conn[wire.FromNode, wire.ToQueueNode], release func()) *wire.Orders {
 	c.t.Helper()
 	lists := make(chan *wire.Orders, 1)
@@ -129,8 +129,8 @@
 	})
 }
 
-// noRoomExecutor answers starts with StartNoCapacity while refusesStart returns true, and receives no
-// stops.
+// noCapacityExecutor answers starts with StartNoCapacity while refusesStart returns true, and
+// receives no stops.
 type noCapacityExecutor struct {
 	*executor.Executor
 	refusesStart func() bool
@@ -201,6 +201,7 @@
 	return c
 }
 
+// refuseFirst reports whether a start is refused, and if so blocks commits: the first start is.
 func (c *twoVMCluster) refuseFirst(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -227,7 +228,7 @@
 	}
 }
 
-// isRunning reports whether an executor runs a run of the given number.
+// isRunning reports whether an executor is running the run of the given number.
 func (c *twoVMCluster) isRunning(run uint32) bool {
 	for _, e := range c.executors {
 		if list := e.Running(); len(list) > 0 && list[0].Run == run {
@@ -237,8 +238,8 @@
 	return false
 }
 
-// TestRefusedRunRunsTwice guards against a task that runs on two VMs after an agent was restarted
-// whose report of a refusal was not committed yet.
+// TestRefusedRunRunsTwice guards against a task that runs on two VMs at once, because an agent was
+// restarted before its report of a refusal was committed.
 func TestRefusedRunRunsTwice(t *testing.T) {
 	c := newTwoVMCluster(t)
 	c.commit(queue.Command{Submit: &queue.Submit{Host: testHost, Path: "/q/job", Spec: queue.Spec{Steps: []queue.Step{{Count: 1, Size: smallStep.Size, Lasting: true}}}}})
--- a/scheduler/readopted_test.go
+++ b/scheduler/resumed_test.go
@@ -13,8 +13,8 @@
 	"rudderfork.example/rudderfork/standin/executor"
 )
 
-// addInterruptibleVM adds a VM. interrupt answers one poll as another incarnation does, and returns
-// when the VM's agent has taken the executor's incarnation for ended and resumed it.
+// addInterruptibleVM adds a VM. interrupt has the executor answer one poll as another incarnation
+// does. It returns after the VM's agent took the incarnation to have ended, and then resumed it.
 func (c *testCluster) addInterruptibleVM() (e *executor.Executor, interrupt func()) {
 	capacity := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
 	e = executor.New("vm1-life-1", executor.Config{Now: steady.Now, Capacity: capacity})
@@ -28,14 +28,14 @@
 			}
 			return executor.Answered
 		})
-		c.waitUntil("the agent takes the incarnation for ended", func() bool { return a.Incarnation() == "" })
+		c.waitUntil("the agent takes the incarnation to have ended", func() bool { return a.Incarnation() == "" })
 		c.waitUntil("the agent resumes the incarnation", func() bool { return a.Incarnation() == e.Incarnation() })
 	}
 }
 
-// TestReadoptedIncarnationGetsNoOrders guards against a VM that gets leases and runs but starts none
-// of them, because its agent took the executor's incarnation for ended and resumed it.
-func TestReadoptedIncarnationGetsNoOrders(t *testing.T) {
+// TestResumedIncarnationGetsNoOrders guards against a VM that gets leases and runs but starts none
+// of them, because its agent took the executor's incarnation to have ended, and then resumed it.
+func TestResumedIncarnationGetsNoOrders(t *testing.T) {
 	c := newTestClusterWithLease(t, nil, time.Hour)
 	e, interrupt := c.addInterruptibleVM()
 	c.putDocument(nil)
--- a/scheduler/readopted_usable_test.go
+++ b/scheduler/resumed_usable_test.go
@@ -12,9 +12,10 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// TestUsableVMDropsOrdersAfterIncarnationReadopted guards against a VM that stays usable while its
-// agent drops all orders, because it took the executor's incarnation for ended and resumed it.
-func TestUsableVMDropsOrdersAfterIncarnationReadopted(t *testing.T) {
+// TestUsableVMDropsOrdersOfResumedIncarnation guards against a VM that stays usable while its
+// agent drops all orders, because it took the executor's incarnation to have ended, and then resumed
+// it.
+func TestUsableVMDropsOrdersOfResumedIncarnation(t *testing.T) {
 	c := newTestClusterWithLease(t, nil, 5*time.Second)
 	e, interrupt := c.addInterruptibleVM()
 	c.putDocument(nil)
--- a/scheduler/round.go
+++ b/scheduler/round.go
@@ -29,8 +29,9 @@
 func (t roundTimes) work() time.Duration { return t.expire + t.plan + t.wake }
 
 // pause returns the minimum delay before the next round. It applies even if something changes, so
-// that rounds take at most half of a processor. In a burst, a large fleet has hundreds of changes a second, and the
-// cost of a round grows with the number of VMs; changes during the pause share one round.
+// that rounds take at most half of a processor. In a burst, a large fleet has hundreds of changes a
+// second, and the cost of a round grows with the number of VMs; changes during the pause share one
+// round.
 func (t roundTimes) pause() time.Duration { return min(t.work(), roundPause) }
 
 // observeRound records the round's duration, and logs a slow one.
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -20,11 +20,9 @@
 // Stops are not committed: every plan computes all of them anew, and stopping a run twice does
 // nothing. The end of a run is committed once the agent reports it.
 //
-// Nothing is sent before a quorum has committed what it says: not the acceptance of a job
-// to a front, not the acknowledgement of ended runs to an agent, and not an order to start
-// a run. Fronts' and
-// operators' reads pass a barrier first, so that they see all that was committed before
-// the call.
+// The acceptance of a job, the acknowledgement of ended runs and the order to start a run are sent
+// only after a quorum has committed what they say. Fronts' and operators' reads pass a barrier
+// first, so that they see all that was committed before the call.
 //
 // Locks: replica.View takes the replica's lock, so mu is taken inside it, never around it.
 package scheduler
@@ -133,7 +131,7 @@
 	defer cancel()
 	if term := s.rep.Status().Term; term != s.currentTerm() {
 		if s.rep.Barrier(bounded) != nil {
-			return t // this process doesn't lead any more
+			return t // this process no longer leads
 		}
 		s.startTerm(term)
 	}
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -31,8 +31,8 @@
 )
 
 const (
-	// waitTimeout fails a test whose condition does not come true. The longest wait, of
-	// TestUpkeepWaveKeepsBounds, takes 18.5 s on an idle machine.
+	// waitTimeout bounds the wait for a condition; the test fails after it. The longest wait,
+	// that of TestUpkeepWaveKeepsBounds, takes 18.5 s on an idle machine.
 	waitTimeout = 60 * time.Second
 	// waveDueIn is how long after its submission the wave of TestUpkeepWaveKeepsBounds is due.
 	waveDueIn = 20 * time.Second
@@ -40,7 +40,7 @@
 	testLease = 2 * time.Second
 )
 
-// noPeers is the sender and the event recorder of a replica without peers.
+// noPeers is a message sender and event recorder that drops everything.
 type noPeers struct{}
 
 func (noPeers) Send(quorum.Message)              {}
@@ -51,12 +51,12 @@
 // testCluster is a scheduler on a replica group of one, with agents and a front.
 type testCluster struct {
 	t         *testing.T
-	ctx       context.Context //nolint:containedctx // that of the test
+	ctx       context.Context //nolint:containedctx // the test's context
 	addr      string
 	sched     *Scheduler
 	front     *front.Client
 	vmsAdded  int
-	executors []*executor.Executor // those that addVM added
+	executors []*executor.Executor // executors of the VMs that addVM added, in order
 }
 
 func newTestCluster(t *testing.T, adviser rudderfork.Adviser) *testCluster {
@@ -110,7 +110,7 @@
 
 func (c *testCluster) seeds() []string { return []string{c.addr} }
 
-// service is a long-running service, as a supervisor runs them.
+// service is a long-running service, like those that a supervisor runs.
 type service interface {
 	Serve(ctx context.Context) error
 }
@@ -134,8 +134,8 @@
 	return e
 }
 
-// addAgent adds a VM's agent. It describes the executor to the agent every 50 ms while the
-// executor has an incarnation.
+// addAgent adds an agent for a VM. While incarnation returns a name, the executor is described to the
+// agent every 50 ms.
 func (c *testCluster) addAgent(name string, exec rudderfork.Executor, incarnation func() string, capacity rudderfork.Resources) *runner.Agent {
 	c.vmsAdded++
 	a := runner.New(name, c.seeds, exec, zerolog.Nop())
@@ -205,8 +205,8 @@
 	// allowStep reports whether a step gets any tickets; nil allows all steps.
 	allowStep func(step string) bool
 
-	calls    int
-	maxAsked int
+	calls    int // number of calls so far
+	maxAsked int // largest number of incarnations in one call
 }
 
 func (a *fakeAdviser) Advise(_ context.Context, step string, incarnations []string) (map[string]string, error) {
@@ -250,16 +250,16 @@
 	assert.Assert(t, adv.maxAsked <= 3)
 }
 
-// fakeProvider is a cloud provider whose upkeep restarts the executor of a machine. The first
-// upkeep is carried out but returns an error.
+// fakeProvider is a cloud provider whose upkeep of a machine restarts the executor there. The first
+// upkeep is carried out but returns an error. Machine m9 does not exist.
 type fakeProvider struct {
 	cluster      *testCluster
 	mu           sync.Mutex
 	done         map[string]bool
 	downAt       map[string]time.Time
-	maxDown      int
+	maxDown      int // largest number of machines that were down at once
 	issuers      []rudderfork.Issuer
-	refusals     int
+	refusals     int  // number of further orders to refuse
 	fenced       bool // another holder has used a higher fencing token
 	beforeUpkeep func(machine string)
 }
@@ -355,8 +355,9 @@
 	assert.Equal(t, c.send(wire.QueueRequest{Upkeep: 8}).Code, queue.NoJob)
 }
 
-// TestFencedLeaderStopsOrders rejects a leader's upkeep order because another holder has a newer
-// fencing token: the leader gives no more orders, for any machine of any wave, until its next term.
+// TestFencedLeaderStopsOrders checks that a leader whose upkeep order was rejected, because another
+// holder has a newer fencing token, gives no more orders for any machine of any wave until its next
+// term.
 func TestFencedLeaderStopsOrders(t *testing.T) {
 	c := newTestCluster(t, nil)
 	c.addVM(executor.Config{})
@@ -380,8 +381,8 @@
 	})
 }
 
-// TestTaskOfLostVMRunsOnce cuts a VM's executor off from its agent: the task starts elsewhere only
-// after the lease has run out, and never has two concurrent runs.
+// TestTaskOfLostVMRunsOnce guards against two concurrent runs of a task when a VM's executor receives
+// no more calls: the task starts elsewhere only after the lease has run out.
 func TestTaskOfLostVMRunsOnce(t *testing.T) {
 	c := newTestCluster(t, nil)
 	var mu sync.Mutex
@@ -416,7 +417,7 @@
 	assert.Equal(t, len(first.Running()), 0)
 }
 
-// heldPollExecutor holds back poll answers that list ended runs until released.
+// heldPollExecutor holds back poll answers that list ended runs until release is closed.
 type heldPollExecutor struct {
 	*executor.Executor
 	listed  chan struct{} // closed once an ended run was listed
@@ -434,14 +435,15 @@
 	return status, err
 }
 
-// TestExecutorLeaves has executors give their shutdown notice, while no lease runs out.
+// TestExecutorLeaves checks what becomes of the runs of an executor that gives its shutdown notice
+// while its VM's lease is valid.
 func TestExecutorLeaves(t *testing.T) {
 	capacity := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 1000}
 	countStarts := func(n *atomic.Int32) executor.Config {
 		return executor.Config{Now: steady.Now, Capacity: capacity, OnStart: func(rudderfork.RunRef) { n.Add(1) }}
 	}
-	// A completed task ran again when its end was listed before the shutdown notice and read after
-	// it.
+	// This guards against a completed task that runs again because its end was listed before the
+	// shutdown notice and read after it.
 	t.Run("an end that is read after the shutdown notice counts", func(t *testing.T) {
 		c := newTestCluster(t, nil)
 		var starts atomic.Int32
@@ -473,7 +475,7 @@
 	})
 }
 
-// TestReadsSeeEarlierCommits reads jobs right after their submission.
+// TestReadsSeeEarlierCommits checks that a read right after a submission sees the job.
 func TestReadsSeeEarlierCommits(t *testing.T) {
 	c := newTestCluster(t, nil)
 	c.putDocument(nil)
@@ -492,9 +494,9 @@
 	assert.Equal(t, views[0].Live, 20)
 }
 
-// TestLeadsOnlyInCurrentTerm checks the condition that ends sessions: the process no longer leads in
-// their term. When only heartbeats of VMs checked it, fronts stayed for 3 s with a leader that
-// had lost its quorum, while its round waited for a commit.
+// TestLeadsOnlyInCurrentTerm checks the condition that ends a session: the process no longer leads in
+// the session's term. When only heartbeats of VMs checked it, fronts stayed connected for 3 s to a
+// leader that had lost its quorum, while its round waited for a commit.
 func TestLeadsOnlyInCurrentTerm(t *testing.T) {
 	c := newTestCluster(t, nil)
 	c.putDocument(nil)
@@ -504,8 +506,8 @@
 	assert.Assert(t, !c.sched.leads(term+1))
 }
 
-// TestSessionOpenedAfterStepDown guards against a process that has stepped down, with its round
-// not yet ended and no new term, and opens a session that it would drop at the first message.
+// TestSessionOpenedAfterStepDown guards against a process that opens a session after it has stepped
+// down, because its round has not noticed that yet. It would end the session at the first message.
 func TestSessionOpenedAfterStepDown(t *testing.T) {
 	peer := quorum.Member{ID: "d#1", Name: "d", Addr: "d.example:1", Voter: true}
 	c := &testCluster{t: t, ctx: t.Context()}
--- a/scheduler/session_model_test.go
+++ b/scheduler/session_model_test.go
@@ -16,7 +16,7 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// maxModelEvents bounds the number of events in a drawn schedule.
+// maxModelEvents bounds the number of events in a random schedule.
 const maxModelEvents = 40
 
 // TestMain fixes the seed and the number of rapid's checks; flags on the command line override both.
@@ -29,19 +29,19 @@
 	os.Exit(m.Run())
 }
 
-// sessionModel is the sessions of one agent with a real leader. Messages are delayed until
-// delivered; those of one session stay in order.
+// sessionModel holds the sessions of one agent with a real leader. Each message is delayed until
+// deliver sends it; the messages of one session stay in order.
 type sessionModel struct {
 	cluster     *testCluster
 	vm          rudderfork.VMID
-	incarnation int               // the current one
+	incarnation int               // number of the current one
 	delayed     [][]wire.FromNode // by session
 	clients     []*agentClient    // by session
 
-	committedIncarnation int // the newest one seen committed; -1 if none
+	committedIncarnation int // number of the incarnation that was found committed last; -1 if none
 }
 
-// modelIncarnation returns the name of incarnation i. The names don't sort in their order.
+// modelIncarnation returns the name of incarnation i. The names do not sort in the order of i.
 func modelIncarnation(i int) string { return fmt.Sprintf("i-%03d", (i+1)*619%1000) }
 
 func (m *sessionModel) openSession() {
@@ -60,8 +60,7 @@
 	m.send(wire.FromNode{Heartbeat: &hb})
 }
 
-// leave sends the report that the current incarnation has left after a shutdown notice, and begins
-// the next.
+// leave sends the report that the current incarnation gave its shutdown notice, and begins the next.
 func (m *sessionModel) leave() {
 	m.send(wire.FromNode{Ends: &wire.EndsReport{Seq: 1, Ends: queue.Ends{VM: m.vm, Incarnation: modelIncarnation(m.incarnation)}, Departed: true}})
 	m.incarnation++
@@ -100,9 +99,9 @@
 }
 
 // TestDelayedMessagesRevertIncarnation guards against a leader that goes back to an earlier
-// incarnation when an agent's messages arrive late. The messages of each session are delayed over
-// crashes and departures of the executor, so that earlier sessions are delivered after later
-// ones. In the end the current incarnation is committed, whatever arrives after that.
+// incarnation when an agent's messages arrive late. Messages are delayed beyond crashes and
+// departures of the executor, so that those of earlier sessions arrive after those of later ones.
+// In the end the current incarnation is committed, whatever arrives after that.
 func TestDelayedMessagesRevertIncarnation(t *testing.T) {
 	c := newTestClusterWithLease(t, nil, time.Hour)
 	vms := 0
@@ -128,6 +127,7 @@
 	})
 }
 
+// drawEvent carries out a random event.
 func (m *sessionModel) drawEvent(t *rapid.T) {
 	switch rapid.IntRange(0, 9).Draw(t, "event") {
 	case 0:
--- a/scheduler/simfleet_test.go
+++ b/scheduler/simfleet_test.go
@@ -20,10 +20,11 @@
 	simPlanInterval = 100 * time.Millisecond
 	// simStartupTime is how long a lasting task takes to reach 100 percent.
 	simStartupTime = time.Second
-	simStartUnix   = 1_000_000 // Unix s
+	// simStartUnix is the simulated time at the start of a test, Unix s.
+	simStartUnix = 1_000_000
 )
 
-// executorHealth is how the executor of a VM treats the runs it is ordered to start.
+// executorHealth is what the executor of a VM does with the runs that it is ordered to start.
 type executorHealth int
 
 const (
@@ -36,11 +37,11 @@
 // simVM is a VM of a simFleet.
 type simVM struct {
 	id          rudderfork.VMID
-	incarnation int
+	incarnation int // number of the executor's current incarnation
 	health      executorHealth
-	down        bool // it sends nothing
-	omitsRuns   bool // its heartbeats report no runs
-	begunAt     map[queue.RunKey]time.Time
+	down        bool                       // the VM sends nothing
+	omitsRuns   bool                       // its heartbeats report no runs
+	begunAt     map[queue.RunKey]time.Time // start times of the runs on its executor
 }
 
 func (v *simVM) incarnationName() string { return fmt.Sprintf("%s-life-%d", v.id, v.incarnation) }
@@ -52,10 +53,10 @@
 	qs        *queue.State
 	fleet     *fleet
 	now       time.Time
-	clockSkew time.Duration // of the leader's clock
+	clockSkew time.Duration // how far the leader's clock is ahead of now
 	vms       []*simVM
 
-	pendingSince   map[queue.TaskKey]time.Time // since when a lasting task lacks a run
+	pendingSince   map[queue.TaskKey]time.Time // since when a lasting task is without a run
 	rejectedStarts int                         // planned starts that the state did not accept
 }
 
@@ -138,6 +139,8 @@
 	return queue.Step{Count: count, Size: rudderfork.Resources{CPUMilli: 500, MemoryMB: 100}, Lasting: true, Image: "s", TailMS: 20}
 }
 
+// register registers a VM with its current incarnation, gives it a session and marks it as up. crash
+// is what the VM's agent reports of the previous incarnation; nil if nothing.
 func (s *simFleet) register(v *simVM, crash *queue.Crash) {
 	vm := queue.VM{
 		ID: v.id, Incarnation: v.incarnationName(), Service: "desk", Rack: "r", Capacity: rudderfork.Resources{CPUMilli: 8_000, MemoryMB: 16_000},
@@ -158,8 +161,8 @@
 	s.sendHeartbeat(v)
 }
 
-// crash restarts the executor of a VM in a new incarnation. If seen is set, its agent reports the
-// ages of the runs that were lost.
+// crash restarts the executor of a VM in a new incarnation. If reported is set, the VM's agent
+// reports the ages of the runs that were lost.
 func (s *simFleet) crash(v *simVM, reported bool) {
 	c := &queue.Crash{Incarnation: v.incarnationName()}
 	for k, at := range v.begunAt {
@@ -174,7 +177,7 @@
 	s.register(v, c)
 }
 
-// changeLeader replaces the leader by one whose clock is off by skew.
+// changeLeader replaces the leader by one whose clock is ahead by skew.
 func (s *simFleet) changeLeader(skew time.Duration) {
 	s.clockSkew = skew
 	s.fleet = newFleet()
--- a/scheduler/stale_session_test.go
+++ b/scheduler/stale_session_test.go
@@ -12,7 +12,7 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// Two incarnations of the executor of testVM. Their names don't sort in their order.
+// Two incarnations of the executor of testVM. Their names do not sort in the order of their starts.
 const (
 	oldIncarnation = "life-b"
 	newIncarnation = "life-a"
@@ -109,8 +109,8 @@
 	}
 }
 
-// sendStaleHeartbeat sends a heartbeat whose load and draining flag a leader that accepts it
-// would record for the wrong incarnation.
+// sendStaleHeartbeat sends a heartbeat with a run status and the draining flag. A leader that
+// accepted it would record both for the wrong incarnation.
 func (c *agentClient) sendStaleHeartbeat(inc string) {
 	c.cluster.t.Helper()
 	hb := heartbeatOf(inc)
@@ -153,8 +153,8 @@
 	assert.Equal(c.t, len(v.runs), 0, "a load of the old incarnation was recorded")
 }
 
-// TestStaleSessionChangesVM guards against messages that arrive in an earlier session of an agent,
-// after the agent's heartbeat in a later one, and still change the VM.
+// TestStaleSessionChangesVM guards against messages that change the VM although they arrive in an
+// earlier session of its agent, after the agent's heartbeat in a later session.
 func TestStaleSessionChangesVM(t *testing.T) {
 	t.Run("heartbeat of a registered incarnation", func(t *testing.T) {
 		c := newTestCluster(t, nil)
@@ -208,7 +208,7 @@
 }
 
 // TestConcurrentRegistrationsOfVM guards against a heartbeat that registers the VM while another
-// session is registering it. It gets no epoch and no lease until that has finished.
+// session is registering it. The VM gets no epoch and no lease from it until that has finished.
 func TestConcurrentRegistrationsOfVM(t *testing.T) {
 	c := newTestCluster(t, nil)
 	client := c.connectAgent()
--- a/scheduler/swings_test.go
+++ b/scheduler/swings_test.go
@@ -13,8 +13,8 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// newServingFleet returns a state in which serving tasks of one job run on vm1, and the leader's
-// fleet before their first report.
+// newServingFleet returns a state in which serving tasks of one job run on vm1, and a leader's fleet
+// without any heartbeat.
 func newServingFleet(t *testing.T, tasks int) (qs *queue.State, f *fleet) {
 	t.Helper()
 	qs, f = stateWithRun(t), newFleet()
@@ -28,7 +28,7 @@
 	return qs, f
 }
 
-// takeTails delivers a heartbeat that reports the same tail latency, in ms, for all of the tasks.
+// reportTails delivers a heartbeat that reports the same tail latency, in ms, for all of the tasks.
 func reportTails(qs *queue.State, f *fleet, tasks int, tail int64, at time.Time) {
 	hb := wire.VMHeartbeat{VM: *qs.VM("vm1"), Measured: true}
 	for i := range tasks {
@@ -41,8 +41,8 @@
 	f.updateForecasts(qs, v, at)
 }
 
-// TestHeadroomForecast checks that the planner sees that a task's headroom is about to fall or to
-// rise, once the load of its step has gone through a few periods.
+// TestHeadroomForecast checks that the planner gets a forecast of a fall or rise of a task's headroom
+// once the load of its step has gone through a few periods.
 func TestHeadroomForecast(t *testing.T) {
 	const tasks, period, interval = 5, 10 * time.Second, 500 * time.Millisecond
 	qs, f := newServingFleet(t, tasks)
--- a/scheduler/term_test.go
+++ b/scheduler/term_test.go
@@ -15,7 +15,7 @@
 // TestRoundOfEarlierTermBlocksLaterTerm guards against a leader that opens no sessions because its
 // round of an earlier term still waits for commits.
 func TestRoundOfEarlierTermBlocksLaterTerm(t *testing.T) {
-	const lost = 4 // more than the entries that replace them, so that some commits never complete
+	const lost = 4 // more log entries than those that replace them, so that some commits never complete
 	c := newGatedCluster(t, Settings{Lease: testLease})
 	for i := range lost {
 		c.commit(queue.Command{Register: &queue.VM{ID: rudderfork.VMID(fmt.Sprint("gone", i)), Incarnation: "life"}})
--- a/scheduler/unanswered_start_test.go
+++ b/scheduler/unanswered_start_test.go
@@ -8,8 +8,8 @@
 	"rudderfork.example/rudderfork/state"
 )
 
-// TestTaskBoundToVMWithUnansweredStarts guards against a task that stays forever on a VM whose
-// executor answers all calls but its start.
+// TestTaskBoundToVMWithUnansweredStarts guards against a task that stays placed forever on a VM whose
+// executor answers all calls except starts.
 func TestTaskBoundToVMWithUnansweredStarts(t *testing.T) {
 	c := newTestCluster(t, nil)
 	c.addVM(executor.Config{Fate: func(call string) executor.Fate {
--- a/scheduler/upkeep.go
+++ b/scheduler/upkeep.go
@@ -272,7 +272,7 @@
 }
 
 // order asks the provider for a machine's upkeep, and commits that it was begun or that the
-// provider doesn't know the machine any more. After any other error nothing is certain, and the
+// provider no longer knows the machine. After any other error nothing is certain, and the
 // order is repeated in a later round.
 func (u *upkeep) order(ctx context.Context, w queue.Wave, name, executor string, now time.Time) {
 	u.orderedAt[name] = now
--- a/scheduler/vm.go
+++ b/scheduler/vm.go
@@ -317,7 +317,8 @@
 }
 
 // adoptEpoch takes over the epoch of the VM's registration if the VM is registered with the
-// description vm and its lease has not expired, and reports whether that is so. A new epoch makes the session send the full list.
+// description vm and its lease has not expired, and reports whether that is so. A new epoch makes
+// the session send the full list.
 func (ses *session) adoptEpoch(vm queue.VM) (ok bool) {
 	ses.s.rep.View(func(st *state.State) {
 		ses.s.mu.Lock()
@@ -406,9 +407,9 @@
 	return nil
 }
 
-// recordEnds records for the planner what the reported ends of runs show about a VM. It comes before their
-// commit, so that the first plan that finds a task without a run knows why. Ends of runs that
-// are not active are skipped, as they were recorded before. It returns how long each run
+// recordEnds records for the planner what the reported ends of runs show about a VM. It comes
+// before their commit, so that the first plan that finds a task without a run knows why. Ends of
+// runs that are not active are skipped, as they were recorded before. It returns how long each run
 // worked, in ms, because that is dropped together with the run.
 func (s *Scheduler) recordEnds(ends queue.Ends) (worked []float64) {
 	worked = make([]float64, len(ends.List))
--- a/scheduler/waiting_test.go
+++ b/scheduler/waiting_test.go
@@ -22,8 +22,8 @@
 
 func answerAll(string) executor.Fate { return executor.Answered }
 
-// TestPlacedJobCountedAsBegun guards against a job that stops counting as waiting when its start is
-// ordered, though no executor has begun it yet.
+// TestPlacedJobCountedAsBegun guards against a job that no longer counts as waiting once a start is
+// committed, although no executor has begun the run yet.
 func TestPlacedJobCountedAsBegun(t *testing.T) {
 	c := newTestCluster(t, nil)
 	c.putDocument(nil)
--- a/scheduler/worktimes_test.go
+++ b/scheduler/worktimes_test.go
@@ -11,7 +11,7 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// TestLearnedWorktimeIsAtFullSpeed checks that the work time observed for a run is what it would take
+// TestWorkTimeIsAtFullSpeed checks that the work time of a run is the time that it would have taken
 // at full speed.
 func TestWorkTimeIsAtFullSpeed(t *testing.T) {
 	key := queue.TaskKey{Job: "j"}
