--- a/scheduler/crash_test.go
+++ b/scheduler/crash_test.go
@@ -104,8 +104,8 @@
 	return n
 }
 
-// TestOperatorsSeeAndClearSuspects checks that a task is listed as a suspect after its executor
-// crashed, and no longer after an operator has cleared it.
+// TestOperatorsSeeAndClearSuspects checks that operators see a task whose executor crashed, until an
+// operator clears it.
 func TestOperatorsSeeAndClearSuspects(t *testing.T) {
 	c := newTestCluster(t, nil)
 	c.putDocument(nil)
--- a/scheduler/failure_test.go
+++ b/scheduler/failure_test.go
@@ -74,7 +74,7 @@
 	l.sched.mu.Lock()
 	l.sched.fleet.refreshHeartbeats(steady.Now())
 	l.sched.mu.Unlock()
-	l.sched.dispatch(l.ctx, &roundTimes{})
+	l.sched.planAndStart(l.ctx, &roundTimes{})
 }
 
 // refreshHeartbeats sets the time of all VMs' newest heartbeats, so that they stay usable however
--- a/scheduler/liveness_test.go
+++ b/scheduler/liveness_test.go
@@ -29,13 +29,13 @@
 func (s *simFleet) assertLastingTasksStart() {
 	s.t.Helper()
 	clear(s.pendingSince)
-	refused := s.rejectedStarts
+	rejectedBefore := s.rejectedStarts
 	for end := s.now.Add(settledTime); s.now.Before(end); {
 		s.tick()
 		for k, since := range s.pendingSince {
 			st := s.qs.Job(k.Job).Spec.Steps[k.Step]
 			assert.Assert(s.t, s.now.Sub(since) <= maxPendingTime || s.vmsWithCapacity(st) < 2,
-				"%s lacks a run for %v, and %d planned starts were not accepted; %+v", k, s.now.Sub(since), s.rejectedStarts-refused, *s.task(k))
+				"%s has been without a run for %v, and %d planned starts were not accepted; task: %+v", k, s.now.Sub(since), s.rejectedStarts-rejectedBefore, *s.task(k))
 		}
 	}
 }
@@ -158,7 +158,7 @@
 						failed++
 					}
 				}
-				assert.Equal(t, failed, 0, "jobs of %d failed by one VM of %d", len(s.vms), len(s.vms))
+				assert.Equal(t, failed, 0, "number of failed jobs, of %d, with one crashing VM of %d", len(s.vms), len(s.vms))
 			})
 		}
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -136,7 +136,7 @@
 		s.startTerm(term)
 	}
 	t.expire = timed(func() { s.expireLeases(ctx) })
-	s.dispatch(bounded, &t)
+	s.planAndStart(bounded, &t)
 	t.wake = timed(s.wakeSessions)
 	s.observeRound(t)
 	return t
@@ -269,8 +269,8 @@
 	return list
 }
 
-// dispatch makes a plan, sends its advice requests and commits its starts.
-func (s *Scheduler) dispatch(ctx context.Context, t *roundTimes) {
+// planAndStart makes a plan, sends its advice requests and commits its starts.
+func (s *Scheduler) planAndStart(ctx context.Context, t *roundTimes) {
 	began := steady.Now()
 	var plan dispatch.Plan
 	var begun []rudderfork.JobID
@@ -326,7 +326,7 @@
 const msPerSecond = 1_000
 
 // logStarts logs the starts of a plan with the numbers of their runs. A start with number 0 was
-// not made, since the state had changed between plan and commit.
+// not made, because the state had changed between plan and commit.
 func (s *Scheduler) logStarts(starts []dispatch.Start, numbers []uint32) {
 	for i, st := range starts {
 		if numbers[i] == 0 {
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -255,9 +255,9 @@
 type fakeProvider struct {
 	cluster      *testCluster
 	mu           sync.Mutex
-	done         map[string]bool
-	downAt       map[string]time.Time
-	maxDown      int // largest number of machines that were down at once
+	done         map[string]bool      // machines whose upkeep was carried out
+	downAt       map[string]time.Time // by machine: when its upkeep began
+	maxDown      int                  // largest number of machines that were down at once
 	issuers      []rudderfork.Issuer
 	refusals     int  // number of further orders to refuse
 	fenced       bool // another holder has used a higher fencing token
--- a/scheduler/session.go
+++ b/scheduler/session.go
@@ -106,9 +106,9 @@
 	return m.Hello, wire.CheckVersion(m.Hello.Process, m.Hello.Version)
 }
 
-// open adds a session if this process leads and its rounds have begun the current term. That
-// a term has begun here and not ended is not enough: a round may be waiting for a commit that
-// never comes, while another process leads.
+// open adds a session if this process leads and has started the current term. It is not enough that
+// s.term is set: a round may be waiting for a commit that never completes, while another process
+// leads already.
 func (s *Scheduler) open(ses *session) bool {
 	st := s.rep.Status() // before mu: View takes the replica's lock first
 	s.mu.Lock()
@@ -147,8 +147,8 @@
 	}
 }
 
-// leads reports whether this process still leads in a term. It asks the replica, since s.term
-// is outdated while a round waits for a commit that never comes.
+// leads reports whether this process still leads in a term. It queries the replica because s.term is
+// outdated while a round waits for a commit that never completes.
 func (s *Scheduler) leads(term uint64) bool {
 	st := s.rep.Status()
 	return st.Leads() && st.Term == term
--- a/scheduler/upkeep.go
+++ b/scheduler/upkeep.go
@@ -127,8 +127,9 @@
 	return waves
 }
 
-// advance orders the next upkeep of a wave, or cordons the machine that is next, unless
-// MaxDown machines are down.
+// advance repeats an order of a wave that got no answer. If there is none and fewer than MaxDown
+// machines are down, it cordons the next machine, and orders its upkeep once it was cordoned for
+// drainTime or the wave is due within drainTime.
 func (u *upkeep) advance(ctx context.Context, w queue.Wave, byName map[string]rudderfork.Machine, now time.Time) {
 	down := 0
 	for _, name := range w.Machines {
--- a/scheduler/vm.go
+++ b/scheduler/vm.go
@@ -32,7 +32,7 @@
 }
 
 // newOrders returns the difference between the VM's committed runs and the orders sent before,
-// and records it as sent. It returns no starts or stops unless the session has the VM's present
+// and records it as sent. It returns no starts or stops unless the session has the VM's current
 // epoch. The caller holds mu.
 func (ses *session) newOrders(qs *queue.State) *wire.Orders {
 	o := &wire.Orders{Epoch: ses.epoch, Incarnation: ses.incarnation}
@@ -286,12 +286,13 @@
 	})
 }
 
-// beginRegistration reports whether a VM may be registered, and if so assumes a full lease, so
-// that the VM has time to get its first grant. The caller calls endRegistration afterwards.
+// beginRegistration reports whether a VM may be registered. If so, it marks the VM as being registered
+// and assumes a full lease, so that the VM has time to get its first grant. The caller calls
+// endRegistration afterwards.
 //
 // A VM may not be registered while its loss is being committed: a lease granted then would
-// outlast the runs that it was granted for. Nor while another session registers it, so that
-// registrations are committed in the order of the sessions.
+// outlast the runs that it was granted for. It may also not be registered while another session
+// registers it, so that registrations are committed in the order of the sessions.
 func (ses *session) beginRegistration(id rudderfork.VMID) (v *vmInfo, ok bool) {
 	ses.s.rep.View(func(st *state.State) {
 		ses.s.mu.Lock()
