--- a/event.go
+++ b/event.go
@@ -10,12 +10,12 @@
 type Event struct {
 	At       int64    `cbor:"1,keyasint" json:"at"` // Unix microseconds
 	Process  string   `cbor:"2,keyasint" json:"process"`
-	VM       VMID     `cbor:"3,keyasint" json:"vm"`     // on which the process runs
-	Domain   Domain   `cbor:"4,keyasint" json:"domain"` // of that VM
-	Seq      uint64   `cbor:"5,keyasint" json:"seq"`    // order within the process
-	Kind     string   `cbor:"6,keyasint" json:"kind"`
-	Subject  string   `cbor:"7,keyasint,omitempty" json:"subject,omitempty"` // request, task, job, VM or cell
-	Revision Revision `cbor:"8,keyasint,omitempty" json:"revision,omitempty"`
+	VM       VMID     `cbor:"3,keyasint" json:"vm"`                           // on which the process runs
+	Domain   Domain   `cbor:"4,keyasint" json:"domain"`                       // of that VM
+	Seq      uint64   `cbor:"5,keyasint" json:"seq"`                          // order within the process
+	Kind     string   `cbor:"6,keyasint" json:"kind"`                         // for example "placed" or "vm_lost"
+	Subject  string   `cbor:"7,keyasint,omitempty" json:"subject,omitempty"`  // request, task, job, VM or cell
+	Revision Revision `cbor:"8,keyasint,omitempty" json:"revision,omitempty"` // of the replicated state, if the event is about a change of it
 	Text     string   `cbor:"9,keyasint,omitempty" json:"text,omitempty"`
 }
 
--- a/executor.go
+++ b/executor.go
@@ -91,10 +91,11 @@
 // out and will not be.
 var ErrNotReached = errors.New("nothing listens at the executor's address")
 
-// Executor runs tasks on one VM. Each call addresses one incarnation and is carried out by no
+// Executor runs tasks on one VM. Each call addresses the incarnation inc and is carried out by no
 // other. After any error except ErrNotReached the call may have been carried out, or may still be,
 // even after later calls. However, a run that was stopped never starts afterwards.
 type Executor interface {
+	// Start starts a run, unless the executor refuses it for the reason in the outcome.
 	Start(ctx context.Context, inc string, s RunStart) (StartOutcome, error)
 	// Stop ends a run. If the run has not started, it never will.
 	Stop(ctx context.Context, inc string, r RunRef, fence uint64) error
--- a/job.go
+++ b/job.go
@@ -57,7 +57,7 @@
 const (
 	TaskPending   TaskPhase = "pending"
 	TaskRunning   TaskPhase = "running"
-	TaskEvicting  TaskPhase = "evicting"
+	TaskEvicting  TaskPhase = "evicting" // running, and ordered to stop
 	TaskDone      TaskPhase = "done"
 	TaskFailed    TaskPhase = "failed"
 	TaskCancelled TaskPhase = "cancelled"
--- a/rudderfork.go
+++ b/rudderfork.go
@@ -11,9 +11,13 @@
 //     runs tasks under leases and makes the final check of what its VM may run;
 //   - an entry accepts requests from clients and chooses an upstream for each.
 //
+// In addition, clients submit jobs of several steps to job queues. Package queue is the replicated
+// state of the queues. Packages scheduler and dispatch are the leader's part, front sends requests
+// about queues to the leader, and runner and runs run the tasks at the executor of each VM.
+//
 // Decisions are made in packages without I/O (quorum, state, placement, routing, admission,
-// interference, lease). They take events and a given time and return what to do. The packages
-// control, agent and entry add sockets, files and timers.
+// interference, lease, queue, dispatch, runs). They take events and a given time and return what to
+// do. The packages control, agent, entry, scheduler and runner add sockets, files and timers.
 //
 // This package contains identifiers, sizes, the columns of the table, the records that decisions
 // use, and the interfaces of replaceable behaviour. It does no I/O and imports no other package of
@@ -37,10 +41,11 @@
 // Service names a latency-critical service.
 type Service string
 
-// JobID identifies a batch job.
+// JobID identifies a batch job or a job of a queue.
 type JobID string
 
-// TaskID identifies a task of a batch job, as "job/index".
+// TaskID identifies a task: "job/index" for a batch job, "job.occurrence.step.index" for a job of a
+// queue.
 type TaskID string
 
 // Revision counts the accepted changes of the replicated state. It never decreases.
--- a/upstream.go
+++ b/upstream.go
@@ -27,11 +27,11 @@
 	SetUpstreams(us []Upstream, now time.Time)
 	// Pick returns the VM to send a request to, other than those in tried, and the reason for the
 	// choice. ok is false if no VM is usable.
-	Pick(now time.Time, tried []VMID) (vm VMID, why string, ok bool)
+	Pick(now time.Time, tried []VMID) (vm VMID, reason string, ok bool)
 	// Sent records that a request was sent to vm.
 	Sent(vm VMID, now time.Time)
-	// Done records that a request ended. failed reports whether the upstream gave no response or
-	// a server error. took is 0 if its duration says nothing about the latency,
+	// Done records that a request ended. failed reports whether the upstream gave no response or a
+	// server error. took is 0 if the duration of the request says nothing about the latency,
 	// as for a refused request or for a feed, a response that stays open.
 	Done(vm VMID, took time.Duration, failed bool, now time.Time)
 	// Observe records a load that an agent reported.
