--- a/scheduler/advice_test.go
+++ b/scheduler/advice_test.go
@@ -122,8 +122,8 @@
 func TestWrongAdviceBlocksStep(t *testing.T) {
 	adv := &fakeAdviser{}
 	l := newAdvisedLeader(t, adv, 2)
-	wrong := adv.calls + 1
-	adv.allow = func(string) bool { return adv.calls > wrong }
+	wrongCall := adv.calls + 1
+	adv.allow = func(string) bool { return adv.calls > wrongCall }
 	l.submitJob("job")
 	l.planWithAdvice(adviserCalls)
 	assert.Assert(t, l.hasRun("job"), "not started after %d calls", adv.calls-1)
--- a/scheduler/crash_test.go
+++ b/scheduler/crash_test.go
@@ -50,6 +50,7 @@
 	return crashing
 }
 
+// recordStart reports whether a task crashes its executor, and counts its start if so.
 func (c *crashingVMs) recordStart(r rudderfork.RunRef) (crash bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/scheduler/evacuation.go
+++ b/scheduler/evacuation.go
@@ -39,16 +39,16 @@
 }
 
 // domainExists reports whether the settings name a failure domain, or a registered VM is in it.
-func (s *Scheduler) domainExists(d rudderfork.Domain) (known bool) {
+func (s *Scheduler) domainExists(d rudderfork.Domain) (exists bool) {
 	if s.cfg.HasDomain != nil && s.cfg.HasDomain(d) {
 		return true
 	}
 	s.rep.View(func(st *state.State) {
 		for _, vm := range st.Queues().VMs() {
-			known = known || d != "" && vm.Domain == d
+			exists = exists || d != "" && vm.Domain == d
 		}
 	})
-	return known
+	return exists
 }
 
 // cordoned reports whether no more runs may be started on a VM because its failure domain is being
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -53,13 +53,13 @@
 	runs         map[queue.RunKey]dispatch.RunView // the runs of all VMs, as dispatch reads them
 	begun        map[rudderfork.JobID]bool         // jobs of which a run was reported, until they are marked as begun in the state
 
-	relocateAt     time.Time           // when the planner next looks for a serving task to relocate
-	lastRelocation dispatch.Relocation // the newest one, which may be in progress
-	summaryAt      time.Time           // when the fleet is summarized in the log next
-	expiryCheckAt  time.Time           // when leases are checked for expiry next
-	shortDemand    dispatch.ShortDemand
-	workTimes      *worktime.Model
-	swings         *swing.Model
+	relocateAt     time.Time            // when the planner next looks for a serving task to relocate
+	lastRelocation dispatch.Relocation  // the newest one, which may be in progress
+	summaryAt      time.Time            // when the fleet is summarized in the log next
+	expiryCheckAt  time.Time            // when leases are checked for expiry next
+	shortDemand    dispatch.ShortDemand // number and size of short tasks in recent plans
+	workTimes      *worktime.Model      // estimates of the work times of tasks
+	swings         *swing.Model         // forecasts of the periodic load on serving steps
 	// cordonedForUpkeep is the VM that gets no new tasks because its upkeep is next.
 	cordonedForUpkeep rudderfork.VMID
 }
@@ -282,6 +282,7 @@
 // prunePause is how often data of jobs that have ended is dropped.
 const prunePause = 5 * time.Second
 
+// prune drops data of jobs that have ended, and what was logged of stops that are no longer planned.
 func (f *fleet) prune(s *queue.State, now time.Time) {
 	if !due(&f.pruneAt, prunePause, now) {
 		return
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -130,14 +130,14 @@
 	if doc == nil {
 		return wire.QueueResponse{Code: queue.NoDocument}
 	}
-	q, rest, ok := doc.Find(p.Host, p.Path)
+	q, id, ok := doc.Find(p.Host, p.Path)
 	if !ok {
 		return wire.QueueResponse{Code: queue.NoQueue}
 	}
-	if rest == "" {
+	if id == "" {
 		return s.countWaiting(st, q.Name)
 	}
-	j := st.Job(rudderfork.JobID(rest))
+	j := st.Job(rudderfork.JobID(id))
 	if j == nil {
 		return wire.QueueResponse{Code: queue.NoJob}
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -287,7 +287,7 @@
 		s.fleet.lastOfStep = plan.LastOfStep
 		begun = s.fleet.newlyBegun(st.Queues())
 		if plan.Summary != nil {
-			forecasts = s.fleet.forecasts()
+			forecasts = s.fleet.countForecasts()
 		}
 	})
 	t.plan = steady.Now().Sub(began)
--- a/scheduler/swings.go
+++ b/scheduler/swings.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// forecasts counts the serving tasks whose headroom has a forecast change.
-func (f *fleet) forecasts() (n int) {
+// countForecasts counts the serving tasks whose headroom has a forecast change.
+func (f *fleet) countForecasts() (n int) {
 	for _, v := range f.vms {
 		for _, r := range v.runs {
 			if r.forecastChange != 0 {
--- a/scheduler/swings_test.go
+++ b/scheduler/swings_test.go
@@ -55,7 +55,7 @@
 	}
 	assert.Assert(t, forecast[period/10] < -0.5, "the headroom falls, forecast: %.2f", forecast[period/10])
 	assert.Assert(t, forecast[period*7/10] > 0, "the headroom rises, forecast: %.2f", forecast[period*7/10])
-	assert.Equal(t, f.forecasts(), tasks)
+	assert.Equal(t, f.countForecasts(), tasks)
 	assertNoForecastForOthers(t, qs)
 }
 
