--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -59,9 +59,9 @@
 // otherwise its body is bounded and h handles it.
 func (a *api) onLeader(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		st := a.s.rep.Status()
-		if !st.Leads() && st.Leader.Addr != "" && st.Leader.ID != st.ID {
-			w.Header().Set("Location", "http://"+st.Leader.Addr+r.URL.RequestURI())
+		status := a.s.rep.Status()
+		if !status.Leads() && status.Leader.Addr != "" && status.Leader.ID != status.ID {
+			w.Header().Set("Location", "http://"+status.Leader.Addr+r.URL.RequestURI())
 			w.WriteHeader(http.StatusTemporaryRedirect)
 			return
 		}
--- a/scheduler/failure_test.go
+++ b/scheduler/failure_test.go
@@ -29,7 +29,7 @@
 var reportedTask = queue.TaskKey{Job: "job"}
 
 // newManualLeader returns a leader with a submitted job of one task, whose run is started on vm1.
-func newManualLeader(t *testing.T, st queue.Step) *manualLeader {
+func newManualLeader(t *testing.T, step queue.Step) *manualLeader {
 	store := &gatedStore{}
 	rep := newReplicaWithStore(t, func(s replica.Store) replica.Store { store.Store = s; return store }, selfMember)
 	l := &manualLeader{testCluster: &testCluster{t: t, ctx: t.Context()}, store: store}
@@ -43,7 +43,7 @@
 	}})
 	l.session = l.connect("vm1")
 	l.connect("vm2")
-	l.commit(queue.Command{Submit: &queue.Submit{Host: testHost, Path: "/q/job", Spec: queue.Spec{Steps: []queue.Step{st}}}})
+	l.commit(queue.Command{Submit: &queue.Submit{Host: testHost, Path: "/q/job", Spec: queue.Spec{Steps: []queue.Step{step}}}})
 	l.plan()
 	assert.Equal(t, l.activeRun().VM, rudderfork.VMID("vm1"))
 	return l
@@ -176,8 +176,8 @@
 		})
 		l.sched.mu.Unlock()
 		assert.NilError(l.t, <-done)
-		for _, st := range plan.Starts {
-			assert.Assert(l.t, st.VM != "vm1", "the task is started again on the VM where it has just failed: %s", st.Reason)
+		for _, start := range plan.Starts {
+			assert.Assert(l.t, start.VM != "vm1", "the task is started again on the VM where it has just failed: %s", start.Reason)
 		}
 	})
 }
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -153,7 +153,7 @@
 	for _, status := range hb.Runs {
 		k, err := queue.ParseTaskKey(string(status.Task))
 		if err != nil {
-			continue // not a run of this leader; the agent stops it
+			continue // not a task of the queues; the agent stops its run
 		}
 		if r := v.runs[k]; r != nil && r.status.Run != status.Run {
 			f.dropRun(v, k)
@@ -340,18 +340,18 @@
 func (f *fleet) setStops(stops []dispatch.Stop, now time.Time) {
 	clear(f.stops)
 	clear(f.stopsOn)
-	for _, st := range stops {
-		f.stopsOn[st.VM] = true
-		f.stops[st.Task.Ref(st.Run)] = st.Reason
-		if st.Reason == dispatch.ReasonRelocated && (f.lastRelocation.Task != st.Task || f.lastRelocation.Run != st.Run) {
-			f.lastRelocation = dispatch.Relocation{Task: st.Task, Run: st.Run, At: rudderfork.Millis(now)}
+	for _, stop := range stops {
+		f.stopsOn[stop.VM] = true
+		f.stops[stop.Task.Ref(stop.Run)] = stop.Reason
+		if stop.Reason == dispatch.ReasonRelocated && (f.lastRelocation.Task != stop.Task || f.lastRelocation.Run != stop.Run) {
+			f.lastRelocation = dispatch.Relocation{Task: stop.Task, Run: stop.Run, At: rudderfork.Millis(now)}
 		}
 	}
 }
 
 // markStopLogged reports whether a stop was not logged yet, and marks it as logged.
-func (f *fleet) markStopLogged(st dispatch.Stop) bool {
-	ref := st.Task.Ref(st.Run)
+func (f *fleet) markStopLogged(stop dispatch.Stop) bool {
+	ref := stop.Task.Ref(stop.Run)
 	if f.loggedStops[ref] {
 		return false
 	}
--- a/scheduler/liveness_test.go
+++ b/scheduler/liveness_test.go
@@ -33,8 +33,8 @@
 	for end := s.now.Add(settledTime); s.now.Before(end); {
 		s.tick()
 		for k, since := range s.pendingSince {
-			st := s.qs.Job(k.Job).Spec.Steps[k.Step]
-			assert.Assert(s.t, s.now.Sub(since) <= maxPendingTime || s.vmsWithCapacity(st) < 2,
+			step := s.qs.Job(k.Job).Spec.Steps[k.Step]
+			assert.Assert(s.t, s.now.Sub(since) <= maxPendingTime || s.vmsWithCapacity(step) < 2,
 				"%s has been without a run for %v, and %d planned starts were not accepted; task: %+v", k, s.now.Sub(since), s.rejectedStarts-rejectedBefore, *s.task(k))
 		}
 	}
@@ -183,9 +183,9 @@
 			for _, v := range s.vms[:bad] {
 				v.health = c.health
 			}
-			st := lastingStep(1)
-			st.TailMS = 0
-			s.submit("feed", st)
+			step := lastingStep(1)
+			step.TailMS = 0
+			s.submit("feed", step)
 			s.advance(30 * time.Second)
 			assert.Assert(t, s.isRunning(k) && s.vmOf(k).health == healthy, "not running on a healthy VM after %d starts", s.task(k).LastRun)
 		})
--- a/scheduler/pressures.go
+++ b/scheduler/pressures.go
@@ -47,11 +47,11 @@
 		if vm.Runs()[k] != r.status.Run {
 			continue
 		}
-		st := s.Job(k.Job).Spec.Steps[k.Step]
-		w.add(st)
-		if st.TailMS > 0 && r.status.Percent == fullPercent && r.status.Load > 0 {
+		step := s.Job(k.Job).Spec.Steps[k.Step]
+		w.add(step)
+		if step.TailMS > 0 && r.status.Percent == fullPercent && r.status.Load > 0 {
 			w.samples = append(w.samples, interference.HeadroomSample{
-				Image: st.Image, Run: r.status.RunRef, Headroom: pace.Headroom(st.TailMS, r.status.Load),
+				Image: step.Image, Run: r.status.RunRef, Headroom: pace.Headroom(step.TailMS, r.status.Load),
 			})
 		}
 	}
@@ -59,12 +59,12 @@
 }
 
 // add adds the image of a step of which a task runs on the VM.
-func (w workload) add(st queue.Step) {
-	if st.TailMS > 0 {
-		w.serving[st.Image] = true
+func (w workload) add(step queue.Step) {
+	if step.TailMS > 0 {
+		w.serving[step.Image] = true
 	}
-	if st.Filler {
-		w.fillers[st.Image] = true
+	if step.Filler {
+		w.fillers[step.Image] = true
 	}
 }
 
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -44,8 +44,8 @@
 )
 
 const (
-	// roundPause is the longest pause between two rounds. Leases expire, and stalled runs
-	// are found, without an event that starts a round.
+	// roundPause is how long the scheduler waits for a change before it starts the next round
+	// anyway: leases expire, and stalled runs are found, without an event that starts a round.
 	roundPause = 100 * time.Millisecond
 	// commandTimeout bounds the commit of one command. A leader that cannot commit for that
 	// long has most likely lost its quorum.
@@ -302,8 +302,8 @@
 		return
 	}
 	cmd := queue.Command{Starts: make([]queue.Start, len(plan.Starts)), Begun: begun}
-	for i, st := range plan.Starts {
-		cmd.Starts[i] = st.Start
+	for i, start := range plan.Starts {
+		cmd.Starts[i] = start.Start
 	}
 	t.starts = len(plan.Starts)
 	var res queue.Result
@@ -328,37 +328,37 @@
 // logStarts logs the starts of a plan with the numbers of their runs. A start with number 0 was
 // not made, because the state had changed between plan and commit.
 func (s *Scheduler) logStarts(starts []dispatch.Start, numbers []uint32) {
-	for i, st := range starts {
+	for i, start := range starts {
 		if numbers[i] == 0 {
-			s.log.Info().Str("task", st.Task.String()).Str("to", string(st.VM)).Msg("start_outdated")
+			s.log.Info().Str("task", start.Task.String()).Str("to", string(start.VM)).Msg("start_outdated")
 			continue
 		}
 		s.met.starts.Inc()
-		if st.Copy {
+		if start.Copy {
 			s.met.copies.Inc()
 		}
-		s.log.Info().Str("task", st.Task.String()).Uint32("run", numbers[i]).Str("to", string(st.VM)).
-			Str("reason", st.Reason).Int64("waited_ms", st.WaitedMS).Msg("task_placed")
-		if st.WaitedMS >= 0 {
-			s.met.startWait.WithLabelValues(string(st.Kind)).Observe(float64(st.WaitedMS) / msPerSecond)
+		s.log.Info().Str("task", start.Task.String()).Uint32("run", numbers[i]).Str("to", string(start.VM)).
+			Str("reason", start.Reason).Int64("waited_ms", start.WaitedMS).Msg("task_placed")
+		if start.WaitedMS >= 0 {
+			s.met.startWait.WithLabelValues(string(start.Kind)).Observe(float64(start.WaitedMS) / msPerSecond)
 		}
-		s.record("task_placed", st.Task.String(), "on "+string(st.VM)+": "+st.Reason)
+		s.record("task_placed", start.Task.String(), "on "+string(start.VM)+": "+start.Reason)
 	}
 }
 
 // logStops logs the stops that earlier plans did not have.
 func (s *Scheduler) logStops(stops []dispatch.Stop) {
-	for _, st := range stops {
+	for _, stop := range stops {
 		s.mu.Lock()
-		isNew := s.fleet.markStopLogged(st)
+		isNew := s.fleet.markStopLogged(stop)
 		s.mu.Unlock()
 		if !isNew {
 			continue
 		}
 		s.met.stops.Inc()
-		s.log.Info().Str("task", st.Task.String()).Uint32("run", st.Run).Str("on", string(st.VM)).
-			Str("reason", st.Reason).Msg("task_stopping")
-		s.record("task_stopping", st.Task.String(), st.Reason)
+		s.log.Info().Str("task", stop.Task.String()).Uint32("run", stop.Run).Str("on", string(stop.VM)).
+			Str("reason", stop.Reason).Msg("task_stopping")
+		s.record("task_stopping", stop.Task.String(), stop.Reason)
 	}
 }
 
--- a/scheduler/session.go
+++ b/scheduler/session.go
@@ -110,10 +110,10 @@
 // s.term is set: a round may be waiting for a commit that never completes, while another process
 // leads already.
 func (s *Scheduler) open(ses *session) bool {
-	st := s.rep.Status() // before mu: View takes the replica's lock first
+	status := s.rep.Status() // before mu: View takes the replica's lock first
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !st.Leads() || s.term != st.Term {
+	if !status.Leads() || s.term != status.Term {
 		return false
 	}
 	s.sessionsOpened++
@@ -133,7 +133,7 @@
 		if s.open(ses) {
 			return true
 		}
-		if st := s.rep.Status(); st.Leader.ID != "" && st.Leader.ID != st.ID {
+		if status := s.rep.Status(); status.Leader.ID != "" && status.Leader.ID != status.ID {
 			return false
 		}
 		select {
@@ -150,8 +150,8 @@
 // leads reports whether this process still leads in a term. It queries the replica because s.term is
 // outdated while a round waits for a commit that never completes.
 func (s *Scheduler) leads(term uint64) bool {
-	st := s.rep.Status()
-	return st.Leads() && st.Term == term
+	status := s.rep.Status()
+	return status.Leads() && status.Term == term
 }
 
 func (s *Scheduler) close(ses *session) {
@@ -165,16 +165,16 @@
 
 // redirect returns the address of the leader, if it is known, and those of all members.
 func (s *Scheduler) redirect() *wire.QueueRedirect {
-	st := s.rep.Status()
-	r := &wire.QueueRedirect{Members: addrsOf(st)}
-	if st.Leader.ID != st.ID {
-		r.Leader = st.Leader.Addr
+	status := s.rep.Status()
+	r := &wire.QueueRedirect{Members: addrsOf(status)}
+	if status.Leader.ID != status.ID {
+		r.Leader = status.Leader.Addr
 	}
 	return r
 }
 
-func addrsOf(st replica.Status) (addrs []string) {
-	for _, m := range st.Members {
+func addrsOf(status replica.Status) (addrs []string) {
+	for _, m := range status.Members {
 		addrs = append(addrs, m.Addr)
 	}
 	return addrs
--- a/scheduler/simfleet_test.go
+++ b/scheduler/simfleet_test.go
@@ -106,10 +106,10 @@
 }
 
 // vmsWithCapacity counts the reachable live VMs with free capacity for a task of the step.
-func (s *simFleet) vmsWithCapacity(st queue.Step) (n int) {
+func (s *simFleet) vmsWithCapacity(step queue.Step) (n int) {
 	for _, v := range s.vms {
 		vm := s.qs.VM(v.id)
-		if !v.down && vm.Live && vm.Used().Add(st.Size).Fits(vm.Capacity) {
+		if !v.down && vm.Live && vm.Used().Add(step.Size).Fits(vm.Capacity) {
 			n++
 		}
 	}
@@ -266,8 +266,8 @@
 		return plan
 	}
 	cmd := queue.Command{}
-	for _, st := range plan.Starts {
-		cmd.Starts = append(cmd.Starts, st.Start)
+	for _, start := range plan.Starts {
+		cmd.Starts = append(cmd.Starts, start.Start)
 	}
 	for _, n := range s.apply(cmd).Numbers {
 		if n == 0 {
@@ -308,9 +308,9 @@
 		if j.Status.Final() {
 			continue
 		}
-		for step, st := range j.Spec.Steps {
-			for index := 0; st.Lasting && index < st.Count; index++ {
-				list = append(list, queue.TaskKey{Job: j.ID, Step: step, Index: index})
+		for stepIndex, step := range j.Spec.Steps {
+			for index := 0; step.Lasting && index < step.Count; index++ {
+				list = append(list, queue.TaskKey{Job: j.ID, Step: stepIndex, Index: index})
 			}
 		}
 	}
--- a/scheduler/swings.go
+++ b/scheduler/swings.go
@@ -29,7 +29,7 @@
 	for _, sample := range w.samples {
 		k, err := queue.ParseTaskKey(string(sample.Run.Task))
 		if err != nil {
-			continue // not a run of this leader
+			continue // not a task of the queues
 		}
 		headroom := sample.Headroom
 		for image, share := range hb.FillerUsage {
--- a/scheduler/upkeep.go
+++ b/scheduler/upkeep.go
@@ -29,7 +29,7 @@
 	// order for it, so that the other machines of its wave get their upkeep meanwhile.
 	refusedUpkeepBackOff = 2 * time.Second
 	// drainTime is how long a machine gets no new tasks before its upkeep, so that its short
-	// tasks end by themselves.
+	// tasks end by themselves. It is cut short if the wave is due sooner.
 	drainTime = 2 * time.Second
 )
 
@@ -236,9 +236,9 @@
 	for k := range vm.Runs() {
 		ending[k.StepKey()]++
 	}
-	for step, n := range ending {
-		j := qs.Job(step.Job)
-		if st := j.Spec.Steps[step.Step]; st.Lasting && st.MaxAway > 0 && !j.Status.Final() && s.countAway(j, step, vm)+n > st.MaxAway {
+	for key, n := range ending {
+		j := qs.Job(key.Job)
+		if step := j.Spec.Steps[key.Step]; step.Lasting && step.MaxAway > 0 && !j.Status.Final() && s.countAway(j, key, vm)+n > step.MaxAway {
 			return true
 		}
 	}
--- a/scheduler/vm.go
+++ b/scheduler/vm.go
@@ -91,11 +91,11 @@
 
 // orderOf returns the order to start a run of task k of job j.
 func orderOf(j *queue.Job, k queue.TaskKey, ref rudderfork.RunRef) wire.RunOrder {
-	st, t := j.Spec.Steps[k.Step], j.Task(k)
+	step, t := j.Spec.Steps[k.Step], j.Task(k)
 	run, _ := t.Run(ref.Run)
 	return wire.RunOrder{
 		RunRef: ref, Payload: j.Spec.Payload, Checkpoint: t.Checkpoint, Ticket: run.Ticket,
-		TailMS: st.TailMS, Filler: st.Filler, Image: st.Image, CPUMilli: st.Size.CPUMilli, Need: st.Need(),
+		TailMS: step.TailMS, Filler: step.Filler, Image: step.Image, CPUMilli: step.Size.CPUMilli, Need: step.Need(),
 	}
 }
 
@@ -152,7 +152,7 @@
 		}
 	}
 	s, now := ses.s, steady.Now()
-	st := s.rep.Status()
+	status := s.rep.Status()
 	if !s.leads(ses.term) {
 		return errNotLeading
 	}
@@ -170,7 +170,7 @@
 		for _, k := range s.fleet.lastOfStep[hb.VM.ID] {
 			grant.LastOfStep = append(grant.LastOfStep, k.Ref(k.Number))
 		}
-		left := v.lease.Grant(time.Unix(0, st.QuorumContactNS), now, s.cfg.Lease)
+		left := v.lease.Grant(time.Unix(0, status.QuorumContactNS), now, s.cfg.Lease)
 		starts := s.startTimeLeft(left).Milliseconds()
 		grant.LeaseMS, grant.StartMS = left.Milliseconds(), &starts
 	}
@@ -244,7 +244,7 @@
 // awaitReports waits until the ends that the VM's agent has reported are committed. This comes
 // before the VM is registered or a full list is computed from the committed state. Otherwise a
 // run that was reported as refused could still be in the list: the agent, which has dropped the
-// report, would start it while it also starts elsewhere.
+// report, would start it while the task is also started elsewhere.
 func (ses *session) awaitReports(ctx context.Context, vm queue.VM) error {
 	if err := ses.reports.Wait(ctx); err != nil || ses.firstInTerm || !ses.isRegistered(vm) {
 		return err
@@ -347,8 +347,8 @@
 }
 
 // checkEpoch sends the full list again if the agent has lost it. An agent drops its orders when
-// it takes its executor's incarnation to have ended, and lacks them if the same incarnation
-// then turns out to run on.
+// it takes its executor's incarnation to have ended, and lacks them if that incarnation then turns
+// out to be still running.
 func (ses *session) checkEpoch(ctx context.Context, hb wire.VMHeartbeat) error {
 	if !ses.lacksFullList(hb) {
 		return nil
@@ -376,7 +376,7 @@
 // Reports of a superseded session are dropped. A start that was refused there may have been
 // made again in the later session; committing the refusal would let the task start elsewhere
 // beside that run. Nothing is lost: the agent repeats its reports in its next session, and an
-// executor goes on to list the runs that have ended.
+// executor lists ended runs until they are acknowledged.
 func (ses *session) commitEnds(ctx context.Context, r wire.EndsReport) error {
 	if err := ses.checkCurrent(r.Ends.VM); err != nil {
 		return err
--- a/scheduler/worktimes_test.go
+++ b/scheduler/worktimes_test.go
@@ -34,11 +34,11 @@
 	})
 	t.Run("the end of a first run changes the estimate of its queue", func(t *testing.T) {
 		qs, f := stateWithRun(t), newFleet()
-		st := &qs.Job("j").Spec.Steps[0]
+		step := &qs.Job("j").Spec.Steps[0]
 		other := queue.StepKey{Job: "other"}
-		before := f.workTimes.Estimate("q", other, st)
+		before := f.workTimes.Estimate("q", other, step)
 		qs.Apply(queue.Command{Ends: &queue.Ends{VM: "vm1", Incarnation: "life-1", List: []queue.End{done}}}, 2)
 		f.observeWorkTime(qs, done, 4000, at)
-		assert.Assert(t, f.workTimes.Estimate("q", other, st) > before)
+		assert.Assert(t, f.workTimes.Estimate("q", other, step) > before)
 	})
 }
