--- a/state/claim.go
+++ b/state/claim.go
@@ -7,7 +7,7 @@
 // ClaimKey names a request that must run at most once.
 type ClaimKey struct {
 	Service rudderfork.Service `cbor:"1,keyasint"`
-	Key     string             `cbor:"2,keyasint"` // the caller's Idempotency-Key
+	Key     string             `cbor:"2,keyasint"` // the Idempotency-Key that the client sent
 }
 
 // ClaimPhase is the state of a claimed request.
@@ -15,7 +15,7 @@
 
 // The phases of a claim.
 const (
-	ClaimHeld ClaimPhase = "held" // an entry may have sent the request to the VM
+	ClaimHeld ClaimPhase = "held" // granted to an entry, which may have sent the request to the VM
 	ClaimDone ClaimPhase = "done" // the request ran; Claim.Answer is its answer
 )
 
@@ -25,9 +25,9 @@
 type Claim struct {
 	Key     ClaimKey         `cbor:"1,keyasint"`
 	Token   rudderfork.Token `cbor:"2,keyasint"`
-	Digest  []byte           `cbor:"3,keyasint"` // of method, path and body
-	VM      rudderfork.VMID  `cbor:"4,keyasint"`
-	Boot    string           `cbor:"5,keyasint"` // boot ID of the VM's agent
+	Digest  []byte           `cbor:"3,keyasint"` // SHA-256 of method, path with query, and body
+	VM      rudderfork.VMID  `cbor:"4,keyasint"` // the only VM that may run the request under this token
+	Boot    string           `cbor:"5,keyasint"` // boot ID of that VM's agent
 	Phase   ClaimPhase       `cbor:"6,keyasint"`
 	Expires int64            `cbor:"7,keyasint"` // Unix ms
 	Answer  *Answer          `cbor:"8,keyasint,omitempty"`
@@ -44,9 +44,9 @@
 // MaxAnswerBytes is the maximum length of a recorded body, in bytes.
 const MaxAnswerBytes = 16 << 10
 
-// Acquire requests a claim. With After 0 it is granted only if there is none yet.
-// With After set it takes the claim over from the holder of that token; the
-// caller has fenced off that token at the VM's agent before.
+// Acquire requests a claim. With After 0 it is granted only if the request has no
+// claim yet. Otherwise it takes the claim over from the holder of the token After,
+// and the caller must have fenced off that token at the VM's agent before.
 type Acquire struct {
 	Key     ClaimKey         `cbor:"1,keyasint"`
 	After   rudderfork.Token `cbor:"2,keyasint,omitempty"`
@@ -56,8 +56,8 @@
 	Expires int64            `cbor:"6,keyasint"`
 }
 
-// Settle records the answer to a claimed request, or with NotRun releases the
-// claim of a request that did not run.
+// Settle records the answer to a claimed request. With NotRun it instead releases
+// the claim, since the request did not run.
 type Settle struct {
 	Key    ClaimKey         `cbor:"1,keyasint"`
 	Token  rudderfork.Token `cbor:"2,keyasint"`
@@ -65,12 +65,14 @@
 	NotRun bool             `cbor:"4,keyasint,omitempty"`
 }
 
-// claimExpiry is an entry of the queue in which claims expire.
+// claimExpiry is an element of State.claimQueue: a claim and when it expires.
 type claimExpiry struct {
 	Key     ClaimKey `cbor:"1,keyasint"`
 	Expires int64    `cbor:"2,keyasint"`
 }
 
+// claim grants the claim and sets Result.Granted, or returns the claim that another
+// caller holds or that is already settled.
 func (s *State) claim(a Acquire, at int64) Result {
 	s.expireClaims(at)
 	old := s.claims[a.Key]
@@ -84,7 +86,7 @@
 	}
 	c := &Claim{Key: a.Key, Token: a.After + 1, Digest: a.Digest, VM: a.VM, Boot: a.Boot, Phase: ClaimHeld, Expires: a.Expires}
 	if old == nil {
-		// The index of the entry exceeds every older token, also those of
+		// The index of the log entry exceeds every older token, also those of
 		// claims that were released and are no longer stored.
 		c.Token = rudderfork.Token(s.revision)
 		s.claimQueue = append(s.claimQueue, claimExpiry{a.Key, a.Expires})
@@ -107,7 +109,7 @@
 		delete(s.claims, st.Key)
 		return s.ok()
 	}
-	done := *c // a copy, since earlier results refer to the older record
+	done := *c // a copy, since results that were returned earlier point to c
 	done.Phase, done.Answer = ClaimDone, st.Answer
 	s.claims[st.Key] = &done
 	return s.ok()
--- a/state/job.go
+++ b/state/job.go
@@ -13,13 +13,13 @@
 	Spec        rudderfork.JobSpec  `cbor:"1,keyasint"`
 	SubmittedAt int64               `cbor:"2,keyasint"` // Unix ms
 	Cancelled   bool                `cbor:"3,keyasint,omitempty"`
-	Open        int                 `cbor:"4,keyasint"` // tasks that have not ended
-	Running     int                 `cbor:"5,keyasint"` // tasks that hold capacity
-	Done        int                 `cbor:"6,keyasint"`
-	Failed      int                 `cbor:"7,keyasint"`
+	Open        int                 `cbor:"4,keyasint"`           // number of tasks that are not in a final phase
+	Running     int                 `cbor:"5,keyasint"`           // number of tasks that hold capacity
+	Done        int                 `cbor:"6,keyasint"`           // number of tasks done
+	Failed      int                 `cbor:"7,keyasint"`           // number of tasks that failed for good
 	Blocked     string              `cbor:"8,keyasint,omitempty"` // why no VM can run it; empty if one can
-	FinishedAt  int64               `cbor:"9,keyasint,omitempty"`
-	Revision    rudderfork.Revision `cbor:"10,keyasint"`
+	FinishedAt  int64               `cbor:"9,keyasint,omitempty"` // when Open became 0, Unix ms
+	Revision    rudderfork.Revision `cbor:"10,keyasint"`          // of its submission
 }
 
 // Task is one task of a job.
@@ -28,31 +28,31 @@
 	Job        rudderfork.JobID       `cbor:"2,keyasint"`
 	Index      int                    `cbor:"3,keyasint"`
 	Phase      rudderfork.TaskPhase   `cbor:"4,keyasint"`
-	VM         rudderfork.VMID        `cbor:"5,keyasint,omitempty"` // while it holds capacity
-	Token      rudderfork.Token       `cbor:"6,keyasint"`           // of the newest lease
-	Size       rudderfork.Resources   `cbor:"7,keyasint"`           // of that lease
-	Checkpoint int64                  `cbor:"8,keyasint,omitempty"` // units done
-	Failures   int                    `cbor:"9,keyasint,omitempty"`
-	Avoid      []rudderfork.VMID      `cbor:"10,keyasint,omitempty"`
-	Evictions  int                    `cbor:"11,keyasint,omitempty"`
-	Cancel     bool                   `cbor:"12,keyasint,omitempty"`
-	Since      int64                  `cbor:"13,keyasint"` // start of the phase, Unix ms
-	Decisions  []Decision             `cbor:"14,keyasint,omitempty"`
-	Revision   rudderfork.Revision    `cbor:"15,keyasint"`
-	Blocked    string                 `cbor:"16,keyasint,omitempty"`
-	Waiting    []rudderfork.Rejection `cbor:"17,keyasint,omitempty"`
+	VM         rudderfork.VMID        `cbor:"5,keyasint,omitempty"`  // on which it holds capacity; empty if none
+	Token      rudderfork.Token       `cbor:"6,keyasint"`            // of the newest lease; 0 if it never had one
+	Size       rudderfork.Resources   `cbor:"7,keyasint"`            // of that lease
+	Checkpoint int64                  `cbor:"8,keyasint,omitempty"`  // units of work done at its last checkpoint
+	Failures   int                    `cbor:"9,keyasint,omitempty"`  // number of failed attempts
+	Avoid      []rudderfork.VMID      `cbor:"10,keyasint,omitempty"` // VMs on which attempts failed, newest last
+	Evictions  int                    `cbor:"11,keyasint,omitempty"` // number of attempts stopped on request
+	Cancel     bool                   `cbor:"12,keyasint,omitempty"` // its job was cancelled while it held capacity
+	Since      int64                  `cbor:"13,keyasint"`           // start of the phase, Unix ms
+	Decisions  []Decision             `cbor:"14,keyasint,omitempty"` // the last maxDecisions, oldest first
+	Revision   rudderfork.Revision    `cbor:"15,keyasint"`           // of the last change of the phase
+	Blocked    string                 `cbor:"16,keyasint,omitempty"` // unused
+	Waiting    []rudderfork.Rejection `cbor:"17,keyasint,omitempty"` // unused
 }
 
 // Decision is one decision about a task, kept to explain its state to operators.
 type Decision struct {
-	At         int64                  `cbor:"1,keyasint" json:"at"` // Unix ms
-	What       string                 `cbor:"2,keyasint" json:"what"`
+	At         int64                  `cbor:"1,keyasint" json:"at"`   // Unix ms
+	What       string                 `cbor:"2,keyasint" json:"what"` // what was decided, for example "placed" or "evicting"
 	VM         rudderfork.VMID        `cbor:"3,keyasint,omitempty" json:"vm,omitempty"`
 	Reason     string                 `cbor:"4,keyasint,omitempty" json:"reason,omitempty"`
 	Rejections []rudderfork.Rejection `cbor:"5,keyasint,omitempty" json:"rejections,omitempty"`
-	TableRev   rudderfork.Revision    `cbor:"6,keyasint,omitempty" json:"table_revision,omitempty"`
+	TableRev   rudderfork.Revision    `cbor:"6,keyasint,omitempty" json:"table_revision,omitempty"` // of the table at that time
 	Revision   rudderfork.Revision    `cbor:"7,keyasint" json:"revision"`
-	Token      rudderfork.Token       `cbor:"8,keyasint,omitempty" json:"token,omitempty"`
+	Token      rudderfork.Token       `cbor:"8,keyasint,omitempty" json:"token,omitempty"` // of the task's newest lease
 }
 
 const (
@@ -60,12 +60,12 @@
 	maxDecisions = 8
 	// maxFinishedJobs is the number of finished jobs kept.
 	maxFinishedJobs = 2000
-	// maxAvoidedVMs is the number of VMs that a task avoids at most.
+	// maxAvoidedVMs is the maximum length of Task.Avoid.
 	maxAvoidedVMs = 4
 )
 
-// Submit adds a job. Submitting it again with the same spec returns the first
-// revision.
+// Submit adds a job. Submitting it again with the same spec returns the revision of
+// the first submission.
 type Submit struct {
 	Spec rudderfork.JobSpec `cbor:"1,keyasint"`
 }
@@ -119,7 +119,8 @@
 	return same && len(a.Cells) == len(b.Cells)
 }
 
-// cancel takes time in proportion to the tasks of the job.
+// cancel goes through all tasks of the job, so its cost is proportional to their
+// number.
 func (s *State) cancel(c Cancel, at int64) Result {
 	j := s.jobs[c.Job]
 	if j == nil {
@@ -142,7 +143,8 @@
 	return s.ok()
 }
 
-// setPhase changes the phase of t and updates all counts and indexes.
+// setPhase changes the phase of t and updates all counts and indexes. To start a
+// task, t.VM and t.Size must be set before.
 func (s *State) setPhase(t *Task, phase rudderfork.TaskPhase, at int64) {
 	j := s.jobs[t.Job]
 	was := t.Phase
@@ -213,7 +215,7 @@
 	}
 	for _, c := range rudderfork.Columns(rudderfork.RowJob) {
 		k := rudderfork.CellKey{Kind: rudderfork.RowJob, Row: string(id), Column: c.Name}
-		delete(s.cells, k) // agents drop a finished job's row when no lease refers to it
+		delete(s.cells, k) // without a removed cell in its place, since agents don't receive the rows of jobs
 	}
 	delete(s.jobs, id)
 }
@@ -236,7 +238,7 @@
 	return s.Value(rudderfork.CellKey{Kind: rudderfork.RowJob, Row: string(id), Column: column})
 }
 
-// JobSize returns the size of each task of a job, as its row declares it.
+// JobSize returns the size of each task of a job, from the job's row.
 func (s *State) JobSize(id rudderfork.JobID) rudderfork.Resources {
 	return rudderfork.Resources{
 		CPUMilli:     s.JobCell(id, rudderfork.ColCPU),
@@ -245,7 +247,8 @@
 	}
 }
 
-// Quota returns the most that a team's tasks may hold together, by its row.
+// Quota returns the maximum capacity that a team's tasks may hold together, from the
+// team's row.
 func (s *State) Quota(t rudderfork.Team) rudderfork.Resources {
 	cell := func(col string) int64 {
 		return s.Value(rudderfork.CellKey{Kind: rudderfork.RowTeam, Row: string(t), Column: col})
--- a/state/placement.go
+++ b/state/placement.go
@@ -11,14 +11,15 @@
 type Placement struct {
 	Task       rudderfork.TaskID      `cbor:"1,keyasint"`
 	VM         rudderfork.VMID        `cbor:"2,keyasint"`
-	Epoch      rudderfork.Token       `cbor:"3,keyasint"` // of the VM when the placement was decided
-	Token      rudderfork.Token       `cbor:"4,keyasint"` // of the task's last lease at that time
+	Epoch      rudderfork.Token       `cbor:"3,keyasint"` // epoch of the VM when the placement was decided
+	Token      rudderfork.Token       `cbor:"4,keyasint"` // token of the task's newest lease at that time; 0 if it never had one
 	Size       rudderfork.Resources   `cbor:"5,keyasint"`
 	Reason     string                 `cbor:"6,keyasint,omitempty"`
 	Rejections []rudderfork.Rejection `cbor:"7,keyasint,omitempty"`
 }
 
-// Place is a batch of placements. Each is accepted or rejected on its own.
+// Place is a batch of placements, and of changes of Job.Blocked. Each placement is
+// accepted or rejected on its own.
 type Place struct {
 	Placements []Placement `cbor:"1,keyasint"`
 	Blocked    []Block     `cbor:"2,keyasint,omitempty"`
--- a/state/state.go
+++ b/state/state.go
@@ -6,16 +6,16 @@
 // in the same order. Apply is deterministic: it reads no clock and no random
 // numbers, and the leader puts its time into the command. Apply checks each
 // command against the present state, because the leader may have decided it on
-// an older one. So competing leaders and late answers cannot break these
+// an older one. So competing leaders and late messages cannot break these
 // invariants:
 //
 //   - the sum of the sizes of a VM's tasks never exceeds its capacity less what
 //     is reserved for its services (checkPlacement);
 //   - a task holds at most one lease, and its fencing token rises with each
-//     lease (place);
+//     lease (startAttempt);
 //   - a task leaves its VM only by a report that carries its current token, or
-//     when the VM's lease has expired (report, lost);
-//   - a cell changes only if its revision is the one that the edit names
+//     when the VM's lease has expired (reports, lost);
+//   - an edit changes a cell only if the cell has the revision that the edit names
 //     (applyEdit).
 //
 // Records are plain data with exported fields, since they are sent and stored as
@@ -32,25 +32,25 @@
 
 // State is the replicated state. It is not safe for concurrent use.
 type State struct {
-	revision rudderfork.Revision // index of the last applied entry
-	tableRev rudderfork.Revision // of the cell changed last
+	revision rudderfork.Revision // index of the last applied log entry
+	tableRev rudderfork.Revision // revision of the newest change of a cell
 	cells    map[rudderfork.CellKey]rudderfork.Cell
 	edits    *editHistory
 
 	vms      map[rudderfork.VMID]*VM
 	jobs     map[rudderfork.JobID]*Job
 	tasks    map[rudderfork.TaskID]*Task
-	finished []rudderfork.JobID // oldest first, bounded by maxFinishedJobs
-	usage    map[rudderfork.Team]rudderfork.Resources
-	onVM     map[rudderfork.VMID]map[rudderfork.TaskID]*Task
-	pending  map[rudderfork.TaskID]*Task
+	finished []rudderfork.JobID                              // oldest first, bounded by maxFinishedJobs
+	usage    map[rudderfork.Team]rudderfork.Resources        // sum of the sizes of the tasks that hold capacity
+	onVM     map[rudderfork.VMID]map[rudderfork.TaskID]*Task // tasks that hold capacity, by VM
+	pending  map[rudderfork.TaskID]*Task                     // tasks in phase TaskPending
 
-	upstreamRev rudderfork.Revision // of the last change of the VMs that run services
+	upstreamRev rudderfork.Revision // see UpstreamRevision
 
 	queues *queue.State
 
 	claims     map[ClaimKey]*Claim
-	claimQueue []claimExpiry
+	claimQueue []claimExpiry // in the order in which the claims were first granted
 }
 
 // New returns an empty state.
@@ -69,10 +69,10 @@
 	}
 }
 
-// Applied returns the index of the last applied entry.
+// Applied returns the index of the last applied log entry.
 func (s *State) Applied() rudderfork.Revision { return s.revision }
 
-// Skip records that the entry at index was applied and carries no command.
+// Skip records that the log entry at index was applied, and that it has no command.
 func (s *State) Skip(index uint64) { s.revision = rudderfork.Revision(index) }
 
 // Apply applies the command of the log entry at index.
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -19,11 +19,11 @@
 
 func newHarness() *harness { return &harness{s: New(), now: 1_000_000} }
 
-func (m *harness) do(c Command) Result {
-	m.index++
-	m.now += 10
-	c.At = m.now
-	return m.s.Apply(m.index, c)
+func (h *harness) do(c Command) Result {
+	h.index++
+	h.now += 10
+	c.At = h.now
+	return h.s.Apply(h.index, c)
 }
 
 func check(t *testing.T, r Result, want Code) Result {
@@ -39,55 +39,55 @@
 }
 
 func TestEdits(t *testing.T) {
-	m := newHarness()
-	first := check(t, m.do(edit("a", 5, 0)), CodeOK)
+	h := newHarness()
+	first := check(t, h.do(edit("a", 5, 0)), CodeOK)
 	t.Run("an edit from an older revision conflicts", func(t *testing.T) {
-		r := check(t, m.do(edit("b", 6, 0)), CodeConflict)
+		r := check(t, h.do(edit("b", 6, 0)), CodeConflict)
 		assert.Equal(t, r.Cells[0].Value, int64(5))
 	})
 	t.Run("a repeated edit returns the first result", func(t *testing.T) {
-		r := check(t, m.do(edit("a", 5, 0)), CodeOK)
+		r := check(t, h.do(edit("a", 5, 0)), CodeOK)
 		assert.Assert(t, r.Repeated)
 		assert.Equal(t, r.Revision, first.Revision)
 	})
 	t.Run("a repeated conflict returns the first result", func(t *testing.T) {
-		check(t, m.do(edit("b", 6, 0)), CodeConflict)
+		check(t, h.do(edit("b", 6, 0)), CodeConflict)
 	})
 	t.Run("an ID cannot be used for another edit", func(t *testing.T) {
-		check(t, m.do(edit("a", 7, first.Revision)), CodeInvalid)
+		check(t, h.do(edit("a", 7, first.Revision)), CodeInvalid)
 	})
 	t.Run("a repeated edit is recognized after a snapshot", func(t *testing.T) {
-		m := reload(t, m)
-		assert.Assert(t, m.do(edit("a", 5, 0)).Repeated)
-		check(t, m.do(edit("c", 8, first.Revision)), CodeOK)
+		h := reload(t, h)
+		assert.Assert(t, h.do(edit("a", 5, 0)).Repeated)
+		check(t, h.do(edit("c", 8, first.Revision)), CodeOK)
 	})
 	t.Run("a value out of range is invalid", func(t *testing.T) {
-		r := check(t, m.do(edit("d", 0, first.Revision)), CodeInvalid)
+		r := check(t, h.do(edit("d", 0, first.Revision)), CodeInvalid)
 		assert.Equal(t, r.Text, "cell service/tour/weight: 0 is out of range; want 1 to 1000 (share)")
 	})
 	t.Run("an edit changes all cells or none", func(t *testing.T) {
 		other := rudderfork.CellKey{Kind: rudderfork.RowService, Row: "tour", Column: rudderfork.ColSlots}
 		e := Edit{ID: "e", Writes: []CellWrite{{Key: other, Value: 4}, {Key: weight, Value: 9, IfRevision: 999}}}
-		check(t, m.do(Command{Edit: &e}), CodeConflict)
-		assert.Equal(t, m.s.Cell(other).Revision, rudderfork.Revision(0))
+		check(t, h.do(Command{Edit: &e}), CodeConflict)
+		assert.Equal(t, h.s.Cell(other).Revision, rudderfork.Revision(0))
 	})
 	t.Run("the history is bounded", func(t *testing.T) {
-		w := newEditHistory()
+		e := newEditHistory()
 		for i := range EditWindow + 5 {
-			w.put(editRecord{ID: fmt.Sprint(i)})
+			e.put(editRecord{ID: fmt.Sprint(i)})
 		}
-		_, ok := w.get("4")
-		assert.Assert(t, !ok && len(w.byID) == EditWindow)
+		_, ok := e.get("4")
+		assert.Assert(t, !ok && len(e.byID) == EditWindow)
 	})
 }
 
-func reload(t *testing.T, m *harness) *harness {
+func reload(t *testing.T, h *harness) *harness {
 	t.Helper()
-	data, err := m.s.Encode()
+	data, err := h.s.Encode()
 	assert.NilError(t, err)
 	s, err := Decode(data)
 	assert.NilError(t, err)
-	return &harness{s: s, index: m.index, now: m.now}
+	return &harness{s: s, index: h.index, now: h.now}
 }
 
 func register(vm string) Command {
@@ -106,19 +106,19 @@
 // a snapshot.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		m := newHarness()
+		h := newHarness()
 		for i := range 3 {
-			m.do(register(fmt.Sprint("vm", i)))
+			h.do(register(fmt.Sprint("vm", i)))
 		}
 		tokens := map[rudderfork.TaskID]rudderfork.Token{}
 		for range rapid.IntRange(1, 80).Draw(rt, "commands") {
-			m.do(drawCommand(rt, m.s))
-			checkInvariants(rt, m.s, tokens)
+			h.do(drawCommand(rt, h.s))
+			checkInvariants(rt, h.s, tokens)
 		}
-		again := reload(t, m)
+		again := reload(t, h)
 		checkInvariants(rt, again.s, tokens)
-		assert.Equal(rt, len(again.s.Pending()), len(m.s.Pending()))
-		assert.DeepEqual(rt, again.s.Usage("team"), m.s.Usage("team"))
+		assert.Equal(rt, len(again.s.Pending()), len(h.s.Pending()))
+		assert.DeepEqual(rt, again.s.Usage("team"), h.s.Usage("team"))
 	})
 }
 
@@ -163,7 +163,7 @@
 	running := map[rudderfork.JobID]int{}
 	for _, t := range s.tasks {
 		if t.Token < tokens[t.ID] {
-			rt.Fatalf("the token of %s fell from %d to %d", t.ID, tokens[t.ID], t.Token)
+			rt.Fatalf("the token of task %s fell from %d to %d", t.ID, tokens[t.ID], t.Token)
 		}
 		tokens[t.ID] = t.Token
 		if t.Phase.Holds() {
@@ -172,23 +172,23 @@
 		}
 		_, pending := s.pending[t.ID]
 		if pending != (t.Phase == rudderfork.TaskPending) {
-			rt.Fatalf("%s is %s and pending: %t", t.ID, t.Phase, pending)
+			rt.Fatalf("task %s has phase %s, but its presence among the pending tasks is %t", t.ID, t.Phase, pending)
 		}
 	}
 	for _, v := range s.VMs() {
 		if used[v.Place.VM] != v.Used {
-			rt.Fatalf("VM %s holds %v, its Used is %v", v.Place.VM, used[v.Place.VM], v.Used)
+			rt.Fatalf("the tasks on VM %s hold %v, but its Used is %v", v.Place.VM, used[v.Place.VM], v.Used)
 		}
 		if !v.Used.Fits(v.Capacity.Sub(v.Reserved)) {
-			rt.Fatalf("VM %s holds %v", v.Place.VM, v.Used)
+			rt.Fatalf("the tasks on VM %s hold %v, more than its capacity less what is reserved", v.Place.VM, v.Used)
 		}
 		if !v.Live && len(s.onVM[v.Place.VM]) > 0 {
-			rt.Fatalf("VM %s was lost and holds tasks", v.Place.VM)
+			rt.Fatalf("VM %s is lost, but tasks hold capacity on it", v.Place.VM)
 		}
 	}
 	for _, j := range s.Jobs() {
 		if running[j.Spec.ID] != j.Running {
-			rt.Fatalf("job %s runs %d, its Running is %d", j.Spec.ID, running[j.Spec.ID], j.Running)
+			rt.Fatalf("job %s has %d tasks that hold capacity, but its Running is %d", j.Spec.ID, running[j.Spec.ID], j.Running)
 		}
 	}
 }
@@ -198,71 +198,71 @@
 }
 
 func TestClaims(t *testing.T) {
-	m := newHarness()
+	h := newHarness()
 	const expires = 2_000_000
-	first := m.do(acquire(0, expires))
+	first := h.do(acquire(0, expires))
 	assert.Assert(t, first.Granted)
 	t.Run("a second caller gets the first one's claim", func(t *testing.T) {
-		r := m.do(acquire(0, expires))
+		r := h.do(acquire(0, expires))
 		assert.Assert(t, !r.Granted)
 		assert.Equal(t, r.Claim.Token, first.Claim.Token)
 	})
-	next := m.do(acquire(first.Claim.Token, expires))
+	next := h.do(acquire(first.Claim.Token, expires))
 	t.Run("a fenced-off token is taken over once", func(t *testing.T) {
 		assert.Assert(t, next.Granted && next.Claim.Token > first.Claim.Token)
-		assert.Assert(t, !m.do(acquire(first.Claim.Token, expires)).Granted)
+		assert.Assert(t, !h.do(acquire(first.Claim.Token, expires)).Granted)
 	})
 	settle := func(token rudderfork.Token, notRun bool) Command {
 		return Command{Settle: &Settle{Key: ClaimKey{"s", "k"}, Token: token, NotRun: notRun, Answer: &Answer{Status: 200}}}
 	}
 	t.Run("only the holder settles", func(t *testing.T) {
-		check(t, m.do(settle(first.Claim.Token, true)), CodeConflict)
-		check(t, m.do(settle(next.Claim.Token, false)), CodeOK)
+		check(t, h.do(settle(first.Claim.Token, true)), CodeConflict)
+		check(t, h.do(settle(next.Claim.Token, false)), CodeOK)
 	})
 	t.Run("the answer is kept, also in a snapshot", func(t *testing.T) {
-		m := reload(t, m)
-		r := m.do(acquire(next.Claim.Token, expires))
+		h := reload(t, h)
+		r := h.do(acquire(next.Claim.Token, expires))
 		assert.Assert(t, !r.Granted)
 		assert.Equal(t, r.Claim.Answer.Status, 200)
-		check(t, m.do(settle(next.Claim.Token, true)), CodeConflict)
+		check(t, h.do(settle(next.Claim.Token, true)), CodeConflict)
 	})
 	t.Run("the token rises after a claim was released", func(t *testing.T) {
-		m := newHarness()
-		a := m.do(acquire(0, expires))
-		check(t, m.do(settle(a.Claim.Token, true)), CodeOK)
-		b := m.do(acquire(0, expires))
+		h := newHarness()
+		a := h.do(acquire(0, expires))
+		check(t, h.do(settle(a.Claim.Token, true)), CodeOK)
+		b := h.do(acquire(0, expires))
 		assert.Assert(t, b.Granted && b.Claim.Token > a.Claim.Token)
 	})
 	t.Run("claims expire", func(t *testing.T) {
-		m.now = expires + 1
-		m.do(Command{Claim: &Acquire{Key: ClaimKey{"s", "other"}, Expires: expires * 2}})
-		assert.Equal(t, m.s.ClaimCount(), 1)
+		h.now = expires + 1
+		h.do(Command{Claim: &Acquire{Key: ClaimKey{"s", "other"}, Expires: expires * 2}})
+		assert.Equal(t, h.s.ClaimCount(), 1)
 	})
 }
 
 func TestFailingVMIsExcluded(t *testing.T) {
-	m := newHarness()
-	m.do(register("vm0"))
+	h := newHarness()
+	h.do(register("vm0"))
 	fail := func(job string) {
-		check(t, m.do(submit(job, 1)), CodeOK)
+		check(t, h.do(submit(job, 1)), CodeOK)
 		id := rudderfork.TaskID(job + "/0")
-		v := m.s.VM("vm0")
-		r := m.do(Command{Place: &Place{Placements: []Placement{{Task: id, VM: "vm0", Epoch: v.Epoch, Size: rudderfork.Resources{CPUMilli: 1}}}}})
+		v := h.s.VM("vm0")
+		r := h.do(Command{Place: &Place{Placements: []Placement{{Task: id, VM: "vm0", Epoch: v.Epoch, Size: rudderfork.Resources{CPUMilli: 1}}}}})
 		assert.Assert(t, r.Placed[0], r.Text)
-		m.do(Command{Reports: &Reports{VM: "vm0", Reports: []rudderfork.Report{{Task: id, Token: 1, Outcome: rudderfork.OutcomeFailed}}}})
+		h.do(Command{Reports: &Reports{VM: "vm0", Reports: []rudderfork.Report{{Task: id, Token: 1, Outcome: rudderfork.OutcomeFailed}}}})
 	}
 	fail("a")
 	fail("b")
-	assert.Assert(t, !m.s.VM("vm0").Excluded(m.now))
+	assert.Assert(t, !h.s.VM("vm0").Excluded(h.now))
 	fail("c")
-	v := m.s.VM("vm0")
-	assert.Assert(t, v.Excluded(m.now))
-	first := v.ExcludedUntil - m.now
+	v := h.s.VM("vm0")
+	assert.Assert(t, v.Excluded(h.now))
+	first := v.ExcludedUntil - h.now
 	t.Run("one failure on probation excludes for twice the time", func(t *testing.T) {
-		m.now = v.ExcludedUntil + 1
+		h.now = v.ExcludedUntil + 1
 		fail("d")
-		assert.Assert(t, v.Excluded(m.now))
-		assert.Equal(t, v.ExcludedUntil-m.now, 2*first)
+		assert.Assert(t, v.Excluded(h.now))
+		assert.Equal(t, v.ExcludedUntil-h.now, 2*first)
 	})
 	t.Run("the failures of a single job exclude no VM", func(t *testing.T) {
 		v := &VM{}
@@ -274,25 +274,25 @@
 }
 
 func TestCancelJob(t *testing.T) {
-	m := newHarness()
-	m.do(register("vm0"))
-	check(t, m.do(submit("a", 5)), CodeOK)
-	m.do(Command{Place: &Place{Placements: []Placement{{Task: "a/0", VM: "vm0", Epoch: 1, Size: rudderfork.Resources{CPUMilli: 1}}}}})
-	check(t, m.do(Command{Cancel: &Cancel{"a"}}), CodeOK)
-	check(t, m.do(Command{Cancel: &Cancel{"a"}}), CodeOK)
-	assert.Equal(t, len(m.s.Pending()), 0)
-	assert.Equal(t, m.s.Job("a").Open, 1)
-	ls := m.s.Leases("vm0")
+	h := newHarness()
+	h.do(register("vm0"))
+	check(t, h.do(submit("a", 5)), CodeOK)
+	h.do(Command{Place: &Place{Placements: []Placement{{Task: "a/0", VM: "vm0", Epoch: 1, Size: rudderfork.Resources{CPUMilli: 1}}}}})
+	check(t, h.do(Command{Cancel: &Cancel{"a"}}), CodeOK)
+	check(t, h.do(Command{Cancel: &Cancel{"a"}}), CodeOK)
+	assert.Equal(t, len(h.s.Pending()), 0)
+	assert.Equal(t, h.s.Job("a").Open, 1)
+	ls := h.s.Leases("vm0")
 	assert.Assert(t, ls[0].Stop && ls[0].Discard)
-	m.do(Command{Reports: &Reports{VM: "vm0", Reports: []rudderfork.Report{{Task: "a/0", Token: 1, Outcome: rudderfork.OutcomeStopped}}}})
-	assert.Equal(t, m.s.Task("a/0").Phase, rudderfork.TaskCancelled)
-	assert.Equal(t, m.s.VM("vm0").Used, rudderfork.Resources{})
+	h.do(Command{Reports: &Reports{VM: "vm0", Reports: []rudderfork.Report{{Task: "a/0", Token: 1, Outcome: rudderfork.OutcomeStopped}}}})
+	assert.Equal(t, h.s.Task("a/0").Phase, rudderfork.TaskCancelled)
+	assert.Equal(t, h.s.VM("vm0").Used, rudderfork.Resources{})
 }
 
 func TestSubmitIsIdempotent(t *testing.T) {
-	m := newHarness()
-	r := check(t, m.do(submit("a", 5)), CodeOK)
-	again := check(t, m.do(submit("a", 5)), CodeOK)
+	h := newHarness()
+	r := check(t, h.do(submit("a", 5)), CodeOK)
+	again := check(t, h.do(submit("a", 5)), CodeOK)
 	assert.Assert(t, again.Repeated && again.Revision == r.Revision)
-	check(t, m.do(submit("a", 6)), CodeConflict)
+	check(t, h.do(submit("a", 6)), CodeConflict)
 }
--- a/state/table.go
+++ b/state/table.go
@@ -17,8 +17,8 @@
 	IfRevision rudderfork.Revision `cbor:"4,keyasint" json:"if_revision"` // 0 for a cell that was never set
 }
 
-// Edit changes all of its cells or none. Sent again with the same ID it returns
-// the first result, as long as the ID is among the last EditWindow edits.
+// Edit changes all of its cells or none. An edit that is sent again with the same ID
+// returns the first result, as long as the ID is among the last EditWindow edits.
 type Edit struct {
 	ID     string      `cbor:"1,keyasint" json:"id"`
 	By     string      `cbor:"2,keyasint,omitempty" json:"by,omitempty"`
@@ -26,14 +26,14 @@
 }
 
 // EditWindow is the number of edits whose results are kept, so that a retry
-// returns the first result: two days at 16,000 changes a day.
+// returns the first result. It covers two days at 16,000 edits a day.
 const EditWindow = 32_768
 
 // maxEditCells is the maximum number of cells in one edit.
 const maxEditCells = 1000
 
-// Check returns an error if the edit is not valid in itself. It doesn't check
-// revisions.
+// Check returns an error if the edit is not valid, whatever the state is. It doesn't
+// check revisions.
 func (e Edit) Check() error {
 	if e.ID == "" || len(e.ID) > 128 {
 		return fmt.Errorf("edit id %q: want 1 to 128 characters", e.ID)
@@ -161,24 +161,24 @@
 
 func newEditHistory() *editHistory { return &editHistory{byID: map[string]editRecord{}} }
 
-func (w *editHistory) get(id string) (r editRecord, ok bool) {
-	r, ok = w.byID[id]
+func (h *editHistory) get(id string) (r editRecord, ok bool) {
+	r, ok = h.byID[id]
 	return r, ok
 }
 
-func (w *editHistory) put(r editRecord) {
-	w.byID[r.ID] = r
-	w.order = append(w.order, r.ID)
-	if len(w.order) > EditWindow {
-		delete(w.byID, w.order[0])
-		w.order = w.order[1:]
+func (h *editHistory) put(r editRecord) {
+	h.byID[r.ID] = r
+	h.order = append(h.order, r.ID)
+	if len(h.order) > EditWindow {
+		delete(h.byID, h.order[0])
+		h.order = h.order[1:]
 	}
 }
 
-func (w *editHistory) records() []editRecord {
-	rs := make([]editRecord, 0, len(w.order))
-	for _, id := range w.order {
-		rs = append(rs, w.byID[id])
+func (h *editHistory) records() []editRecord {
+	rs := make([]editRecord, 0, len(h.order))
+	for _, id := range h.order {
+		rs = append(rs, h.byID[id])
 	}
 	return rs
 }
--- a/state/vm.go
+++ b/state/vm.go
@@ -6,26 +6,27 @@
 	"rudderfork.example/rudderfork"
 )
 
-// VM is a VM with its registration, its use and its failures.
+// VM is a VM with its registration, the capacity that its tasks use, and its
+// failures.
 type VM struct {
 	Place    rudderfork.Place     `cbor:"1,keyasint"`
 	Addr     string               `cbor:"2,keyasint"` // of its agent, for requests to its services
 	Capacity rudderfork.Resources `cbor:"3,keyasint"`
-	Reserved rudderfork.Resources `cbor:"4,keyasint"` // for its services
+	Reserved rudderfork.Resources `cbor:"4,keyasint"` // part of Capacity that is kept for its services
 	Used     rudderfork.Resources `cbor:"5,keyasint"` // sum of the sizes of its tasks
 	Services []rudderfork.Service `cbor:"6,keyasint"`
 	Epoch    rudderfork.Token     `cbor:"7,keyasint"` // rises with each registration after a loss
 	Boot     string               `cbor:"8,keyasint"` // boot ID of its agent process
-	Live     bool                 `cbor:"9,keyasint"`
+	Live     bool                 `cbor:"9,keyasint"` // registered, and not lost since
 	Draining bool                 `cbor:"10,keyasint"`
-	LostAt   int64                `cbor:"11,keyasint,omitempty"` // Unix ms
+	LostAt   int64                `cbor:"11,keyasint,omitempty"` // time of the last loss, Unix ms; 0 if never
 
-	// Failures is the number of consecutive failures, where those of one job in a
-	// row count once.
+	// Failures is the number of failed attempts since the last success or
+	// exclusion. Successive failures of one job count as one.
 	Failures      int              `cbor:"12,keyasint,omitempty"`
-	FailedJob     rudderfork.JobID `cbor:"13,keyasint,omitempty"`
-	ExcludedUntil int64            `cbor:"14,keyasint,omitempty"` // Unix ms; no task is placed before
-	Exclusions    int              `cbor:"15,keyasint,omitempty"` // exclusions since the last success
+	FailedJob     rudderfork.JobID `cbor:"13,keyasint,omitempty"` // job of the last of them
+	ExcludedUntil int64            `cbor:"14,keyasint,omitempty"` // no task is placed on the VM before this time, Unix ms
+	Exclusions    int              `cbor:"15,keyasint,omitempty"` // number of exclusions since the last success
 
 	// Revision is that of the last change of the VM's leases, registration or
 	// drain.
@@ -46,8 +47,9 @@
 func (v *VM) OnProbation() bool { return v.Exclusions > 0 }
 
 const (
-	// excludeAfterFailures is the value of VM.Failures at which a VM is excluded.
-	// A single job that fails on every VM excludes none.
+	// excludeAfterFailures is the value of VM.Failures at which a VM is excluded. The
+	// failures of a single job don't reach it, so a job that fails everywhere
+	// excludes no VM.
 	excludeAfterFailures = 3
 	// baseExclusion is the duration of the first exclusion; each further one is
 	// twice as long, up to maxExclusion.
@@ -98,8 +100,8 @@
 }
 
 // lost makes a VM's tasks pending again. The leader proposes it only when no
-// lease of the VM can be valid any more. A repeated proposal fails the check of
-// the epoch.
+// lease of the VM can be valid any more. A repeated proposal is rejected, since the
+// VM is no longer live at that epoch.
 func (s *State) lost(l VMLoss, at int64) Result {
 	v := s.vms[l.VM]
 	if v == nil || !v.Live || v.Epoch != l.Epoch {
@@ -124,8 +126,8 @@
 	return s.ok()
 }
 
-// recordFailure counts a failed attempt on v, and excludes v when it fails the
-// tasks of several jobs, or one task on probation.
+// recordFailure counts a failed attempt on v. It excludes v when Failures reaches
+// excludeAfterFailures, or at the first failure on probation.
 func (v *VM) recordFailure(job rudderfork.JobID, at int64) {
 	if v.FailedJob != "" && v.FailedJob != job {
 		v.Failures++
