--- a/placement/placement.go
+++ b/placement/placement.go
@@ -22,8 +22,8 @@
 	// maxPlacements is the maximum number of tasks placed in one round.
 	maxPlacements = 256
 	// maxCandidates is the maximum number of VMs that a Placer scores for one
-	// task. They are the first with enough free capacity from a random VM on, which
-	// bounds the cost of a round (relaxed randomization as in Borg).
+	// task, which bounds the cost of a round. They are the first VMs with enough free
+	// capacity, counted from a random VM (relaxed randomization as in Borg).
 	maxCandidates = 48
 	// UrgentPriority is the lowest priority of tasks that may preempt tasks of
 	// lower priority.
@@ -38,14 +38,16 @@
 	usage  Usage
 }
 
-// Usage returns what control has learned from usage reports, or zero where
-// nothing is known yet.
+// Usage provides what the leader has learned from the usage reports of agents.
+// Where it has no reports, Size returns the declared size, and the other methods
+// return zero values.
 type Usage interface {
-	// Pressure returns the tail latency of the VM's services over their target.
+	// Pressure returns the tail latency of the VM's services divided by their
+	// target.
 	Pressure(vm rudderfork.VMID) float64
-	// TakeExhausted reports whether the VM's services are over their target though
-	// all of its tasks are throttled fully. It returns true once for each report
-	// of the VM's agent.
+	// TakeExhausted reports whether the VM's services exceed their target although
+	// all of its tasks are throttled fully. It returns true at most once for each
+	// report of the VM's agent.
 	TakeExhausted(vm rudderfork.VMID) bool
 	// Size returns the declared size, corrected by the measured use of tasks of
 	// the kind.
@@ -75,21 +77,22 @@
 type round struct {
 	s              *state.State
 	now            time.Time
-	vms            []*view // the VMs that may get tasks
-	byVM           map[rudderfork.VMID]*view
-	idleCapacities []rudderfork.Resources // of every VM without tasks
-	maxCapacity    rudderfork.Resources   // the maximum of idleCapacities in each dimension
+	vms            []*view                   // the VMs that may get tasks
+	byVM           map[rudderfork.VMID]*view // vms by ID
+	idleCapacities []rudderfork.Resources    // capacity for tasks of every known VM, when it runs none
+	maxCapacity    rudderfork.Resources      // the maximum of idleCapacities in each dimension
 	plan           Plan
-	teams          map[rudderfork.Team]rudderfork.Resources // sizes of the tasks placed in this round
-	jobs           map[rudderfork.JobID]int
-	skipped        map[rudderfork.JobID]bool // jobs of which no more tasks are placed in this round
+	teams          map[rudderfork.Team]rudderfork.Resources // sum of the sizes of the tasks placed in this round
+	jobs           map[rudderfork.JobID]int                 // number of tasks placed in this round
+	skipped        map[rudderfork.JobID]bool                // jobs of which no more tasks are placed in this round
 }
 
-// view is a VM with the tasks placed on it in this round.
+// view is a VM that may get tasks. Free, Tasks and tasks include the tasks placed on
+// it in this round.
 type view struct {
 	rudderfork.VMView
 	vm    *state.VM
-	tasks int
+	tasks int // number of tasks that hold capacity
 }
 
 // PlanRound plans one round on s at now.
@@ -196,7 +199,7 @@
 	}
 	c, ok := p.placer.Place(tv, p.candidates(r, tv), r.now)
 	if !ok {
-		// All tasks of a job need the same, so none of its others can be placed.
+		// All tasks of a job have the same size, so the others are not tried either.
 		r.skipped[t.Job] = true
 		if tv.Priority >= UrgentPriority {
 			p.preempt(r, tv)
@@ -226,8 +229,8 @@
 	return int64(j.Running+r.jobs[t.Job]) < r.s.JobCell(t.Job, rudderfork.ColMaxRunning)
 }
 
-// candidates returns up to maxCandidates VMs that may run t, from a random one on
-// where there are more.
+// candidates returns up to maxCandidates VMs that may run t. If there are more VMs
+// than that, it starts at a random one.
 func (p *Planner) candidates(r *round, t rudderfork.TaskView) []rudderfork.VMView {
 	var out []rudderfork.VMView
 	if len(r.vms) == 0 {
@@ -252,9 +255,9 @@
 
 // pressureLimit is the expected pressure above which a VM gets no further task of
 // a job with the default weight. (Heracles, ISCA 2015, lets batch work grow only
-// with 10% slack, whatever its kind; here the expected slowdown by the kind
-// counts.) The limit grows with the job's weight, between minPressureLimit and
-// maxPressureLimit.
+// while the latency is 10% below its target, whatever the kind of work; here the
+// slowdown that is expected of the kind is added.) The limit is proportional to the
+// job's weight, between minPressureLimit and maxPressureLimit.
 const (
 	pressureLimit    = 0.9
 	minPressureLimit = 0.5
@@ -291,8 +294,8 @@
 	})
 }
 
-// updateBlockedJobs sets the reason of jobs that no VM can run, and clears it when one
-// can.
+// updateBlockedJobs plans the changes of Job.Blocked: it sets the reason for jobs that
+// no VM can run, and clears it when one can.
 func (p *Planner) updateBlockedJobs(r *round) {
 	seen := map[rudderfork.JobID]bool{}
 	for _, t := range r.s.Pending() {
@@ -335,8 +338,8 @@
 	return fmt.Sprintf("one task needs %s; the largest VM offers %s", size, largest)
 }
 
-// evictUnderPressure evicts one task from each VM where throttling was not
-// enough: the one with the least unsaved work times weight.
+// evictUnderPressure evicts one task from each VM where throttling was not enough:
+// the one for which the product of unsaved work and weight is least.
 func (p *Planner) evictUnderPressure(r *round) {
 	for _, v := range r.vms {
 		if len(v.Services) == 0 || !p.usage.TakeExhausted(v.Place.VM) {
--- a/placement/placers.go
+++ b/placement/placers.go
@@ -26,8 +26,9 @@
 }
 
 // Scored chooses the VM of least cost. The cost grows with the expected slowdown
-// of the services there, their pressure, the processors in use and the tasks of
-// the same kind, and most if an attempt of the task failed there.
+// of the services there, their pressure, the processors in use and the number of
+// tasks of the same kind. An attempt of the task that failed on the VM adds
+// most.
 type Scored struct {
 	interference rudderfork.Interference
 }
@@ -35,7 +36,7 @@
 // NewScored returns a placer that takes the expected slowdowns from model.
 func NewScored(model rudderfork.Interference) *Scored { return &Scored{model} }
 
-// The weights of the parts of a cost.
+// The weights of the terms of a cost.
 const (
 	costSlowdown = 1.0 // for a service whose latency is expected to double
 	costPressure = 0.5 // for a service at its target
--- a/placement/urgent.go
+++ b/placement/urgent.go
@@ -21,7 +21,7 @@
 		}
 		victims, lost, ok := p.victims(r, v, t)
 		if ok && len(victims) == 0 {
-			return // evictions in progress free enough
+			return // evictions in progress free enough capacity
 		}
 		if ok && (bestLost < 0 || lost < bestLost) {
 			best, bestLost = victims, lost
@@ -34,7 +34,8 @@
 }
 
 // victims returns the tasks to evict on v so that t fits, those with the least
-// unsaved work first, and the work lost in units.
+// unsaved work first, and the sum of their unsaved work in units. ok is false if t
+// doesn't fit even then.
 func (p *Planner) victims(r *round, v *view, t rudderfork.TaskView) (ts []*state.Task, lost int64, ok bool) {
 	free := v.Free
 	var lower []*state.Task
