--- a/throttle/throttle_test.go
+++ b/throttle/throttle_test.go
@@ -11,7 +11,8 @@
 
 var t0 = time.Unix(1000, 0)
 
-// run observes the same pressure every 250 ms for d and returns the time after.
+// run observes the same pressure every 250 ms for d and returns the time of the
+// next observation.
 func run(c *Controller, pressure float64, from time.Time, d time.Duration) time.Time {
 	for now := from; ; now = now.Add(250 * time.Millisecond) {
 		if now.After(from.Add(d)) {
@@ -21,6 +22,8 @@
 	}
 }
 
+// levels returns the levels of a light and a heavy task that are expected to slow
+// nothing.
 func levels(c *Controller) [2]int {
 	m := c.Levels([]Task{{"heavy/0", 300, 1}, {"light/0", 100, 1}})
 	return [2]int{m[rudderfork.TaskID("light/0")], m[rudderfork.TaskID("heavy/0")]}
@@ -54,8 +57,8 @@
 	})
 }
 
-// TestLevelsDontOscillate alternates the pressure faster than the delay before a
-// step back.
+// TestLevelsDontOscillate checks that the levels hardly change when the pressure
+// alternates faster than the delay before a step is removed.
 func TestLevelsDontOscillate(t *testing.T) {
 	var c Controller
 	changes, last := 0, [2]int{}
@@ -72,16 +75,16 @@
 	assert.Assert(t, changes <= 6, "the levels changed %d times in 100 s", changes)
 }
 
-// TestDelayGrows raises the pressure after each step back: the next one waits
-// longer.
+// TestDelayGrows checks that the delay before a step is removed grows when the
+// pressure rises after each removal.
 func TestDelayGrows(t *testing.T) {
 	var c Controller
 	now := run(&c, 1.2, t0, 20*time.Second)
-	top := levels(&c)
+	initial := levels(&c)
 	waits := []time.Duration{}
 	for range 4 {
 		from := now
-		for levels(&c) == top {
+		for levels(&c) == initial {
 			now = now.Add(250 * time.Millisecond)
 			c.Observe(0.5, 2, now)
 		}
@@ -89,12 +92,12 @@
 		now = run(&c, 1.05, now, 4*time.Second)
 	}
 	for i := 1; i < len(waits); i++ {
-		assert.Assert(t, waits[i] > waits[i-1], "%v", waits)
+		assert.Assert(t, waits[i] > waits[i-1], "the delays are %v", waits)
 	}
 }
 
-// TestThrottlesMostHarmfulFirst throttles the kind first that slows the services
-// most.
+// TestThrottlesMostHarmfulFirst checks that of two tasks of equal weight the one
+// that slows the services more is throttled first.
 func TestThrottlesMostHarmfulFirst(t *testing.T) {
 	var c Controller
 	c.Observe(1.05, 2, t0)
