--- a/lease/holder.go
+++ b/lease/holder.go
@@ -17,7 +17,7 @@
 	WorkerDone    WorkerPhase = "done"
 	WorkerFailed  WorkerPhase = "failed"
 	WorkerStopped WorkerPhase = "stopped" // by request, after a checkpoint
-	WorkerExpired WorkerPhase = "expired" // stopped by the worker since the lease had ended
+	WorkerExpired WorkerPhase = "expired" // stopped by the worker because the lease had ended
 )
 
 // WorkerTask is an attempt as the worker reports it.
@@ -27,21 +27,21 @@
 	Phase      WorkerPhase
 	Size       rudderfork.Resources
 	Used       rudderfork.Resources
-	Checkpoint int64 // units of work saved
-	Progress   int64 // units done
-	Throttle   int
-	Reason     string
-	At         int64 // time at which Used was measured, Unix ms
+	Checkpoint int64  // units of work saved
+	Progress   int64  // units done
+	Throttle   int    // throttle level, see package throttle
+	Reason     string // why the attempt failed or stopped; may be empty
+	At         int64  // time at which Used was measured, Unix ms
 }
 
-// Action is a call of the agent to the worker, or a report to control. Exactly one
+// Action is a call of the agent to the worker, or a report to the leader. Exactly one
 // field is set.
 type Action struct {
 	Start    *rudderfork.Lease
 	Stop     *StopTask
-	Forget   *AttemptRef
+	Forget   *AttemptRef // removes an ended attempt from the worker's list
 	Throttle *SetThrottle
-	Report   *rudderfork.Report
+	Report   *rudderfork.Report // sent to the leader
 }
 
 // AttemptRef names one attempt.
@@ -54,30 +54,30 @@
 // arrives later.
 type StopTask struct {
 	AttemptRef
-	Checkpoint bool
+	Checkpoint bool // take a checkpoint before the stop
 }
 
 // SetThrottle tells the worker to throttle an attempt.
 type SetThrottle struct {
 	AttemptRef
-	Level int
+	Level int // see package throttle
 }
 
-// Holder keeps the leases of an agent's VM and the attempts at its worker. It is
-// not safe for concurrent use.
+// Holder keeps the leases of an agent's VM and the attempts that its worker lists.
+// It is not safe for concurrent use.
 type Holder struct {
 	capacity rudderfork.Resources
-	epoch    rudderfork.Token
-	deadline time.Time
-	revision rudderfork.Revision
-	desired  map[rudderfork.TaskID]rudderfork.Lease
-	throttle map[rudderfork.TaskID]int
+	epoch    rudderfork.Token                       // of the session
+	deadline time.Time                              // when the VM's lease ends; zero if it has none
+	revision rudderfork.Revision                    // of the newest assignment
+	desired  map[rudderfork.TaskID]rudderfork.Lease // leases of the newest assignment
+	throttle map[rudderfork.TaskID]int              // throttle level that each task is to have
 
-	boot        string // boot ID of the worker
-	workerTasks map[rudderfork.TaskID]WorkerTask
-	assigned    bool                  // desired was assigned in the present epoch
-	observed    bool                  // workerTasks is newer than the last change of desired
-	started     map[AttemptRef]string // boot ID of the worker when the start of an attempt was requested
+	boot        string                           // boot ID of the worker
+	workerTasks map[rudderfork.TaskID]WorkerTask // attempts that the worker listed last
+	assigned    bool                             // an assignment has arrived in the present epoch
+	observed    bool                             // workerTasks was requested after the newest assignment
+	started     map[AttemptRef]string            // boot ID of the worker when the start of an attempt was requested
 }
 
 // NewHolder returns a holder for a VM whose tasks may use capacity.
@@ -91,7 +91,7 @@
 	}
 }
 
-// StartSession starts a session with control under an epoch. Leases of an older
+// StartSession starts a session with the leader under an epoch. Leases of an older
 // epoch become invalid.
 func (h *Holder) StartSession(epoch rudderfork.Token) {
 	if epoch <= h.epoch {
@@ -167,7 +167,7 @@
 	return ts
 }
 
-// Lease returns the lease of a task, if one is assigned.
+// Lease returns the lease of a task. ok is false if none is assigned.
 func (h *Holder) Lease(t rudderfork.TaskID) (l rudderfork.Lease, ok bool) {
 	l, ok = h.desired[t]
 	return l, ok
@@ -209,7 +209,8 @@
 	return 4
 }
 
-// reconcile returns the action for an attempt at the worker, by its lease.
+// reconcile returns the action for an attempt that the worker lists, if one is needed.
+// valid reports whether the VM's lease is valid.
 func (h *Holder) reconcile(t WorkerTask, valid bool) []Action {
 	l, desired := h.desired[t.Task]
 	desired = desired && l.Token == t.Token
@@ -220,7 +221,7 @@
 	case t.Phase != WorkerRunning:
 		return []Action{{Forget: &ref}}
 	case !valid || !desired:
-		return []Action{{Stop: &StopTask{ref, false}}} // control would not accept the checkpoint
+		return []Action{{Stop: &StopTask{ref, false}}} // without a checkpoint, since the leader would not accept it
 	case l.Stop:
 		return []Action{{Stop: &StopTask{ref, !l.Discard}}}
 	case h.throttle[t.Task] != t.Throttle:
@@ -244,8 +245,8 @@
 	return r
 }
 
-// starts returns the starts of leases without an attempt, as far as they fit into
-// the capacity beside all attempts that still run, with or without a lease.
+// starts returns the starts of the leases without an attempt, as far as they fit into
+// the capacity that is left by all running attempts, with or without a lease.
 func (h *Holder) starts() []Action {
 	var used rudderfork.Resources
 	for _, t := range h.workerTasks {
@@ -258,8 +259,8 @@
 		ref := AttemptRef{l.Task, l.Token}
 		boot, before := h.started[ref]
 		if l.Stop || before && boot != h.boot {
-			// The attempt is to stop before it has started, or it ended with a restart
-			// of the worker. The stop makes the worker refuse a start that arrives late.
+			// The attempt must stop before it has started, or it was lost in a restart of
+			// the worker. The stop makes the worker refuse a start that arrives later.
 			as = append(as, Action{Stop: &StopTask{ref, true}})
 			continue
 		}
@@ -273,8 +274,9 @@
 	return as
 }
 
-// missing returns the leases of whose task the worker has no attempt, in the order
-// of task IDs. An older attempt of the task must be stopped and forgotten first.
+// missing returns the leases for whose tasks the worker lists no attempt, in the
+// order of task IDs. An older attempt of the task must be stopped and forgotten
+// first.
 func (h *Holder) missing() []rudderfork.Lease {
 	var ls []rudderfork.Lease
 	for _, l := range h.desired {
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -16,8 +16,8 @@
 func at(d time.Duration) time.Time { return t0.Add(d) }
 
 func TestLessor(t *testing.T) {
-	const term, bound = 5 * time.Second, time.Second
-	g := NewLessor(term, bound)
+	const duration, bound = 5 * time.Second, time.Second
+	g := NewLessor(duration, bound)
 	check := func(t *testing.T, d time.Duration, want bool) {
 		t.Helper()
 		assert.Equal(t, g.Expired("vm1", at(d)), want, "after %v", d)
@@ -25,8 +25,8 @@
 	t.Run("a VM without a lease does not expire", func(t *testing.T) { check(t, time.Hour, false) })
 	g.Reset([]rudderfork.VMID{"vm1"}, t0)
 	t.Run("a lease of an earlier leader is assumed", func(t *testing.T) {
-		check(t, term+bound, false)
-		check(t, term+bound+time.Millisecond, true)
+		check(t, duration+bound, false)
+		check(t, duration+bound+time.Millisecond, true)
 	})
 	assert.Equal(t, g.Grant("vm1", at(2*time.Second)), at(7*time.Second))
 	t.Run("a deadline counts from the contact with the quorum", func(t *testing.T) {
@@ -54,7 +54,8 @@
 	return WorkerTask{Task: l.Task, Token: l.Token, Phase: WorkerRunning, Size: l.Size}
 }
 
-// checkNext compares the next actions, in short form.
+// checkNext compares the next actions, in short form and without changes of throttle
+// levels.
 func checkNext(t *testing.T, h *Holder, now time.Time, want ...string) {
 	t.Helper()
 	got := []string{}
@@ -170,8 +171,8 @@
 	assert.Equal(t, len(h.throttle), 0)
 }
 
-// TestCapacity assigns random leases and loses some stops: the tasks that run
-// never exceed the capacity.
+// TestCapacity checks that the tasks that run never exceed the capacity, with random
+// leases and with some stops lost.
 func TestCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 4000}
@@ -207,7 +208,7 @@
 				used = used.Add(w.Size)
 			}
 			if !used.Fits(capacity) {
-				t.Fatalf("%v run with a capacity of %v", used, capacity)
+				t.Fatalf("the running tasks use %v of a capacity of %v", used, capacity)
 			}
 		}
 	})
