--- a/admission/admission.go
+++ b/admission/admission.go
@@ -3,11 +3,12 @@
 //
 // An upstream has a fixed number of slots. Further requests wait in a bounded
 // queue, ordered by start-time fair queueing over teams with the weights of the
-// table, so that a team that sends too many waits behind its own requests. A
+// table, so that a team that sends too many requests waits behind its own requests. A
 // request is refused at once when it cannot be answered by its deadline, when
 // its wait would exceed the service's target, or when the queue is full and it
-// is the last in the fair order. A refusal gives the time for a retry: after the
-// queue has drained, with jitter so that callers don't retry all at once.
+// is the last in the fair order. A refusal gives the time for a retry: when the
+// queue is expected to have drained, with jitter so that callers don't all retry at
+// once.
 //
 // Queue does no I/O and starts no timers; the agent passes the time.
 package admission
@@ -22,16 +23,16 @@
 
 // Limits are the limits that the table sets for a service.
 type Limits struct {
-	Slots   int           // requests at the upstream at a time
-	Queue   int           // requests that wait
-	MaxWait time.Duration // longest expected wait; the service's target
+	Slots   int           // maximum number of requests at the upstream at a time
+	Queue   int           // maximum number of requests that wait
+	MaxWait time.Duration // maximum expected wait: the service's latency target
 }
 
 // Request is a request to be admitted.
 type Request struct {
 	ID       uint64
 	Team     rudderfork.Team
-	Weight   int64
+	Weight   int64     // of the team
 	Deadline time.Time // zero for none
 }
 
@@ -45,8 +46,8 @@
 	Refuse
 )
 
-// Decision is the verdict on one request; for a refusal with its reason and the
-// time for a retry.
+// Decision is the verdict on one request. Reason and RetryAt, the time for a retry,
+// are set for refusals only.
 type Decision struct {
 	ID      uint64
 	Verdict Verdict
@@ -59,7 +60,7 @@
 type Queue struct {
 	limits      Limits
 	rng         *rand.Rand
-	running     map[uint64]bool
+	running     map[uint64]bool             // requests that hold a slot, by ID
 	waiting     []*waiting                  // ordered by start tag
 	virtualTime float64                     // highest start tag of the requests started
 	finish      map[rudderfork.Team]float64 // finish tag of each team's last queued request
@@ -69,17 +70,19 @@
 // waiting is a queued request with its start tag.
 type waiting struct {
 	Request
-	start float64
+	startTag float64
 }
 
 const (
-	// initialMean is the service time assumed before any was measured, in seconds.
+	// initialMean is the mean service time assumed before any was measured, in
+	// seconds.
 	initialMean = 0.005
 	// meanWeight is the weight of a new service time in the moving average.
 	meanWeight = 0.1
-	// maxRetrySpread is the greatest jitter of a retry, as a multiple of the wait.
+	// maxRetrySpread is the maximum jitter of a retry, as a multiple of the expected
+	// wait.
 	maxRetrySpread = 2.0
-	// minRetryDelay is the least delay of a retry.
+	// minRetryDelay is the minimum delay of a retry.
 	minRetryDelay = 50 * time.Millisecond
 	// maxTeams is the number of teams with finish tags above which all tags are
 	// dropped, to bound memory.
@@ -107,8 +110,8 @@
 // the upstream.
 func (q *Queue) MeanServiceTime() time.Duration { return time.Duration(q.mean * float64(time.Second)) }
 
-// Offer requests admission for r. The decisions are on r and, if r displaces one
-// from a full queue, on the displaced request.
+// Offer requests admission for r. It returns the decision on r and, if r displaces
+// another request from a full queue, that on the displaced one.
 func (q *Queue) Offer(r Request, now time.Time) []Decision {
 	if len(q.running) < q.limits.Slots && len(q.waiting) == 0 {
 		if reason := q.missedDeadline(r, 0, now); reason != "" {
@@ -123,7 +126,7 @@
 func (q *Queue) enqueue(r Request, now time.Time) []Decision {
 	tag := q.startTag(r)
 	at, _ := slices.BinarySearchFunc(q.waiting, tag, func(w *waiting, t float64) int {
-		if w.start <= t {
+		if w.startTag <= t {
 			return -1
 		}
 		return 1
@@ -158,6 +161,8 @@
 	return max(q.virtualTime, q.finish[r.Team])
 }
 
+// cost returns the difference between the start and finish tags of r, which is
+// inversely proportional to its weight.
 func cost(r Request) float64 { return 1 / float64(max(1, r.Weight)) }
 
 func (q *Queue) start(id uint64, tag float64) {
@@ -165,7 +170,7 @@
 	q.virtualTime = max(q.virtualTime, tag)
 }
 
-// waitAt returns the expected wait of the request at index at of the queue.
+// waitAt returns the expected wait of a request at the given index of the queue.
 func (q *Queue) waitAt(at int) time.Duration {
 	turns := float64(at+1) / float64(max(1, q.limits.Slots))
 	return time.Duration(turns * q.mean * float64(time.Second))
@@ -191,7 +196,7 @@
 	return now.Add(wait + time.Duration(q.rng.Float64()*maxRetrySpread*float64(wait)))
 }
 
-// Done frees the slot of a request and returns the decisions on those that wait.
+// Done frees the slot of a request and returns the decisions on queued requests.
 // took is the service time, or 0 if it must not count in the mean.
 func (q *Queue) Done(id uint64, took time.Duration, now time.Time) []Decision {
 	if !q.running[id] {
@@ -215,7 +220,7 @@
 			ds = append(ds, q.refuse(w.ID, reason, now))
 			continue
 		}
-		q.start(w.ID, w.start)
+		q.start(w.ID, w.startTag)
 		ds = append(ds, Decision{ID: w.ID, Verdict: Start})
 	}
 	return ds
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -61,8 +61,8 @@
 	})
 }
 
-// TestFairness lets one team flood the queue: another team's request is started
-// before the flood, and a full queue refuses requests of the flood.
+// TestFairness checks that when one team floods the queue, another team's request
+// starts before the flood, and the full queue refuses requests of the flood.
 func TestFairness(t *testing.T) {
 	q := newQueue(1, 4)
 	offer(q, 1, "flood")
@@ -78,10 +78,11 @@
 		running = ds[0].ID
 		order = append(order, running)
 	}
-	assert.Assert(t, order[0] == 7 || order[1] == 7, "the calm team waits behind the flood: %v", order)
+	assert.Assert(t, order[0] == 7 || order[1] == 7, "the calm team waits behind the flood; the requests start in the order %v", order)
 }
 
-// TestWeights lets two teams flood the queue: they get slots by their weights.
+// TestWeights checks that two teams that both flood the queue get slots in
+// proportion to their weights.
 func TestWeights(t *testing.T) {
 	q := New(Limits{Slots: 1, Queue: 1000, MaxWait: time.Hour}, 1)
 	teams := map[uint64]string{}
@@ -113,7 +114,7 @@
 	}
 	for range 20 {
 		at := q.RetryAt(t0)
-		assert.Assert(t, at.After(t0.Add(99*initialMean*1e9)), "%v is before the queue has drained", at.Sub(t0))
+		assert.Assert(t, at.After(t0.Add(99*initialMean*1e9)), "the retry after %v is before the queue has drained", at.Sub(t0))
 		seen[at] = true
 	}
 	assert.Assert(t, len(seen) > 15, "retries are not spread")
