--- a/pace/pace.go
+++ b/pace/pace.go
@@ -2,18 +2,21 @@
 // VM's serving tasks keep their tail latency objectives.
 //
 // The headroom of a serving task is its tail latency objective divided by its tail
-// latency. The pressure of a pair of images is the headroom that a serving task of the one
-// loses to fillers of the other that use all processors of the VM. The loss is linear in
-// the share of the processors that the fillers use, as package interference models it.
-// Pressures differ widely by pair: most are negligible, and some let a single filler take
-// all the headroom.
+// latency. A task with a headroom below 1 is overloaded: it misses its objective. The
+// pressure of a pair of images is the headroom that a serving task of the one loses to
+// fillers of the other that use all processors of the VM. The loss is linear in the share
+// of the processors that the fillers use, as package interference models it. Pressures
+// differ widely by pair: most are negligible, and some let a single filler take all the
+// headroom. The impact of a filler on a serving task is the headroom that the task loses to
+// it at full speed.
 //
 // Speeds computes the headroom that each serving task would have without fillers and
-// assigns what exceeds TargetHeadroom to the fillers: first to those that the rest of
-// their step waits for, then by least impact. Together the fillers get only the processors
-// that other tasks leave idle. A serving task without headroom slows all fillers that may
-// affect it, whatever the model says, and Guard stops all fillers of the VM if that does
-// not help.
+// distributes what exceeds TargetHeadroom, the slack, among the fillers: first to those
+// that the rest of their step waits for, then to those with the least impact. On a VM with
+// serving tasks the fillers together get only the processors that other tasks leave idle.
+// If a serving task is overloaded, all fillers with more than negligible impact on it are
+// slowed, even if the model predicts slack. If that does not help, Guard stops all fillers
+// of the VM.
 package pace
 
 import (
@@ -26,34 +29,35 @@
 
 const (
 	// MaxUtilization is the share of a VM's processors that may be in use beside serving
-	// tasks. Fillers get the most work done at this value: at 0.88 processors stay idle, and
-	// at 1.1 fillers only slow each other.
+	// tasks. Fillers get the most work done at this value: at 0.88 some processors stay idle,
+	// and at 1.1 fillers only slow each other down.
 	MaxUtilization = 0.97
 	// ServingUtilization is the share of its processors that a serving task uses on average.
 	ServingUtilization = 0.42
-	// TargetHeadroom is the headroom that fillers leave a serving task. The excess over 1
-	// allows for changes of load within half a second, the age of the measurements: even
-	// without fillers the headroom moves by 0.3 in that time.
+	// TargetHeadroom is the headroom that fillers leave a serving task. It exceeds 1 to allow
+	// for changes of load within half a second, the age of the measurements: even without
+	// fillers the headroom changes by 0.3 in that time.
 	TargetHeadroom = 1.1
 	// MaxHeadroom bounds the headroom assumed without fillers, since tail latencies are
 	// measured in whole milliseconds and are 0 before the first response.
 	MaxHeadroom = 3.3
-	// NegligibleImpact is the loss of headroom to a filler at full speed below which the
-	// filler is not paced for a serving task: a fiftieth of the average headroom.
+	// NegligibleImpact is the impact on a serving task below which a filler is not slowed for
+	// it: a fiftieth of the average headroom.
 	NegligibleImpact = 0.05
-	// overloadFactor multiplies the speed of fillers that affect a serving task without
-	// headroom. It applies only if the measured speed exceeds the present one by at most
+	// overloadFactor multiplies the speed of fillers that affect an overloaded serving task.
+	// It applies only if the measured speed exceeds the speed last set by at most
 	// speedTolerance; otherwise the last reduction is not measured yet.
 	overloadFactor = 0.3
 	speedTolerance = 0.1
 	// maxRise bounds the increase of speed in one call of Speeds. If the model is wrong,
 	// the measurements show it only half a second later.
 	maxRise = 0.25
-	// maxOverload is how long a serving task may be without headroom until all fillers of
-	// the VM stop. It is longer than a single high measurement lasts and well below the 4 s
-	// that users accept.
+	// maxOverload is how long a serving task may be overloaded until all fillers of the VM
+	// stop. It is longer than a single high measurement lasts and well below the 4 s that
+	// users accept.
 	maxOverload = 2_200 * time.Millisecond
-	// resumeHeadroom is the headroom above which stopped fillers resume.
+	// resumeHeadroom is the headroom that all serving tasks must exceed before stopped fillers
+	// resume.
 	resumeHeadroom = 1.1
 )
 
@@ -84,12 +88,13 @@
 	LastOfStep bool
 }
 
-// PressureFunc returns the headroom that a serving task of one image loses to fillers of
-// another that use all processors of the VM.
+// PressureFunc returns the pressure of a pair of images: that of a serving task and that of
+// a filler.
 type PressureFunc func(serving, filler string) float64
 
-// Speeds returns the new speeds of the fillers, 0 to 1, in their order. idle is the share
-// of the VM's processors that the fillers may use together.
+// Speeds returns the new speeds of the fillers, 0 to 1, in the order of fillers. idle is the
+// share of the VM's processors that the fillers may use together. It is ignored if there are
+// no serving tasks.
 func Speeds(serving []ServingTask, fillers []Filler, idle float64, pressure PressureFunc) []float64 {
 	slack := make([]float64, len(serving))
 	for i, s := range serving {
@@ -109,7 +114,8 @@
 	return speeds
 }
 
-// slackOf returns the headroom of a serving task without fillers, less TargetHeadroom.
+// slackOf returns the headroom that a serving task would have without fillers, less
+// TargetHeadroom.
 func slackOf(s ServingTask, fillers []Filler, pressure PressureFunc) float64 {
 	undisturbed := s.Headroom
 	for _, f := range fillers {
@@ -119,7 +125,8 @@
 }
 
 // byPriority returns the indexes of the fillers: those that their step waits for first,
-// then by impact. Equal fillers are ordered by task, so that the order is stable.
+// then by increasing impact, which is the greatest on any of the serving tasks. Equal
+// fillers are ordered by task, so that the order is stable.
 func byPriority(serving []ServingTask, fillers []Filler, pressure PressureFunc) []int {
 	impact := make([]float64, len(fillers))
 	order := make([]int, len(fillers))
@@ -146,6 +153,8 @@
 	return 1
 }
 
+// speedOf returns the new speed of a filler that may use the slack that the fillers before
+// it have left.
 func speedOf(f Filler, serving []ServingTask, slack []float64, pressure PressureFunc) float64 {
 	speed := min(1, f.Speed+maxRise)
 	for i, s := range serving {
@@ -161,15 +170,14 @@
 	return speed
 }
 
-// Guard stops all fillers of a VM if a serving task stays without headroom. It covers
-// errors of the model, since pressures can change within seconds. The zero value is ready
-// to use.
+// Guard stops all fillers of a VM if a serving task stays overloaded. It covers errors of
+// the model, since pressures can change within seconds. The zero value is ready to use.
 type Guard struct {
-	overloadedSince time.Time
+	overloadedSince time.Time // when a headroom fell to 1; zero once all exceed resumeHeadroom
 }
 
 // ShouldStop updates the guard with the present serving tasks and reports whether all
-// fillers must stand still.
+// fillers must stop.
 func (g *Guard) ShouldStop(serving []ServingTask, now time.Time) bool {
 	least := MaxHeadroom
 	for _, s := range serving {
--- a/pace/pace_test.go
+++ b/pace/pace_test.go
@@ -9,7 +9,7 @@
 
 const cpuShare = 0.1
 
-// pressures holds pressures by image of the serving task and image of the filler.
+// pressures holds pressures by the image of the serving task and that of the filler.
 type pressures map[string]map[string]float64
 
 func (p pressures) pressure(serving, filler string) float64 { return p[serving][filler] }
@@ -79,8 +79,8 @@
 		checkSpeed(t, Speeds([]ServingTask{{"audio", 0.98}}, f, 1, testPressures.pressure)[0], 0, overloadFactor*0.3)
 	})
 	t.Run("one of two tasks of an image without headroom suffices", func(t *testing.T) {
-		// Serving tasks have separate loads: where one is overloaded, its neighbor beside the
-		// same fillers may not be.
+		// Each serving task has its own load: one may be overloaded while another beside the
+		// same fillers is not.
 		s := Speeds([]ServingTask{{"audio", 0.2}, {"audio", 2.25}}, newFillers("mild"), 1, testPressures.pressure)
 		checkSpeed(t, s[0], 0, 0)
 	})
@@ -104,8 +104,8 @@
 }
 
 // TestGuardStopsFillersUnderOverload guards against a tail latency that stays above its
-// objective because the model takes the fillers for harmless: without the guard it stayed
-// at ten times the objective for 4 s.
+// objective because the model estimates too low pressures: without the guard it stayed at
+// ten times the objective for 4 s.
 func TestGuardStopsFillersUnderOverload(t *testing.T) {
 	var g Guard
 	t0 := time.Unix(1000, 0)
@@ -116,7 +116,7 @@
 	assert.Assert(t, !shouldStopAt(100*time.Millisecond, 1.1))
 	assert.Assert(t, !shouldStopAt(time.Second, 5))
 	assert.Assert(t, shouldStopAt(2300*time.Millisecond, 5))
-	assert.Assert(t, shouldStopAt(2400*time.Millisecond, 0.95), "they resume only above resumeHeadroom")
+	assert.Assert(t, shouldStopAt(2400*time.Millisecond, 0.95), "fillers resume at a headroom below resumeHeadroom")
 	assert.Assert(t, !shouldStopAt(2500*time.Millisecond, 0.85))
-	assert.Assert(t, !shouldStopAt(2600*time.Millisecond, 2), "the time of overload starts again")
+	assert.Assert(t, !shouldStopAt(2600*time.Millisecond, 2), "maxOverload counts from an earlier overload")
 }
