--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,10 +1,11 @@
 // Package lease implements both sides of the leases under which tasks run.
 //
 // The leader of the control processes grants each VM one lease with an absolute
-// deadline (Lessor). The VM's agent passes the deadline to the platform's worker, which stops every task by
-// itself at that time. So a task can be placed on another VM as soon as its stop
-// was reported, or the deadline and the bound on clock differences have passed,
-// whatever happened to the agent, the worker or the network.
+// deadline (Lessor). The VM's agent passes the deadline to the platform's worker,
+// which stops every task by itself at that time. So a task can be placed on another
+// VM as soon as its stop was reported, or the deadline and the bound on clock
+// differences have passed, whatever happened to the agent, the worker or the
+// network.
 //
 // Grants are not replicated, since that would cost a commit for each heartbeat.
 // Instead, a lease runs from the time at which a quorum was last known to follow
--- a/swing/swing.go
+++ b/swing/swing.go
@@ -1,15 +1,16 @@
 // Package swing forecasts the load of serving tasks.
 //
 // All tasks of a serving step get their load from the same users. It rises and falls for
-// all of them together within seconds, with about the same period for all steps of a queue:
-// the headrooms of two tasks of a job correlate by 0.93, those of two jobs of one image by
-// 0.50, those of other jobs by 0.05. A headroom of 3 can fall to 1.5 within half a period.
-// Therefore a sine wave is fitted to the headrooms of all tasks of a step, which predicts
-// the headroom that remains while a filler works beside them.
+// all of them together within seconds, with about the same period for all steps of a queue.
+// Two tasks of a job have headrooms (see package pace) with a correlation of 0.93, those of
+// two jobs with the same image one of 0.50, and those of other jobs one of 0.05. A headroom
+// of 3 can fall to 1.5 within half a period. Therefore a sine wave is fitted to the headrooms
+// of all tasks of a step, to predict the headroom that remains while a filler works beside
+// them.
 //
-// For each queue the model fits waves of several periods and uses the period with the
-// least squared error of its forecasts. If no period forecasts clearly better than the
-// mean, there is no forecast.
+// The model fits a wave of each of several periods and uses, for all steps of a queue, the
+// period whose forecasts had the least squared error. If no period forecasts clearly better
+// than the mean, there is no forecast.
 package swing
 
 import (
@@ -22,8 +23,8 @@
 	"rudderfork.example/rudderfork/queue"
 )
 
-// periods are the candidate periods. Measurements every half a second cannot follow shorter
-// ones, and during longer ones the load hardly changes while a filler works.
+// periods are the candidate periods. Shorter ones cannot be fitted to measurements every
+// half a second. With longer ones the load hardly changes while a filler works.
 var periods = []time.Duration{
 	5 * time.Second, 6 * time.Second, 7 * time.Second, 8500 * time.Millisecond, 10 * time.Second,
 	12 * time.Second, 14 * time.Second, 17 * time.Second, 21 * time.Second, 26 * time.Second,
@@ -31,29 +32,30 @@
 
 const (
 	// meanVar and waveVar are the prior variances of a step's mean headroom and of the
-	// coefficients of its wave. noiseVar is the variance of a sample about them: tail
-	// latencies are measured in whole milliseconds.
+	// coefficients of its wave. noiseVar is the variance of a sample around the wave: tail
+	// latencies are measured in whole milliseconds. defaultMean is the prior mean headroom.
 	meanVar, waveVar, noiseVar = 4.0, 1.0, 0.3
 	defaultMean                = 2.5
 	// maxDeviation bounds the influence of one sample on a wave, in standard deviations.
 	maxDeviation = 3.0
 	// halfLife is the half-life of a sample in its step's wave, about one period.
 	halfLife = 10 * time.Second
-	// minSamples is the number of samples of a step that a forecast needs, and minErrorGain
-	// the share by which the squared error of the waves must be below that of the means.
+	// minSamples is the number of samples of a step that a forecast needs. minErrorGain is
+	// the share by which the squared error of a queue's waves must be below that of its steps'
+	// means for a forecast.
 	minSamples   = 40
 	minErrorGain = 0.3
-	// errorDecay is the factor by which each sample reduces a queue's sums of squared
-	// errors. minMeanWeight is the least weight of a sample in its step's mean, so that the
-	// mean adapts too.
+	// errorDecay is the factor by which each sample multiplies a queue's sums of squared
+	// errors before it is added. minMeanWeight is the minimum weight of a sample in its
+	// step's mean, so that the mean follows changes too.
 	errorDecay    = 0.999
 	minMeanWeight = 0.01
 )
 
 // Model holds the waves of all serving steps. It is not safe for concurrent use.
 type Model struct {
-	phaseZero time.Time // time of the first sample, from which phases count
-	queues    map[string]*errorSums
+	phaseZero time.Time             // time of the first sample, from which phases count
+	queues    map[string]*errorSums // by queue name
 	steps     map[queue.StepKey]*step
 }
 
@@ -64,16 +66,16 @@
 
 // errorSums holds the decaying sums of squared errors of a queue's forecasts.
 type errorSums struct {
-	waves []float64 // by period
-	mean  float64   // of the means
+	waves []float64 // of the waves, by index of periods
+	mean  float64   // of the steps' means
 }
 
 // step holds the fits of one serving step.
 type step struct {
-	fits    []regression.Fit // by period
-	mean    float64
-	samples int
-	at      time.Time // of the last sample
+	fits    []regression.Fit // by index of periods; coefficients: mean, cosine, sine
+	mean    float64          // moving average of the samples
+	samples int              // number of samples
+	at      time.Time        // time of the last sample
 }
 
 func newStep() *step {
@@ -105,7 +107,8 @@
 	s.observe(q, headroom, at, at.Sub(m.phaseZero).Seconds())
 }
 
-// observe compares a sample at a phase, in seconds, with the forecasts and adds it.
+// observe adds the errors of the forecasts of a sample to q, and the sample to the fits.
+// phase is the time of the sample since Model.phaseZero, in seconds.
 func (s *step) observe(q *errorSums, headroom float64, at time.Time, phase float64) {
 	prior := [...]float64{meanVar, waveVar, waveVar}
 	for i := range s.fits {
@@ -126,21 +129,21 @@
 	s.at = at
 }
 
-// addError adds the square of an error to a decaying sum.
-func addError(sum, off float64) float64 { return errorDecay*sum + off*off }
+// addError returns a decaying sum of squares with the square of a deviation added.
+func addError(sum, deviation float64) float64 { return errorDecay*sum + deviation*deviation }
 
 // hasEnoughSamples reports whether the step has the samples that a forecast needs.
 func (s *step) hasEnoughSamples() bool { return s.samples >= minSamples }
 
-// basis returns the factors of the mean and of the wave's coefficients at a phase, in
-// seconds.
+// basis returns the factors of the mean and of the cosine and sine coefficients at a phase,
+// in seconds.
 func basis(period time.Duration, phase float64) []float64 {
 	sin, cos := math.Sincos(2 * math.Pi * phase / period.Seconds())
 	return []float64{1, cos, sin}
 }
 
 // Wave is the forecast deviation of a step's headroom from its mean. The zero value is a
-// constant 0.
+// deviation of 0 at all times.
 type Wave struct {
 	Period   time.Duration
 	Cos, Sin float64 // coefficients at the reference time
@@ -157,7 +160,7 @@
 
 // Min returns the lowest deviation within a span after the reference time.
 func (w Wave) Min(within time.Duration) float64 {
-	const steps = 8 // fine enough for spans below the shortest period
+	const steps = 8 // fine enough for a span below the shortest period
 	least := w.After(0)
 	for i := 1; i <= steps; i++ {
 		least = min(least, w.After(within*time.Duration(i)/steps))
--- a/swing/swing_test.go
+++ b/swing/swing_test.go
@@ -24,8 +24,8 @@
 
 func stepKey(i int) queue.StepKey { return queue.StepKey{Job: rudderfork.JobID(fmt.Sprint(i))} }
 
-// observeLoads returns a model that has observed the steps' headrooms with noise. headroom
-// returns the true one.
+// observeLoads returns a model that has observed the tasks of all steps for observedFor.
+// headroom returns their headroom, to which noise is added.
 func observeLoads(headroom func(step int, at time.Duration) float64) *Model {
 	rng := rand.New(rand.NewPCG(5, 7))
 	m := New()
@@ -65,7 +65,7 @@
 				change += math.Abs(delta)
 				assert.Assert(t, w.Min(ahead) <= min(w.After(0), w.After(ahead)))
 			}
-			assert.Assert(t, forecastError < 0.4*change, "forecast error %.2f of a change of %.2f", forecastError, change)
+			assert.Assert(t, forecastError < 0.4*change, "the errors of the forecasts add up to %.2f, the changes of headroom to %.2f", forecastError, change)
 		})
 	}
 }
