--- a/worktime/worktime.go
+++ b/worktime/worktime.go
@@ -2,10 +2,10 @@
 // estimate and from observed work times.
 //
 // The error of submitters' estimates depends on who submits. For each queue a line is
-// fitted to the logarithms of work times over those of the submitted estimates. Where the
-// submitted estimates are good the line reproduces them; where they say little it is close
-// to the mean of the queue's tasks. The tasks of one step have similar work times, so once
-// some of them are done their mean outweighs the line.
+// fitted, which gives the logarithm of the work time as a function of the logarithm of the
+// submitted estimate. Where the submitted estimates are good the line reproduces them; where
+// they say little it is close to the mean of the queue's tasks. The tasks of one step have
+// similar work times, so once some of them are done their mean outweighs the line.
 package worktime
 
 import (
@@ -18,37 +18,40 @@
 )
 
 const (
-	// offsetVar and slopeVar are the prior variances of a queue's line about the submitted
-	// estimate: estimates are off by a factor of e, and may say nothing at all.
+	// offsetVar and slopeVar are the prior variances of the offset and slope of a queue's
+	// line (see queueLine), which are 0 where the submitted estimates are right. They allow
+	// for estimates that are wrong by a factor of e or unrelated to the work time.
 	offsetVar, slopeVar = 1.0, 0.5
-	// stepVar is the variance of the logarithm of a step's work time about the line, and
-	// taskVar that of a task's about its step's. Measured for two queues with 10,350 tasks
-	// they are 0.24 and 0.14, and 0.04 and 0.11; about the submitted estimates alone the
-	// former are 1.1 and 1.0.
+	// stepVar is the variance of the logarithm of a step's mean work time around the line,
+	// and taskVar that of a task's work time around the mean of its step. In two queues with
+	// 10,350 tasks the first is 0.24 and 0.14, the second 0.04 and 0.11. Around the submitted
+	// estimates instead of the line, the first would be 1.1 and 1.0.
 	stepVar, taskVar = 0.2, 0.1
 	// maxDeviation bounds the influence of one task on a line, in standard deviations.
 	maxDeviation = 3.0
 	// halfLife is the half-life of an observation in its queue's line. Work times of a queue
-	// change over hours, and a minute provides some hundred tasks.
+	// change over hours, and in a minute some hundred tasks are observed.
 	halfLife = time.Minute
-	// referenceMS is the submitted estimate at which the line's offset is taken, ms: a
-	// typical one.
+	// referenceMS is the submitted estimate for which the line's value is its offset, ms. It
+	// is a typical estimate.
 	referenceMS = 1_000
 )
 
 // Model holds the observations of all queues. It is not safe for concurrent use.
 type Model struct {
-	queues  map[string]*queueLine // by queue
+	queues  map[string]*queueLine // by queue name
 	steps   map[queue.StepKey]*stepMean
-	changes uint64
+	changes uint64 // number of observations
 }
 
-// New returns a model without observations, which returns the submitted estimates.
+// New returns a model without observations. Until there are some, Estimate returns the
+// submitted estimate.
 func New() *Model {
 	return &Model{queues: map[string]*queueLine{}, steps: map[queue.StepKey]*stepMean{}}
 }
 
-// Changes returns a counter that is incremented by each observation.
+// Changes returns the number of observations. While it stays the same, so do the
+// estimates, except for those of pruned steps.
 func (m *Model) Changes() uint64 { return m.changes }
 
 // Observe adds the work time of a task at full speed, in ms. In the queue's line all tasks
@@ -98,14 +101,15 @@
 // submittedMS returns a submitter's estimate, at least 1 ms.
 func submittedMS(expectedMS int64) float64 { return float64(max(1, expectedMS)) }
 
-// stepMean sums the logarithms of the work times of a step's tasks.
+// stepMean holds the sum of the logarithms of the work times of a step's tasks, and their
+// number.
 type stepMean struct{ sum, n float64 }
 
-// queueLine fits the logarithm of work time over submitted estimate, by the logarithm of
-// the submitted estimate, for the tasks of one queue.
+// queueLine is the line of one queue. It fits the logarithm of the ratio of work time to
+// submitted estimate, as a linear function of the logarithm of the submitted estimate.
 type queueLine struct {
-	fit regression.Fit
-	at  time.Time
+	fit regression.Fit // coefficient 0 is the offset, 1 the slope
+	at  time.Time      // time of the newest observation
 }
 
 func newQueueLine() *queueLine {
@@ -115,9 +119,10 @@
 	return l
 }
 
-// position returns the point on the line that belongs to a submitted estimate.
+// position returns the argument of the line for a submitted estimate: 0 for referenceMS.
 func position(expectedMS int64) float64 { return math.Log(submittedMS(expectedMS) / referenceMS) }
 
+// observe adds the work time of one task. tasks is the number of tasks of its step.
 func (l *queueLine) observe(expectedMS int64, workedMS, tasks float64, at time.Time) {
 	if !l.at.IsZero() && at.After(l.at) {
 		prior := [...]float64{offsetVar, slopeVar}
--- a/worktime/worktime_test.go
+++ b/worktime/worktime_test.go
@@ -15,22 +15,22 @@
 
 var t0 = time.Unix(1000, 0)
 
-// meanErrors draws steps whose tasks have the estimate and the work time, in ms, that draw
-// returns. The model estimates the second half of the steps, each before observing it. The
-// results are the mean absolute errors of the model and of the submitted estimates, as
-// logarithms.
-func meanErrors(draw func(rng *rand.Rand) (guessMS int64, workMS float64)) (modelError, submittedError float64) {
+// meanErrors draws steps. draw returns the submitted estimate and the mean work time of a
+// step's tasks, in ms. The model estimates the second half of the steps, each before it
+// observes the step's tasks. The results are the mean absolute errors of the logarithms of
+// the model's and the submitted estimates.
+func meanErrors(draw func(rng *rand.Rand) (estimateMS int64, workMS float64)) (modelError, submittedError float64) {
 	const steps, tasks = 400, 10
 	rng := rand.New(rand.NewPCG(3, 9))
 	m := New()
 	n := 0
 	for i := range steps {
-		guessMS, workMS := draw(rng)
-		st := &queue.Step{Count: tasks, ExpectedMS: guessMS}
+		estimateMS, workMS := draw(rng)
+		st := &queue.Step{Count: tasks, ExpectedMS: estimateMS}
 		k := queue.StepKey{Job: rudderfork.JobID(fmt.Sprint(i))}
 		if i >= steps/2 {
 			modelError += math.Abs(math.Log(m.Estimate("q", k, st) / workMS))
-			submittedError += math.Abs(math.Log(float64(guessMS) / workMS))
+			submittedError += math.Abs(math.Log(float64(estimateMS) / workMS))
 			n++
 		}
 		for range tasks {
@@ -42,25 +42,25 @@
 
 func TestEstimate(t *testing.T) {
 	t.Run("good submitted estimates are kept", func(t *testing.T) {
-		off, _ := meanErrors(func(rng *rand.Rand) (int64, float64) {
+		modelError, _ := meanErrors(func(rng *rand.Rand) (int64, float64) {
 			w := 1500 * math.Exp(rng.NormFloat64())
 			return int64(w * math.Exp(0.1*rng.NormFloat64())), w
 		})
-		assert.Assert(t, off < 0.12, "off by %.2f", off)
+		assert.Assert(t, modelError < 0.12, "mean error %.2f", modelError)
 	})
 	t.Run("submitted estimates that are all too low are corrected", func(t *testing.T) {
-		off, guessed := meanErrors(func(rng *rand.Rand) (int64, float64) {
+		modelError, submittedError := meanErrors(func(rng *rand.Rand) (int64, float64) {
 			w := 1500 * math.Exp(0.5*rng.NormFloat64())
 			return int64(w / 3), w
 		})
-		assert.Assert(t, off < 0.1 && guessed > 1, "off by %.2f, the submitted estimates by %.2f", off, guessed)
+		assert.Assert(t, modelError < 0.1 && submittedError > 1, "mean error %.2f, that of the submitted estimates %.2f", modelError, submittedError)
 	})
 	t.Run("submitted estimates that say little give way to the queue's mean", func(t *testing.T) {
-		off, guessed := meanErrors(func(rng *rand.Rand) (int64, float64) {
+		modelError, submittedError := meanErrors(func(rng *rand.Rand) (int64, float64) {
 			w := 1500 * math.Exp(0.5*rng.NormFloat64())
 			return int64(w * math.Exp(rng.NormFloat64())), w
 		})
-		assert.Assert(t, off < 0.6*guessed, "off by %.2f, the submitted estimates by %.2f", off, guessed)
+		assert.Assert(t, modelError < 0.6*submittedError, "mean error %.2f, that of the submitted estimates %.2f", modelError, submittedError)
 	})
 	t.Run("queues are independent", func(t *testing.T) {
 		m := New()
@@ -78,7 +78,7 @@
 		}
 		assert.Assert(t, m.Changes() > before)
 		got := m.Estimate("q", k, st)
-		assert.Assert(t, got > 2000 && got <= 4000, "%.0f ms", got)
+		assert.Assert(t, got > 2000 && got <= 4000, "the estimate is %.0f ms", got)
 		m.Prune(func(id rudderfork.JobID) bool { return id != "a" })
 		assert.Assert(t, m.Estimate("q", k, st) < got)
 	})
@@ -97,5 +97,5 @@
 		m.Observe("q", queue.StepKey{Job: "a"}, st, 200, t0.Add(time.Duration(i)*24*time.Hour))
 	}
 	got := m.Estimate("q", queue.StepKey{Job: "b"}, st)
-	assert.Assert(t, got > 0 && !math.IsInf(got, 1), "%v ms", got)
+	assert.Assert(t, got > 0 && !math.IsInf(got, 1), "the estimate is %v ms", got)
 }
