--- a/interference/interference.go
+++ b/interference/interference.go
@@ -2,16 +2,17 @@
 // (Model), and how much fillers reduce the headroom of serving tasks
 // (PressureModel).
 //
-// For every service Model fits ln(latency) of an upstream over a window as
+// For every service Model fits the logarithm of the latency of an upstream in a time
+// window as
 //
-//	base + load·busy + Σ effect(kind)·share(kind) + noise
+//	ln(latency) = base + load·busy + Σ effect(kind)·share(kind) + noise
 //
 // where share(kind) is the part of the VM's processors that tasks of the kind
 // held in that window, and busy the part of the service's slots in use. The fit
 // is recursive least squares with exponential forgetting, which also gives the
-// standard error of each effect. A pair that was never observed keeps the prior.
-// Usage reports arrive late, so the caller matches windows with the tasks that
-// ran in them by the time of the measurement, not by its arrival.
+// standard error of each effect. A pair of service and kind that was never observed
+// keeps the prior. Usage reports arrive late, so the caller matches windows with the
+// tasks that ran in them by the time of the measurement, not by its arrival.
 package interference
 
 import (
@@ -22,22 +23,22 @@
 	"rudderfork.example/rudderfork/internal/regression"
 )
 
-// slowdownShare is the part of a VM's processors for which Slowdown gives the
-// factor.
+// slowdownShare is the part of a VM's processors that Slowdown assumes a task to
+// hold.
 const slowdownShare = 0.25
 
-// Prior is the assumption before the first observation, and the rate at which old
+// Prior is what a Model assumes before the first observation, and how fast old
 // observations lose weight.
 type Prior struct {
-	HalfLife    time.Duration // after which a sample has half of its weight
-	Effect      float64       // of an unobserved pair: added to ln(latency) by a kind on all processors
+	HalfLife    time.Duration // age at which a sample has half of its weight
+	Effect      float64       // what a kind that holds all processors adds to ln(latency) of a service, for an unobserved pair
 	EffectError float64       // standard error of Effect
 	NoiseVar    float64       // variance of ln(latency) between windows
 }
 
-// ServicePrior returns the prior for services beside batch jobs that have
-// processors of their own: a job that holds all of them is assumed to slow a
-// service by a fifth.
+// ServicePrior returns the prior for services and batch jobs that use separate
+// processors of a VM: a kind with a share of 1 is assumed to slow a service by a
+// fifth.
 func ServicePrior() Prior {
 	return Prior{HalfLife: 30 * time.Minute, Effect: 0.18, EffectError: 0.35, NoiseVar: 0.02}
 }
@@ -94,13 +95,14 @@
 // the others are the effects of kinds.
 type fit struct {
 	prior Prior
-	index map[string]int
+	index map[string]int // coefficient of each kind
 	reg   regression.Fit
 	at    time.Time // of the newest sample
 }
 
-// baseVar is the initial variance of the base, whose initial value is ln(10 ms):
-// a standard error of a factor of e². It also bounds the variance of the load.
+// baseVar is the initial variance of the base, whose initial value is ln(10 ms). The
+// standard error is a factor of e² in the latency. baseVar also bounds the variance
+// of the load.
 const baseVar = 4
 
 func newFit(p Prior) *fit {
@@ -110,7 +112,9 @@
 	return f
 }
 
-func (f *fit) kind(k string) int {
+// coefficient returns the index of a kind's coefficient. It adds the coefficient if
+// the kind is new.
+func (f *fit) coefficient(k string) int {
 	i, ok := f.index[k]
 	if !ok {
 		i = f.reg.Grow(f.prior.Effect, f.prior.EffectError*f.prior.EffectError)
@@ -121,7 +125,7 @@
 
 func (f *fit) observe(s Sample) {
 	for k := range s.Shares {
-		f.kind(k)
+		f.coefficient(k)
 	}
 	x := make([]float64, f.reg.Size())
 	x[0], x[1] = 1, s.Busy
@@ -132,8 +136,8 @@
 	f.reg.Update(x, math.Log(s.Latency.Seconds()), f.prior.NoiseVar, 0)
 }
 
-// widen raises the variances with the time since the newest sample, at most to
-// those of the prior.
+// widen raises the variances with the time since the newest sample: those of base and
+// load at most to baseVar, the others at most to that of the prior.
 func (f *fit) widen(at time.Time) {
 	if f.at.IsZero() {
 		f.at = at
--- a/interference/interference_test.go
+++ b/interference/interference_test.go
@@ -11,8 +11,8 @@
 
 var t0 = time.Unix(1000, 0)
 
-// observeWindows adds n windows of a service with the given effects and with noise
-// to a model, and returns the time of the last.
+// observeWindows adds n windows of a service to a model, with the given effects of
+// kinds and with noise, and returns the time of the last window.
 func observeWindows(m *Model, n int, effects map[string]float64, seed uint64) time.Time {
 	rng := rand.New(rand.NewPCG(seed, 6))
 	now := t0
@@ -54,6 +54,6 @@
 	t.Run("the estimate follows a change", func(t *testing.T) {
 		changed := observeWindows(m, 1200, map[string]float64{"noisy": 0, "quiet": 0}, 2)
 		factor, _ := m.Slowdown("tour", "noisy", changed)
-		assert.Assert(t, factor < 1.25, "%.3f", factor)
+		assert.Assert(t, factor < 1.25, "the factor is %.3f", factor)
 	})
 }
--- a/interference/pressure_test.go
+++ b/interference/pressure_test.go
@@ -11,12 +11,12 @@
 	"rudderfork.example/rudderfork"
 )
 
-// simulation simulates serving tasks whose own headrooms vary with a period of ten
-// seconds, with fillers beside them that change their speeds every 1.5 s.
+// simulation simulates serving tasks whose headrooms without fillers vary with a period
+// of ten seconds, with fillers beside them that change their speeds every 1.5 s.
 type simulation struct {
 	p      *PressureModel
 	rng    *rand.Rand
-	actual map[string]float64
+	actual map[string]float64 // pressures by image of the fillers
 	now    time.Time
 }
 
@@ -65,7 +65,7 @@
 			s.checkEstimate(t, image)
 		}
 		loud, stderr := s.p.Estimate("audio", "loud", s.now)
-		assert.Assert(t, loud > 7 && stderr < 1, "%.2f ± %.2f", loud, stderr)
+		assert.Assert(t, loud > 7 && stderr < 1, "the estimate is %.2f ± %.2f", loud, stderr)
 	})
 	t.Run("an unobserved pair keeps the prior", func(t *testing.T) {
 		for _, serving := range []string{"audio", "video"} {
@@ -87,13 +87,13 @@
 		s.actual["loud"] = 1
 		s.observe(240)
 		loud, _ := s.p.Estimate("audio", "loud", s.now)
-		assert.Assert(t, loud < 2.5, "%.2f", loud)
+		assert.Assert(t, loud < 2.5, "the estimate is %.2f", loud)
 	})
 	t.Run("a prior is set only for an unobserved pair", func(t *testing.T) {
 		s.p.SetPrior("audio", "loud", 5)
 		s.p.SetPrior("audio", "new", 5)
 		loud, _ := s.p.Estimate("audio", "loud", s.now)
-		assert.Assert(t, loud < 2.5, "%.2f", loud)
+		assert.Assert(t, loud < 2.5, "the estimate is %.2f", loud)
 		got, stderr := s.p.Estimate("audio", "new", s.now)
 		assert.Equal(t, got, 5.0)
 		assert.Assert(t, stderr < priorError)
