--- a/jobtime/jobtime.go
+++ b/jobtime/jobtime.go
@@ -1,10 +1,10 @@
-// Package jobtime computes from the processes' logs what the time of jobs was spent
-// on.
+// Package jobtime computes from the logs of the processes what the jobs of queues
+// spent their time on.
 //
 // A job ends with its last task. That task could start when a task of another step
 // had ended, and so on back to the job's submission. These tasks are the job's
 // critical path, which alone determines how long the job takes. A Log collects
-// events; Jobs divides the time of each job that has ended into the parts of its
+// events; Log.Jobs divides the time of each job that has ended into the parts of its
 // critical path.
 package jobtime
 
@@ -25,20 +25,20 @@
 const (
 	// Waiting is the time from when a task could start to its first start.
 	Waiting Part = "waiting for a place"
-	// PacedDown is the time that a filler lost by running at less than full speed:
-	// of a second at 40 percent, 0.6 s.
+	// PacedDown is the time that a filler lost by running at less than full speed. A
+	// second at 40 percent of full speed counts as 0.6 s.
 	PacedDown Part = "paced down"
 	// Working is the rest of the run that completed the task.
 	Working Part = "at work"
 	// WaitingAgain is the time from the end of a run that didn't complete its task
 	// to the next start.
 	WaitingAgain Part = "waiting for another start"
-	// unfinishedPrefix and the reason of its end name a run that didn't complete its
-	// task.
+	// unfinishedPrefix starts the name of the part for a run that didn't complete its
+	// task. The way in which the run ended follows.
 	unfinishedPrefix = "in a run that "
 )
 
-// fullSpeedPercent is the pace of a filler at full speed.
+// fullSpeedPercent is the value of Event.Percent at full speed.
 const fullSpeedPercent = 100
 
 // Kind is the kind of an event.
@@ -57,12 +57,12 @@
 type Event struct {
 	Kind    Kind
 	At      time.Time
-	Job     rudderfork.JobID // of a submission
+	Job     rudderfork.JobID // for Submitted, which has neither Task nor Run
 	Task    queue.TaskKey
 	Run     uint32
-	Outcome queue.Outcome // of an end
-	Reason  string        // of a stop
-	Percent int           // of a pace
+	Outcome queue.Outcome // for Ended
+	Reason  string        // for Stopping
+	Percent int           // for PaceChanged: the new speed in percent of full speed
 }
 
 // Job is the time of a job, divided into parts.
@@ -72,7 +72,7 @@
 	Parts map[Part]time.Duration // their sum is Took
 }
 
-// Log collects events, in any order.
+// Log collects events, which may be added in any order.
 type Log struct {
 	submitted map[rudderfork.JobID]time.Time
 	tasks     map[queue.TaskKey]*task
@@ -86,7 +86,7 @@
 type run struct {
 	placed, ended time.Time
 	outcome       queue.Outcome
-	reason        string
+	reason        string // why it was stopped; empty if it wasn't
 	paces         []pace
 }
 
@@ -173,10 +173,10 @@
 }
 
 // predecessor returns the index of the task of another step that ended last before
-// the first start of the task at index i, or -1. Tasks are in the order of their
-// ends.
+// the first start of the task at index i, or -1 if there is none. tasks must be in
+// the order of their ends.
 func predecessor(tasks []*task, i int) int {
-	first := tasks[i].sorted()[0].placed
+	first := tasks[i].placedRuns()[0].placed
 	for k := i - 1; k >= 0; k-- {
 		if tasks[k].key.StepKey() != tasks[i].key.StepKey() && !tasks[k].done().ended.After(first) {
 			return k
@@ -185,8 +185,8 @@
 	return -1
 }
 
-// done returns the run that completed the task, or nil: the first to end, if a copy
-// completed it too.
+// done returns the run that completed the task, or nil. If a speculative copy, a
+// second run of the task, completed it too, it returns the first to end.
 func (t *task) done() (first *run) {
 	for _, r := range t.runs {
 		if r.outcome == queue.OutcomeDone && !r.placed.IsZero() && (first == nil || r.ended.Before(first.ended)) {
@@ -196,9 +196,10 @@
 	return first
 }
 
-// sorted returns the runs that were placed, in the order of their starts. A run
-// without a logged end was lost with its VM, and counts until the next start.
-func (t *task) sorted() (runs []*run) {
+// placedRuns returns the runs that were placed, in the order of their starts. A run
+// without a logged end was lost with its VM; its end is set to the start of the next
+// run, if there is one.
+func (t *task) placedRuns() (runs []*run) {
 	for _, r := range t.runs {
 		if !r.placed.IsZero() {
 			runs = append(runs, r)
@@ -214,10 +215,11 @@
 }
 
 // addParts adds the time from ready, when the task could start, until it was
-// completed. Copies that ran at the same time as an earlier run don't count.
+// completed. Other runs than the one that completed the task don't count if they
+// overlapped an earlier run, or ended after the task was completed.
 func (t *task) addParts(ready time.Time, parts map[Part]time.Duration) {
 	done, at, wait := t.done(), ready, Waiting
-	for _, r := range t.sorted() {
+	for _, r := range t.placedRuns() {
 		if r.ended.IsZero() || r.ended.After(done.ended) || r.placed.Before(at) && r != done {
 			continue
 		}
@@ -242,8 +244,8 @@
 	return Part(unfinishedPrefix + "ended " + string(r.outcome))
 }
 
-// pacedDown returns the time that the run lost after from by running at less than
-// full speed.
+// pacedDown returns the time that the run lost by running at less than full speed,
+// counted from the given time on.
 func (r *run) pacedDown(from time.Time) (pacedDown time.Duration) {
 	slices.SortStableFunc(r.paces, func(a, b pace) int { return a.at.Compare(b.at) })
 	for i, p := range r.paces {
--- a/jobtime/jobtime_test.go
+++ b/jobtime/jobtime_test.go
@@ -24,7 +24,8 @@
 	return m
 }
 
-// runOf returns the events of a run.
+// runOf returns the events of a run that was placed and ended at the given times, in
+// seconds.
 func runOf(task string, number uint32, placed, ended float64, outcome queue.Outcome) []Event {
 	return []Event{
 		{Kind: Placed, At: at(placed), Task: key(task), Run: number},
@@ -41,6 +42,7 @@
 	return k
 }
 
+// logOf returns a log with the given events and the submission of job j at time 0.
 func logOf(groups ...[]Event) *Log {
 	l := New()
 	l.Add(Event{Kind: Submitted, At: at(0), Job: "j"})
@@ -52,7 +54,8 @@
 	return l
 }
 
-// checkParts checks that a log has one job, with the given parts in seconds.
+// checkParts checks that a log has one job with the given parts, in seconds, and that
+// the parts add up to the time that it took.
 func checkParts(t *testing.T, l *Log, want map[Part]float64) {
 	t.Helper()
 	jobs := l.Jobs()
