--- a/routing/baseline.go
+++ b/routing/baseline.go
@@ -7,36 +7,37 @@
 	"rudderfork.example/rudderfork"
 )
 
-// list is the common part of the baselines: the upstreams and the requests in
-// flight.
-type list struct {
-	vms  []rudderfork.VMID
-	sent map[rudderfork.VMID]int
+// baseline is the common part of the pickers that benchmarks compare with Probing:
+// the upstreams and the number of this entry's requests in flight to each.
+type baseline struct {
+	vms      []rudderfork.VMID
+	inFlight map[rudderfork.VMID]int
 }
 
 // SetUpstreams implements rudderfork.Picker.
-func (l *list) SetUpstreams(us []rudderfork.Upstream, _ time.Time) {
-	l.vms = nil
+func (b *baseline) SetUpstreams(us []rudderfork.Upstream, _ time.Time) {
+	b.vms = nil
 	for _, u := range us {
-		l.vms = append(l.vms, u.Place.VM)
+		b.vms = append(b.vms, u.Place.VM)
 	}
-	if l.sent == nil {
-		l.sent = map[rudderfork.VMID]int{}
+	if b.inFlight == nil {
+		b.inFlight = map[rudderfork.VMID]int{}
 	}
 }
 
 // Sent implements rudderfork.Picker.
-func (l *list) Sent(vm rudderfork.VMID, _ time.Time) { l.sent[vm]++ }
+func (b *baseline) Sent(vm rudderfork.VMID, _ time.Time) { b.inFlight[vm]++ }
 
 // Done implements rudderfork.Picker.
-func (l *list) Done(vm rudderfork.VMID, _ time.Duration, _ bool, _ time.Time) { l.sent[vm]-- }
+func (b *baseline) Done(vm rudderfork.VMID, _ time.Duration, _ bool, _ time.Time) { b.inFlight[vm]-- }
 
 // Observe implements rudderfork.Picker.
-func (l *list) Observe(rudderfork.VMID, rudderfork.Load, time.Time) {}
+func (b *baseline) Observe(rudderfork.VMID, rudderfork.Load, time.Time) {}
 
-func (l *list) untried(tried []rudderfork.VMID) []rudderfork.VMID {
+// untried returns the upstreams that are not in tried.
+func (b *baseline) untried(tried []rudderfork.VMID) []rudderfork.VMID {
 	var vms []rudderfork.VMID
-	for _, vm := range l.vms {
+	for _, vm := range b.vms {
 		if !contains(tried, vm) {
 			vms = append(vms, vm)
 		}
@@ -44,9 +45,9 @@
 	return vms
 }
 
-// Random picks an upstream at random. It is a baseline of benchmarks.
+// Random picks an upstream at random.
 type Random struct {
-	list
+	baseline
 	rng *rand.Rand
 }
 
@@ -54,7 +55,7 @@
 func NewRandom(seed uint64) *Random { return &Random{rng: rand.New(rand.NewPCG(seed, 4))} }
 
 // Pick implements rudderfork.Picker.
-func (p *Random) Pick(_ time.Time, tried []rudderfork.VMID) (vm rudderfork.VMID, why string, ok bool) {
+func (p *Random) Pick(_ time.Time, tried []rudderfork.VMID) (vm rudderfork.VMID, reason string, ok bool) {
 	vms := p.untried(tried)
 	if len(vms) == 0 {
 		return "", "", false
@@ -62,14 +63,14 @@
 	return vms[p.rng.IntN(len(vms))], "drawn at random", true
 }
 
-// RoundRobin picks the upstreams in turn. It is a baseline of benchmarks.
+// RoundRobin picks the upstreams in turn.
 type RoundRobin struct {
-	list
+	baseline
 	next int
 }
 
 // Pick implements rudderfork.Picker.
-func (p *RoundRobin) Pick(_ time.Time, tried []rudderfork.VMID) (vm rudderfork.VMID, why string, ok bool) {
+func (p *RoundRobin) Pick(_ time.Time, tried []rudderfork.VMID) (vm rudderfork.VMID, reason string, ok bool) {
 	vms := p.untried(tried)
 	if len(vms) == 0 {
 		return "", "", false
@@ -78,23 +79,22 @@
 	return vms[p.next%len(vms)], "next in turn", true
 }
 
-// LeastInFlight picks the upstream with the fewest requests of this entry in
-// flight. It is a baseline of benchmarks.
+// LeastInFlight picks the upstream with the fewest requests of this entry in flight.
 type LeastInFlight struct {
-	list
+	baseline
 	next int
 }
 
 // Pick implements rudderfork.Picker.
-func (p *LeastInFlight) Pick(_ time.Time, tried []rudderfork.VMID) (vm rudderfork.VMID, why string, ok bool) {
+func (p *LeastInFlight) Pick(_ time.Time, tried []rudderfork.VMID) (vm rudderfork.VMID, reason string, ok bool) {
 	vms := p.untried(tried)
 	if len(vms) == 0 {
 		return "", "", false
 	}
-	p.next++ // rotates the choice among upstreams with equal numbers
+	p.next++ // the start of the loop rotates, so that equal upstreams are chosen in turn
 	for i := range vms {
 		o := vms[(p.next+i)%len(vms)]
-		if vm == "" || p.sent[o] < p.sent[vm] {
+		if vm == "" || p.inFlight[o] < p.inFlight[vm] {
 			vm = o
 		}
 	}
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -21,9 +21,9 @@
 	return p
 }
 
-// shares sends n requests one at a time, with the time and failure that took
-// returns, and returns the number of requests to each VM.
-func shares(p *Probing, n int, now time.Time, took func(rudderfork.VMID) (time.Duration, bool)) map[rudderfork.VMID]int {
+// sendRequests sends n requests one at a time, and returns the number of requests to
+// each VM. took returns how long a request takes there and whether it fails.
+func sendRequests(p *Probing, n int, now time.Time, took func(rudderfork.VMID) (time.Duration, bool)) map[rudderfork.VMID]int {
 	got := map[rudderfork.VMID]int{}
 	for range n {
 		vm, _, ok := p.Pick(now, nil)
@@ -41,7 +41,7 @@
 
 func TestSlowUpstream(t *testing.T) {
 	p := newPicker("a", "b", "slow")
-	got := shares(p, 300, t0, func(vm rudderfork.VMID) (time.Duration, bool) {
+	got := sendRequests(p, 300, t0, func(vm rudderfork.VMID) (time.Duration, bool) {
 		if vm == "slow" {
 			return 100 * time.Millisecond, false
 		}
@@ -49,7 +49,7 @@
 	})
 	assert.Assert(t, got["slow"] >= 1 && got["slow"] < 10, "%v", got)
 	t.Run("it is tried again after a while", func(t *testing.T) {
-		got := shares(p, 300, t0.Add(time.Minute), func(rudderfork.VMID) (time.Duration, bool) { return 5 * time.Millisecond, false })
+		got := sendRequests(p, 300, t0.Add(time.Minute), func(rudderfork.VMID) (time.Duration, bool) { return 5 * time.Millisecond, false })
 		assert.Assert(t, got["slow"] > 50, "%v", got)
 	})
 }
@@ -57,10 +57,10 @@
 func TestFailingUpstream(t *testing.T) {
 	p := newPicker("a", "b", "bad")
 	failing := func(vm rudderfork.VMID) (time.Duration, bool) { return 5 * time.Millisecond, vm == "bad" }
-	got := shares(p, 300, t0, failing)
+	got := sendRequests(p, 300, t0, failing)
 	assert.Equal(t, got["bad"], maxFailures, "%v", got)
 	t.Run("after the ejection one failure ejects it for longer", func(t *testing.T) {
-		got := shares(p, 300, t0.Add(baseEjection+time.Millisecond), failing)
+		got := sendRequests(p, 300, t0.Add(baseEjection+time.Millisecond), failing)
 		assert.Equal(t, got["bad"], 1, "%v", got)
 	})
 	t.Run("it gets one request at a time after the ejection", func(t *testing.T) {
@@ -76,11 +76,11 @@
 	})
 }
 
-// TestRefusalsDontCountAsLatency guards against an upstream that refuses requests
-// at once, looks like the fastest and attracts them.
+// TestRefusalsDontCountAsLatency guards against an upstream that gets most requests
+// because it refuses them at once and therefore seems to be the fastest.
 func TestRefusalsDontCountAsLatency(t *testing.T) {
 	p := newPicker("a", "b", "full")
-	got := shares(p, 300, t0, func(vm rudderfork.VMID) (time.Duration, bool) {
+	got := sendRequests(p, 300, t0, func(vm rudderfork.VMID) (time.Duration, bool) {
 		if vm == "full" {
 			return 0, false
 		}
@@ -93,7 +93,7 @@
 func TestLeavingUpstream(t *testing.T) {
 	p := newPicker("a", "b")
 	p.Observe("a", rudderfork.Load{Leaving: true}, t0)
-	got := shares(p, 50, t0, func(rudderfork.VMID) (time.Duration, bool) { return time.Millisecond, false })
+	got := sendRequests(p, 50, t0, func(rudderfork.VMID) (time.Duration, bool) { return time.Millisecond, false })
 	assert.Equal(t, got["a"], 0)
 }
 
@@ -102,7 +102,7 @@
 	_, _, ok := p.Pick(t0, []rudderfork.VMID{"a"})
 	assert.Assert(t, !ok)
 	t.Run("an ejected upstream is used if there is no other", func(t *testing.T) {
-		shares(p, maxFailures, t0, func(rudderfork.VMID) (time.Duration, bool) { return 0, true })
+		sendRequests(p, maxFailures, t0, func(rudderfork.VMID) (time.Duration, bool) { return 0, true })
 		_, _, ok := p.Pick(t0.Add(10*time.Millisecond), nil)
 		assert.Assert(t, ok)
 	})
