--- a/claim/claim.go
+++ b/claim/claim.go
@@ -1,13 +1,14 @@
 // Package claim keeps an agent's record of requests that must run at most once.
 //
-// Control grants the right to run a request with an idempotency key as a token,
-// for one VM and one boot of its agent. The agent runs a request at most once
-// for each token. When a token is fenced that the agent hasn't seen, it answers
-// RequestNever and refuses the token from then on. So another entry can take the
-// request over without running it twice.
+// The control processes grant a claim, the right to run a request with an
+// idempotency key, to an entry. A claim has a token and is valid for one VM and one
+// boot of its agent. The agent runs a request at most once for each token. An entry
+// that takes the request over first fences off the older token. If the agent hasn't
+// seen that token, it answers RequestNever and refuses the token from then on. So the
+// request can't run twice.
 //
-// The record is lost when the agent ends. What became of a claim that names an
-// earlier boot can then no longer be known.
+// The record is lost when the agent ends. Then it is unknown whether a request ran
+// whose claim names an earlier boot.
 package claim
 
 import (
@@ -19,7 +20,7 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// The errors of Begin. With both the request must not run now.
+// The errors of Begin. After either, the request must not run now.
 var (
 	// ErrSeen means that this or a later token was used or fenced off.
 	ErrSeen = errors.New("the claim was used or fenced off")
@@ -30,17 +31,17 @@
 const (
 	// maxClaims is the maximum number of claims stored.
 	maxClaims = 20_000
-	// maxBodyBytes is the maximum sum of the lengths of stored bodies. Above it an
-	// answer is stored without its body. Control has the body once the claim is
-	// settled.
+	// maxBodyBytes is the maximum sum of the lengths of stored bodies. An answer that
+	// would exceed it is stored without its body. The control processes have the body
+	// once the claim is settled.
 	maxBodyBytes = 8 << 20
 )
 
 // Store keeps claims until they expire. It is not safe for concurrent use.
 type Store struct {
 	entries  map[state.ClaimKey]*entry
-	expiries []expiry
-	bytes    int // sum of the lengths of all bodies
+	expiries []expiry // in the order in which the keys were added
+	bytes    int      // sum of the lengths of all bodies
 }
 
 // entry is the newest claim of one key.
@@ -51,7 +52,7 @@
 	expires time.Time
 }
 
-// expiry is an entry of the queue in which claims expire.
+// expiry is an element of Store.expiries: a key and when its claim expires.
 type expiry struct {
 	key state.ClaimKey
 	at  time.Time
@@ -69,6 +70,7 @@
 	return s.put(k, &entry{token: token, state: wire.RequestRunning, expires: expires})
 }
 
+// put makes e the entry of k, or returns ErrFull.
 func (s *Store) put(k state.ClaimKey, e *entry) error {
 	old := s.entries[k]
 	if old == nil {
@@ -94,7 +96,8 @@
 	s.end(k, token, wire.RequestNever, nil)
 }
 
-// Done records the answer.
+// Done records the answer of the upstream. The body is left out if it would exceed
+// maxBodyBytes.
 func (s *Store) Done(k state.ClaimKey, token rudderfork.Token, a *state.Answer) {
 	if s.bytes+len(a.Body) > maxBodyBytes {
 		a = &state.Answer{Status: a.Status, ContentType: a.ContentType, Partial: true}
@@ -107,10 +110,11 @@
 	s.end(k, token, wire.RequestUnknown, nil)
 }
 
-func (s *Store) end(k state.ClaimKey, token rudderfork.Token, f wire.RequestState, a *state.Answer) {
+// end records the final state of the request, if token is that of the stored claim.
+func (s *Store) end(k state.ClaimKey, token rudderfork.Token, st wire.RequestState, a *state.Answer) {
 	if e := s.entries[k]; e != nil && e.token == token {
 		s.releaseBody(e)
-		e.state, e.answer = f, a
+		e.state, e.answer = st, a
 		if a != nil {
 			s.bytes += len(a.Body)
 		}
@@ -118,7 +122,7 @@
 }
 
 // Fence returns the state of the request under token, with the answer if it is
-// done. If the token wasn't seen yet, it is refused from now on.
+// done. If the token wasn't seen yet, Begin returns ErrSeen for it from now on.
 func (s *Store) Fence(k state.ClaimKey, token rudderfork.Token, expires, now time.Time) (wire.RequestState, *state.Answer) {
 	s.expire(now)
 	e := s.entries[k]
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -66,8 +66,8 @@
 	})
 }
 
-// TestBodiesAreBounded guards against a store of 20,000 answers of 16 kB, 320 MB:
-// the sum of the bodies is bounded, and each state is still known.
+// TestBodiesAreBounded guards against a store that takes 320 MB, for 20,000 answers
+// of 16 kB. Their bodies are left out above a bound, but their states are kept.
 func TestBodiesAreBounded(t *testing.T) {
 	s := New()
 	body := make([]byte, state.MaxAnswerBytes)
