--- a/timeline/timeline.go
+++ b/timeline/timeline.go
@@ -3,8 +3,9 @@
 //
 // Each process keeps a bounded ring buffer in memory. Events are sent only when
 // an operator requests them, so the timeline causes no other traffic. Events are
-// ordered by time, then by process and sequence number. Clocks of different VMs
-// agree only within the bound in the settings, and so does the order.
+// ordered by time, then by process and sequence number. The clocks of two VMs may
+// differ by up to the bound in the settings, so events of different VMs that are
+// closer in time may be in the wrong order.
 package timeline
 
 import (
@@ -24,10 +25,10 @@
 	now     func() time.Time
 
 	mu     sync.Mutex
-	events []rudderfork.Event // in order until full, then a ring
+	events []rudderfork.Event // oldest first until full, then a ring buffer
 	next   int                // index of the oldest event once full
-	seq    uint64
-	size   int
+	seq    uint64             // sequence number of the last event
+	size   int                // maximum length of events
 }
 
 // NewRing returns a ring that keeps size events.
@@ -54,7 +55,7 @@
 type Query struct {
 	Subject string // substring of the subject; empty for all
 	After   int64  // Unix µs, exclusive
-	Limit   int    // number of newest events; 0 for all
+	Limit   int    // maximum number of events, the newest; 0 for all
 }
 
 // Select returns the events that match q, oldest first.
@@ -74,7 +75,8 @@
 	return es
 }
 
-// Merge returns the events of several processes in one order.
+// Merge returns the events of several processes as one list, in the order of the
+// timeline.
 func Merge(lists ...[]rudderfork.Event) []rudderfork.Event {
 	all := slices.Concat(lists...)
 	slices.SortStableFunc(all, func(a, b rudderfork.Event) int {
