--- a/state/placement.go
+++ b/state/placement.go
@@ -138,9 +138,9 @@
 	return s.ok()
 }
 
-// reports accepts each report once: when it is sent again, the token no longer
+// applyReports accepts each report once: when it is sent again, the token no longer
 // matches or the task no longer holds a lease.
-func (s *State) reports(rs Reports, at int64) Result {
+func (s *State) applyReports(rs Reports, at int64) Result {
 	res := s.ok()
 	res.Accepted = make([]bool, len(rs.Reports))
 	for i, r := range rs.Reports {
@@ -148,13 +148,13 @@
 		if t == nil || !t.Phase.Holds() || t.Token != r.Token || t.VM != rs.VM {
 			continue
 		}
-		s.report(t, r, at)
+		s.applyReport(t, r, at)
 		res.Accepted[i] = true
 	}
 	return res
 }
 
-func (s *State) report(t *Task, r rudderfork.Report, at int64) {
+func (s *State) applyReport(t *Task, r rudderfork.Report, at int64) {
 	v, j := s.vms[t.VM], s.jobs[t.Job]
 	t.Checkpoint = max(t.Checkpoint, min(r.Checkpoint, j.Spec.Units))
 	switch r.Outcome {
--- a/state/state.go
+++ b/state/state.go
@@ -14,7 +14,7 @@
 //   - a task holds at most one lease, and its fencing token rises with each
 //     lease (startAttempt);
 //   - a task leaves its VM only by a report that carries its current token, or
-//     when the VM's lease has expired (reports, lost);
+//     when the VM's lease has expired (applyReports, recordLoss);
 //   - an edit changes a cell only if the cell has the revision that the edit names
 //     (applyEdit).
 //
@@ -88,7 +88,7 @@
 	case c.Register != nil:
 		return s.register(*c.Register)
 	case c.Lost != nil:
-		return s.lost(*c.Lost, c.At)
+		return s.recordLoss(*c.Lost, c.At)
 	case c.Drain != nil:
 		return s.drain(*c.Drain)
 	case c.Place != nil:
@@ -96,7 +96,7 @@
 	case c.Evict != nil:
 		return s.evict(*c.Evict, c.At)
 	case c.Reports != nil:
-		return s.reports(*c.Reports, c.At)
+		return s.applyReports(*c.Reports, c.At)
 	case c.Claim != nil:
 		return s.claim(*c.Claim, c.At)
 	case c.Settle != nil:
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -72,12 +72,12 @@
 		assert.Equal(t, h.s.Cell(other).Revision, rudderfork.Revision(0))
 	})
 	t.Run("the history is bounded", func(t *testing.T) {
-		e := newEditHistory()
+		history := newEditHistory()
 		for i := range EditWindow + 5 {
-			e.put(editRecord{ID: fmt.Sprint(i)})
+			history.put(editRecord{ID: fmt.Sprint(i)})
 		}
-		_, ok := e.get("4")
-		assert.Assert(t, !ok && len(e.byID) == EditWindow)
+		_, ok := history.get("4")
+		assert.Assert(t, !ok && len(history.byID) == EditWindow)
 	})
 }
 
--- a/state/vm.go
+++ b/state/vm.go
@@ -99,10 +99,10 @@
 	return res
 }
 
-// lost makes a VM's tasks pending again. The leader proposes it only when no
+// recordLoss makes a VM's tasks pending again. The leader proposes it only when no
 // lease of the VM can be valid any more. A repeated proposal is rejected, since the
 // VM is no longer live at that epoch.
-func (s *State) lost(l VMLoss, at int64) Result {
+func (s *State) recordLoss(l VMLoss, at int64) Result {
 	v := s.vms[l.VM]
 	if v == nil || !v.Live || v.Epoch != l.Epoch {
 		return s.reject(CodeConflict, "VM %s is not live at epoch %d", l.VM, l.Epoch)
