--- a/admission/admission.go
+++ b/admission/admission.go
@@ -226,8 +226,8 @@
 	return ds
 }
 
-// Cancel removes a queued request whose caller has gone; ok is false if it is not
-// queued.
+// Cancel removes a queued request, whose client has disconnected. ok is false if it
+// is not queued.
 func (q *Queue) Cancel(id uint64) (ok bool) {
 	i := slices.IndexFunc(q.waiting, func(w *waiting) bool { return w.ID == id })
 	if i < 0 {
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -48,7 +48,8 @@
 }
 
 // Grant extends a VM's lease and returns its deadline. contact is the time at
-// which a quorum was last known to follow this leader. A deadline never moves back.
+// which a quorum was last known to follow this leader. A deadline is
+// never replaced by an earlier one.
 func (l *Lessor) Grant(vm rudderfork.VMID, contact time.Time) time.Time {
 	d := contact.Add(l.duration)
 	if d.After(l.deadlines[vm]) {
--- a/pace/pace.go
+++ b/pace/pace.go
@@ -8,7 +8,8 @@
 // of the processors that the fillers use, as package interference models it. Pressures
 // differ widely by pair: most are negligible, and some let a single filler take all the
 // headroom. The impact of a filler on a serving task is the headroom that the task loses to
-// it at full speed.
+// it at full speed. (In packages throttle, usage and placement, pressure is another
+// quantity: the ratio of a tail latency to its target.)
 //
 // Speeds computes the headroom that each serving task would have without fillers and
 // distributes what exceeds TargetHeadroom, the slack, among the fillers: first to those
@@ -64,7 +65,7 @@
 // ServingTask is the latest measurement of a serving task.
 type ServingTask struct {
 	Image    string
-	Headroom float64 // tail latency objective over tail latency
+	Headroom float64 // tail latency objective divided by tail latency
 }
 
 // Headroom returns the objective divided by the tail latency, or MaxHeadroom if there is
--- a/swing/swing.go
+++ b/swing/swing.go
@@ -1,7 +1,7 @@
-// Package swing forecasts the load of serving tasks.
+// Package swing forecasts the load of serving tasks, which rises and falls periodically.
 //
-// All tasks of a serving step get their load from the same users. It rises and falls for
-// all of them together within seconds, with about the same period for all steps of a queue.
+// All tasks of a serving step get their load from the same users. It changes for all of
+// them together within seconds, with about the same period for all steps of a queue.
 // Two tasks of a job have headrooms (see package pace) with a correlation of 0.93, those of
 // two jobs with the same image one of 0.50, and those of other jobs one of 0.05. A headroom
 // of 3 can fall to 1.5 within half a period. Therefore a sine wave is fitted to the headrooms
--- a/throttle/throttle.go
+++ b/throttle/throttle.go
@@ -1,5 +1,5 @@
-// Package throttle decides how much an agent slows the batch tasks beside its
-// services.
+// Package throttle decides how much an agent slows the batch tasks that run on the
+// VM of its services.
 //
 // It is a feedback controller with hysteresis, after Heracles (ISCA 2015). The
 // pressure is the services' tail latency divided by their target. A throttle step
@@ -42,7 +42,8 @@
 	raiseInterval = time.Second
 	// lowerDelay is how long the pressure must stay low before a step is removed. It
 	// doubles, up to maxDoublings times, if the pressure rises above raiseAbove
-	// within trialPeriod after a removal. Otherwise a doubling is undone.
+	// within trialPeriod after a removal. Otherwise a doubling is undone. After a
+	// removal the next one takes half of the delay.
 	lowerDelay   = 3 * time.Second
 	trialPeriod  = 8 * time.Second
 	maxDoublings = 4
@@ -131,6 +132,7 @@
 	}
 }
 
+// updateExhaustedSince sets or clears exhaustedSince by the present steps and pressure.
 func (c *Controller) updateExhaustedSince(maxSteps int, now time.Time) {
 	if maxSteps == 0 || c.steps < maxSteps || c.pressure <= raiseAbove {
 		c.exhaustedSince = time.Time{}
