--- a/bench/bench.go
+++ b/bench/bench.go
@@ -1,9 +1,9 @@
-// Package bench holds the measurements that make bench prints: drivers that
-// feed the pure cores with events and a given time, and runs of the real
-// processes.
+// Package bench holds the benchmarks that make bench prints. Some simulate a workload
+// and feed it to the packages that decide on routing, admission and placement; others
+// run those packages in one process, or the real programs.
 //
-// The drivers measure decisions, not machines: their time is virtual, so their
-// figures are the same on every machine for the same seeds.
+// The simulations run in virtual time, so their figures depend on the seeds only, not
+// on the machine.
 package bench
 
 import (
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// clock is a queue of events in virtual time.
+// clock is the virtual clock of a simulation, with the events that are due.
 type clock struct {
 	now    time.Time
 	events eventHeap
@@ -25,7 +25,7 @@
 
 type event struct {
 	at  time.Time
-	seq int
+	seq int // orders events that are due at the same time
 	do  func()
 }
 
@@ -39,7 +39,7 @@
 	}
 	return h[i].at.Before(h[j].at)
 }
-func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) } //nolint:forcetypeassert // by heap, which gets only events
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) } //nolint:forcetypeassert // only events are pushed
 func (h *eventHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
@@ -49,32 +49,34 @@
 
 func newClock() *clock { return &clock{now: time.Unix(1_000_000, 0)} }
 
+// after schedules do to run in d.
 func (c *clock) after(d time.Duration, do func()) {
 	c.seq++
 	heap.Push(&c.events, event{c.now.Add(d), c.seq, do})
 }
 
-// run handles events until end.
+// run advances the clock to end and handles all events due before it.
 func (c *clock) run(end time.Time) {
 	for len(c.events) > 0 && c.events[0].at.Before(end) {
-		e := heap.Pop(&c.events).(event) //nolint:forcetypeassert // as above
+		e := heap.Pop(&c.events).(event) //nolint:forcetypeassert // only events are pushed
 		c.now = e.at
 		e.do()
 	}
 	c.now = end
 }
 
-// exponential draws the time to the next of events that come at rate a second.
+// exponential draws the time between two events of a Poisson process with the given
+// rate per second.
 func exponential(rng *rand.Rand, rate float64) time.Duration {
 	return time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
 }
 
-// lognormal draws a time with the given mean and shape.
+// lognormal draws a time with the given mean and shape parameter sigma.
 func lognormal(rng *rand.Rand, mean time.Duration, sigma float64) time.Duration {
 	return time.Duration(float64(mean) * math.Exp(sigma*rng.NormFloat64()-sigma*sigma/2))
 }
 
-// quantile returns the q-quantile of ds, which it sorts.
+// quantile sorts ds and returns its q-quantile, 0 if ds is empty.
 func quantile(ds []time.Duration, q float64) time.Duration {
 	if len(ds) == 0 {
 		return 0
@@ -83,11 +85,11 @@
 	return ds[min(len(ds)-1, int(q*float64(len(ds))))]
 }
 
-// spread is the least, the median and the greatest of some runs.
-type spread []float64
+// samples holds one figure from each of several seeds.
+type samples []float64
 
-// String gives the median, with the range in brackets.
-func (s spread) String() string {
+// String returns the median, followed by the minimum and the maximum in brackets.
+func (s samples) String() string {
 	v := slices.Sorted(slices.Values(s))
 	if len(v) == 0 {
 		return "-"
@@ -95,13 +97,13 @@
 	return fmt.Sprintf("%.1f [%.1f-%.1f]", v[len(v)/2], v[0], v[len(v)-1])
 }
 
-// ms gives a time in milliseconds.
+// ms returns d in milliseconds.
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// title prints the head of a section.
-func title(w io.Writer, format string, args ...any) {
+// printHeading prints the heading of a section.
+func printHeading(w io.Writer, format string, args ...any) {
 	fmt.Fprintf(w, "\n## "+format+"\n", args...)
 }
 
-// seeds is how many runs each figure of a driver comes from.
-const seeds = 5
+// numSeeds is the number of seeds with which each simulation runs.
+const numSeeds = 5
--- a/bench/colocation.go
+++ b/bench/colocation.go
@@ -310,7 +310,7 @@
 
 // Colocation compares ways to place and throttle batch work beside a service.
 func Colocation(w io.Writer) {
-	title(w, "placing and throttling: 11 VMs, load shifts, waves of jobs, sizes off by 0.6 to 1.6, usage 2 s late, a VM lost, a VM that fails all tasks; %d seeds", seeds)
+	printHeading(w, "placing and throttling: 11 VMs, load shifts, waves of jobs, sizes off by 0.6 to 1.6, usage 2 s late, a VM lost, a VM that fails all tasks; %d seeds", numSeeds)
 	fmt.Fprintf(w, "%-34s %-22s %-20s %-20s %-26s %-20s %-16s %s\n", "way", "late windows %", "tail p50 ms", "tail p99 ms", "batch units done", "evictions", "units lost", "jobs late %")
 	for _, cfg := range []coloConfig{
 		{"first fit, declared, no throttle", false, false, false},
@@ -320,8 +320,8 @@
 		{"scored, declared, throttle", true, false, true},
 		{"scored, learned, throttle (ours)", true, true, true},
 	} {
-		var late, p50, p99, done, ev, lost, missed spread
-		for seed := range uint64(seeds) {
+		var late, p50, p99, done, ev, lost, missed samples
+		for seed := range uint64(numSeeds) {
 			r := runColo(cfg, seed)
 			late = append(late, 100*r.late/r.windows)
 			p50 = append(p50, ms(quantile(r.tails, 0.5)))
--- a/bench/crashes.go
+++ b/bench/crashes.go
@@ -356,7 +356,7 @@
 
 // Crashes prints what tasks that crash their executors do to a fleet, by policy.
 func Crashes(w io.Writer) {
-	title(w, "Tasks that crash their executors: days of %d s, an executor is back after %.1f s", crashDayMS/1000, crashDownMS/1000.0)
+	printHeading(w, "Tasks that crash their executors: days of %d s, an executor is back after %.1f s", crashDayMS/1000, crashDownMS/1000.0)
 	fmt.Fprintf(w, "%-6s %-7s %-6s %-10s %-9s %-6s %-30s %12s %12s %10s %10s\n", "VMs", "poison", "whole", "ordinary", "flapping", "full", "policy", "crashes a task", "after third", "innocents", "others' work")
 	for _, c := range []struct {
 		cfg  crashSetting
--- a/bench/dark.go
+++ b/bench/dark.go
@@ -39,7 +39,7 @@
 // Dark prints how long a site takes to serve again after all its processes were killed
 // at once, with all disks kept and with two lost, the leader's among them.
 func Dark(w io.Writer, bin string) error {
-	title(w, "all processes of 5 core machines, 2 side machines and an entry killed at once and started again, %d times each", darkRuns)
+	printHeading(w, "all processes of 5 core machines, 2 side machines and an entry killed at once and started again, %d times each", darkRuns)
 	for _, lost := range []int{0, darkFaults} {
 		var leader, answer, start []time.Duration
 		for range darkRuns {
--- a/bench/fleettable.go
+++ b/bench/fleettable.go
@@ -20,7 +20,7 @@
 // figures to a CSV file too unless its name is empty.
 func Fleet(csvFile string) func(w io.Writer) error {
 	return func(w io.Writer) (err error) {
-		title(w, "a leader with a fleet on loopback, %v a sync; in the middle the leader is lost, in a second play %.0f%% of the VMs (ms)", fleetSync, 100*fleetLost)
+		printHeading(w, "a leader with a fleet on loopback, %v a sync; in the middle the leader is lost, in a second play %.0f%% of the VMs (ms)", fleetSync, 100*fleetLost)
 		table := [][]string{{"VMs", "jobs", "first p50", "p95", "next p50", "p95", "answer p50", "p95", "led", "started", "whole", "sessions", "lost"}}
 		for _, vms := range fleetSizes {
 			f, err := playFleetIn(FleetConfig{
--- a/bench/path.go
+++ b/bench/path.go
@@ -268,12 +268,12 @@
 // Upstreams compares the ways to choose an upstream, with one slow and one
 // failing upstream among the eleven.
 func Upstreams(w io.Writer) {
-	title(w, "choice of upstream: 4 entries, 11 upstreams of 8 slots, one 5 times slower, one failing; %d seeds, median [range]", seeds)
+	printHeading(w, "choice of upstream: 4 entries, 11 upstreams of 8 slots, one 5 times slower, one failing; %d seeds, median [range]", numSeeds)
 	fmt.Fprintf(w, "%-16s %5s  %-20s %-22s %-24s %-18s %s\n", "choice", "load", "p50 ms", "p99 ms", "p99.9 ms", "refused %", "goodput /s")
 	for _, load := range []float64{0.5, 0.8, 0.95, 1.2} {
 		for _, p := range pickers {
-			var p50, p99, p999, refused, good spread
-			for seed := range uint64(seeds) {
+			var p50, p99, p999, refused, good samples
+			for seed := range uint64(numSeeds) {
 				r := runPath(pathConfig{
 					picker: p.make, load: func(time.Duration) float64 { return load }, slow: 5, failing: true,
 					retry: func() *routing.RetryBudget { return routing.NewRetryBudget(0.1) }, limits: pathLimits,
@@ -293,7 +293,7 @@
 // left of the goodput after it, with callers that ask again soon.
 func Overload(w io.Writer) {
 	const from, to = 6, 9
-	title(w, "burst of 2x for %d s, then 80%%: goodput as a share of 80%% of the capacity, callers ask again after about 200 ms; %d seeds", to-from, seeds)
+	printHeading(w, "burst of 2x for %d s, then 80%%: goodput as a share of 80%% of the capacity, callers ask again after about 200 ms; %d seeds", to-from, numSeeds)
 	load := func(t time.Duration) float64 {
 		if t >= from*time.Second && t < to*time.Second {
 			return 2
@@ -311,8 +311,8 @@
 		{"budget of 10%, unbounded queues", func() *routing.RetryBudget { return routing.NewRetryBudget(0.1) }, unbounded},
 		{"budget of 10%, bounded queues (ours)", func() *routing.RetryBudget { return routing.NewRetryBudget(0.1) }, pathLimits},
 	} {
-		var during, after, last, work spread
-		for seed := range uint64(seeds) {
+		var during, after, last, work samples
+		for seed := range uint64(numSeeds) {
 			r := runPath(pathConfig{picker: pickers[3].make, load: load, retry: v.budget, limits: v.limits, naive: true}, seed)
 			base := 0.8 * pathUpstreams * pathSlots / pathMean.Seconds()
 			share := func(a, b int) float64 {
--- a/bench/real.go
+++ b/bench/real.go
@@ -62,7 +62,7 @@
 		return err
 	}
 	defer stop()
-	title(w, "commits by operators through HTTP, 3 control processes, against one sync plus one round trip")
+	printHeading(w, "commits by operators through HTTP, 3 control processes, against one sync plus one round trip")
 	sync1, rtt, err := floor(filepath.Dir(c.Data("c1")))
 	if err != nil {
 		return err
@@ -199,7 +199,7 @@
 // Sessions prints what sessions cost the leader, and the time from an accepted
 // edit until it is in force, by the number of agents.
 func Sessions(w io.Writer, bin string) error {
-	title(w, "sessions of agents with the leader: beats of 7 tasks each 2 s; edits in force everywhere")
+	printHeading(w, "sessions of agents with the leader: beats of 7 tasks each 2 s; edits in force everywhere")
 	fmt.Fprintf(w, "%7s %14s %16s %13s %17s %17s\n", "agents", "leader CPU %", "leader RSS MB", "idle CPU %", "in force ms", "slowest of 10 ms")
 	for _, n := range []int{100, 200, 400, 800} {
 		if err := sessions1(w, bin, n); err != nil {
@@ -346,7 +346,7 @@
 		return err
 	}
 	defer stop()
-	title(w, "idle cost of a process: beat 1 s, heartbeat 100 ms, over 10 s")
+	printHeading(w, "idle cost of a process: beat 1 s, heartbeat 100 ms, over 10 s")
 	time.Sleep(2 * time.Second)
 	names := []string{"c1", "c2", "c3", "e1", "a1"}
 	before := map[string]time.Duration{}
@@ -371,7 +371,7 @@
 		return err
 	}
 	defer stop()
-	title(w, "path of one request, one caller, upstream work 0 ms, 2000 requests each; every hop through the fault proxy but the first")
+	printHeading(w, "path of one request, one caller, upstream work 0 ms, 2000 requests each; every hop through the fault proxy but the first")
 	direct := c.Direct("u1")
 	entry := c.DirectEntry("e1")
 	for _, v := range []struct {
@@ -404,7 +404,7 @@
 		return err
 	}
 	defer stop()
-	title(w, "urgent work on 4 VMs that are full of batch work: from submission to start, 10 times")
+	printHeading(w, "urgent work on 4 VMs that are full of batch work: from submission to start, 10 times")
 	op := c.Operator()
 	cells := func(priority int64) map[string]int64 {
 		return map[string]int64{rudderfork.ColCPU: 2000, rudderfork.ColPriority: priority}
--- a/bench/scale.go
+++ b/bench/scale.go
@@ -62,7 +62,7 @@
 
 // Scale prints the slopes of the leader's state and of its planning.
 func Scale(w io.Writer) {
-	title(w, "control's state: memory, snapshot and placing, at shares of the letter's size (%d VMs, %d tasks)", sizeVMs, sizeTasks)
+	printHeading(w, "control's state: memory, snapshot and placing, at shares of the letter's size (%d VMs, %d tasks)", sizeVMs, sizeTasks)
 	fmt.Fprintf(w, "%6s %7s  %9s %12s %10s %10s %14s %14s\n", "VMs", "tasks", "heap MB", "snapshot MB", "encode ms", "decode ms", "place tasks/s", "round of 256 ms")
 	for _, share := range []float64{0.05, 0.1, 0.25, 0.5, 1} {
 		vms, tasks := int(share*sizeVMs), int(share*sizeTasks)
@@ -101,7 +101,7 @@
 // Recovery prints how long a control process takes to read its disk, by the
 // length of the log and with a snapshot instead.
 func Recovery(w io.Writer) (err error) {
-	title(w, "restart of a control process: reading the disk and applying, by commands since the last snapshot")
+	printHeading(w, "restart of a control process: reading the disk and applying, by commands since the last snapshot")
 	fmt.Fprintf(w, "%9s %10s %12s %15s\n", "commands", "log MB", "log ms", "snapshot ms")
 	for _, n := range []int{1000, 4000, 16_000, 64_000} {
 		logged, size, err := recover1(n, false)
--- a/bench/silence.go
+++ b/bench/silence.go
@@ -22,7 +22,7 @@
 		return err
 	}
 	defer stop()
-	title(w, "a fault to the first confirmed edit, 3 control processes, election timeout 500 ms, %d runs each", silenceRuns)
+	printHeading(w, "a fault to the first confirmed edit, 3 control processes, election timeout 500 ms, %d runs each", silenceRuns)
 	faults := []struct {
 		name   string
 		strike func(lead string) error
