--- a/bench/fleet.go
+++ b/bench/fleet.go
@@ -19,128 +19,131 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// The load on a fleet, for each VM.
+// The load and the settings of a fleet. Rates are per VM.
 const (
-	fleetServingVM = 0.9   // lasting tasks
-	fleetShortS    = 0.011 // jobs of short tasks a second
-	fleetFillS     = 0.005 // jobs of fillers a second
-	fleetBeat      = 500 * time.Millisecond
-	fleetVMCPU     = 32_000
-	fleetVMMemory  = 128_000
-	fleetImages    = 16
-	fleetElection  = 500 * time.Millisecond
-	fleetHeartbeat = 100 * time.Millisecond
-	fleetLease     = 5 * time.Second
-	fleetShortMS   = 1_000 // work of a task
-	fleetFillMS    = 1_700
-	fleetSettle    = 2 * time.Second // before the load
-	fleetPatience  = 30 * time.Second
-	fleetSync      = 6 * time.Millisecond
-	fleetLost      = 0.14 // of the VMs
-	fleetHost      = "desk.example"
-	fleetService   = "desk"
+	fleetServingPerVM    = 0.9                    // lasting tasks
+	fleetShortRate       = 0.011                  // jobs of short tasks per second
+	fleetFillerRate      = 0.005                  // jobs of fillers per second
+	fleetAgentHeartbeat  = 500 * time.Millisecond // between two heartbeats of an agent
+	fleetVMCPU           = 32_000                 // millicores
+	fleetVMMemory        = 128_000                // MB
+	fleetImages          = 16                     // images of the lasting tasks; fillers have twice as many of their own
+	fleetElection        = 500 * time.Millisecond // election timeout of the quorum
+	fleetQuorumHeartbeat = 100 * time.Millisecond // between two heartbeats of the quorum's leader
+	fleetLease           = 5 * time.Second        // of a VM
+	fleetShortMS         = 1_000                  // mean run time of a task that is not a filler
+	fleetFillerMS        = 1_700                  // mean run time of a filler
+	fleetSettle          = 2 * time.Second        // between the start of the lasting tasks and the load
+	fleetStartTimeout    = 30 * time.Second       // for jobs to start after the load; users would not wait longer
+	fleetSyncDelay       = 6 * time.Millisecond   // added to each write of a replica, as the time of a sync
+	fleetStoppedShare    = 0.14                   // of the VMs, in the run that stops VMs
+	fleetHost            = "desk.example"
+	fleetService         = "desk"
 )
 
-// FleetConfig sets up a play of a leader with a fleet.
+// FleetConfig configures a run of a leader with a fleet.
 type FleetConfig struct {
-	VMs, Fronts int
-	Replicas    int
-	Span        time.Duration // of the load
-	Sync        time.Duration // that a write to a replica's disk takes beside its own time
-	LoseLeader  bool          // in the middle of the load
-	LoseVMs     float64       // share of the VMs that fall silent then
+	VMs, Fronts int           // agents, and the entries that submit jobs
+	Replicas    int           // control processes
+	Duration    time.Duration // of the load
+	SyncDelay   time.Duration // added to each write to a replica's disk
+	StopLeader  bool          // stop the leader in the middle of the load
+	StopVMShare float64       // share of the VMs whose agents stop then
 	Seed        uint64
-	Dir         string // for the replicas' folders; it must exist
+	Dir         string // existing folder, for the folders of the replicas
 }
 
-// FleetFigures are what a play shows.
-type FleetFigures struct {
-	VMs, Jobs  int
-	FirstStart []time.Duration // from handing a job in to its first start at an agent
-	NextStart  []time.Duration // from the end of a step's last task to the next step's first start
-	Answers    []time.Duration // of submissions
-	Opened     int             // sessions of agents, in all
+// FleetResult is the outcome of a run.
+type FleetResult struct {
+	VMs, Jobs      int
+	FirstStarts    []time.Duration // from the submission of a job to its first start at an agent
+	NextStepStarts []time.Duration // from the end of a step's last task to the first start of the next step
+	AnswerTimes    []time.Duration // from the submission of a job to the answer
+	Sessions       int             // sessions opened by agents in the whole run
 
-	// Of the loss of a leader: until the next one led, until the first start of a run by
-	// it, and until each VM had a lease of it; zero without a loss.
-	Led, Started, Whole time.Duration
+	// The times from the stop of the leader until the next one led, until an agent started
+	// the first run that the next one ordered, and until each VM had a lease from it. They are
+	// zero if no leader was stopped.
+	LeaderElected, FirstRunStarted, AllLeased time.Duration
 
-	// Lost is how long after the end of their leases the VMs that fell silent were all
-	// known as lost; zero without any.
-	Lost time.Duration
+	// VMLossDetected is the time from the expiry of the stopped VMs' leases until the leader
+	// regarded all of them as lost. It is zero if no VM was stopped.
+	VMLossDetected time.Duration
 }
 
-// fleetPlay is a group of control processes, agents and fronts in one process. All of them
-// share its processors.
-type fleetPlay struct {
-	cfg     FleetConfig
-	rng     *rand.Rand
-	group   []*fleetReplica
-	agents  map[rudderfork.VMID]*fleetAgent
-	fronts  []*front.Client
-	opened  atomic.Int64
-	wg      sync.WaitGroup
-	mu      sync.Mutex
-	submits map[rudderfork.JobID]time.Time // of jobs without a start
-	ended   map[queue.StepKey]time.Time    // newest end of a task, by the step that it makes way for
-	figures FleetFigures
+// fleetSim runs control processes, simulated agents, and the front clients of entries in one
+// process, in real time. They share its CPUs.
+type fleetSim struct {
+	cfg         FleetConfig
+	rng         *rand.Rand
+	replicas    []*fleetReplica
+	agents      map[rudderfork.VMID]*fleetAgent
+	fronts      []*front.Client
+	sessions    atomic.Int64
+	wg          sync.WaitGroup
+	mu          sync.Mutex
+	submittedAt map[rudderfork.JobID]time.Time // of jobs that have not started
+	stepEndedAt map[queue.StepKey]time.Time    // latest end of a task, by the step that follows it
+	result      FleetResult
 
-	// Of the leader that was lost, until a later one has started a run.
-	lostAt   time.Time
-	lostTerm uint64
+	// When the leader was stopped, and its term. leaderStoppedAt is reset to zero once a later
+	// leader has started a run.
+	leaderStoppedAt time.Time
+	stoppedTerm     uint64
 }
 
-// PlayFleet plays a load on a fleet and returns what it shows.
-func PlayFleet(ctx context.Context, cfg FleetConfig) (f FleetFigures, err error) {
+// RunFleet runs a load on a fleet and returns the measured times.
+func RunFleet(ctx context.Context, cfg FleetConfig) (f FleetResult, err error) {
 	defer errs.Annotate(&err, "fleet of %d VMs", cfg.VMs)
 	ctx, cancel := context.WithCancel(ctx)
-	p := &fleetPlay{
+	s := &fleetSim{
 		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), agents: map[rudderfork.VMID]*fleetAgent{},
-		submits: map[rudderfork.JobID]time.Time{}, ended: map[queue.StepKey]time.Time{},
+		submittedAt: map[rudderfork.JobID]time.Time{}, stepEndedAt: map[queue.StepKey]time.Time{},
 	}
-	defer p.wg.Wait()
+	defer s.wg.Wait()
 	defer cancel()
-	if err := p.startGroup(ctx); err != nil {
+	if err := s.startReplicas(ctx); err != nil {
 		return f, err
 	}
-	p.startNodes(ctx)
-	if err := p.prepare(ctx); err != nil {
+	s.startNodes(ctx)
+	if err := s.prepare(ctx); err != nil {
 		return f, err
 	}
-	p.wg.Go(func() {
-		steady.Pause(ctx, cfg.Span/2)
-		if cfg.LoseLeader {
-			p.loseLeader(ctx)
+	s.wg.Go(func() {
+		steady.Pause(ctx, cfg.Duration/2)
+		if cfg.StopLeader {
+			s.stopLeader(ctx)
 		}
-		if cfg.LoseVMs > 0 {
-			p.loseVMs(ctx)
+		if cfg.StopVMShare > 0 {
+			s.stopVMs(ctx)
 		}
 	})
-	p.load(ctx)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.figures.VMs, p.figures.Opened = cfg.VMs, int(p.opened.Load())
-	return p.figures, ctx.Err()
+	s.generateLoad(ctx)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.result.VMs, s.result.Sessions = cfg.VMs, int(s.sessions.Load())
+	return s.result, ctx.Err()
 }
 
-func (p *fleetPlay) startNodes(ctx context.Context) {
-	for i := range p.cfg.VMs {
-		a := newFleetAgent(p, i)
-		p.agents[a.vm.ID] = a
+// startNodes starts the agents and the fronts.
+func (s *fleetSim) startNodes(ctx context.Context) {
+	for i := range s.cfg.VMs {
+		a := newFleetAgent(s, i)
+		s.agents[a.vm.ID] = a
 		agentCtx, stop := context.WithCancel(ctx)
 		a.stop = stop
-		p.wg.Go(func() { _ = a.session.Serve(agentCtx) })
-		p.wg.Go(func() { a.run(agentCtx) })
+		s.wg.Go(func() { _ = a.session.Serve(agentCtx) })
+		s.wg.Go(func() { a.run(agentCtx) })
 	}
-	for i := range p.cfg.Fronts {
-		f := front.New(fmt.Sprintf("front%d", i), p.seeds, zerolog.Nop())
-		p.fronts = append(p.fronts, f)
-		p.wg.Go(func() { _ = f.Serve(ctx) })
+	for i := range s.cfg.Fronts {
+		f := front.New(fmt.Sprintf("front%d", i), s.seedAddrs, zerolog.Nop())
+		s.fronts = append(s.fronts, f)
+		s.wg.Go(func() { _ = f.Serve(ctx) })
 	}
 }
 
-// prepare takes a document, waits until all VMs are leased and starts the lasting tasks.
-func (p *fleetPlay) prepare(ctx context.Context) error {
+// prepare sends the document, waits until all VMs have a lease and submits the lasting tasks.
+func (s *fleetSim) prepare(ctx context.Context) error {
 	put := &queue.Document{Version: 1, Pools: []queue.Pool{{Service: fleetService}}}
 	for _, name := range []string{"short", "fill", "feed"} {
 		put.Queues = append(put.Queues, queue.Queue{
@@ -148,13 +151,13 @@
 		})
 	}
 	put.Queues[1].Priority = 2
-	if ans := p.fronts[0].Do(ctx, wire.QueueRequest{Put: put}, time.Minute); ans.Code != queue.OK {
+	if ans := s.fronts[0].Do(ctx, wire.QueueRequest{Put: put}, time.Minute); ans.Code != queue.OK {
 		return fmt.Errorf("document: %+v", ans)
 	}
-	p.awaitLeases(ctx, 0)
+	s.awaitLeases(ctx, 0)
 	const feedTasks = 24
-	for i := range int(fleetServingVM * float64(p.cfg.VMs) / feedTasks) {
-		p.submit(ctx, "feed", queue.Step{
+	for i := range int(fleetServingPerVM * float64(s.cfg.VMs) / feedTasks) {
+		s.submit(ctx, "feed", queue.Step{
 			Count: feedTasks, Lasting: true, Size: rudderfork.Resources{CPUMilli: 6_400, MemoryMB: 4_000}, TailMS: 20, Image: fmt.Sprintf("s%d", i%fleetImages),
 		})
 	}
@@ -162,46 +165,46 @@
 	return ctx.Err()
 }
 
-// awaitLeases waits until each VM has a lease of a term above the one given.
-func (p *fleetPlay) awaitLeases(ctx context.Context, term uint64) {
-	for _, a := range p.agents {
-		for ctx.Err() == nil && a.leasedIn.Load() <= term {
+// awaitLeases waits until each VM has a lease from a leader of a term above the given one.
+func (s *fleetSim) awaitLeases(ctx context.Context, term uint64) {
+	for _, a := range s.agents {
+		for ctx.Err() == nil && a.leaseTerm.Load() <= term {
 			steady.Pause(ctx, time.Millisecond)
 		}
 	}
 }
 
-// load hands jobs in over the span.
-func (p *fleetPlay) load(ctx context.Context) {
-	end := steady.Now().Add(p.cfg.Span)
-	vms := float64(p.cfg.VMs)
+// generateLoad submits jobs for the duration of the load, and waits until they have started.
+func (s *fleetSim) generateLoad(ctx context.Context) {
+	end := steady.Now().Add(s.cfg.Duration)
+	vms := float64(s.cfg.VMs)
 	short := queue.Step{Count: 13, Size: rudderfork.Resources{CPUMilli: 1_400, MemoryMB: 500}, ExpectedMS: fleetShortMS}
-	fill := queue.Step{Count: 40, Size: rudderfork.Resources{CPUMilli: 3_500, MemoryMB: 1_000}, ExpectedMS: fleetFillMS, Filler: true, Checkpoints: true}
+	fill := queue.Step{Count: 40, Size: rudderfork.Resources{CPUMilli: 3_500, MemoryMB: 1_000}, ExpectedMS: fleetFillerMS, Filler: true, Checkpoints: true}
 	shortAt, fillAt := steady.Now(), steady.Now()
 	for ctx.Err() == nil {
 		if shortAt.Before(fillAt) {
-			if !p.submitAt(ctx, "short", shortAt, end, short) {
+			if !s.submitAt(ctx, "short", shortAt, end, short) {
 				break
 			}
-			shortAt = shortAt.Add(exponential(p.rng, fleetShortS*vms))
+			shortAt = shortAt.Add(exponential(s.rng, fleetShortRate*vms))
 			continue
 		}
-		fill.Image = fmt.Sprintf("f%d", p.rng.IntN(2*fleetImages))
-		if !p.submitAt(ctx, "fill", fillAt, end, fill) {
+		fill.Image = fmt.Sprintf("f%d", s.rng.IntN(2*fleetImages))
+		if !s.submitAt(ctx, "fill", fillAt, end, fill) {
 			break
 		}
-		fillAt = fillAt.Add(exponential(p.rng, fleetFillS*vms))
+		fillAt = fillAt.Add(exponential(s.rng, fleetFillerRate*vms))
 	}
-	p.awaitStarts(ctx)
+	s.awaitStarts(ctx)
 }
 
-// awaitStarts waits until each job has begun, for as long as users would at most.
-func (p *fleetPlay) awaitStarts(ctx context.Context) {
-	limit := steady.Now().Add(fleetPatience)
+// awaitStarts waits until every job has started, for fleetStartTimeout at most.
+func (s *fleetSim) awaitStarts(ctx context.Context) {
+	limit := steady.Now().Add(fleetStartTimeout)
 	for ctx.Err() == nil && steady.Now().Before(limit) {
-		p.mu.Lock()
-		left := len(p.submits)
-		p.mu.Unlock()
+		s.mu.Lock()
+		left := len(s.submittedAt)
+		s.mu.Unlock()
 		if left == 0 {
 			return
 		}
@@ -209,112 +212,115 @@
 	}
 }
 
-// submitAt hands a job of two steps in at a time, unless that is after the end.
-func (p *fleetPlay) submitAt(ctx context.Context, queueName string, at, end time.Time, st queue.Step) bool {
+// submitAt waits until at and submits a job of two steps. It returns false without doing so
+// if at is after end.
+func (s *fleetSim) submitAt(ctx context.Context, queueName string, at, end time.Time, st queue.Step) bool {
 	if at.After(end) {
 		return false
 	}
 	steady.Pause(ctx, max(0, at.Sub(steady.Now())))
 	second := st
 	second.DependsOn = []int{0}
-	p.submit(ctx, queueName, st, second)
+	s.submit(ctx, queueName, st, second)
 	return true
 }
 
-// loseLeader ends the control process that leads, and notes how the next one takes over.
-func (p *fleetPlay) loseLeader(ctx context.Context) {
-	old := p.leader(ctx, 0)
+// stopLeader stops the leading control process and records how long the next one takes to
+// take over.
+func (s *fleetSim) stopLeader(ctx context.Context) {
+	old := s.waitForLeader(ctx, 0)
 	if old == nil {
 		return
 	}
 	term := old.rep.Status().Term
-	began := steady.Now()
-	p.mu.Lock()
-	p.lostAt, p.lostTerm = began, term
-	p.mu.Unlock()
+	stoppedAt := steady.Now()
+	s.mu.Lock()
+	s.leaderStoppedAt, s.stoppedTerm = stoppedAt, term
+	s.mu.Unlock()
 	old.stop()
-	p.leader(ctx, term)
-	led := steady.Now().Sub(began)
-	p.awaitLeases(ctx, term)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.figures.Led, p.figures.Whole = led, steady.Now().Sub(began)
+	s.waitForLeader(ctx, term)
+	elected := steady.Now().Sub(stoppedAt)
+	s.awaitLeases(ctx, term)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.result.LeaderElected, s.result.AllLeased = elected, steady.Now().Sub(stoppedAt)
 }
 
-// loseVMs silences a share of the VMs, and notes when all of them are known as lost.
-func (p *fleetPlay) loseVMs(ctx context.Context) {
-	lost := map[rudderfork.VMID]bool{}
-	for i := range int(p.cfg.LoseVMs * float64(p.cfg.VMs)) {
+// stopVMs stops the agents of a share of the VMs and records when the leader regards all of
+// them as lost.
+func (s *fleetSim) stopVMs(ctx context.Context) {
+	stopped := map[rudderfork.VMID]bool{}
+	for i := range int(s.cfg.StopVMShare * float64(s.cfg.VMs)) {
 		id := vmName(i)
-		p.agents[id].stop()
-		lost[id] = true
+		s.agents[id].stop()
+		stopped[id] = true
 	}
-	over := steady.Now().Add(fleetLease)
-	lead := p.leader(ctx, 0)
-	if lead == nil {
+	leaseEnd := steady.Now().Add(fleetLease)
+	leader := s.waitForLeader(ctx, 0)
+	if leader == nil {
 		return
 	}
-	for live := len(lost); live > 0 && ctx.Err() == nil; {
+	for live := len(stopped); live > 0 && ctx.Err() == nil; {
 		steady.Pause(ctx, time.Millisecond)
 		live = 0
-		lead.rep.View(func(st *state.State) {
-			for id := range lost {
+		leader.rep.View(func(st *state.State) {
+			for id := range stopped {
 				if st.Queues().VM(id).Live {
 					live++
 				}
 			}
 		})
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.figures.Lost = steady.Now().Sub(over)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.result.VMLossDetected = steady.Now().Sub(leaseEnd)
 }
 
 func vmName(i int) rudderfork.VMID { return rudderfork.VMID(fmt.Sprintf("vm%04d", i)) }
 
-// submit hands a job in by one of the fronts.
-func (p *fleetPlay) submit(ctx context.Context, queueName string, steps ...queue.Step) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.figures.Jobs++
-	id := rudderfork.JobID(fmt.Sprintf("%s%05d", queueName, p.figures.Jobs))
+// submit submits a job through a random front.
+func (s *fleetSim) submit(ctx context.Context, queueName string, steps ...queue.Step) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.result.Jobs++
+	id := rudderfork.JobID(fmt.Sprintf("%s%05d", queueName, s.result.Jobs))
 	began := steady.Now()
-	p.submits[id] = began
-	f := p.fronts[p.rng.IntN(len(p.fronts))]
-	p.wg.Go(func() {
+	s.submittedAt[id] = began
+	f := s.fronts[s.rng.IntN(len(s.fronts))]
+	s.wg.Go(func() {
 		f.Do(ctx, wire.QueueRequest{Submit: &queue.Submit{Host: fleetHost, Path: "/" + queueName + "/" + string(id), Spec: queue.Spec{Steps: steps}}}, 3*time.Second)
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		p.figures.Answers = append(p.figures.Answers, steady.Now().Sub(began))
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.result.AnswerTimes = append(s.result.AnswerTimes, steady.Now().Sub(began))
 	})
 }
 
-// began notes a run's start at an agent, by the leader of a term.
-func (p *fleetPlay) began(k queue.TaskKey, term uint64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// runStarted records that an agent started a run which the leader of a term ordered.
+func (s *fleetSim) runStarted(k queue.TaskKey, term uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := steady.Now()
-	if !p.lostAt.IsZero() && term > p.lostTerm {
-		p.figures.Started = now.Sub(p.lostAt)
-		p.lostAt = time.Time{}
+	if !s.leaderStoppedAt.IsZero() && term > s.stoppedTerm {
+		s.result.FirstRunStarted = now.Sub(s.leaderStoppedAt)
+		s.leaderStoppedAt = time.Time{}
 	}
-	if at, ok := p.submits[k.Job]; ok {
-		delete(p.submits, k.Job)
-		p.figures.FirstStart = append(p.figures.FirstStart, now.Sub(at))
+	if at, ok := s.submittedAt[k.Job]; ok {
+		delete(s.submittedAt, k.Job)
+		s.result.FirstStarts = append(s.result.FirstStarts, now.Sub(at))
 	}
-	if at, ok := p.ended[k.StepKey()]; ok {
-		delete(p.ended, k.StepKey())
-		p.figures.NextStart = append(p.figures.NextStart, now.Sub(at))
+	if at, ok := s.stepEndedAt[k.StepKey()]; ok {
+		delete(s.stepEndedAt, k.StepKey())
+		s.result.NextStepStarts = append(s.result.NextStepStarts, now.Sub(at))
 	}
 }
 
-// done notes a run's end at an agent.
-func (p *fleetPlay) done(k queue.TaskKey) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// runDone records that a run has ended at an agent.
+func (s *fleetSim) runDone(k queue.TaskKey) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if k.Step == 0 {
 		next := k.StepKey()
 		next.Step++
-		p.ended[next] = steady.Now()
+		s.stepEndedAt[next] = steady.Now()
 	}
 }
--- a/bench/fleet_test.go
+++ b/bench/fleet_test.go
@@ -7,15 +7,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestFleet plays a small fleet that loses its leader: every job is begun, and each VM gets
-// a lease of the next leader.
+// TestFleet runs a small fleet whose leader is stopped under load. It guards against jobs that
+// never start, and VMs that get no lease from the next leader.
 func TestFleet(t *testing.T) {
-	f, err := PlayFleet(t.Context(), FleetConfig{
-		VMs: 30, Fronts: 4, Replicas: 3, Span: 4 * time.Second, Sync: time.Millisecond, LoseLeader: true, Seed: 1, Dir: t.TempDir(),
+	f, err := RunFleet(t.Context(), FleetConfig{
+		VMs: 30, Fronts: 4, Replicas: 3, Duration: 4 * time.Second, SyncDelay: time.Millisecond, StopLeader: true, Seed: 1, Dir: t.TempDir(),
 	})
 	assert.NilError(t, err)
 	assert.Assert(t, f.Jobs > 0)
-	assert.Equal(t, len(f.FirstStart), f.Jobs)
-	assert.Assert(t, f.Led > 0 && f.Whole >= f.Led, "%+v", f)
-	assert.Assert(t, f.Opened >= 2*f.VMs)
+	assert.Equal(t, len(f.FirstStarts), f.Jobs)
+	assert.Assert(t, f.LeaderElected > 0 && f.AllLeased >= f.LeaderElected, "%+v", f)
+	assert.Assert(t, f.Sessions >= 2*f.VMs)
 }
--- a/bench/fleetagent.go
+++ b/bench/fleetagent.go
@@ -18,59 +18,59 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// fleetAgent stands for a VM's agent and its executor.
+// fleetAgent simulates a VM's agent and its executor.
 type fleetAgent struct {
-	p       *fleetPlay
+	sim     *fleetSim
 	vm      queue.VM
 	session *session.Client
-	kicked  wakeup.Signal
+	wake    wakeup.Signal // set when runs were started or stopped
 	stop    context.CancelFunc
 
-	leasedIn atomic.Uint64 // term of the newest lease
+	leaseTerm atomic.Uint64 // term of the leader that granted the latest lease
 
-	mu     sync.Mutex
-	runs   map[rudderfork.RunRef]*fleetRun
-	told   map[rudderfork.RunRef]rudderfork.RunStatus
-	term   uint64 // of the session
-	seq    uint64
-	unsent map[uint64]queue.Ends
-	rng    *rand.Rand
+	mu       sync.Mutex
+	runs     map[rudderfork.RunRef]*fleetRun
+	reported map[rudderfork.RunRef]rudderfork.RunStatus // status of each run in the latest heartbeat that included it
+	term     uint64                                     // of the leader at the other end of the session
+	seq      uint64                                     // of the latest report of ended runs
+	unsent   map[uint64]queue.Ends                      // reports of ended runs that are not acknowledged, by seq
+	rng      *rand.Rand
 }
 
-// fleetRun is a run at work.
+// fleetRun is an active run.
 type fleetRun struct {
-	key     queue.TaskKey
-	lasting bool
-	began   time.Time
-	ends    time.Time
+	key       queue.TaskKey
+	lasting   bool
+	startedAt time.Time
+	endsAt    time.Time // ignored for a lasting run
 }
 
-func newFleetAgent(p *fleetPlay, i int) *fleetAgent {
+func newFleetAgent(sim *fleetSim, i int) *fleetAgent {
 	const rackSize, domains = 20, 5
 	id := string(vmName(i))
 	a := &fleetAgent{
-		p: p, kicked: wakeup.New(), runs: map[rudderfork.RunRef]*fleetRun{}, told: map[rudderfork.RunRef]rudderfork.RunStatus{},
-		unsent: map[uint64]queue.Ends{}, rng: rand.New(rand.NewPCG(p.cfg.Seed, uint64(i)+100)),
+		sim: sim, wake: wakeup.New(), runs: map[rudderfork.RunRef]*fleetRun{}, reported: map[rudderfork.RunRef]rudderfork.RunStatus{},
+		unsent: map[uint64]queue.Ends{}, rng: rand.New(rand.NewPCG(sim.cfg.Seed, uint64(i)+100)),
 		vm: queue.VM{
 			ID: rudderfork.VMID(id), Incarnation: id + "-1", Domain: rudderfork.Domain(fmt.Sprint("d", i%domains)), Rack: fmt.Sprint("rack", i/rackSize),
 			Service: fleetService, Capacity: rudderfork.Resources{CPUMilli: fleetVMCPU, MemoryMB: fleetVMMemory}, Labels: []string{"a"},
 		},
 	}
-	a.session = session.New(id, p.seeds, a, zerolog.Nop())
+	a.session = session.New(id, sim.seedAddrs, a, zerolog.Nop())
 	return a
 }
 
 // Opened implements session.Handler.
 func (a *fleetAgent) Opened(w wire.QueueWelcome) {
-	a.p.opened.Add(1)
+	a.sim.sessions.Add(1)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.term = w.Term
-	clear(a.told)
+	clear(a.reported)
 	for seq, e := range a.unsent {
 		a.session.Send(wire.FromNode{Ends: &wire.EndsReport{Seq: seq, Ends: e}})
 	}
-	a.beat()
+	a.sendHeartbeat()
 }
 
 // Closed implements session.Handler.
@@ -83,7 +83,7 @@
 	switch {
 	case m.Grant != nil:
 		if m.Grant.LeaseMS > 0 {
-			a.leasedIn.Store(a.term)
+			a.leaseTerm.Store(a.term)
 		}
 	case m.EndsAck != nil:
 		delete(a.unsent, m.EndsAck.Seq)
@@ -98,11 +98,12 @@
 				ends = append(ends, queue.End{Task: r.key, Run: ref.Run, Outcome: queue.OutcomeStopped})
 			}
 		}
-		a.report(ends)
-		a.kicked.Set()
+		a.reportEnds(ends)
+		a.wake.Set()
 	}
 }
 
+// start starts a run that the leader ordered. The caller holds mu.
 func (a *fleetAgent) start(o wire.RunOrder) {
 	k, err := queue.ParseTaskKey(string(o.Task))
 	if err != nil || a.runs[o.RunRef] != nil {
@@ -110,61 +111,62 @@
 	}
 	work := fleetShortMS
 	if o.Filler {
-		work = fleetFillMS
+		work = fleetFillerMS
 	}
 	now := steady.Now()
 	a.runs[o.RunRef] = &fleetRun{
-		key: k, lasting: o.TailMS > 0, began: now,
-		ends: now.Add(lognormal(a.rng, time.Duration(work)*time.Millisecond, 0.3)),
+		key: k, lasting: o.TailMS > 0, startedAt: now,
+		endsAt: now.Add(lognormal(a.rng, time.Duration(work)*time.Millisecond, 0.3)),
 	}
-	a.p.began(k, a.term)
+	a.sim.runStarted(k, a.term)
 }
 
-// run lets the executor work and sends heartbeats.
+// run ends runs when they are due and sends heartbeats, until ctx ends.
 func (a *fleetAgent) run(ctx context.Context) {
-	steady.Pause(ctx, time.Duration(a.rng.Int64N(int64(fleetBeat))))
-	beatAt := steady.Now()
+	steady.Pause(ctx, time.Duration(a.rng.Int64N(int64(fleetAgentHeartbeat))))
+	heartbeatAt := steady.Now()
 	for ctx.Err() == nil {
 		a.mu.Lock()
 		now := steady.Now()
-		if !now.Before(beatAt) {
-			a.beat()
-			beatAt = now.Add(fleetBeat)
+		if !now.Before(heartbeatAt) {
+			a.sendHeartbeat()
+			heartbeatAt = now.Add(fleetAgentHeartbeat)
 		}
-		due := a.work(now, beatAt)
+		due := a.endDueRuns(now, heartbeatAt)
 		a.mu.Unlock()
 		t := time.NewTimer(max(0, due.Sub(now)))
 		select {
 		case <-ctx.Done():
 		case <-t.C:
-		case <-a.kicked:
+		case <-a.wake:
 		}
 		t.Stop()
 	}
 }
 
-// work ends the runs that are done, and returns when to look again. The caller holds mu.
-func (a *fleetAgent) work(now, due time.Time) time.Time {
+// endDueRuns ends the runs that are due at now. It returns when to call it again: when the
+// next run is due, but not after due. The caller holds mu.
+func (a *fleetAgent) endDueRuns(now, due time.Time) time.Time {
 	var ends []queue.End
 	for ref, r := range a.runs {
 		switch {
 		case r.lasting:
-		case r.ends.After(now):
-			if r.ends.Before(due) {
-				due = r.ends
+		case r.endsAt.After(now):
+			if r.endsAt.Before(due) {
+				due = r.endsAt
 			}
 		default:
 			delete(a.runs, ref)
-			a.p.done(r.key)
+			a.sim.runDone(r.key)
 			ends = append(ends, queue.End{Task: r.key, Run: ref.Run, Outcome: queue.OutcomeDone})
 		}
 	}
-	a.report(ends)
+	a.reportEnds(ends)
 	return due
 }
 
-// report tells of ends. The caller holds mu.
-func (a *fleetAgent) report(list []queue.End) {
+// reportEnds reports ended runs to the leader. The caller holds mu.
+func (a *fleetAgent) reportEnds(list []queue.End) {
 	if len(list) == 0 {
 		return
 	}
@@ -174,18 +176,18 @@
 	a.session.Send(wire.FromNode{Ends: &wire.EndsReport{Seq: a.seq, Ends: e}})
 }
 
-// beat sends a heartbeat. The caller holds mu.
-func (a *fleetAgent) beat() {
+// sendHeartbeat sends a heartbeat with the runs whose status has changed. The caller holds mu.
+func (a *fleetAgent) sendHeartbeat() {
 	const fullPercent, usualTailMS = 100, 8
 	now := steady.Now()
 	b := wire.VMHeartbeat{Sent: now.UnixNano(), VM: a.vm, Measured: true, FillerUsage: map[string]float64{}}
 	for ref, r := range a.runs {
 		row := rudderfork.RunStatus{RunRef: ref, Percent: fullPercent, Load: usualTailMS + a.rng.Int64N(3)}
 		if !r.lasting {
-			row.Percent = int(fullPercent * now.Sub(r.began) / max(1, r.ends.Sub(r.began)))
+			row.Percent = int(fullPercent * now.Sub(r.startedAt) / max(1, r.endsAt.Sub(r.startedAt)))
 		}
-		if a.told[ref] != row {
-			a.told[ref] = row
+		if a.reported[ref] != row {
+			a.reported[ref] = row
 			b.Runs = append(b.Runs, row)
 		}
 	}
--- a/bench/fleetgroup.go
+++ b/bench/fleetgroup.go
@@ -30,27 +30,28 @@
 	stop  context.CancelFunc
 }
 
-// slowStore is a store whose writes take longer.
+// slowStore is a store that delays each write.
 type slowStore struct {
 	replica.Store
-	sync time.Duration
+	delay time.Duration
 }
 
 // Save implements replica.Store.
 func (s slowStore) Save(rd quorum.Ready) error {
-	time.Sleep(s.sync)
+	time.Sleep(s.delay)
 	return s.Store.Save(rd)
 }
 
-// fleetRecorder takes no notes.
-type fleetRecorder struct{}
+// nopRecorder discards all events.
+type nopRecorder struct{}
 
 // Record implements rudderfork.Recorder.
-func (fleetRecorder) Record(rudderfork.Event) {}
+func (nopRecorder) Record(rudderfork.Event) {}
 
-func (p *fleetPlay) startGroup(ctx context.Context) error {
+// startReplicas starts the control processes.
+func (s *fleetSim) startReplicas(ctx context.Context) error {
 	var members []quorum.Member
-	for i := range p.cfg.Replicas {
+	for i := range s.cfg.Replicas {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return err
@@ -58,19 +59,19 @@
 		name := fmt.Sprintf("r%d", i)
 		self := quorum.Member{ID: replica.MemberID(name, replica.FoundingIncarnation), Name: name, Addr: ln.Addr().String(), Voter: true}
 		members = append(members, self)
-		p.group = append(p.group, &fleetReplica{ln: ln, self: self})
+		s.replicas = append(s.replicas, &fleetReplica{ln: ln, self: self})
 	}
-	for _, r := range p.group {
-		if err := p.startReplica(ctx, r, members); err != nil {
+	for _, r := range s.replicas {
+		if err := s.startReplica(ctx, r, members); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (p *fleetPlay) startReplica(ctx context.Context, r *fleetReplica, members []quorum.Member) error {
+func (s *fleetSim) startReplica(ctx context.Context, r *fleetReplica, members []quorum.Member) error {
 	ctx, r.stop = context.WithCancel(ctx)
-	dir := filepath.Join(p.cfg.Dir, r.self.Name)
+	dir := filepath.Join(s.cfg.Dir, r.self.Name)
 	if err := disk.Format(dir, disk.Identity{ID: r.self.ID, Members: members}); err != nil {
 		return err
 	}
@@ -81,36 +82,37 @@
 	log := zerolog.Nop()
 	r.peers = replica.NewPeers(r.self, nil, nil, fleetElection, log)
 	r.rep, err = replica.New(replica.Config{
-		ElectionTimeout: fleetElection, Heartbeat: fleetHeartbeat, SnapshotEvery: 10_000, Seed: replica.Seed(r.self.Name),
-	}, slowStore{store, p.cfg.Sync}, r.peers, log, fleetRecorder{}, steady.Now)
+		ElectionTimeout: fleetElection, Heartbeat: fleetQuorumHeartbeat, SnapshotEvery: 10_000, Seed: replica.Seed(r.self.Name),
+	}, slowStore{store, s.cfg.SyncDelay}, r.peers, log, nopRecorder{}, steady.Now)
 	if err != nil {
 		return err
 	}
-	r.sched = scheduler.New(scheduler.Settings{Lease: fleetLease, StatusRetention: time.Minute}, r.rep, nil, log, fleetRecorder{})
+	r.sched = scheduler.New(scheduler.Settings{Lease: fleetLease, StatusRetention: time.Minute}, r.rep, nil, log, nopRecorder{})
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /peer", r.peers.Accept(r.rep))
 	mux.HandleFunc("GET /queues", r.sched.Accept)
 	r.srv = &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
-	p.wg.Go(func() { _ = r.srv.Serve(r.ln) })
-	p.wg.Go(func() { <-ctx.Done(); _ = r.srv.Close() })
-	for _, s := range []suture.Service{r.rep, r.peers, r.sched} {
-		p.wg.Go(func() { _ = s.Serve(ctx) })
+	s.wg.Go(func() { _ = r.srv.Serve(r.ln) })
+	s.wg.Go(func() { <-ctx.Done(); _ = r.srv.Close() })
+	for _, svc := range []suture.Service{r.rep, r.peers, r.sched} {
+		s.wg.Go(func() { _ = svc.Serve(ctx) })
 	}
 	return nil
 }
 
-func (p *fleetPlay) seeds() (addrs []string) {
-	for _, r := range p.group {
+// seedAddrs returns the addresses of the control processes.
+func (s *fleetSim) seedAddrs() (addrs []string) {
+	for _, r := range s.replicas {
 		addrs = append(addrs, r.self.Addr)
 	}
 	return addrs
 }
 
-// leader waits for the control process that leads in a term above the one given; nil if
-// ctx ends.
-func (p *fleetPlay) leader(ctx context.Context, term uint64) *fleetReplica {
+// waitForLeader waits until a control process leads in a term above the given one and
+// returns it. It returns nil if ctx ends before that.
+func (s *fleetSim) waitForLeader(ctx context.Context, term uint64) *fleetReplica {
 	for ctx.Err() == nil {
-		for _, r := range p.group {
+		for _, r := range s.replicas {
 			if st := r.rep.Status(); st.Leads() && st.Term > term {
 				return r
 			}
--- a/bench/fleettable.go
+++ b/bench/fleettable.go
@@ -13,29 +13,29 @@
 	"rudderfork.example/rudderfork/internal/errs"
 )
 
-// fleetSizes are those that Fleet plays.
+// fleetSizes are the numbers of VMs that Fleet runs.
 var fleetSizes = []int{100, 300, 1_000}
 
-// Fleet returns a section that plays a leader with fleets of some sizes, and writes the
-// figures to a CSV file too unless its name is empty.
+// Fleet returns a section that runs a leader with fleets of several sizes and prints a table
+// of the results. It also writes the table to csvFile unless that is empty.
 func Fleet(csvFile string) func(w io.Writer) error {
 	return func(w io.Writer) (err error) {
-		printHeading(w, "a leader with a fleet on loopback, %v a sync; in the middle the leader is lost, in a second play %.0f%% of the VMs (ms)", fleetSync, 100*fleetLost)
+		printHeading(w, "a leader with a fleet on loopback, %v a sync; in the middle the leader is lost, in a second play %.0f%% of the VMs (ms)", fleetSyncDelay, 100*fleetStoppedShare)
 		table := [][]string{{"VMs", "jobs", "first p50", "p95", "next p50", "p95", "answer p50", "p95", "led", "started", "whole", "sessions", "lost"}}
 		for _, vms := range fleetSizes {
-			f, err := playFleetIn(FleetConfig{
-				VMs: vms, Fronts: max(1, vms/5), Replicas: 5, Span: 10 * time.Second, Sync: fleetSync, LoseLeader: true, Seed: 1,
+			f, err := runFleetInTempDir(FleetConfig{
+				VMs: vms, Fronts: max(1, vms/5), Replicas: 5, Duration: 10 * time.Second, SyncDelay: fleetSyncDelay, StopLeader: true, Seed: 1,
 			})
 			if err != nil {
 				return err
 			}
-			g, err := playFleetIn(FleetConfig{
-				VMs: vms, Fronts: max(1, vms/5), Replicas: 5, Span: 16 * time.Second, Sync: fleetSync, LoseVMs: fleetLost, Seed: 1,
+			g, err := runFleetInTempDir(FleetConfig{
+				VMs: vms, Fronts: max(1, vms/5), Replicas: 5, Duration: 16 * time.Second, SyncDelay: fleetSyncDelay, StopVMShare: fleetStoppedShare, Seed: 1,
 			})
 			if err != nil {
 				return err
 			}
-			f.Lost = g.Lost
+			f.VMLossDetected = g.VMLossDetected
 			table = append(table, f.row())
 		}
 		for _, row := range table {
@@ -48,24 +48,24 @@
 	}
 }
 
-// playFleetIn plays in a folder of its own.
-func playFleetIn(cfg FleetConfig) (f FleetFigures, err error) {
+// runFleetInTempDir runs a fleet in a temporary folder.
+func runFleetInTempDir(cfg FleetConfig) (f FleetResult, err error) {
 	cfg.Dir, err = os.MkdirTemp("", "fleet")
 	if err != nil {
 		return f, err
 	}
 	defer os.RemoveAll(cfg.Dir)
-	return PlayFleet(context.Background(), cfg)
+	return RunFleet(context.Background(), cfg)
 }
 
-// row returns the figures as cells, times in ms.
-func (f *FleetFigures) row() []string {
+// row returns the row of the table, with times in ms.
+func (r *FleetResult) row() []string {
 	cell := func(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) }
-	row := []string{strconv.Itoa(f.VMs), strconv.Itoa(f.Jobs)}
-	for _, list := range [][]time.Duration{f.FirstStart, f.NextStart, f.Answers} {
+	row := []string{strconv.Itoa(r.VMs), strconv.Itoa(r.Jobs)}
+	for _, list := range [][]time.Duration{r.FirstStarts, r.NextStepStarts, r.AnswerTimes} {
 		row = append(row, cell(quantile(list, 0.5)), cell(quantile(list, 0.95)))
 	}
-	return append(row, cell(f.Led), cell(f.Started), cell(f.Whole), strconv.Itoa(f.Opened), cell(f.Lost))
+	return append(row, cell(r.LeaderElected), cell(r.FirstRunStarted), cell(r.AllLeased), strconv.Itoa(r.Sessions), cell(r.VMLossDetected))
 }
 
 func writeCSV(name string, table [][]string) (err error) {
