--- a/bench/dark.go
+++ b/bench/dark.go
@@ -20,30 +20,32 @@
 )
 
 const (
-	darkCores  = 5
-	darkFaults = 2
-	darkSides  = 2
-	darkRuns   = 20
-	darkHost   = "desk.example"
-	// darkLimit bounds one run, of which most take a few seconds.
-	darkLimit = time.Minute
-	// darkPause is between two looks at a condition: the resolution of the figures.
-	darkPause = 2 * time.Millisecond
+	restartCores  = 5 // core machines, which run control processes
+	restartFaults = 2 // core machines that the site must be able to lose
+	restartSides  = 2 // side machines, each with an agent and an executor
+	restartRuns   = 20
+	restartHost   = "desk.example"
+	// restartTimeout bounds one run; most take a few seconds.
+	restartTimeout = time.Minute
+	// restartPollInterval is the time between two checks of a condition, and thereby the
+	// resolution of the figures.
+	restartPollInterval = 2 * time.Millisecond
 )
 
-// darkTimes are what one restart took.
-type darkTimes struct {
+// restartTimes are the times from the start of the first process until a control process
+// led, until the entry answered a call, and until a task was running.
+type restartTimes struct {
 	leader, answer, start time.Duration
 }
 
-// Dark prints how long a site takes to serve again after all its processes were killed
-// at once, with all disks kept and with two lost, the leader's among them.
-func Dark(w io.Writer, bin string) error {
-	printHeading(w, "all processes of 5 core machines, 2 side machines and an entry killed at once and started again, %d times each", darkRuns)
-	for _, lost := range []int{0, darkFaults} {
+// ColdRestart prints how long a site takes to serve again after all its processes were
+// killed at once: with all disks intact, and with two lost, the leader's among them.
+func ColdRestart(w io.Writer, bin string) error {
+	printHeading(w, "all processes of 5 core machines, 2 side machines and an entry killed at once and started again, %d times each", restartRuns)
+	for _, lost := range []int{0, restartFaults} {
 		var leader, answer, start []time.Duration
-		for range darkRuns {
-			d, err := darkRun(bin, lost)
+		for range restartRuns {
+			d, err := measureRestart(bin, lost)
 			if err != nil {
 				return err
 			}
@@ -61,8 +63,8 @@
 	return nil
 }
 
-// darkRun starts a site with a lasting task at work, and times one restart.
-func darkRun(bin string, lost int) (took darkTimes, err error) {
+// measureRestart starts a site, waits until a lasting task is running, and times one restart.
+func measureRestart(bin string, lost int) (took restartTimes, err error) {
 	defer errs.Annotate(&err, "restart with %d disks lost", lost)
 	bin, err = filepath.Abs(bin)
 	if err != nil {
@@ -73,96 +75,96 @@
 		return took, err
 	}
 	defer os.RemoveAll(dir)
-	ctx, cancel := context.WithTimeout(context.Background(), darkLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), restartTimeout)
 	defer cancel()
-	site, err := standin.NewSite(bin, dir, darkCores, darkFaults)
+	site, err := standin.NewSite(bin, dir, restartCores, restartFaults)
 	if err != nil {
 		return took, err
 	}
 	defer site.Close()
-	d := &darkSite{site}
-	if err := d.begin(ctx); err != nil {
+	s := &restartSite{site}
+	if err := s.startAll(ctx); err != nil {
 		return took, err
 	}
-	leader := d.Leader(ctx)
-	if err := d.cutPower(leader, lost); err != nil {
+	leader := s.Leader(ctx)
+	if err := s.killAndWipe(leader, lost); err != nil {
 		return took, err
 	}
-	return d.restart(ctx)
+	return s.restart(ctx)
 }
 
-// darkSite is a site under one measurement.
-type darkSite struct{ *standin.Site }
+// restartSite is the site of one measurement.
+type restartSite struct{ *standin.Site }
 
-// begin starts everything, and waits until a lasting task is at work and the group has
-// its voters.
-func (d *darkSite) begin(ctx context.Context) error {
-	for i := range darkCores {
-		if err := d.StartCore(i, true); err != nil {
+// startAll starts all processes, and waits until a lasting task is running and the quorum
+// has all its voters.
+func (s *restartSite) startAll(ctx context.Context) error {
+	for i := range restartCores {
+		if err := s.StartCore(i, true); err != nil {
 			return err
 		}
 	}
-	for range darkSides {
-		room := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 8000}
-		if err := d.StartSide(executor.Config{Now: steady.Now, Capacity: room}); err != nil {
+	for range restartSides {
+		capacity := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 8000}
+		if err := s.StartSide(executor.Config{Now: steady.Now, Capacity: capacity}); err != nil {
 			return err
 		}
 	}
-	if err := d.StartEntry(0); err != nil {
+	if err := s.StartEntry(0); err != nil {
 		return err
 	}
-	doc := standin.Document(1, "rosters", darkHost, "/rosters/", "desk")
+	doc := standin.Document(1, "rosters", restartHost, "/rosters/", "desk")
 	feed := standin.Job("", standin.JobStep{Count: 1, CPUMilli: 500, ExpectedMS: 1000, Lasting: true})
 	for _, x := range []struct {
 		what string
 		ok   func() bool
 	}{
-		{"the document is taken", func() bool { return d.status(ctx, http.MethodPut, d.ControlAddr(0), "/config", doc) == http.StatusOK }},
+		{"the document is accepted", func() bool { return s.status(ctx, http.MethodPut, s.ControlAddr(0), "/config", doc) == http.StatusOK }},
 		{"the job is accepted", func() bool {
-			return d.status(ctx, http.MethodPost, d.FrontAddr(0), "/rosters/feed", feed) == http.StatusOK
+			return s.status(ctx, http.MethodPost, s.FrontAddr(0), "/rosters/feed", feed) == http.StatusOK
 		}},
-		{"its task is at work", d.atWork},
-		{"the group is whole", d.HasAllVoters},
-		{"a control process leads", func() bool { return d.Leader(ctx) >= 0 }},
+		{"the task of the job is running", s.taskRunning},
+		{"the quorum has all voters", s.HasAllVoters},
+		{"a control process leads", func() bool { return s.Leader(ctx) >= 0 }},
 	} {
-		if err := d.until(ctx, x.what, x.ok); err != nil {
+		if err := s.waitUntil(ctx, x.what, x.ok); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// cutPower kills everything, the executors' work with it, and empties the disks of the
-// leader and of machines after it.
-func (d *darkSite) cutPower(leader, lost int) error {
-	if err := d.KillAll(); err != nil {
+// killAndWipe kills all processes, which ends the executors' runs, and deletes the data of
+// as many core machines as lost says, beginning with the leader's.
+func (s *restartSite) killAndWipe(leader, lost int) error {
+	if err := s.KillAll(); err != nil {
 		return err
 	}
-	for i, e := range d.Execs {
+	for i, e := range s.Execs {
 		e.Restart(fmt.Sprintf("side-%d-life-2", i+1))
 	}
 	for i := range lost {
-		if err := os.RemoveAll(d.DataDir((leader + i) % darkCores)); err != nil {
+		if err := os.RemoveAll(s.DataDir((leader + i) % restartCores)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// restart starts everything again and times it from the first start on.
-func (d *darkSite) restart(ctx context.Context) (took darkTimes, err error) {
-	began := time.Now()
-	for i := range darkCores {
-		if err := d.StartCore(i, false); err != nil {
+// restart starts all processes again, and measures from the start of the first.
+func (s *restartSite) restart(ctx context.Context) (took restartTimes, err error) {
+	start := time.Now()
+	for i := range restartCores {
+		if err := s.StartCore(i, false); err != nil {
 			return took, err
 		}
 	}
-	for i := range darkSides {
-		if err := d.StartAgent(i); err != nil {
+	for i := range restartSides {
+		if err := s.StartAgent(i); err != nil {
 			return took, err
 		}
 	}
-	if err := d.StartEntry(0); err != nil {
+	if err := s.StartEntry(0); err != nil {
 		return took, err
 	}
 	var wg sync.WaitGroup
@@ -170,13 +172,13 @@
 		at *time.Duration
 		ok func() bool
 	}{
-		{&took.leader, func() bool { return d.Leader(ctx) >= 0 }},
-		{&took.answer, func() bool { return d.answers(ctx) }},
-		{&took.start, d.atWork},
+		{&took.leader, func() bool { return s.Leader(ctx) >= 0 }},
+		{&took.answer, func() bool { return s.answersState(ctx) }},
+		{&took.start, s.taskRunning},
 	} {
 		wg.Go(func() {
-			if d.until(ctx, "it is so", x.ok) == nil {
-				*x.at = time.Since(began)
+			if s.waitUntil(ctx, "the site has recovered", x.ok) == nil {
+				*x.at = time.Since(start)
 			}
 		})
 	}
@@ -184,26 +186,27 @@
 	return took, ctx.Err()
 }
 
-// status calls an address and returns the status, 0 without an answer.
-func (d *darkSite) status(ctx context.Context, method, addr, path string, body any) int {
-	status, _, err := standin.Call(ctx, method, "http://"+addr+path, darkHost, body)
+// status sends a request to an address and returns the HTTP status, 0 without an answer.
+func (s *restartSite) status(ctx context.Context, method, addr, path string, body any) int {
+	status, _, err := standin.Call(ctx, method, "http://"+addr+path, restartHost, body)
 	if err != nil {
 		return 0
 	}
 	return status
 }
 
-// answers reports whether the entry tells the lasting job's state.
-func (d *darkSite) answers(ctx context.Context) bool {
-	_, answer, err := standin.Call(ctx, http.MethodGet, "http://"+d.FrontAddr(0)+"/rosters/feed", darkHost, nil)
+// answersState reports whether the entry answers with the lasting job's state.
+func (s *restartSite) answersState(ctx context.Context) bool {
+	_, answer, err := standin.Call(ctx, http.MethodGet, "http://"+s.FrontAddr(0)+"/rosters/feed", restartHost, nil)
 	var b struct {
 		State string `json:"state"`
 	}
 	return err == nil && json.Unmarshal(answer, &b) == nil && b.State != ""
 }
 
-func (d *darkSite) atWork() bool {
-	for _, e := range d.Execs {
+// taskRunning reports whether any executor has an active run.
+func (s *restartSite) taskRunning() bool {
+	for _, e := range s.Execs {
 		if len(e.Running()) > 0 {
 			return true
 		}
@@ -211,13 +214,13 @@
 	return false
 }
 
-// until waits for a condition.
-func (d *darkSite) until(ctx context.Context, what string, ok func() bool) error {
+// waitUntil polls ok until it holds or ctx ends. what completes the error message.
+func (s *restartSite) waitUntil(ctx context.Context, what string, ok func() bool) error {
 	for !ok() {
 		select {
 		case <-ctx.Done():
-			return errors.New("it did not come to pass that " + what)
-		case <-time.After(darkPause):
+			return errors.New("timed out waiting until " + what)
+		case <-time.After(restartPollInterval):
 		}
 	}
 	return nil
--- a/bench/real.go
+++ b/bench/real.go
@@ -24,11 +24,12 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// realLimit bounds one section with real processes.
-const realLimit = 2 * time.Minute
+// clusterTimeout bounds one section that runs real processes.
+const clusterTimeout = 2 * time.Minute
 
-// cluster starts a cluster for one section.
-func cluster(bin string, opt harness.Options) (ctx context.Context, c *harness.Cluster, stop func(), err error) {
+// startCluster starts a cluster for one section and waits until it is ready. ctx ends
+// after clusterTimeout.
+func startCluster(bin string, opt harness.Options) (ctx context.Context, c *harness.Cluster, stop func(), err error) {
 	bin, err = filepath.Abs(bin)
 	if err != nil {
 		return nil, nil, nil, err
@@ -37,7 +38,7 @@
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), realLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), clusterTimeout)
 	c = harness.New(dir, bin, opt)
 	stop = func() {
 		c.Close()
@@ -55,22 +56,23 @@
 	return ctx, c, stop, nil
 }
 
-// Commits prints commit latency and throughput against the physical floor.
+// Commits prints the latency and throughput of commits, and as a lower bound the time of one
+// fdatasync and of one TCP round trip.
 func Commits(w io.Writer, bin string) error {
-	ctx, c, stop, err := cluster(bin, harness.Options{Agents: 1, Entries: 1})
+	ctx, c, stop, err := startCluster(bin, harness.Options{Agents: 1, Entries: 1})
 	if err != nil {
 		return err
 	}
 	defer stop()
 	printHeading(w, "commits by operators through HTTP, 3 control processes, against one sync plus one round trip")
-	sync1, rtt, err := floor(filepath.Dir(c.Data("c1")))
+	fdatasync, rtt, err := measureFloor(filepath.Dir(c.Data("c1")))
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "floor: one fdatasync of 200 bytes %.2f ms, one TCP round trip %.2f ms (medians of 200)\n", ms(sync1), ms(rtt))
+	fmt.Fprintf(w, "floor: one fdatasync of 200 bytes %.2f ms, one TCP round trip %.2f ms (medians of 200)\n", ms(fdatasync), ms(rtt))
 	for _, n := range []int{1, 4, 16, 64} {
 		const run = 2 * time.Second
-		lead, err := leaderOf(ctx, c)
+		lead, err := waitForLeader(ctx, c)
 		if err != nil {
 			return err
 		}
@@ -78,19 +80,20 @@
 		if lead == follower {
 			follower = "c2"
 		}
-		lp, fp := c.Proc(lead).Pid(), c.Proc(follower).Pid()
-		lt, ft, fb := cpuTime(lp), cpuTime(fp), ioBytes(fp)
-		took := hammerEdits(ctx, c, n, run)
-		each := func(d time.Duration) float64 { return float64(d.Microseconds()) / float64(max(1, len(took))) }
+		leaderPID, followerPID := c.Proc(lead).Pid(), c.Proc(follower).Pid()
+		leaderCPU, followerCPU, followerIO := cpuTime(leaderPID), cpuTime(followerPID), ioBytes(followerPID)
+		took := editConcurrently(ctx, c, n, run)
+		perCommit := func(d time.Duration) float64 { return float64(d.Microseconds()) / float64(max(1, len(took))) }
 		fmt.Fprintf(w, "%3d operators: %6.0f commits/s, median %.2f ms, p99 %.2f ms; a commit costs the leader %.0f µs, a follower %.0f µs and %.0f bytes read and written\n",
 			n, float64(len(took))/run.Seconds(), ms(quantile(took, 0.5)), ms(quantile(took, 0.99)),
-			each(cpuTime(lp)-lt), each(cpuTime(fp)-ft), float64(ioBytes(fp)-fb)/float64(max(1, len(took))))
+			perCommit(cpuTime(leaderPID)-leaderCPU), perCommit(cpuTime(followerPID)-followerCPU), float64(ioBytes(followerPID)-followerIO)/float64(max(1, len(took))))
 	}
 	return nil
 }
 
-// hammerEdits has n operators edit a cell each for a while.
-func hammerEdits(ctx context.Context, c *harness.Cluster, n int, run time.Duration) []time.Duration {
+// editConcurrently lets n operators each edit a cell of their own for the given time. It
+// returns the latencies of all edits.
+func editConcurrently(ctx context.Context, c *harness.Cluster, n int, run time.Duration) []time.Duration {
 	var mu sync.Mutex
 	var all []time.Duration
 	var wg sync.WaitGroup
@@ -116,8 +119,9 @@
 	return all
 }
 
-// floor measures one sync and one round trip.
-func floor(dir string) (sync1, rtt time.Duration, err error) {
+// measureFloor returns the median times of an fdatasync in dir and of a TCP round trip on
+// loopback, both of 200 bytes.
+func measureFloor(dir string) (fdatasync, rtt time.Duration, err error) {
 	f, err := os.CreateTemp(dir, "floor")
 	if err != nil {
 		return 0, 0, err
@@ -163,10 +167,10 @@
 	return quantile(syncs, 0.5), quantile(trips, 0.5), nil
 }
 
-// fakeNode is an agent without VM, for sessions by the hundred.
+// fakeNode is an agent without a VM, so that one process can hold hundreds of sessions.
 type fakeNode struct {
-	i     int
-	tasks int
+	i     int // number of the node
+	tasks int // tasks in each heartbeat; 7 is about targetTasks/targetVMs
 	table *node.Table
 	epoch atomic.Uint64
 }
@@ -180,7 +184,7 @@
 	}}
 }
 
-// Heartbeat implements node.Handler: the usage of seven tasks, as at the letter's size.
+// Heartbeat implements node.Handler. It reports the usage of f.tasks tasks.
 func (f *fakeNode) Heartbeat() wire.Heartbeat {
 	b := wire.Heartbeat{Epoch: rudderfork.Token(f.epoch.Load()), Services: []wire.ServiceUsage{{Service: "tour-desk", Requests: 50, MeanUS: 5000, TailUS: 9000, Busy: 0.3}}}
 	for i := range f.tasks {
@@ -196,30 +200,31 @@
 	}
 }
 
-// Sessions prints what sessions cost the leader, and the time from an accepted
-// edit until it is in force, by the number of agents.
+// Sessions prints what the sessions of agents cost the leader, and the time from an
+// accepted edit until every agent has it, by the number of agents.
 func Sessions(w io.Writer, bin string) error {
 	printHeading(w, "sessions of agents with the leader: beats of 7 tasks each 2 s; edits in force everywhere")
 	fmt.Fprintf(w, "%7s %14s %16s %13s %17s %17s\n", "agents", "leader CPU %", "leader RSS MB", "idle CPU %", "in force ms", "slowest of 10 ms")
 	for _, n := range []int{100, 200, 400, 800} {
-		if err := sessions1(w, bin, n); err != nil {
+		if err := measureSessions(w, bin, n); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func sessions1(w io.Writer, bin string, n int) error {
-	ctx, c, stop, err := cluster(bin, harness.Options{Agents: 1, Entries: 1, Lease: 10 * time.Second, SnapshotEvery: 100_000})
+// measureSessions prints the figures for n agents.
+func measureSessions(w io.Writer, bin string, n int) error {
+	ctx, c, stop, err := startCluster(bin, harness.Options{Agents: 1, Entries: 1, Lease: 10 * time.Second, SnapshotEvery: 100_000})
 	if err != nil {
 		return err
 	}
 	defer stop()
-	lead, err := leaderOf(ctx, c)
+	lead, err := waitForLeader(ctx, c)
 	if err != nil {
 		return err
 	}
-	idle := cpuShare(c.Proc(lead).Pid(), 2*time.Second)
+	idle := measureCPUShare(c.Proc(lead).Pid(), 2*time.Second)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	nodes := make([]*fakeNode, n)
@@ -240,9 +245,9 @@
 	if err != nil {
 		return err
 	}
-	time.Sleep(time.Second) // the registrations are over
-	busy := cpuShare(c.Proc(lead).Pid(), 6*time.Second)
-	times, err := inForce(ctx, c, nodes)
+	time.Sleep(time.Second) // until the registrations have been handled
+	busy := measureCPUShare(c.Proc(lead).Pid(), 6*time.Second)
+	times, err := timeEdits(ctx, c, nodes)
 	if err != nil {
 		return err
 	}
@@ -250,8 +255,8 @@
 	return nil
 }
 
-// inForce makes ten edits and times each until all nodes hold it.
-func inForce(ctx context.Context, c *harness.Cluster, nodes []*fakeNode) (times []time.Duration, err error) {
+// timeEdits makes ten edits and returns for each the time until all nodes have it.
+func timeEdits(ctx context.Context, c *harness.Cluster, nodes []*fakeNode) (times []time.Duration, err error) {
 	op := c.Operator()
 	k := rudderfork.CellKey{Kind: rudderfork.RowTeam, Row: "timed", Column: rudderfork.ColWeight}
 	rev := rudderfork.Revision(0)
@@ -275,7 +280,8 @@
 	return times, nil
 }
 
-func leaderOf(ctx context.Context, c *harness.Cluster) (name string, err error) {
+// waitForLeader waits until a control process leads and returns its name.
+func waitForLeader(ctx context.Context, c *harness.Cluster) (name string, err error) {
 	err = harness.Until(ctx, "a leader", func() error {
 		for _, n := range []string{"c1", "c2", "c3"} {
 			if st, err := c.Operator().Status(ctx, c.Proc(n).Listen()); err == nil && st.Ready {
@@ -283,19 +289,19 @@
 				return nil
 			}
 		}
-		return fmt.Errorf("none leads")
+		return fmt.Errorf("no control process leads")
 	})
 	return name, err
 }
 
-// cpuShare is the share of one core that a process uses over a while.
-func cpuShare(pid int, d time.Duration) float64 {
+// measureCPUShare returns the share of one core that a process uses during the next d.
+func measureCPUShare(pid int, d time.Duration) float64 {
 	before := cpuTime(pid)
 	time.Sleep(d)
 	return (cpuTime(pid) - before).Seconds() / d.Seconds()
 }
 
-// cpuTime reads the processor time of a process, in ticks of 10 ms.
+// cpuTime returns the CPU time that a process has used, with a resolution of 10 ms.
 func cpuTime(pid int) time.Duration {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -308,8 +314,8 @@
 	return time.Duration(user+sys) * 10 * time.Millisecond
 }
 
-// ioBytes counts the bytes that a process has read and written, sockets and files
-// alike, without headers of TCP and IP.
+// ioBytes returns the bytes that a process has read and written, from and to files and
+// sockets, without TCP and IP headers.
 func ioBytes(pid int) (n int64) {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
 	if err != nil {
@@ -324,7 +330,7 @@
 	return n
 }
 
-// rss is the resident memory of a process, in MB.
+// rss returns the resident memory of a process, in MB.
 func rss(pid int) float64 {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -339,9 +345,9 @@
 	return 0
 }
 
-// Idle prints what each kind of process costs when nothing happens.
+// Idle prints the CPU, memory and I/O of each kind of process without load.
 func Idle(w io.Writer, bin string) error {
-	_, c, stop, err := cluster(bin, harness.Options{Agents: 3, Entries: 2, HeartbeatInterval: time.Second, Lease: 5 * time.Second, ElectionTimeout: 500 * time.Millisecond})
+	_, c, stop, err := startCluster(bin, harness.Options{Agents: 3, Entries: 2, HeartbeatInterval: time.Second, Lease: 5 * time.Second, ElectionTimeout: 500 * time.Millisecond})
 	if err != nil {
 		return err
 	}
@@ -364,9 +370,10 @@
 	return nil
 }
 
-// Path prints what the path adds to a direct call, and what a claim adds.
+// Path prints the latency of a direct call to an upstream, of one through entry and agent,
+// and of one with a claim.
 func Path(w io.Writer, bin string) error {
-	ctx, c, stop, err := cluster(bin, harness.Options{Agents: 3, Entries: 1, UpstreamFlags: []string{"-work", "0s"}})
+	ctx, c, stop, err := startCluster(bin, harness.Options{Agents: 3, Entries: 1, UpstreamFlags: []string{"-work", "0s"}})
 	if err != nil {
 		return err
 	}
@@ -396,10 +403,10 @@
 	return nil
 }
 
-// Urgent prints how long urgent work waits, from its submission to its start at a
-// worker, while batch work holds all there is.
+// Urgent prints how long an urgent task waits from its submission to its start at a
+// worker while batch work uses the whole capacity.
 func Urgent(w io.Writer, bin string) error {
-	ctx, c, stop, err := cluster(bin, harness.Options{Agents: 4, Entries: 1, CPU: 4000, WorkerFlags: []string{"-checkpoint", "20", "-use-cpu", "1739", "-use-memory", "222"}})
+	ctx, c, stop, err := startCluster(bin, harness.Options{Agents: 4, Entries: 1, CPU: 4000, WorkerFlags: []string{"-checkpoint", "20", "-use-cpu", "1739", "-use-memory", "222"}})
 	if err != nil {
 		return err
 	}
@@ -430,7 +437,7 @@
 		if _, err := op.Submit(ctx, rudderfork.JobSpec{ID: id, Team: "t", Kind: "u", Tasks: 1, Units: 20, Cells: cells(9)}); err != nil {
 			return err
 		}
-		started, err := firstStart(ctx, c, string(id)+"/0")
+		started, err := waitForStart(ctx, c, string(id)+"/0")
 		if err != nil {
 			return err
 		}
@@ -443,8 +450,8 @@
 	return nil
 }
 
-// firstStart waits for a task's first start and returns its time.
-func firstStart(ctx context.Context, c *harness.Cluster, task string) (at time.Time, err error) {
+// waitForStart waits until a task has started for the first time and returns when that was.
+func waitForStart(ctx context.Context, c *harness.Cluster, task string) (at time.Time, err error) {
 	err = harness.Until(ctx, task+" to start", func() error {
 		us, err := c.Units()
 		if err != nil {
@@ -456,7 +463,7 @@
 				return nil
 			}
 		}
-		return fmt.Errorf("it has not started")
+		return fmt.Errorf("no start recorded")
 	})
 	return at, err
 }
--- a/bench/scale.go
+++ b/bench/scale.go
@@ -19,15 +19,16 @@
 	"rudderfork.example/rudderfork/usage"
 )
 
-// The letter's size.
+// The size of the site for which the scheduler is designed. The printed heading calls it
+// the letter's size.
 const (
-	sizeVMs   = 3900
-	sizeTasks = 29_000
-	sizeTeams = 190
+	targetVMs   = 3900
+	targetTasks = 29_000
+	targetTeams = 190
 )
 
-// filled returns a state with so many VMs and pending tasks.
-func filled(vms, tasks int) *state.State {
+// newFilledState returns a state with the given numbers of VMs and pending tasks.
+func newFilledState(vms, tasks int) *state.State {
 	s := state.New()
 	index := uint64(0)
 	do := func(c state.Command) {
@@ -45,14 +46,14 @@
 	const perJob = 20
 	for i := range tasks / perJob {
 		do(state.Command{Submit: &state.Submit{Spec: rudderfork.JobSpec{
-			ID: rudderfork.JobID(fmt.Sprint("job", i)), Team: rudderfork.Team(fmt.Sprint("team", i%sizeTeams)), Kind: fmt.Sprint("k", i%20),
+			ID: rudderfork.JobID(fmt.Sprint("job", i)), Team: rudderfork.Team(fmt.Sprint("team", i%targetTeams)), Kind: fmt.Sprint("k", i%20),
 			Tasks: perJob, Units: 100, Cells: map[string]int64{rudderfork.ColCPU: 2000, rudderfork.ColMemory: 4000},
 		}}})
 	}
 	return s
 }
 
-// heap returns the bytes in use after a collection.
+// heapBytes returns the bytes in use on the heap after a garbage collection.
 func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -60,14 +61,14 @@
 	return m.HeapAlloc
 }
 
-// Scale prints the slopes of the leader's state and of its planning.
+// Scale prints the cost of the leader's state and of its planning at several sizes.
 func Scale(w io.Writer) {
-	printHeading(w, "control's state: memory, snapshot and placing, at shares of the letter's size (%d VMs, %d tasks)", sizeVMs, sizeTasks)
+	printHeading(w, "control's state: memory, snapshot and placing, at shares of the letter's size (%d VMs, %d tasks)", targetVMs, targetTasks)
 	fmt.Fprintf(w, "%6s %7s  %9s %12s %10s %10s %14s %14s\n", "VMs", "tasks", "heap MB", "snapshot MB", "encode ms", "decode ms", "place tasks/s", "round of 256 ms")
 	for _, share := range []float64{0.05, 0.1, 0.25, 0.5, 1} {
-		vms, tasks := int(share*sizeVMs), int(share*sizeTasks)
+		vms, tasks := int(share*targetVMs), int(share*targetTasks)
 		before := heapBytes()
-		s := filled(vms, tasks)
+		s := newFilledState(vms, tasks)
 		index := uint64(s.Applied())
 		p := placement.NewPlanner(placement.NewScored(interference.New(interference.ServicePrior())), interference.New(interference.ServicePrior()), usage.New(time.Now), 1)
 		placed, rounds := 0, 0
@@ -98,17 +99,17 @@
 	}
 }
 
-// Recovery prints how long a control process takes to read its disk, by the
-// length of the log and with a snapshot instead.
+// Recovery prints how long a control process takes to read its disk and to restore its
+// state, from logs of several lengths and from a snapshot that replaces the log.
 func Recovery(w io.Writer) (err error) {
 	printHeading(w, "restart of a control process: reading the disk and applying, by commands since the last snapshot")
 	fmt.Fprintf(w, "%9s %10s %12s %15s\n", "commands", "log MB", "log ms", "snapshot ms")
 	for _, n := range []int{1000, 4000, 16_000, 64_000} {
-		logged, size, err := recover1(n, false)
+		logged, size, err := timeRecovery(n, false)
 		if err != nil {
 			return err
 		}
-		snapped, _, err := recover1(n, true)
+		snapped, _, err := timeRecovery(n, true)
 		if err != nil {
 			return err
 		}
@@ -117,7 +118,10 @@
 	return nil
 }
 
-func recover1(n int, snapshot bool) (took time.Duration, size int64, err error) {
+// timeRecovery writes n commands to a store, and measures how long it takes to open the
+// store and to restore the state. If snapshot is set, a snapshot replaces the log before that.
+// size is the size of the log without the snapshot, in bytes.
+func timeRecovery(n int, snapshot bool) (took time.Duration, size int64, err error) {
 	root, err := os.MkdirTemp("", "rudderfork-bench-")
 	if err != nil {
 		return 0, 0, err
@@ -134,7 +138,7 @@
 	st := state.New()
 	var es []quorum.Entry
 	for i := 1; i <= n; i++ {
-		k := rudderfork.CellKey{Kind: rudderfork.RowTeam, Row: fmt.Sprint("team", i%sizeTeams), Column: rudderfork.ColWeight}
+		k := rudderfork.CellKey{Kind: rudderfork.RowTeam, Row: fmt.Sprint("team", i%targetTeams), Column: rudderfork.ColWeight}
 		c := state.Command{At: int64(i), Edit: &state.Edit{ID: fmt.Sprint("edit-", i), Writes: []state.CellWrite{{Key: k, Value: int64(1 + i%1000), IfRevision: st.Cell(k).Revision}}}}
 		data, err := cbor.Marshal(c)
 		if err != nil {
@@ -166,7 +170,7 @@
 	}
 	defer s.Close()
 	_, snap, entries := s.TakeLoaded()
-	again, err := state.Decode(snap.Data)
+	restored, err := state.Decode(snap.Data)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -175,10 +179,10 @@
 		if err := cbor.Unmarshal(e.Data, &c); err != nil {
 			return 0, 0, err
 		}
-		again.Apply(e.Index, c)
+		restored.Apply(e.Index, c)
 	}
-	if again.Revision() != st.Revision() {
-		return 0, 0, fmt.Errorf("revision %d came back as %d", st.Revision(), again.Revision())
+	if restored.Revision() != st.Revision() {
+		return 0, 0, fmt.Errorf("state with revision %d was restored with revision %d", st.Revision(), restored.Revision())
 	}
 	return time.Since(at), size, nil
 }
--- a/bench/silence.go
+++ b/bench/silence.go
@@ -11,21 +11,22 @@
 	"rudderfork.example/rudderfork/operator"
 )
 
-// silenceRuns is how often each fault strikes.
-const silenceRuns = 20
+// failoverRuns is how often each fault is injected.
+const failoverRuns = 20
 
-// Silence prints the time from a fault of the control processes' links to the first
-// confirmed edit: the leader killed, and all links between them silent.
-func Silence(w io.Writer, bin string) error {
-	ctx, c, stop, err := cluster(bin, harness.Options{Agents: 1, Entries: 1, ElectionTimeout: 500 * time.Millisecond})
+// Failover prints the time from a fault to the first confirmed edit. The faults are a
+// killed leader, and open connections between control processes that discard all data,
+// while new connections work.
+func Failover(w io.Writer, bin string) error {
+	ctx, c, stop, err := startCluster(bin, harness.Options{Agents: 1, Entries: 1, ElectionTimeout: 500 * time.Millisecond})
 	if err != nil {
 		return err
 	}
 	defer stop()
-	printHeading(w, "a fault to the first confirmed edit, 3 control processes, election timeout 500 ms, %d runs each", silenceRuns)
+	printHeading(w, "a fault to the first confirmed edit, 3 control processes, election timeout 500 ms, %d runs each", failoverRuns)
 	faults := []struct {
 		name   string
-		strike func(lead string) error
+		inject func(lead string) error
 	}{
 		{"leader killed", func(lead string) error {
 			c.Proc(lead).Kill()
@@ -37,7 +38,7 @@
 		}},
 	}
 	for _, f := range faults {
-		times, err := timeToEdit(ctx, c, f.strike)
+		times, err := timeToFirstEdit(ctx, c, f.inject)
 		if err != nil {
 			return err
 		}
@@ -46,11 +47,12 @@
 	return nil
 }
 
-// timeToEdit strikes again and again, and times the first edit after each.
-func timeToEdit(ctx context.Context, c *harness.Cluster, strike func(lead string) error) (times []time.Duration, err error) {
+// timeToFirstEdit injects a fault failoverRuns times, and measures the time to the first
+// confirmed edit after each.
+func timeToFirstEdit(ctx context.Context, c *harness.Cluster, inject func(lead string) error) (times []time.Duration, err error) {
 	k := rudderfork.CellKey{Kind: rudderfork.RowTeam, Row: "timed", Column: rudderfork.ColWeight}
-	for i := range silenceRuns {
-		lead, err := leaderOf(ctx, c)
+	for i := range failoverRuns {
+		lead, err := waitForLeader(ctx, c)
 		if err != nil {
 			return nil, err
 		}
@@ -59,7 +61,7 @@
 			return nil, err
 		}
 		at := time.Now()
-		if err := strike(lead); err != nil {
+		if err := inject(lead); err != nil {
 			return nil, err
 		}
 		if _, err := c.Operator().Set(ctx, k, int64(i+1), cell.Revision, operator.NewID()); err != nil {
