--- a/node/client.go
+++ b/node/client.go
@@ -57,7 +57,7 @@
 	calls *wire.Calls[wire.CommandResult]
 
 	mu              sync.Mutex
-	next            int
+	nextIndex       int
 	endSession      context.CancelFunc
 	helloGeneration uint64 // rises with each call of Reconnect
 }
@@ -74,10 +74,10 @@
 // Serve implements suture.Service.
 func (c *Client) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		addr := c.addrs[c.next%len(c.addrs)]
+		addr := c.addrs[c.nextIndex%len(c.addrs)]
 		err := c.runSession(ctx, addr)
 		c.log.Debug().Str("addr", addr).AnErr("error", err).Msg("control_session_ended")
-		c.next++
+		c.nextIndex++
 		steady.Pause(ctx, redialInterval)
 	}
 	return ctx.Err()
@@ -157,7 +157,7 @@
 func (c *Client) prefer(addr string) {
 	for i, a := range c.addrs {
 		if a == addr {
-			c.next = i - 1 + len(c.addrs) // Serve adds one
+			c.nextIndex = i - 1 + len(c.addrs) // Serve adds one
 		}
 	}
 }
--- a/quorum/log.go
+++ b/quorum/log.go
@@ -103,13 +103,13 @@
 	l.entries = append([]Entry(nil), l.entries[cut-l.base:]...)
 	l.base, l.baseTerm = cut, t
 	l.snap = s
-	keepFrom := 0
+	firstConfig := 0
 	for k, c := range l.configs {
 		if c.index <= s.Index {
-			keepFrom = k
+			firstConfig = k
 		}
 	}
-	l.configs = append([]config(nil), l.configs[keepFrom:]...)
+	l.configs = append([]config(nil), l.configs[firstConfig:]...)
 }
 
 // keepFrom returns the index before the first entry to keep when the log is
--- a/quorum/losses_test.go
+++ b/quorum/losses_test.go
@@ -396,16 +396,16 @@
 					g.commit("acked")
 					g.wipe(g.order[a])
 					g.wipe(g.order[b])
-					assert.Equal(t, g.elects(), x.elects, "voters %d and %d have lost their disks", a, b)
+					assert.Equal(t, g.canElectLeader(), x.elects, "voters %d and %d have lost their disks", a, b)
 				}
 			}
 		})
 	}
 }
 
-// elects reports whether some replica with its disk would be elected if it were restarted
+// canElectLeader reports whether some replica with its disk would be elected if it were restarted
 // and granted the vote of every running replica.
-func (g *group) elects() (some bool) {
+func (g *group) canElectLeader() (some bool) {
 	for _, id := range g.order {
 		r := g.replicas[id]
 		if r.frozen {
--- a/quorum/quorum_test.go
+++ b/quorum/quorum_test.go
@@ -262,7 +262,7 @@
 // faults injects random faults and returns the proposals that were committed.
 func faults(g *group, steps int) (acked []string) {
 	crash := func() bool { return g.rng.Float64() < 0.003 }
-	open := map[uint64]string{}
+	proposed := map[uint64]string{}
 	g.loss = 0.05
 	for i := range steps {
 		id := g.order[g.rng.IntN(len(g.order))]
@@ -286,15 +286,15 @@
 		}
 		data := fmt.Sprintf("entry-%d", i)
 		if index, ok := g.propose(data); ok {
-			open[index] = data
+			proposed[index] = data
 		}
 		g.step(crash)
-		for index, data := range open {
+		for index, data := range proposed {
 			if e, ok := g.committed[index]; ok {
 				if string(e.Data) == data {
 					acked = append(acked, data)
 				}
-				delete(open, index)
+				delete(proposed, index)
 			}
 		}
 	}
@@ -616,31 +616,31 @@
 	g := newGroup(t, 3, 3)
 	l := g.waitLeader()
 	g.run(50)
-	var back MemberID
+	var partitioned MemberID
 	for _, id := range g.order {
 		if id != l.id {
-			back = id
+			partitioned = id
 		}
 	}
-	const lag, waiting = 500, 200
-	g.replicas[back].frozen = true
-	var late []Message
+	const lag, maxInFlight = 500, 200
+	g.replicas[partitioned].frozen = true
+	var inFlight []Message
 	for range lag {
 		_, ok := g.propose("while cut off")
 		assert.Assert(t, ok)
 		for _, m := range g.net {
-			if m.To == back && len(late) < waiting {
-				late = append(late, m)
+			if m.To == partitioned && len(inFlight) < maxInFlight {
+				inFlight = append(inFlight, m)
 			}
 		}
 		g.step(nil)
 	}
-	base := g.replicas[back].node.LastIndex()
+	base := g.replicas[partitioned].node.LastIndex()
 	sent := 0
-	for _, m := range late {
+	for _, m := range inFlight {
 		g.now = g.now.Add(time.Millisecond)
 		l.node.Step(Message{
-			Type: MsgAppendReply, From: back, To: l.id, Term: l.node.Term(), Reject: true, Match: min(base, m.LogIndex-1), LogTerm: l.node.Term(), SentNS: m.SentNS,
+			Type: MsgAppendReply, From: partitioned, To: l.id, Term: l.node.Term(), Reject: true, Match: min(base, m.LogIndex-1), LogTerm: l.node.Term(), SentNS: m.SentNS,
 		}, g.now)
 		rd := l.node.Ready()
 		for _, out := range rd.EarlyMessages {
@@ -649,9 +649,9 @@
 		l.save(rd)
 		l.node.Persisted(rd, g.now)
 	}
-	assert.Assert(t, len(late) == waiting, "%d appends were in flight", len(late))
+	assert.Assert(t, len(inFlight) == maxInFlight, "%d appends were in flight", len(inFlight))
 	assert.Assert(t, sent <= 2*lag, "%d entries were sent for a lag of %d", sent, lag)
-	g.replicas[back].frozen = false
+	g.replicas[partitioned].frozen = false
 	g.run(200)
-	assert.Equal(t, g.replicas[back].node.CommitIndex(), l.node.CommitIndex())
+	assert.Equal(t, g.replicas[partitioned].node.CommitIndex(), l.node.CommitIndex())
 }
--- a/quorum/spread_test.go
+++ b/quorum/spread_test.go
@@ -14,8 +14,8 @@
 // turn.
 type domains int
 
-func (d domains) of(place int) rudderfork.Domain {
-	return rudderfork.Domain(fmt.Sprint("domain", place%int(d)))
+func (d domains) of(host int) rudderfork.Domain {
+	return rudderfork.Domain(fmt.Sprint("domain", host%int(d)))
 }
 
 // setDomains sets the failure domains of all hosts at every running replica.
@@ -66,7 +66,7 @@
 // wipes hosts one after the other. The voters must be spread evenly each time, and never
 // fall more than one below wantedVoters meanwhile.
 func TestSpread(t *testing.T) {
-	const seeds, settled = 4, 600
+	const seeds, settleSteps = 4, 600
 	for _, hosts := range []int{6, 7, 9} {
 		for _, d := range []domains{2, 3, 5} {
 			t.Run(fmt.Sprintf("%d hosts in %d domains", hosts, d), func(t *testing.T) {
@@ -74,7 +74,7 @@
 					rng := rand.New(rand.NewPCG(seed, 1))
 					s := newHostGroup(t, hosts, 700+seed)
 					for range 3 {
-						for range settled {
+						for range settleSteps {
 							s.maintainInDomains(rng, d, 1)
 							if l := s.leader(); l != nil {
 								assert.Assert(t, l.node.Voters() >= wantedVoters-1, "seed %d: %d voters", seed, l.node.Voters())
--- a/quorum/stale_test.go
+++ b/quorum/stale_test.go
@@ -78,8 +78,8 @@
 		l := g.waitLeader()
 		next, ok := l.node.Join(Member{ID: missedID, Name: "c3"}, g.clock(l.id))
 		assert.Assert(t, !ok, "%v", next)
-		_, follows := l.node.Member(currentID)
-		assert.Assert(t, follows)
+		_, isMember := l.node.Member(currentID)
+		assert.Assert(t, isMember)
 	})
 }
 
--- a/replica/bootstrap.go
+++ b/replica/bootstrap.go
@@ -21,19 +21,19 @@
 // Check reports whether the group accepts commands, and whether it starts to do so with fewer
 // voters than the target size. used says that the group has committed a command before, leads that
 // this replica is a leader that has committed in its term.
-func (o *bootstrapGate) Check(used, leads bool, voters, size int, now time.Time) (open, short bool) {
+func (g *bootstrapGate) Check(used, leads bool, voters, size int, now time.Time) (open, short bool) {
 	switch {
-	case o.open:
+	case g.open:
 		return true, false
 	case used || voters >= size:
-		o.open = true
+		g.open = true
 		return true, false
 	case !leads:
-		o.deadline = time.Time{}
-	case o.deadline.IsZero():
-		o.deadline = now.Add(bootstrapTimeout)
-	case !now.Before(o.deadline):
-		o.open = true
+		g.deadline = time.Time{}
+	case g.deadline.IsZero():
+		g.deadline = now.Add(bootstrapTimeout)
+	case !now.Before(g.deadline):
+		g.open = true
 		return true, true
 	}
 	return false, false
--- a/replica/bootstrap_test.go
+++ b/replica/bootstrap_test.go
@@ -13,34 +13,34 @@
 func TestBootstrapGate(t *testing.T) {
 	now := time.Unix(1_000, 0)
 	t.Run("a new group waits for its voters", func(t *testing.T) {
-		var o bootstrapGate
-		open, _ := o.Check(false, true, 3, 5, now)
+		var g bootstrapGate
+		open, _ := g.Check(false, true, 3, 5, now)
 		assert.Assert(t, !open)
-		open, short := o.Check(false, true, 5, 5, now)
+		open, short := g.Check(false, true, 5, 5, now)
 		assert.Assert(t, open && !short)
-		open, _ = o.Check(false, true, 4, 5, now)
+		open, _ = g.Check(false, true, 4, 5, now)
 		assert.Assert(t, open, "an open group stays open with fewer voters")
 	})
 	t.Run("a new group does not wait for ever", func(t *testing.T) {
-		var o bootstrapGate
-		o.Check(false, true, 3, 5, now)
-		open, _ := o.Check(false, true, 3, 5, now.Add(bootstrapTimeout-1))
+		var g bootstrapGate
+		g.Check(false, true, 3, 5, now)
+		open, _ := g.Check(false, true, 3, 5, now.Add(bootstrapTimeout-1))
 		assert.Assert(t, !open)
-		open, short := o.Check(false, true, 3, 5, now.Add(bootstrapTimeout))
+		open, short := g.Check(false, true, 3, 5, now.Add(bootstrapTimeout))
 		assert.Assert(t, open && short)
-		_, short = o.Check(false, true, 3, 5, now.Add(2*bootstrapTimeout))
+		_, short = g.Check(false, true, 3, 5, now.Add(2*bootstrapTimeout))
 		assert.Assert(t, !short, "the shortage is reported once")
 	})
 	t.Run("a new leader waits anew", func(t *testing.T) {
-		var o bootstrapGate
-		o.Check(false, true, 3, 5, now)
-		o.Check(false, false, 3, 5, now.Add(bootstrapTimeout-1))
-		open, _ := o.Check(false, true, 3, 5, now.Add(bootstrapTimeout))
+		var g bootstrapGate
+		g.Check(false, true, 3, 5, now)
+		g.Check(false, false, 3, 5, now.Add(bootstrapTimeout-1))
+		open, _ := g.Check(false, true, 3, 5, now.Add(bootstrapTimeout))
 		assert.Assert(t, !open)
 	})
 	t.Run("a group that has committed commands does not wait", func(t *testing.T) {
-		var o bootstrapGate
-		open, short := o.Check(true, true, 3, 5, now)
+		var g bootstrapGate
+		open, short := g.Check(true, true, 3, 5, now)
 		assert.Assert(t, open && !short)
 	})
 }
--- a/replica/losses_test.go
+++ b/replica/losses_test.go
@@ -373,7 +373,7 @@
 		}
 	})
 	t.Run("a partly written snapshot", func(t *testing.T) {
-		for _, cut := range []string{"snap-%08d.tmp", "snap-%08d", "log-%08d.tmp"} {
+		for _, partial := range []string{"snap-%08d.tmp", "snap-%08d", "log-%08d.tmp"} {
 			c := newCluster(t, often)
 			for range 3 * often {
 				c.commit()
@@ -382,7 +382,7 @@
 			c.stopAll()
 			lost := []string{leader, c.others(leader)[0]}
 			for _, name := range c.others(leader)[1:] {
-				c.leavePartialSnapshot(name, cut)
+				c.leavePartialSnapshot(name, partial)
 			}
 			c.wipe(lost...)
 			c.startAll()
@@ -417,7 +417,7 @@
 
 // leavePartialSnapshot writes the file that an interrupted snapshot leaves, and a torn record at
 // the end of the log.
-func (c *cluster) leavePartialSnapshot(name, left string) {
+func (c *cluster) leavePartialSnapshot(name, pattern string) {
 	c.t.Helper()
 	logs, err := filepath.Glob(filepath.Join(c.dir(name), "log-*"))
 	assert.NilError(c.t, err)
@@ -426,7 +426,7 @@
 	_, err = fmt.Sscanf(filepath.Base(logs[0]), "log-%08d", &gen)
 	assert.NilError(c.t, err)
 	const mode = 0o644
-	assert.NilError(c.t, os.WriteFile(filepath.Join(c.dir(name), fmt.Sprintf(left, gen+1)), []byte("half"), mode))
+	assert.NilError(c.t, os.WriteFile(filepath.Join(c.dir(name), fmt.Sprintf(pattern, gen+1)), []byte("half"), mode))
 	f, err := os.OpenFile(logs[0], os.O_APPEND|os.O_WRONLY, mode)
 	assert.NilError(c.t, err)
 	_, err = f.WriteString("torn")
--- a/replica/metrics_test.go
+++ b/replica/metrics_test.go
@@ -87,7 +87,7 @@
 // exported, since it is unknown.
 func TestDocumentOfSnapshot(t *testing.T) {
 	r := newReplica(t)
-	take := func(index, v uint64) []byte {
+	encodeState := func(index, v uint64) []byte {
 		t.Helper()
 		st, err := state.Decode(nil)
 		assert.NilError(t, err)
@@ -96,15 +96,15 @@
 		assert.NilError(t, err)
 		return data
 	}
-	assert.NilError(t, r.machine.install(quorum.Snapshot{Index: 1, Data: take(1, 7)}))
+	assert.NilError(t, r.machine.install(quorum.Snapshot{Index: 1, Data: encodeState(1, 7)}))
 	r.machine.docAt = r.now()
 	t.Run("the same", func(t *testing.T) {
-		assert.NilError(t, r.machine.install(quorum.Snapshot{Index: 2, Data: take(2, 7)}))
+		assert.NilError(t, r.machine.install(quorum.Snapshot{Index: 2, Data: encodeState(2, 7)}))
 		assertMetrics(t, r, map[string]float64{"document_version": 7})
 		assert.Assert(t, !r.machine.docAt.IsZero())
 	})
 	t.Run("another", func(t *testing.T) {
-		assert.NilError(t, r.machine.install(quorum.Snapshot{Index: 3, Data: take(3, 8)}))
+		assert.NilError(t, r.machine.install(quorum.Snapshot{Index: 3, Data: encodeState(3, 8)}))
 		assertMetrics(t, r, map[string]float64{"document_version": 8})
 		assertNoMetrics(t, r, "document_age_seconds")
 	})
--- a/replica/replaced_entries_test.go
+++ b/replica/replaced_entries_test.go
@@ -19,7 +19,7 @@
 	serve(t, r)
 	waitUntil(t, "a command succeeds", func() bool { return commitVersion(t.Context(), r, 1) == nil })
 	released := make(chan struct{})
-	store.hold(released)
+	store.block(released)
 	before := r.Status()
 	const commands = 4 // the later leaders have fewer entries in their place
 	results := make(chan error, commands)
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -423,9 +423,9 @@
 	case !ok:
 		r.report.LogNotAdded(m, r.node, joinOtherIncarnation, r.now())
 	case !r.node.CommittedInTerm():
-		r.report.LogNotAdded(m, r.node, joinUnsettled, r.now())
+		r.report.LogNotAdded(m, r.node, joinNotCommittedInTerm, r.now())
 	case !r.changeMembers(next, quorum.ReasonJoined):
-		r.report.LogNotAdded(m, r.node, joinChanging, r.now())
+		r.report.LogNotAdded(m, r.node, joinChangePending, r.now())
 	}
 }
 
--- a/replica/report.go
+++ b/replica/report.go
@@ -27,10 +27,10 @@
 
 // The reasons why a join request is refused or deferred.
 const (
-	joinNotLeader     = "not_leader"       // another process may be the leader
-	joinAlreadyMember = "already_member"   // it sends requests because it knows no leader
-	joinUnsettled     = "leader_unsettled" // the leader has not committed in its term
-	joinChanging      = "members_changing" // an earlier change of members is not committed
+	joinNotLeader          = "not_leader"       // another process may be the leader
+	joinAlreadyMember      = "already_member"   // it sends requests because it knows no leader
+	joinNotCommittedInTerm = "leader_unsettled" // the leader has not committed in its term
+	joinChangePending      = "members_changing" // an earlier change of members is not committed
 	// joinOtherIncarnation means that another incarnation of the replica is a member and is still
 	// heard from.
 	joinOtherIncarnation = "other_life_answers"
@@ -44,11 +44,11 @@
 	send       Sender
 	wantVoters int // target number of voters
 
-	members        []quorum.Member // as last logged
-	leaderless     time.Time       // when the last leader was lost; zero while one is known
-	nextNoLeaderAt time.Time       // next check for a missing leader or membership
-	nextStatusAt   time.Time
-	nextJoinLogAt  map[joinLogKey]time.Time // earliest time of the next line
+	members         []quorum.Member // as last logged
+	leaderlessSince time.Time       // when the last leader was lost; zero while one is known
+	nextNoLeaderAt  time.Time       // next check for a missing leader or membership
+	nextStatusAt    time.Time
+	nextJoinLogAt   map[joinLogKey]time.Time // earliest time of the next line
 }
 
 // joinLogKey is a replica that sent a join request, and the reason why it was not added.
@@ -60,7 +60,7 @@
 // newReporter returns a reporter for a node that has just started.
 func newReporter(log zerolog.Logger, send Sender, size int, n *quorum.Node, now time.Time) *reporter {
 	return &reporter{
-		log: log, send: send, wantVoters: size, members: n.Members(), leaderless: now,
+		log: log, send: send, wantVoters: size, members: n.Members(), leaderlessSince: now,
 		nextNoLeaderAt: now.Add(noLeaderInterval), nextStatusAt: now.Add(statusInterval), nextJoinLogAt: map[joinLogKey]time.Time{},
 	}
 }
@@ -96,7 +96,7 @@
 	switch {
 	case !member:
 		p.logJoinRequest(n, now)
-	case !p.leaderless.IsZero():
+	case !p.leaderlessSince.IsZero():
 		p.logNoLeader(n, now)
 	}
 }
@@ -112,14 +112,14 @@
 }
 
 // LeaderlessSince returns when the last known leader was lost, or the zero time while one is known.
-func (p *reporter) LeaderlessSince() time.Time { return p.leaderless }
+func (p *reporter) LeaderlessSince() time.Time { return p.leaderlessSince }
 
 func (p *reporter) trackLeader(n *quorum.Node, now time.Time) {
 	switch {
 	case n.Leader() != "":
-		p.leaderless = time.Time{}
-	case p.leaderless.IsZero():
-		p.leaderless = now
+		p.leaderlessSince = time.Time{}
+	case p.leaderlessSince.IsZero():
+		p.leaderlessSince = now
 		p.nextNoLeaderAt = now.Add(noLeaderInterval)
 	}
 }
@@ -156,7 +156,7 @@
 			refused = append(refused, string(m.ID))
 		}
 	}
-	e := p.log.Warn().Dur("leaderless", now.Sub(p.leaderless)).Str("role", n.Role().String()).Bool("votes", isVoter(n)).
+	e := p.log.Warn().Dur("leaderless", now.Sub(p.leaderlessSince)).Str("role", n.Role().String()).Bool("votes", isVoter(n)).
 		Uint64("term", n.Term()).Uint64("last", n.LastIndex()).Uint64("last_term", n.LastTerm()).
 		Uint64("campaigns", n.Campaigns()).Int("needed", majority(n.Voters())).Int("wanted", p.wantVoters).
 		Strs("granted", granted).Strs("refused", refused).Strs("unanswered", unanswered).
@@ -168,8 +168,8 @@
 func (p *reporter) logJoinRequest(n *quorum.Node, now time.Time) {
 	e := p.log.Info().Str("member", string(n.ID())).Strs("asked", p.send.Addrs()).
 		Uint64("term", n.Term()).Uint64("last", n.LastIndex()).Str("leader", string(n.Leader()))
-	if !p.leaderless.IsZero() {
-		e.Dur("leaderless", now.Sub(p.leaderless))
+	if !p.leaderlessSince.IsZero() {
+		e.Dur("leaderless", now.Sub(p.leaderlessSince))
 	}
 	e.Msg("join_asked")
 }
@@ -186,7 +186,7 @@
 	}
 	p.nextJoinLogAt[key] = now.Add(joinLogInterval)
 	event := "join_refused"
-	if reason == joinUnsettled || reason == joinChanging || reason == joinOtherIncarnation {
+	if reason == joinNotCommittedInTerm || reason == joinChangePending || reason == joinOtherIncarnation {
 		event = "join_deferred"
 	}
 	p.log.Info().Str("member", string(m.ID)).Str("addr", m.Addr).Str("reason", reason).
--- a/replica/report_test.go
+++ b/replica/report_test.go
@@ -160,12 +160,12 @@
 	})
 	t.Run("the receiver logs the reason, at most once per interval", func(t *testing.T) {
 		r := newReporterTest(t, "c1#1", threeVoters())
-		for _, why := range []string{joinNotLeader, joinNotLeader, joinChanging} {
+		for _, why := range []string{joinNotLeader, joinNotLeader, joinChangePending} {
 			r.rep.LogNotAdded(quorum.Member{ID: "c2#x", Addr: "10.0.0.2:1"}, r.node, why, r.now)
 		}
 		out := bytes.NewBuffer(bytes.Clone(r.out.Bytes()))
 		assertOneLine(t, linesOf(t, out, "join_refused"), map[string]any{"member": "c2#x", "addr": "10.0.0.2:1", "reason": joinNotLeader})
-		assertOneLine(t, r.lines("join_deferred"), map[string]any{"reason": joinChanging})
+		assertOneLine(t, r.lines("join_deferred"), map[string]any{"reason": joinChangePending})
 		r.rep.LogNotAdded(quorum.Member{ID: "c2#x"}, r.node, joinNotLeader, r.now.Add(joinLogInterval))
 		assert.Equal(t, len(r.lines("join_refused")), 1)
 	})
@@ -223,7 +223,7 @@
 	r.node.Tick(r.now().Add(time.Hour))
 	t.Run("a leader that has not committed", func(t *testing.T) {
 		r.join(other("c2#x"))
-		assertOneLine(t, linesOf(t, &out, "join_deferred"), map[string]any{"reason": joinUnsettled})
+		assertOneLine(t, linesOf(t, &out, "join_deferred"), map[string]any{"reason": joinNotCommittedInTerm})
 	})
 	processAll(t, r)
 	t.Run("a leader", func(t *testing.T) {
@@ -233,7 +233,7 @@
 	})
 	t.Run("a leader with a change under way", func(t *testing.T) {
 		r.join(other("c3#x"))
-		assertOneLine(t, linesOf(t, &out, "join_deferred"), map[string]any{"reason": joinChanging})
+		assertOneLine(t, linesOf(t, &out, "join_deferred"), map[string]any{"reason": joinChangePending})
 	})
 	processAll(t, r)
 	t.Run("a member", func(t *testing.T) {
--- a/replica/stalled_leader_test.go
+++ b/replica/stalled_leader_test.go
@@ -13,15 +13,15 @@
 	"rudderfork.example/rudderfork/state"
 )
 
-// heldElectionTimeout is far above the stalls of a busy host. A leader that is held up for ever is
+// longElectionTimeout is far above the stalls of a busy host. A leader that is held up for ever is
 // still deposed.
-const heldElectionTimeout = 2 * time.Second
+const longElectionTimeout = 2 * time.Second
 
 // TestHeldState guards against a leader that sends nothing while a reader holds its state, as a
 // long planner run does, and is deposed for it. The group commits meanwhile, and the proposals are
 // answered once the state is free.
 func TestHeldState(t *testing.T) {
-	g := startProxiedWithTimeout(t, heldElectionTimeout, 3, 0)
+	g := startProxiedWithTimeout(t, longElectionTimeout, 3, 0)
 	g.assertCommits(g.reps...)
 	lead := g.leader()
 	held, released := make(chan struct{}), make(chan struct{})
@@ -43,12 +43,12 @@
 // TestHeldDisk guards against a leader that neither reads nor sends messages during a sync. While
 // the leader's syncs are held up, the disks of the others suffice to commit and to answer.
 func TestHeldDisk(t *testing.T) {
-	g := startProxiedWithTimeout(t, heldElectionTimeout, 3, 0)
+	g := startProxiedWithTimeout(t, longElectionTimeout, 3, 0)
 	g.assertCommits(g.reps...)
 	lead := g.leader()
 	released := make(chan struct{})
 	defer close(released)
-	g.reps[lead].gate.hold(released)
+	g.reps[lead].gate.block(released)
 	results := assertGroupCommits(t, g, lead)
 	for range cap(results) {
 		assert.NilError(t, <-results)
@@ -82,7 +82,7 @@
 	gate <-chan struct{} // saves wait until it is closed; nil if they need not wait
 }
 
-func (s *gatedStore) hold(until <-chan struct{}) {
+func (s *gatedStore) block(until <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.gate = until
--- a/session/session.go
+++ b/session/session.go
@@ -122,10 +122,10 @@
 	return all[c.nextIndex%len(all)]
 }
 
-func (c *Client) setAddrs(prefer string, members []string) {
+func (c *Client) setAddrs(leader string, members []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leaderAddr = prefer
+	c.leaderAddr = leader
 	if len(members) > 0 {
 		c.memberAddrs = members[:min(len(members), maxMemberAddrs)]
 	}
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -48,7 +48,7 @@
 	ws               *websocket.Conn
 	liveness         Liveness
 	watch            watch
-	ticker           *time.Timer
+	timer            *time.Timer
 	silent           atomic.Bool // closed because of silence
 	sendingKeepAlive atomic.Bool // a keep-alive is being written
 }
@@ -82,8 +82,8 @@
 	ws.SetReadLimit(MaxMessage)
 	c := &Conn[Out, In]{ws: ws, liveness: liveness}
 	// The timer is started only after the field is set, since tick reads the field.
-	c.ticker = time.AfterFunc(math.MaxInt64, c.tick)
-	c.ticker.Reset(liveness.tick())
+	c.timer = time.AfterFunc(math.MaxInt64, c.tick)
+	c.timer.Reset(liveness.tick())
 	return c
 }
 
@@ -96,7 +96,7 @@
 		c.Close()
 		return
 	}
-	c.ticker.Reset(c.liveness.tick()) // before the write, which may block
+	c.timer.Reset(c.liveness.tick()) // before the write, which may block
 	if idle && c.sendingKeepAlive.CompareAndSwap(false, true) {
 		defer c.sendingKeepAlive.Store(false)
 		if c.write(context.Background(), keepAlive) != nil {
@@ -190,6 +190,6 @@
 
 // Close closes the connection at once.
 func (c *Conn[Out, In]) Close() {
-	c.ticker.Stop()
+	c.timer.Stop()
 	_ = c.ws.CloseNow()
 }
