--- a/quorum/election.go
+++ b/quorum/election.go
@@ -85,6 +85,7 @@
 	return n.transferee != "" && now.Before(n.transferDeadline)
 }
 
+// onTimeoutNow campaigns at once, without a pre-vote, at the request of the leader.
 func (n *Node) onTimeoutNow(m Message, now time.Time) {
 	if n.role == Follower && n.leader == m.From && n.isVoter() {
 		n.transferCampaign = true
@@ -110,6 +111,8 @@
 	n.send(reply)
 }
 
+// canGrantVote reports whether the vote, or with pre the pre-vote, is granted to the
+// sender of m.
 func (n *Node) canGrantVote(m Message, pre bool, now time.Time) bool {
 	if n.leaderAlive(now) && !m.Transfer {
 		return false
@@ -140,6 +143,8 @@
 	n.countVotes(now)
 }
 
+// countVotes starts the election after a majority of pre-votes, and leads after a
+// majority of votes.
 func (n *Node) countVotes(now time.Time) {
 	granted := 0
 	voters := n.voters()
--- a/quorum/leader.go
+++ b/quorum/leader.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// broadcast sends an append to every other replica, without entries to one that
-// has them all.
+// broadcast sends an append to every other replica. The append is empty if there are
+// no entries to send.
 func (n *Node) broadcast(now time.Time) {
 	n.heartbeatAt = now.Add(n.cfg.HeartbeatInterval)
 	for _, m := range n.log.members() {
@@ -87,6 +87,7 @@
 	return e.Index
 }
 
+// flush sends each replica the entries that it has not been sent yet.
 func (n *Node) flush(now time.Time) {
 	for _, m := range n.log.members() {
 		if p := n.peers[m.ID]; p != nil {
@@ -95,9 +96,9 @@
 	}
 }
 
-// sendAppend sends the entries from p.next on. If there are none, or more than
-// maxUnacked are unacknowledged, it sends an empty append with force and nothing
-// without.
+// sendAppend sends the entries from p.next on, or the snapshot if the entry before
+// them is compacted. If there are none, or more than maxUnacked are unacknowledged,
+// it sends an empty append if force is set and nothing otherwise.
 func (n *Node) sendAppend(id MemberID, p *progress, now time.Time, force bool) {
 	prevTerm, ok := n.log.term(p.next - 1)
 	if !ok {
--- a/quorum/log.go
+++ b/quorum/log.go
@@ -9,10 +9,10 @@
 	base     uint64 // index of the entry before entries[0]
 	baseTerm uint64 // its term
 	entries  []Entry
-	configs  []config // in ascending order of index; the last is in force
+	configs  []config // in ascending order of index; the last one applies
 }
 
-// config is the group's membership from a log index on.
+// config is the group's membership from the entry at index on.
 type config struct {
 	index   uint64
 	members []Member
@@ -55,7 +55,7 @@
 	}
 }
 
-// truncate removes the entries from index i on and the memberships they set.
+// truncate removes the entries from index i on, and the memberships that they set.
 func (l *log) truncate(i uint64) {
 	l.entries = l.entries[: i-l.base-1 : i-l.base-1]
 	for len(l.configs) > 1 && l.configs[len(l.configs)-1].index >= i {
@@ -82,7 +82,7 @@
 
 func (l *log) members() []Member { return l.configs[len(l.configs)-1].members }
 
-// membersAt returns the membership in force at index i.
+// membersAt returns the membership that applies at index i.
 func (l *log) membersAt(i uint64) []Member {
 	k := sort.Search(len(l.configs), func(k int) bool { return l.configs[k].index > i })
 	if k == 0 {
@@ -91,8 +91,8 @@
 	return l.configs[k-1].members
 }
 
-// compact installs snapshot s and removes the entries up to its index except the
-// last keep of them.
+// compact installs snapshot s and removes the entries up to its index, except the
+// last ones: at most keep entries, of at most trailingBytes in total.
 func (l *log) compact(s Snapshot, keep uint64) {
 	if s.Index <= l.snap.Index || s.Index > l.last() {
 		return
@@ -113,7 +113,7 @@
 }
 
 // keepFrom returns the index before the first entry to keep when the log is
-// compacted at index: at most keep entries, of at most trailingBytes in total.
+// compacted at index. See compact for the limits.
 func (l *log) keepFrom(index, keep uint64) uint64 {
 	size := 0
 	for i := index; i > l.base; i-- {
--- a/quorum/losses_test.go
+++ b/quorum/losses_test.go
@@ -36,7 +36,7 @@
 // wipe kills a replica and starts an empty incarnation of the same name.
 func (g *group) wipe(id MemberID) {
 	g.crash(id)
-	g.replicas[id].frozen = true // its disk is lost for good
+	g.replicas[id].frozen = true // its disk is lost, so it never starts again
 	inc := len(g.order)
 	g.add(MemberID(fmt.Sprintf("%s#%d", id[:2], inc)), Snapshot{})
 }
@@ -74,7 +74,8 @@
 	g.t.Fatalf("%q was not committed", data)
 }
 
-// TestTwoLosses loses two disks of five in each order and timing that the users require.
+// TestTwoLosses loses two disks of five at once, one after the other, during a repair and before a
+// power loss. The group must recover and lose nothing that was acknowledged.
 func TestTwoLosses(t *testing.T) {
 	for a := range wantedVoters {
 		for b := range a {
@@ -191,7 +192,7 @@
 		}
 		g.step(crash)
 	}
-	g.net = nil // messages that the last step still sent
+	g.net = nil // drops messages that were sent in the last step after the power loss
 	for _, e := range g.committed {
 		if e.Kind == EntryCommand {
 			acked = append(acked, string(e.Data))
@@ -297,9 +298,9 @@
 	}
 }
 
-// TestStandbysSilentWithVoters partitions two voters and all standbys at once. Such a
-// standby must not be promoted, or the three voters that are left would be no majority;
-// they must keep committing.
+// TestStandbysSilentWithVoters partitions two voters and all standbys at once. The three
+// voters that are left must keep committing. If a partitioned standby were promoted, they
+// would be no majority.
 func TestStandbysSilentWithVoters(t *testing.T) {
 	const standbys = 2
 	for seed := range uint64(60) {
@@ -493,7 +494,7 @@
 	})
 }
 
-// repairs has the leader add running replicas and repair the group, and returns the reasons
+// repairs makes the leader add running replicas and repair the group, and returns the reasons
 // of the repairs in order.
 func (g *group) repairs() (whys []Reason) {
 	for range 800 {
--- a/quorum/members.go
+++ b/quorum/members.go
@@ -44,8 +44,8 @@
 	return changes
 }
 
-// maxPromotionLag is how many entries a non-voting replica may lag behind the
-// commit index when it becomes a voter.
+// maxPromotionLag is the maximum number of entries by which a non-voting replica
+// may lag behind the commit index when it becomes a voter.
 const maxPromotionLag = 10
 
 // Join returns the members with m added as a non-voting replica; ok is false if it
@@ -194,8 +194,9 @@
 	})
 }
 
-// withReplacement returns the members with the standby promoted to replace a silent
-// voter; ok is false while too few voters answer for a group of one more.
+// withReplacement returns the members with the standby promoted, so that another
+// voter can then be removed or demoted; ok is false unless a majority of the voters,
+// including the promoted one, have answered recently.
 func (n *Node) withReplacement(standby int, now time.Time) (next []Member, ok bool) {
 	next = n.withVoter(standby)
 	return next, n.hasQuorum(next, recentTimeouts, now)
--- a/quorum/node.go
+++ b/quorum/node.go
@@ -37,7 +37,7 @@
 	electionAt      time.Time
 	leaderContactAt time.Time
 
-	votes map[MemberID]bool
+	votes map[MemberID]bool // replies to the current campaign: true if granted
 
 	// Leader only.
 	peers         map[MemberID]*progress
@@ -45,8 +45,8 @@
 	quorumCheckAt time.Time // next check that a quorum answers
 	termStart     uint64    // index of the first entry of the leader's own term
 
-	pending   Ready
-	hardDirty bool
+	pending   Ready // work that Ready has not returned yet
+	hardDirty bool  // hard has changed since the last Ready
 
 	transferCampaign bool // the leader requested the campaign
 
@@ -61,12 +61,12 @@
 
 // progress is the replication progress of another replica, tracked by the leader.
 type progress struct {
-	match          uint64
-	next           uint64
-	ackedNS        int64 // newest SentNS that it echoed (leader's clock)
-	nextSnapshotAt time.Time
-	trackedSinceNS int64 // leader's clock when tracking began; silence counts from then at the earliest
-	probedNS       int64 // leader's clock at the last append sent after a rejection
+	match          uint64    // highest index up to which its log is known to match
+	next           uint64    // index of the next entry to send
+	ackedNS        int64     // newest SentNS in its replies (leader's clock)
+	nextSnapshotAt time.Time // earliest time of the next snapshot
+	trackedSinceNS int64     // leader's clock when tracking began; silence counts from then at the earliest
+	probedNS       int64     // leader's clock at the last append sent after a rejection
 }
 
 // New returns a replica that resumes from its stored hard state, snapshot and
@@ -113,8 +113,8 @@
 // log that has a later last term, or the same and at least its own length.
 func (n *Node) LastTerm() uint64 { return n.log.lastTerm() }
 
-// HasEntry reports whether the log has an entry with this index and term that is
-// not compacted.
+// HasEntry reports whether the log has an entry with this index and term, and has
+// not compacted it.
 func (n *Node) HasEntry(index, term uint64) bool {
 	t, ok := n.log.term(index)
 	return ok && t == term
@@ -124,7 +124,7 @@
 func (n *Node) SnapshotIndex() uint64 { return n.log.snap.Index }
 
 // CommittedInTerm reports whether this replica leads and has committed an entry of
-// its own term. Before that, its commit index may be too low.
+// its own term. Before that, its commit index may be lower than that of the group.
 func (n *Node) CommittedInTerm() bool { return n.role == Leader && n.commit >= n.termStart }
 
 // Member returns the member with the given ID.
@@ -155,7 +155,7 @@
 	return ids
 }
 
-// NextDeadline is when Tick is next due.
+// NextDeadline returns when Tick is next due.
 func (n *Node) NextDeadline() time.Time {
 	if n.role == Leader && n.quorumCheckAt.Before(n.heartbeatAt) {
 		return n.quorumCheckAt
@@ -166,7 +166,8 @@
 	return n.electionAt
 }
 
-// Tick does the work of deadlines that have passed.
+// Tick does the work of deadlines that have passed: a campaign, or a leader's
+// heartbeats and its check that a quorum answers.
 func (n *Node) Tick(now time.Time) {
 	if n.role == Leader {
 		n.tickLeader(now)
@@ -237,7 +238,8 @@
 	return true
 }
 
-// rejectStale sends the current term to the sender of a message of a past term.
+// rejectStale answers an append, a snapshot or a pre-vote of a past term with the
+// current term. Other messages of a past term are ignored.
 func (n *Node) rejectStale(m Message) {
 	switch m.Type {
 	case MsgAppend, MsgSnapshot:
@@ -264,8 +266,8 @@
 }
 
 // leaderAlive reports whether this replica had contact with a leader within the
-// minimum election timeout, or with a quorum if it leads. Votes for others are
-// refused then.
+// minimum election timeout, or with a quorum if it leads. While it is true, votes
+// for others are refused, except in a leadership transfer.
 func (n *Node) leaderAlive(now time.Time) bool {
 	if n.role == Leader {
 		return now.Sub(n.QuorumContact(now)) < n.cfg.ElectionTimeout
@@ -325,8 +327,8 @@
 
 // Committed returns the newly committed entries and counts them as applied. On a
 // leader they may be durable only on other replicas, so that a stalled disk of the
-// leader does not delay them. On others they are durable on this replica too, so
-// that they come after a snapshot that is still being written.
+// leader does not delay them. On any other replica they are durable there too, so
+// that a snapshot that is still being written is installed before them.
 func (n *Node) Committed() []Entry {
 	upTo := n.commit
 	if n.role != Leader {
--- a/quorum/overlapping_losses_test.go
+++ b/quorum/overlapping_losses_test.go
@@ -69,8 +69,9 @@
 	}
 }
 
-// healthy reports whether the wanted voters run and have everything committed, so that
-// earlier disk losses no longer count.
+// healthy reports whether there are wantedVoters, all of which run and have everything
+// committed. Disk losses before that no longer count towards the losses that the group
+// tolerates.
 func (s *hostGroup) healthy() bool {
 	l := s.leader()
 	if l == nil || l.node.Voters() < wantedVoters || l.node.changePending() {
@@ -82,8 +83,8 @@
 	})
 }
 
-// injectFault partitions hosts, restarts all, loses a disk, kills a replica or does
-// nothing.
+// injectFault partitions hosts, reconnects and restarts all, makes a host lose its disk,
+// kills a replica, or does nothing.
 func (s *hostGroup) injectFault(rng *rand.Rand) {
 	name := s.names[rng.IntN(len(s.names))]
 	switch rng.IntN(8) {
--- a/quorum/quorum.go
+++ b/quorum/quorum.go
@@ -5,7 +5,7 @@
 // then takes a Ready that lists what to make durable, what to send and what to
 // apply.
 //
-//	n.Step(m, now)            // or Tick, Propose, ProposeMembers
+//	n.Step(m, now)            // or Tick, Propose, ProposeMembers and others
 //	rd := n.Ready()
 //	send(rd.EarlyMessages)    // appends need not wait for the leader's disk
 //	save(rd)                  // hard state, snapshot, entries; synced
@@ -109,15 +109,15 @@
 	From     MemberID    `cbor:"2,keyasint"`
 	To       MemberID    `cbor:"3,keyasint"`
 	Term     uint64      `cbor:"4,keyasint"`
-	LogIndex uint64      `cbor:"5,keyasint,omitempty"` // previous or last index
-	LogTerm  uint64      `cbor:"6,keyasint,omitempty"`
-	Commit   uint64      `cbor:"7,keyasint,omitempty"`
+	LogIndex uint64      `cbor:"5,keyasint,omitempty"` // appends: index of the entry before Entries; vote requests: index of the sender's last entry
+	LogTerm  uint64      `cbor:"6,keyasint,omitempty"` // term of the entry at LogIndex; rejections: term of the entry at Match
+	Commit   uint64      `cbor:"7,keyasint,omitempty"` // the leader's commit index
 	Entries  []Entry     `cbor:"8,keyasint,omitempty"`
 	Snapshot *Snapshot   `cbor:"9,keyasint,omitempty"`
 	Reject   bool        `cbor:"10,keyasint,omitempty"`
-	Match    uint64      `cbor:"11,keyasint,omitempty"` // replies: highest matching index, or a hint if rejected
-	SentNS   int64       `cbor:"12,keyasint,omitempty"` // leader's clock, Unix ns, echoed
-	Transfer bool        `cbor:"13,keyasint,omitempty"` // votes: the leader requested this campaign
+	Match    uint64      `cbor:"11,keyasint,omitempty"` // append replies: highest index up to which the logs match; rejections: highest index at which they may match
+	SentNS   int64       `cbor:"12,keyasint,omitempty"` // leader's clock when an append was sent, Unix ns; the reply repeats it
+	Transfer bool        `cbor:"13,keyasint,omitempty"` // vote requests: the leader requested this campaign
 }
 
 // Ready is the work that the caller does for a Node, in the order of the fields.
@@ -159,7 +159,7 @@
 type Config struct {
 	ID MemberID
 	// ElectionTimeout is the minimum time without contact from a leader before a
-	// replica campaigns. Each wait is drawn between one and two timeouts.
+	// replica campaigns. Each wait is random, between one and two timeouts.
 	ElectionTimeout time.Duration
 	// HeartbeatInterval is the time between appends to an idle replica.
 	HeartbeatInterval time.Duration
--- a/quorum/quorum_test.go
+++ b/quorum/quorum_test.go
@@ -28,14 +28,14 @@
 	now      time.Time
 	replicas map[MemberID]*replica
 	order    []MemberID
-	net      []Message
-	cut      map[[2]MemberID]bool
-	skew     map[MemberID]time.Duration // of a replica's clock against now
-	loss     float64
+	net      []Message                  // in flight
+	cut      map[[2]MemberID]bool       // by sender and receiver: all messages are lost
+	skew     map[MemberID]time.Duration // by how much a replica's clock is ahead of now
+	loss     float64                    // probability that a message is lost, and that it is duplicated
 
 	committed map[uint64]Entry    // by index, as first applied anywhere
 	leaders   map[uint64]MemberID // by term
-	members   []Member
+	members   []Member            // the founding members
 }
 
 func newGroup(t *testing.T, n int, seed uint64) *group {
@@ -184,6 +184,7 @@
 	}
 }
 
+// leader returns the running leader of the highest term that has committed in its term, or nil.
 func (g *group) leader() *replica {
 	var best *replica
 	for _, id := range g.order {
@@ -216,6 +217,7 @@
 	return index, ok
 }
 
+// heal ends all faults: it reconnects all replicas and restarts those that are down.
 func (g *group) heal() {
 	clear(g.cut)
 	g.loss = 0
@@ -301,6 +303,7 @@
 	return acked
 }
 
+// snapshot compacts a replica's log up to the last applied entry.
 func (g *group) snapshot(id MemberID) {
 	r := g.replicas[id]
 	if r.node == nil || r.node.applied <= r.snap.Index {
@@ -311,6 +314,8 @@
 	r.snap, r.entries = s, append([]Entry(nil), keep...)
 }
 
+// TestLostDisk checks that a voter that lost its disk rejoins under a new ID and gets a vote, and
+// that another voter may be lost right after that.
 func TestLostDisk(t *testing.T) {
 	g := newGroup(t, 3, 1)
 	g.waitLeader()
@@ -324,7 +329,7 @@
 	assert.Equal(t, voterCount(g), 3)
 	assert.Equal(t, g.replicas["c3#2"].node.CommitIndex(), g.waitLeader().node.CommitIndex())
 
-	// c1 is lost right after the repair: the other two go on without loss.
+	// c1 is lost right after the repair: the other two continue, and nothing committed is lost.
 	g.crash("c1#1")
 	g.run(300)
 	_, ok = g.propose("after")
@@ -382,6 +387,8 @@
 
 func voterCount(g *group) int { return g.waitLeader().node.Voters() }
 
+// TestEmptyReplicaDoesNotVote guards against electing a leader with the vote of a replica that has
+// lost its disk and has not joined again.
 func TestEmptyReplicaDoesNotVote(t *testing.T) {
 	g := newGroup(t, 3, 2)
 	g.waitLeader()
@@ -392,6 +399,8 @@
 	assert.Assert(t, g.leader() == nil, "a leader was elected with the vote of an empty replica")
 }
 
+// TestPartitionedLeader checks that a leader that reaches no other replica commits nothing, confirms
+// no reads, steps down, and does not disrupt the others on its return.
 func TestPartitionedLeader(t *testing.T) {
 	g := newGroup(t, 3, 3)
 	old := g.waitLeader()
@@ -411,7 +420,7 @@
 	})
 	t.Run("it does not confirm reads", func(t *testing.T) {
 		assert.Assert(t, !old.node.QuorumContact(g.now).After(at))
-		assert.Assert(t, old.node.Role() != Leader, "it still leads after %v", g.now.Sub(at))
+		assert.Assert(t, old.node.Role() != Leader, "the partitioned leader still leads after %v", g.now.Sub(at))
 	})
 	t.Run("it does not disrupt the others on its return", func(t *testing.T) {
 		l := g.waitLeader()
@@ -470,9 +479,11 @@
 		old.node.ConfirmLeadership(g.now)
 		g.step(nil)
 	}
-	assert.Assert(t, old.node.Role() != Leader, "it leads though no replica has answered for a second")
+	assert.Assert(t, old.node.Role() != Leader, "the partitioned leader still leads after a second without an answer")
 }
 
+// TestMembersOneAtATime checks that a change of two voters is refused, and a change while another
+// one is not committed.
 func TestMembersOneAtATime(t *testing.T) {
 	g := newGroup(t, 3, 5)
 	l := g.waitLeader()
@@ -484,7 +495,7 @@
 	assert.Assert(t, !ok, "a change was accepted while another was pending")
 }
 
-// TestPermanentReplacement loses replicas for good, one after the other, each replaced by
+// TestPermanentReplacement loses replicas permanently, one after the other, each replaced by
 // an empty one with another name. The group must return to three running voters each time,
 // also under load.
 func TestPermanentReplacement(t *testing.T) {
@@ -508,7 +519,7 @@
 		}
 		assert.Equal(t, voterCount(g), wanted, "round %d", round)
 		for _, m := range g.waitLeader().node.Members() {
-			assert.Assert(t, m.ID != lost, "round %d: %s is lost for good and still a member", round, lost)
+			assert.Assert(t, m.ID != lost, "round %d: %s is lost permanently and still a member", round, lost)
 		}
 	}
 }
@@ -528,7 +539,7 @@
 		}
 		old.node.TransferLeadership(g.now)
 		g.ready(old, nil)
-		g.run(15) // 75 ms; the least timeout is 100 ms
+		g.run(15) // 75 ms; the minimum election timeout is 100 ms
 		l := g.leader()
 		assert.Assert(t, l != nil && l.id != old.id, "seed %d: no new leader", seed)
 		_, ok = g.propose("after")
@@ -538,8 +549,8 @@
 	}
 }
 
-// TestTransferWithoutLiveFollower checks that a leader keeps its role if all followers are
-// down.
+// TestTransferWithoutLiveFollower checks that a leader keeps its role if it is to transfer it
+// while all followers are down.
 func TestTransferWithoutLiveFollower(t *testing.T) {
 	g := newGroup(t, 3, 5)
 	l := g.waitLeader()
@@ -554,9 +565,9 @@
 	assert.Equal(t, l.node.Role(), Leader)
 }
 
-// TestLeaderDisconnect reports the end of a dead leader's connections to its followers. In
-// most cases another replica leads before any election timeout has passed, or after one if
-// both campaign at once and split the votes. A leader that still runs stays.
+// TestLeaderDisconnect reports the end of a crashed leader's connections to its followers. In
+// most groups another replica must lead before any election timeout has passed; in the others
+// both followers campaign at once and split the votes. A leader that still runs keeps its role.
 func TestLeaderDisconnect(t *testing.T) {
 	const seeds, most = 40, 20
 	soon := 0
@@ -571,7 +582,7 @@
 				g.replicas[id].node.HandleDisconnect(old.id, g.now)
 			}
 		}
-		g.run(15) // 75 ms; the least timeout is 100 ms
+		g.run(15) // 75 ms; the minimum election timeout is 100 ms
 		if l := g.leader(); l != nil && l.id != old.id {
 			soon++
 		}
@@ -595,7 +606,8 @@
 	})
 }
 
-// TestCompactByBytes checks that few entries are kept behind a snapshot if they are large.
+// TestCompactByBytes checks that the entries kept before a snapshot's index are bounded by their
+// size, too.
 func TestCompactByBytes(t *testing.T) {
 	l := newLog(Snapshot{}, nil)
 	const size, count = 1 << 20, 40
--- a/quorum/spread.go
+++ b/quorum/spread.go
@@ -53,7 +53,8 @@
 // failure domains, as far as the standbys allow, so that the loss of one domain takes
 // as few voters as possible. First a standby is promoted, then a voter of the domain
 // with the most voters is demoted, so that there are never fewer voters than size. ok
-// is false when there is nothing to do, or while a voter does not answer.
+// is false when there is nothing to do, while a voter does not answer, or while the
+// domain of a voter is not known.
 func (n *Node) spread(size int, now time.Time) (next []Member, ok bool) {
 	voters, known := n.votersByDomain()
 	if !known || n.silentMember(true, recentTimeouts, now) >= 0 {
@@ -78,6 +79,7 @@
 	return n.withReplacement(promote, now)
 }
 
+// domainAt returns the failure domain of the member at a position, or "".
 func (n *Node) domainAt(pos int) rudderfork.Domain {
 	domain, _ := n.domainOf(n.log.members()[pos])
 	return domain
--- a/quorum/spread_test.go
+++ b/quorum/spread_test.go
@@ -62,9 +62,9 @@
 	return ""
 }
 
-// TestSpread founds groups whose voters are placed without regard to failure domains and
-// wipes hosts one after the other. The voters must be spread evenly each time, and never
-// fall more than one below wantedVoters meanwhile.
+// TestSpread founds groups whose voters are placed without regard to failure domains, and
+// makes hosts lose their disks one after the other. The voters must be spread evenly each
+// time, and never be more than one fewer than wantedVoters meanwhile.
 func TestSpread(t *testing.T) {
 	const seeds, settleSteps = 4, 600
 	for _, hosts := range []int{6, 7, 9} {
--- a/quorum/stale_test.go
+++ b/quorum/stale_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// The incarnations of replica c3: the founding one, one with an empty disk that never
-// became a member, and the current one.
+// The incarnations of replica c3: the founding one, a later one that never became a member,
+// and the current one.
 const (
 	foundingID = MemberID("c3#1")
 	missedID   = MemberID("c3#9")
--- a/quorum/view.go
+++ b/quorum/view.go
@@ -15,8 +15,8 @@
 	replies, previousReplies map[MemberID]bool
 }
 
-// maxTrackedSenders bounds the tracked replicas that are not members: past
-// incarnations and those that request to join.
+// maxTrackedSenders bounds the tracked replicas. Those that are not members, past
+// incarnations and replicas that request to join, are dropped at the limit.
 const maxTrackedSenders = 64
 
 func newPeerView() peerView { return peerView{lastMessageAt: map[MemberID]time.Time{}} }
--- a/quorum/view_test.go
+++ b/quorum/view_test.go
@@ -111,7 +111,8 @@
 	return ""
 }
 
-// TestTrackedSendersBounded sends messages from many replicas that are not members.
+// TestTrackedSendersBounded checks that messages from many replicas that are not members take
+// bounded memory, and that the times of members are kept.
 func TestTrackedSendersBounded(t *testing.T) {
 	members := []Member{{ID: "c1#1", Voter: true}, {ID: "c2#1", Voter: true}}
 	now := time.Unix(1000, 0)
