--- a/replica/bootstrap_test.go
+++ b/replica/bootstrap_test.go
@@ -19,7 +19,7 @@
 		open, short := g.Check(false, true, 5, 5, now)
 		assert.Assert(t, open && !short)
 		open, _ = g.Check(false, true, 4, 5, now)
-		assert.Assert(t, open, "an open group stays open with fewer voters")
+		assert.Assert(t, open, "an open group is closed again with fewer voters")
 	})
 	t.Run("a new group does not wait for ever", func(t *testing.T) {
 		var g bootstrapGate
@@ -29,7 +29,7 @@
 		open, short := g.Check(false, true, 3, 5, now.Add(bootstrapTimeout))
 		assert.Assert(t, open && short)
 		_, short = g.Check(false, true, 3, 5, now.Add(2*bootstrapTimeout))
-		assert.Assert(t, !short, "the shortage is reported once")
+		assert.Assert(t, !short, "the shortage is reported a second time")
 	})
 	t.Run("a new leader waits anew", func(t *testing.T) {
 		var g bootstrapGate
@@ -46,7 +46,7 @@
 }
 
 // TestFirstCommandReachesAllVoters guards against the loss of a first command that only the
-// founders hold: a group founded by three of five voters acknowledges a command, and then two
+// founders have stored: a group founded by three of five voters acknowledges a command, and then two
 // founders lose their disks.
 func TestFirstCommandReachesAllVoters(t *testing.T) {
 	for range 5 {
--- a/replica/disk_full_test.go
+++ b/replica/disk_full_test.go
@@ -20,7 +20,7 @@
 type fullStore struct {
 	Store
 	full    atomic.Bool
-	refused atomic.Int64
+	refused atomic.Int64 // writes that failed because the disk was full
 }
 
 func (s *fullStore) Save(rd quorum.Ready) error {
@@ -31,6 +31,8 @@
 	return s.Store.Save(rd)
 }
 
+// commitVersion proposes a document with this version, and waits for the result for at most a
+// second.
 func commitVersion(ctx context.Context, r *Replica, version uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -99,10 +101,10 @@
 	for v := range uint64(10) {
 		waitUntil(t, "a command succeeds", func() bool { return commitVersion(t.Context(), r, v+1) == nil })
 	}
-	assert.Equal(t, store.refused.Load(), int64(1), "the snapshot is not retried at once")
+	assert.Equal(t, store.refused.Load(), int64(1), "the snapshot was retried at once")
 }
 
-// logOnly is a store with space for the log, but not for snapshots.
+// logOnly is a store whose disk has space for the log, but not for snapshots.
 type logOnly struct {
 	Store
 	refused atomic.Int64
--- a/replica/identity.go
+++ b/replica/identity.go
@@ -31,7 +31,8 @@
 	return name
 }
 
-// Seed derives a random seed from a name, so that replicas draw different election timeouts.
+// Seed derives a random seed from a name, so that the replicas of a group have different random
+// election timeouts.
 func Seed(name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name)) // never fails
@@ -39,7 +40,8 @@
 }
 
 // OpenStore opens the data folder of a replica. An empty folder is formatted under a new member ID,
-// so that the replica joins its group as a new member; a corrupt one is moved aside first.
+// so that the replica joins its group as a new member. A corrupt folder is renamed first, and is then
+// replaced by an empty one.
 func OpenStore(dir, name, group string, log zerolog.Logger) (*disk.Store, error) {
 	store, err := disk.Open(dir)
 	if errors.Is(err, disk.ErrCorrupt) {
--- a/replica/losses_test.go
+++ b/replica/losses_test.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	// wantedVoters tolerate the loss of two.
+	// wantedVoters is the size of a group that tolerates the loss of two replicas.
 	wantedVoters = 5
 	// joinRetryInterval is the time between two join requests of a replica that is not a member.
 	joinRetryInterval = 20 * time.Millisecond
@@ -103,7 +103,7 @@
 	}
 }
 
-// newCluster starts a group of wantedVoters founders that has acknowledged a document.
+// newCluster starts a group of wantedVoters founding members that has acknowledged a document.
 func newCluster(t *testing.T, snapshotEvery uint64) *cluster {
 	t.Helper()
 	c := newClusterOf(t, snapshotEvery, wantedVoters)
@@ -111,7 +111,8 @@
 	return c
 }
 
-// emptyCluster has wantedVoters names of replicas, none of which has a data folder yet.
+// emptyCluster returns a cluster of wantedVoters replicas, none of which has a data folder or runs
+// yet.
 func emptyCluster(t *testing.T, snapshotEvery uint64) *cluster {
 	t.Helper()
 	c := &cluster{t: t, root: t.TempDir(), snapshotEvery: snapshotEvery, skew: map[string]time.Duration{}, running: map[quorum.MemberID]*runningReplica{}}
@@ -165,7 +166,7 @@
 }
 
 // stopAll stops all replicas at once, as a power failure does. Writes in progress are completed,
-// but no message about them arrives.
+// but messages sent after them are lost.
 func (c *cluster) stopAll() {
 	c.mu.Lock()
 	rs := c.running
--- a/replica/machine.go
+++ b/replica/machine.go
@@ -27,10 +27,10 @@
 
 	applied atomic.Uint64 // index of the last applied entry
 
-	workMu  sync.Mutex // guards what follows
-	work    []work     // oldest first
-	encoded *quorum.Snapshot
-	err     error
+	workMu  sync.Mutex       // guards what follows
+	work    []work           // oldest first
+	encoded *quorum.Snapshot // result of the last request to encode; nil once taken
+	err     error            // the error that has stopped the machine, or nil
 
 	mu    sync.RWMutex // guards what follows
 	state *state.State
@@ -118,6 +118,7 @@
 	}
 }
 
+// fail records the error that stops the machine.
 func (m *stateMachine) fail(err error) {
 	m.workMu.Lock()
 	defer m.workMu.Unlock()
--- a/replica/metrics.go
+++ b/replica/metrics.go
@@ -116,7 +116,8 @@
 	return newest
 }
 
-// countVoters returns the number of voters, and how many of these are present.
+// countVoters returns the number of voters, and how many of these are present: this replica and those
+// whose last message arrived within presenceWindow.
 func countVoters(st Status, now time.Time) (voters, present int) {
 	for _, m := range st.Members {
 		if !m.Voter {
--- a/replica/metrics_test.go
+++ b/replica/metrics_test.go
@@ -120,7 +120,8 @@
 	}, poll.WithTimeout(joinLimit))
 }
 
-// TestMemberMetrics has two incarnations of a replica among the members: they share a label.
+// TestMemberMetrics has two incarnations of a replica among the members. They share a label, so only
+// the age of the newest message of both may be exported.
 func TestMemberMetrics(t *testing.T) {
 	r := newReplica(t)
 	now := steady.Now()
--- a/replica/peers.go
+++ b/replica/peers.go
@@ -26,8 +26,8 @@
 	joinInterval = 300 * time.Millisecond
 	// linkKind is the label of the links in metrics.
 	linkKind = "replica"
-	// dialTimeoutFactor times the silence limit is the timeout for connecting: a hanging attempt is
-	// repeated about when TCP's own retransmission would come.
+	// dialTimeoutFactor times the silence limit is the timeout for connecting. An attempt without an
+	// answer is then repeated at about the time of TCP's own first retransmission.
 	dialTimeoutFactor = 2
 )
 
@@ -38,8 +38,8 @@
 // the replica.
 //
 // The addresses are the configured ones, those of the group's members, and those of processes that
-// have dialled this one: a replica without a log learns only from the leader's link where to send
-// its responses.
+// have dialled this one: a replica with an empty log does not know the members, and learns only from
+// the leader's first message where to send its responses.
 type Peers struct {
 	self     quorum.Member
 	dial     map[string]string // address by member name, where it differs from that of the member
@@ -47,12 +47,12 @@
 	log      zerolog.Logger
 
 	mu      sync.Mutex
-	seeds   []string
+	seeds   []string // configured addresses
 	members []quorum.Member
-	inbound map[quorum.MemberID]string // addresses of processes that have dialled
-	joined  bool
-	links   map[string]*link // by address
-	changed wakeup.Signal    // the set of addresses may have changed
+	inbound map[quorum.MemberID]string // addresses of the processes that have dialled this one
+	joined  bool                       // this replica is a member and knows a leader
+	links   map[string]*link           // by address
+	changed wakeup.Signal              // the set of addresses may have changed
 }
 
 // link is the outgoing connection to one peer.
@@ -153,9 +153,9 @@
 	p.changed.Set()
 }
 
-// forwardJoin forwards the join request of another replica to the leader, over one hop. The replica
-// knows only its configured addresses, and the leader may be at none of them; without forwarding it
-// would never become a member.
+// forwardJoin forwards the join request of another replica to the leader. A forwarded request is not
+// forwarded again. The replica knows only its configured addresses, and the leader may be at none of
+// them; without forwarding it would never become a member.
 func (p *Peers) forwardJoin(m quorum.Member, leader quorum.Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -164,6 +164,7 @@
 	}
 }
 
+// push queues a message. It drops the message if the queue is full.
 func (l *link) push(m wire.Peer) {
 	select {
 	case l.queue <- m:
@@ -202,8 +203,8 @@
 	}
 }
 
-// updateLinks closes links to addresses that are no longer wanted, and returns the new links to
-// run. The caller holds mu.
+// updateLinks closes the links to addresses that are no longer in use, and returns the new links,
+// which the caller has to run. The caller holds mu.
 func (p *Peers) updateLinks() (fresh []*link) {
 	want := map[string]bool{}
 	for _, a := range p.seeds {
@@ -258,8 +259,8 @@
 	return wire.Dial[wire.Peer, wire.Peer](ctx, "ws://"+addr+"/peer", p.liveness)
 }
 
-// clearQueue drops the messages queued for a peer that cannot be reached: they would be stale once
-// the link is back.
+// clearQueue drops the messages queued for a peer that cannot be reached: they would be out of date
+// once it can be reached again.
 func (l *link) clearQueue() {
 	for {
 		select {
@@ -270,6 +271,8 @@
 	}
 }
 
+// sendLoop sends the queued messages on a connection, and join requests while this replica has not
+// joined, until the connection closes or ctx ends.
 func (p *Peers) sendLoop(ctx context.Context, l *link, c *wire.Conn[wire.Peer, wire.Peer]) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/replica/peers_test.go
+++ b/replica/peers_test.go
@@ -112,7 +112,7 @@
 		}
 		for _, w := range want {
 			if !voters[w.self.ID] {
-				return poll.Continue("%s is no voter among %v", w.self.ID, voters)
+				return poll.Continue("%s is not among the voters %v", w.self.ID, voters)
 			}
 		}
 		if len(voters) != len(want) {
@@ -140,7 +140,7 @@
 }
 
 // TestVotersOverDomains starts three voters in one failure domain, then two replicas in other
-// domains: the votes move to them.
+// domains: these must replace two of the voters.
 func TestVotersOverDomains(t *testing.T) {
 	a := startInDomain(t, "north", "a", true)
 	b := startInDomain(t, "north", "b", false, a.self.Addr)
@@ -153,7 +153,7 @@
 }
 
 // TestEarlierIncarnationDials records a connection of an earlier incarnation after a later one has
-// joined: neither is sent messages for the other.
+// joined: neither may be sent messages for the other.
 func TestEarlierIncarnationDials(t *testing.T) {
 	self := quorum.Member{ID: MemberID("a", FoundingIncarnation), Name: "a", Addr: "127.0.0.1:1"}
 	now := quorum.Member{ID: MemberID("b", "now"), Name: "b", Addr: "127.0.0.1:2", Voter: true}
--- a/replica/reads.go
+++ b/replica/reads.go
@@ -10,7 +10,7 @@
 // read is a linearizable read: it waits until a quorum has confirmed the leader, and then until the
 // commit index of that time is applied.
 type read struct {
-	at     time.Time
+	at     time.Time  // when it started
 	commit uint64     // index to wait for, set when the read is confirmed
 	done   chan error // buffered
 }
@@ -41,6 +41,8 @@
 	})
 }
 
+// confirmReads moves the reads that a quorum has confirmed to confirmedReads, and fails all others if
+// this replica no longer leads.
 func (r *Replica) confirmReads() {
 	if len(r.unconfirmedReads) == 0 {
 		return
--- a/replica/replaced_entries_test.go
+++ b/replica/replaced_entries_test.go
@@ -21,7 +21,7 @@
 	released := make(chan struct{})
 	store.block(released)
 	before := r.Status()
-	const commands = 4 // the later leaders have fewer entries in their place
+	const commands = 4 // more than the entries that the later leaders append in their place
 	results := make(chan error, commands)
 	for i := range uint64(commands) {
 		go func() {
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -60,10 +60,10 @@
 	msgs          chan quorum.Message
 	proposals     chan proposal
 	reads         chan read
-	joins         chan quorum.Member
-	transfers     chan struct{}
-	disconnects   chan quorum.MemberID
-	domainReports chan quorum.Member
+	joins         chan quorum.Member   // replicas that request to join
+	transfers     chan struct{}        // requests to transfer the leadership
+	disconnects   chan quorum.MemberID // replicas whose connection has closed
+	domainReports chan quorum.Member   // connected replicas with their failure domains
 
 	machine *stateMachine
 	writer  *writer
@@ -75,11 +75,11 @@
 	unconfirmedReads []read              // not yet confirmed by a quorum
 	confirmedReads   []read              // wait until their commit index is applied
 	writing          *write              // in progress, or nil
-	logBytes         int64
-	snapshotIndex    uint64
-	nextSnapshotAt   time.Time        // back-off after a full disk
-	snapshotting     bool             // a snapshot is being encoded or written
-	encoded          *quorum.Snapshot // to be written next, or nil
+	logBytes         int64               // size of the log on disk
+	snapshotIndex    uint64              // of the newest snapshot on disk or being installed
+	nextSnapshotAt   time.Time           // earliest time of the next snapshot after one found the disk full; zero for none
+	snapshotting     bool                // a snapshot is being encoded or written
+	encoded          *quorum.Snapshot    // to be written next, or nil
 	shortage         voterShortage
 	bootstrap        bootstrapGate
 	hasCommands      bool // a command was ever committed
@@ -116,12 +116,14 @@
 // handling a message needs no copy. Metrics are fetched every few seconds.
 const lastMessageInterval = 100 * time.Millisecond
 
+// proposal is a command that waits for its result.
 type proposal struct {
-	data  []byte
-	term  uint64
+	data  []byte       // encoded command
+	term  uint64       // in which it was proposed; 0 before
 	reply chan outcome // buffered
 }
 
+// outcome is the result of a command, or the reason why there is none.
 type outcome struct {
 	result state.Result
 	err    error
@@ -129,10 +131,10 @@
 
 // Config configures a Replica.
 type Config struct {
-	ElectionTimeout time.Duration
-	Heartbeat       time.Duration
-	SnapshotEvery   uint64
-	Seed            uint64
+	ElectionTimeout time.Duration // minimum time without a leader before a campaign
+	Heartbeat       time.Duration // time between appends to an idle replica
+	SnapshotEvery   uint64        // applied entries between snapshots
+	Seed            uint64        // of the random election timeouts; see the function Seed
 
 	// Voters is the target number of voters, 2f+1 to tolerate the loss of f. Further replicas
 	// follow as standbys. 0 means that all members vote.
@@ -213,14 +215,14 @@
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			// The content of the disk is unknown after a failed write; only a restart may read it.
+			// The content of the disk is unknown after a failed write. A restart reads it again.
 			r.log.Error().Err(err).Msg("replica_failed")
 			return fmt.Errorf("%w: %w", suture.ErrTerminateSupervisorTree, err)
 		}
 	}
 }
 
-// handleQueued handles inputs that are already queued, at most maxBatch.
+// handleQueued handles messages, proposals and reads that are already queued, at most maxBatch.
 func (r *Replica) handleQueued() {
 	for range maxBatch {
 		select {
@@ -250,8 +252,8 @@
 	r.inFlight[index] = p
 }
 
-// failReplaced answers commands whose entries are no longer in the log because a later leader has
-// replaced them, or a snapshot has.
+// failReplaced answers the callers of commands whose entries are no longer in the log, because a
+// later leader or a snapshot has replaced them.
 func (r *Replica) failReplaced() {
 	if len(r.inFlight) == 0 || r.node.Term() == r.inFlightTerm {
 		return
@@ -333,6 +335,7 @@
 	}
 }
 
+// install queues a snapshot of the leader for the state machine.
 func (r *Replica) install(s quorum.Snapshot) {
 	r.machine.Add(work{snapshot: &s})
 	r.snapshotIndex = s.Index
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -47,7 +47,8 @@
 	t.Cleanup(func() { cancel(); <-done })
 }
 
-// TestTicksUnderLoad guards against a replica that misses its deadlines while messages flood in.
+// TestTicksUnderLoad guards against a replica that misses its deadlines while more messages arrive
+// than it can handle.
 func TestTicksUnderLoad(t *testing.T) {
 	r := newReplica(t)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -81,7 +82,7 @@
 	r := newReplica(t)
 	r.snapshotEvery = 1 << 40
 	serve(t, r)
-	const each, count = 1 << 20, 48
+	const each, count = 1 << 20, 48 // bytes per document, documents
 	for i := range count {
 		d := queue.Document{Version: uint64(i + 1), Text: make([]byte, each)}
 		for {
--- a/replica/report.go
+++ b/replica/report.go
@@ -16,12 +16,12 @@
 	noLeaderInterval = time.Second
 	// joinLogInterval is the time between two log lines about the join requests of the same
 	// replica, which come several times a second. Without a leader every replica sends them to
-	// every other, and the lines must not crowd out the rest.
+	// every other, and so many lines would push all others out of a log of limited size.
 	joinLogInterval = 5 * time.Second
 	// statusInterval is the time between two log lines with the status of the group: as often as
 	// metrics are fetched, so that the last few seconds of a truncated log contain one.
 	statusInterval = 5 * time.Second
-	// maxJoinLogs bounds the entries of reporter.nextJoinLogAt.
+	// maxJoinLogs is the maximum number of entries of reporter.nextJoinLogAt.
 	maxJoinLogs = 64
 )
 
@@ -31,23 +31,23 @@
 	joinAlreadyMember      = "already_member"   // it sends requests because it knows no leader
 	joinNotCommittedInTerm = "leader_unsettled" // the leader has not committed in its term
 	joinChangePending      = "members_changing" // an earlier change of members is not committed
-	// joinOtherIncarnation means that another incarnation of the replica is a member and is still
-	// heard from.
+	// joinOtherIncarnation means that another incarnation of the replica is a member and still
+	// answers.
 	joinOtherIncarnation = "other_life_answers"
 )
 
 // reporter logs the replica's view of its group: at its start, at each change of members, and
-// periodically, since only the end of a log may be left. It belongs to the goroutine that owns the
-// node.
+// periodically, since only the end of a log may have been kept. It belongs to the goroutine that
+// owns the node.
 type reporter struct {
 	log        zerolog.Logger
 	send       Sender
 	wantVoters int // target number of voters
 
-	members         []quorum.Member // as last logged
-	leaderlessSince time.Time       // when the last leader was lost; zero while one is known
-	nextNoLeaderAt  time.Time       // next check for a missing leader or membership
-	nextStatusAt    time.Time
+	members         []quorum.Member          // as last logged
+	leaderlessSince time.Time                // when the last leader was lost; zero while one is known
+	nextNoLeaderAt  time.Time                // next check for a missing leader or membership
+	nextStatusAt    time.Time                // next log line with the status of the group
 	nextJoinLogAt   map[joinLogKey]time.Time // earliest time of the next line
 }
 
@@ -74,7 +74,8 @@
 	addGroup(e, n.Members()).Msg("replica_opened")
 }
 
-// Observe writes the log lines that are due.
+// Observe writes the log lines that are due: those about changed members, a missing leader and the
+// status of the group.
 func (p *reporter) Observe(n *quorum.Node, now time.Time) {
 	if !slices.Equal(p.members, n.Members()) {
 		p.logMembers(n)
--- a/replica/report_test.go
+++ b/replica/report_test.go
@@ -39,7 +39,7 @@
 	return r
 }
 
-// wait advances the clock without a message.
+// wait advances the clock by d. No messages arrive meanwhile.
 func (r *reporterTest) wait(d time.Duration) {
 	for end := r.now.Add(d); r.now.Before(end); {
 		r.now = r.now.Add(10 * time.Millisecond)
@@ -149,6 +149,7 @@
 	})
 }
 
+// TestReportJoin checks the log lines about join requests, at both ends.
 func TestReportJoin(t *testing.T) {
 	t.Run("the joining replica logs its requests repeatedly", func(t *testing.T) {
 		r := newReporterTest(t, "c2#x", nil)
--- a/replica/shortage.go
+++ b/replica/shortage.go
@@ -3,7 +3,8 @@
 import "time"
 
 // shortageDelay is how long a leader waits for replicas to join before it warns that there are too
-// few voters. The hosts of a whole system start within a second of each other.
+// few voters. When a whole system starts, its hosts start within a second of each other, so that a
+// normal start causes no warning.
 const shortageDelay = 10 * time.Second
 
 // voterShortage detects that a group has fewer voters than it needs to tolerate the configured
--- a/replica/silent_links_test.go
+++ b/replica/silent_links_test.go
@@ -37,7 +37,8 @@
 	timeout  time.Duration               // election timeout
 }
 
-// startProxied runs founders that form a group. Joiners are prepared, but not started.
+// startProxied runs founding members that form a group. Joiners, replicas that join later, are
+// prepared but not started.
 func startProxied(t *testing.T, founders, joiners int) *proxiedGroup {
 	t.Helper()
 	return startProxiedWithTimeout(t, electionTimeout, founders, joiners)
@@ -62,8 +63,8 @@
 	return g
 }
 
-// startNext runs the next replica: a founder, or a joiner with the addresses of two members as
-// seeds.
+// startNext runs the next replica: a founding member, or a joiner with the addresses of two members
+// as seeds.
 func (g *proxiedGroup) startNext() {
 	g.t.Helper()
 	i := len(g.reps)
@@ -89,6 +90,7 @@
 	return g.links[key].Addr()
 }
 
+// dial returns the addresses of the proxies through which a replica dials the others, by name.
 func (g *proxiedGroup) dial(from int, members []quorum.Member) map[string]string {
 	dial := map[string]string{}
 	for to, m := range members {
@@ -161,9 +163,9 @@
 // bothDirections is both directions of a link.
 var bothDirections = []faultlink.Direction{faultlink.ToTarget, faultlink.ToDialer}
 
-// TestSilentLinks guards against links that go silent without being closed, as when a device on the
-// way loses their state, while new connections work. A replica wrote to such links for ever, and
-// waited on accepted ones without a timeout, so that the group lost its leader for good.
+// TestSilentLinks guards against links that stay open while nothing passes, because a device on the
+// path has dropped their state, while new connections work. A replica that writes to such links for
+// ever, and waits on accepted ones without a timeout, leaves the group without a leader permanently.
 func TestSilentLinks(t *testing.T) {
 	t.Run("all", func(t *testing.T) {
 		g := startProxied(t, 3, 0)
--- a/replica/snapshot.go
+++ b/replica/snapshot.go
@@ -25,8 +25,9 @@
 	}
 }
 
-// writeSnapshot replaces the log by a snapshot of the state once everything that it covers is
-// durable here. It drops the snapshot if the leader has sent a newer one meanwhile.
+// writeSnapshot replaces the log by a snapshot of the state once all entries that the snapshot
+// covers are durable on this replica. It drops the snapshot if the leader has sent a newer one
+// meanwhile.
 func (r *Replica) writeSnapshot(s quorum.Snapshot) {
 	if s.Index <= r.node.SnapshotIndex() {
 		r.encoded, r.snapshotting = nil, false
--- a/replica/stalled_leader_test.go
+++ b/replica/stalled_leader_test.go
@@ -13,13 +13,14 @@
 	"rudderfork.example/rudderfork/state"
 )
 
-// longElectionTimeout is far above the stalls of a busy host. A leader that is held up for ever is
-// still deposed.
+// longElectionTimeout is far above the stalls of a busy host, so that these cause no election. A
+// leader that sends nothing while it is blocked still loses its role, since the tests block it until
+// the group has committed.
 const longElectionTimeout = 2 * time.Second
 
-// TestHeldState guards against a leader that sends nothing while a reader holds its state, as a
-// long planner run does, and is deposed for it. The group commits meanwhile, and the proposals are
-// answered once the state is free.
+// TestHeldState guards against a leader that sends nothing while a reader locks its state, as a
+// long planner run does, and so loses its role. The group must commit meanwhile, and the proposals
+// must be answered once the reader has unlocked the state.
 func TestHeldState(t *testing.T) {
 	g := startProxiedWithTimeout(t, longElectionTimeout, 3, 0)
 	g.assertCommits(g.reps...)
@@ -33,7 +34,7 @@
 	})
 	<-held
 	results := assertGroupCommits(t, g, lead)
-	assert.Equal(t, len(results), 0, "answered before they were applied")
+	assert.Equal(t, len(results), 0, "commands were answered before they were applied")
 	release()
 	for range cap(results) {
 		assert.NilError(t, <-results)
@@ -41,7 +42,7 @@
 }
 
 // TestHeldDisk guards against a leader that neither reads nor sends messages during a sync. While
-// the leader's syncs are held up, the disks of the others suffice to commit and to answer.
+// the leader's writes are blocked, the disks of the others suffice to commit and to answer.
 func TestHeldDisk(t *testing.T) {
 	g := startProxiedWithTimeout(t, longElectionTimeout, 3, 0)
 	g.assertCommits(g.reps...)
@@ -55,8 +56,8 @@
 	}
 }
 
-// assertGroupCommits asserts that the group commits commands proposed to the leader while the
-// leader is held up. It returns a channel of their results.
+// assertGroupCommits asserts that the group commits commands that are proposed to the leader while
+// the leader is blocked. It returns a channel of their results.
 func assertGroupCommits(t *testing.T, g *proxiedGroup, lead int) <-chan error {
 	t.Helper()
 	const commands = 3
@@ -82,6 +83,7 @@
 	gate <-chan struct{} // saves wait until it is closed; nil if they need not wait
 }
 
+// block makes later saves wait until a channel is closed.
 func (s *gatedStore) block(until <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/replica/writer.go
+++ b/replica/writer.go
@@ -17,7 +17,8 @@
 	// diskFullRetryInterval is the time between two attempts to write to a full disk. It is short
 	// compared with the election timeout, so that the replica continues soon after space is free.
 	diskFullRetryInterval = 100 * time.Millisecond
-	// snapshotRetryInterval is the same for snapshots, which are encoded again for each attempt.
+	// snapshotRetryInterval is the same for snapshots. It is longer, since the state is encoded again
+	// for each attempt.
 	snapshotRetryInterval = 5 * time.Second
 )
 
@@ -72,6 +73,7 @@
 	}
 }
 
+// do does one write.
 func (w *writer) do(ctx context.Context, wr write) error {
 	if wr.snap != nil {
 		return w.store.SaveSnapshot(*wr.snap, wr.after)
@@ -84,9 +86,9 @@
 	return err
 }
 
-// save makes rd durable. While the disk is full it retries, as if the disk were slow: nothing that
-// depends on the write is acknowledged meanwhile, the group goes on, and the process serves what
-// needs no disk.
+// save makes rd durable. While the disk is full it retries, as if the disk were slow: meanwhile
+// nothing that depends on the write is acknowledged, the other replicas continue without this one,
+// and this process still serves what needs no disk.
 func (w *writer) save(ctx context.Context, rd quorum.Ready) error {
 	for tries := 0; ; tries++ {
 		err := w.store.Save(rd)
