--- a/runner/stale_model_test.go
+++ b/runner/stale_model_test.go
@@ -80,7 +80,7 @@
 	m := &staleModel{t: t, name: name, state: queue.New(), registered: -1}
 	m.exec = executor.New(name(0), executor.Config{
 		Now: func() time.Time { return time.Unix(1000, 0) },
-		Fate: func(string) executor.Fate {
+		Delivery: func(string) executor.Delivery {
 			if m.mute {
 				return executor.RequestLost
 			}
--- a/runs/cancel_test.go
+++ b/runs/cancel_test.go
@@ -57,7 +57,7 @@
 	for _, v := range c.vms {
 		v.exec = executor.New(v.nextIncarnation(), executor.Config{
 			Now: func() time.Time { return c.now }, ClockRate: 1 - 0.02*c.rng.Float64(), StopTime: stopLimit, ForgetsStops: forgets,
-			Fate: c.fate,
+			Delivery: c.delivery,
 			Delay: func(string) time.Duration {
 				return minDelay + time.Duration(c.rng.Int64N(int64(maxDelay-minDelay)))
 			},
@@ -68,9 +68,9 @@
 	return c
 }
 
-// fate delays half of the starts. It leaves every other stop of a run unanswered, in each of
+// delivery delays half of the starts. It leaves every other stop of a run unanswered, in each of
 // the ways in which a call can fail.
-func (c *cancelSimulation) fate(call string) executor.Fate {
+func (c *cancelSimulation) delivery(call string) executor.Delivery {
 	switch call {
 	case "start":
 		if c.rng.IntN(2) == 0 {
@@ -79,7 +79,7 @@
 	case "stop":
 		c.stopCalls[c.callRef]++
 		if c.stopCalls[c.callRef]%2 == 1 {
-			return []executor.Fate{executor.RequestLost, executor.ResponseLost, executor.Delayed}[c.rng.IntN(3)]
+			return []executor.Delivery{executor.RequestLost, executor.ResponseLost, executor.Delayed}[c.rng.IntN(3)]
 		}
 	}
 	return executor.Answered
@@ -207,7 +207,7 @@
 			})
 			v.restartAgent()
 			var sent time.Time
-			v.exec.SetFate(func(call string) executor.Fate {
+			v.exec.SetDelivery(func(call string) executor.Delivery {
 				if call == "start" {
 					if sent.IsZero() {
 						sent = s.now
--- a/runs/liveness_test.go
+++ b/runs/liveness_test.go
@@ -64,7 +64,7 @@
 func (l *livenessSimulation) useSlowExecutors() {
 	for _, v := range l.vms {
 		v.exec = executor.New(v.nextIncarnation(), executor.Config{
-			Now: func() time.Time { return l.now }, ClockRate: 1 - 0.02*l.rng.Float64(), StopTime: stopLimit, Fate: v.fate,
+			Now: func() time.Time { return l.now }, ClockRate: 1 - 0.02*l.rng.Float64(), StopTime: stopLimit, Delivery: v.delivery,
 			Delay: func(string) time.Duration {
 				return minDelay + time.Duration(l.rng.Int64N(int64(maxDelay-minDelay)))
 			},
--- a/runs/model_test.go
+++ b/runs/model_test.go
@@ -131,7 +131,7 @@
 			s: s, capacity: fullCapacity, reportedCapacity: fullCapacity,
 		}
 		v.exec = executor.New(v.nextIncarnation(), executor.Config{
-			Now: func() time.Time { return s.now }, ClockRate: 1 - 0.02*s.rng.Float64(), Fate: v.fate,
+			Now: func() time.Time { return s.now }, ClockRate: 1 - 0.02*s.rng.Float64(), Delivery: v.delivery,
 			OnStart:  func(r rudderfork.RunRef) { s.recordStart(v, r) },
 			OnFinish: func(r rudderfork.RunRef, outcome string) { s.recordEnd(v, r, outcome) },
 		})
@@ -174,7 +174,7 @@
 	return rudderfork.IncarnationName(fmt.Sprintf("%s-life-%d", v.id, v.incarnations), startMS)
 }
 
-func (v *vm) fate(string) executor.Fate {
+func (v *vm) delivery(string) executor.Delivery {
 	if !v.s.faulty {
 		return executor.Answered
 	}
--- a/runs/stop_test.go
+++ b/runs/stop_test.go
@@ -29,7 +29,7 @@
 	s := &stopSimulation{t: t, now: time.Unix(1000, 0), reconciler: runs.New()}
 	s.exec = executor.New("life-1", executor.Config{
 		Now: func() time.Time { return s.now }, StopTime: stopTime,
-		Fate: func(call string) executor.Fate {
+		Delivery: func(call string) executor.Delivery {
 			if call == "stop" {
 				s.stopCalls++
 			}
--- a/scheduler/fault_vm_test.go
+++ b/scheduler/fault_vm_test.go
@@ -46,9 +46,9 @@
 	return time.Duration(v.rng.Int64N(int64(limit)))
 }
 
-// drawFate leaves one call in eight unanswered while faults are active: not carried out, carried
+// drawDelivery leaves one call in eight unanswered while faults are active: not carried out, carried
 // out, or carried out late.
-func (v *faultVM) drawFate(string) executor.Fate {
+func (v *faultVM) drawDelivery(string) executor.Delivery {
 	if !v.cluster.faultsActive.Load() {
 		return executor.Answered
 	}
--- a/scheduler/faults_test.go
+++ b/scheduler/faults_test.go
@@ -89,7 +89,7 @@
 	v.cpuMilli.Store(vmCPUMilli)
 	v.exec = executor.New(v.nextIncarnation(), executor.Config{
 		Now: steady.Now, Capacity: rudderfork.Resources{CPUMilli: vmCPUMilli, MemoryMB: 1000}, ClockRate: 0.99, StopTime: 100 * time.Millisecond,
-		Fate: v.drawFate, Delay: func(string) time.Duration { return v.randomDuration(3 * time.Second) },
+		Delivery: v.drawDelivery, Delay: func(string) time.Duration { return v.randomDuration(3 * time.Second) },
 	})
 	c.vmList = append(c.vmList, v)
 	v.startAgent()
--- a/scheduler/resumed_test.go
+++ b/scheduler/resumed_test.go
@@ -22,7 +22,7 @@
 	return e, func() {
 		c.t.Helper()
 		var answered atomic.Bool
-		e.SetFate(func(call string) executor.Fate {
+		e.SetDelivery(func(call string) executor.Delivery {
 			if call == "look" && answered.CompareAndSwap(false, true) {
 				return executor.RejectedAsStale
 			}
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -408,7 +408,7 @@
 	c.putDocument(nil)
 	c.submit("feed", "", queue.Step{Count: 1, Size: smallStep.Size, Lasting: true})
 	c.waitUntil("the lasting task runs", func() bool { return len(first.Running()) == 1 })
-	first.SetFate(func(string) executor.Fate { return executor.RequestLost })
+	first.SetDelivery(func(string) executor.Delivery { return executor.RequestLost })
 	second := c.addVM(cfg())
 	c.waitUntil("the task runs elsewhere", func() bool {
 		first.Running()
--- a/scheduler/unanswered_start_test.go
+++ b/scheduler/unanswered_start_test.go
@@ -12,7 +12,7 @@
 // executor answers all calls except starts.
 func TestTaskBoundToVMWithUnansweredStarts(t *testing.T) {
 	c := newTestCluster(t, nil)
-	c.addVM(executor.Config{Fate: func(call string) executor.Fate {
+	c.addVM(executor.Config{Delivery: func(call string) executor.Delivery {
 		if call == "start" {
 			return executor.RequestLost
 		}
--- a/scheduler/waiting_test.go
+++ b/scheduler/waiting_test.go
@@ -13,14 +13,14 @@
 )
 
 // loseStarts loses the calls that start runs, and answers all others.
-func loseStarts(call string) executor.Fate {
+func loseStarts(call string) executor.Delivery {
 	if call == "start" {
 		return executor.RequestLost
 	}
 	return executor.Answered
 }
 
-func answerAll(string) executor.Fate { return executor.Answered }
+func answerAll(string) executor.Delivery { return executor.Answered }
 
 // TestPlacedJobCountedAsBegun guards against a job that no longer counts as waiting once a start is
 // committed, although no executor has begun the run yet.
@@ -28,14 +28,14 @@
 	c := newTestCluster(t, nil)
 	c.putDocument(nil)
 	e := c.addVM(executor.Config{})
-	e.SetFate(loseStarts)
+	e.SetDelivery(loseStarts)
 	waiting := func() int {
 		return c.send(wire.QueueRequest{Status: &wire.HostPath{Host: testHost, Path: "/q/"}}).Waiting
 	}
 	c.submit("j", "work=1m", smallStep)
 	c.waitForStatus("j", queue.Running)
 	assert.Equal(t, waiting(), 1)
-	e.SetFate(answerAll)
+	e.SetDelivery(answerAll)
 	c.waitUntil("the task runs", func() bool { return len(e.Running()) == 1 })
 	c.waitUntil("the job no longer waits", func() bool { return waiting() == 0 })
 }
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -146,7 +146,7 @@
 	case "stutter":
 		return onEach(ms, s.duplicateAnswers, func(m *machine) { m.duplicates.Store(false) })
 	case "late-executors":
-		return onEach(ms, s.delayOrders, func(m *machine) { s.Execs[m.index].SetFate(usualFate) })
+		return onEach(ms, s.delayOrders, func(m *machine) { s.Execs[m.index].SetDelivery(usualDelivery) })
 	case "disown-calls":
 		return onEach(ms, s.rejectOneCall, func(*machine) {})
 	case "dark":
@@ -272,7 +272,7 @@
 // delayOrders has an executor leave start and stop calls unanswered, and carry them out
 // later.
 func (s *site) delayOrders(m *machine) {
-	s.Execs[m.index].SetFate(func(call string) executor.Fate {
+	s.Execs[m.index].SetDelivery(func(call string) executor.Delivery {
 		if call == "start" || call == "stop" {
 			return executor.Delayed
 		}
@@ -284,10 +284,10 @@
 // connection that was opened to its previous incarnation.
 func (s *site) rejectOneCall(m *machine) {
 	var rejected atomic.Bool
-	s.Execs[m.index].SetFate(func(call string) executor.Fate {
+	s.Execs[m.index].SetDelivery(func(call string) executor.Delivery {
 		if rejected.CompareAndSwap(false, true) {
 			return executor.RejectedAsStale
 		}
-		return usualFate(call)
+		return usualDelivery(call)
 	})
 }
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -110,7 +110,7 @@
 			Behave:   func(ref rudderfork.RunRef, payload string) string { return s.behave(m, ref, payload) },
 			OnStart:  func(ref rudderfork.RunRef) { s.checker.runStarted(i, ref) },
 			OnFinish: func(ref rudderfork.RunRef, how string) { s.checker.runEnded(i, ref, how) },
-			Fate:     usualFate,
+			Delivery: usualDelivery,
 			Delay:    func(string) time.Duration { return time.Duration(2000+rand.IntN(10_000)) * time.Millisecond },
 		}); err != nil {
 			return err
@@ -121,13 +121,13 @@
 	return nil
 }
 
-// usualFate returns how a call is delivered while no fault changes it: it is answered, but
+// usualDelivery returns how a call is delivered while no fault changes it: it is answered, but
 // a share of lossPercent of the start and stop calls is lost or delayed.
-func usualFate(call string) executor.Fate {
+func usualDelivery(call string) executor.Delivery {
 	if call != "start" && call != "stop" || rand.IntN(100) >= *lossPercent {
 		return executor.Answered
 	}
-	return []executor.Fate{executor.RequestLost, executor.ResponseLost, executor.Delayed}[rand.IntN(3)]
+	return []executor.Delivery{executor.RequestLost, executor.ResponseLost, executor.Delayed}[rand.IntN(3)]
 }
 
 // payloadResources returns the resources that a payload requests with cpu=N.
--- a/standin/executor/executor.go
+++ b/standin/executor/executor.go
@@ -28,16 +28,17 @@
 // pollInterval is the time between two checks for ended runs while a poll waits.
 const pollInterval = 5 * time.Millisecond
 
-// Fate says how a call to the executor is delivered.
-type Fate int
+// Delivery says whether a call to the executor is carried out, and whether its response
+// arrives.
+type Delivery int
 
-// The fates of a call.
+// The deliveries of a call.
 const (
-	Answered        Fate = iota // it is carried out and answered
-	RequestLost                 // it is not carried out; the caller gets ErrNoAnswer
-	ResponseLost                // it is carried out; the caller gets ErrNoAnswer
-	Delayed                     // the caller gets ErrNoAnswer; it is carried out after Config.Delay or by Flush
-	RejectedAsStale             // it is not carried out; the caller gets rudderfork.ErrStaleIncarnation
+	Answered        Delivery = iota // it is carried out and answered
+	RequestLost                     // it is not carried out; the caller gets ErrNoAnswer
+	ResponseLost                    // it is carried out; the caller gets ErrNoAnswer
+	Delayed                         // the caller gets ErrNoAnswer; it is carried out after Config.Delay or by Flush
+	RejectedAsStale                 // it is not carried out; the caller gets rudderfork.ErrStaleIncarnation
 )
 
 // Executor is the executor of one VM. It is safe for concurrent use.
@@ -58,7 +59,7 @@
 	ended      []rudderfork.EndedRun
 	seq        uint64
 	acked      uint64 // ended runs up to this number are acknowledged and no longer listed, also those that end later
-	fate       func(call string) Fate
+	delivery   func(call string) Delivery
 	delay      func(call string) time.Duration
 	stopTime   time.Duration
 	forgets    bool
@@ -99,10 +100,10 @@
 	Sizes func(payload string) rudderfork.Resources
 	// Behave returns the words that define how a run behaves; nil means its payload.
 	Behave func(ref rudderfork.RunRef, payload string) string
-	// Fate decides how each call is delivered; nil means that all are answered.
+	// Delivery decides how each call is delivered; nil means that all are answered.
 	// The names of the calls are "start", "stop", "pace" and "look" (a poll).
-	Fate func(call string) Fate
-	// Delay returns the delay of a call with the fate Delayed; nil means until Flush.
+	Delivery func(call string) Delivery
+	// Delay returns the delay of a call delivered as Delayed; nil means until Flush.
 	Delay func(call string) time.Duration
 	// StopTime is how long a run keeps running after it is stopped.
 	StopTime time.Duration
@@ -120,14 +121,14 @@
 // format of rudderfork.IncarnationName.
 func New(inc string, cfg Config) *Executor {
 	e := &Executor{
-		now: cfg.Now, clockRate: cfg.ClockRate, capacity: cfg.Capacity, fate: cfg.Fate, delay: cfg.Delay, stopTime: cfg.StopTime,
+		now: cfg.Now, clockRate: cfg.ClockRate, capacity: cfg.Capacity, delivery: cfg.Delivery, delay: cfg.Delay, stopTime: cfg.StopTime,
 		forgets: cfg.ForgetsStops, sizes: cfg.Sizes, behave: cfg.Behave, onStart: cfg.OnStart, onFinish: cfg.OnFinish,
 	}
 	if e.clockRate == 0 {
 		e.clockRate = 1
 	}
-	if e.fate == nil {
-		e.fate = func(string) Fate { return Answered }
+	if e.delivery == nil {
+		e.delivery = func(string) Delivery { return Answered }
 	}
 	if e.behave == nil {
 		e.behave = func(_ rudderfork.RunRef, payload string) string { return payload }
@@ -182,11 +183,11 @@
 // Capacity returns the resources that the runs share.
 func (e *Executor) Capacity() rudderfork.Resources { return e.capacity }
 
-// SetFate replaces Config.Fate.
-func (e *Executor) SetFate(f func(call string) Fate) {
+// SetDelivery replaces Config.Delivery.
+func (e *Executor) SetDelivery(f func(call string) Delivery) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.fate = f
+	e.delivery = f
 }
 
 // Flush carries out all delayed calls, the newest first.
@@ -284,7 +285,7 @@
 	}
 }
 
-// call delivers a call to the given incarnation as its fate says. do carries it out
+// call delivers a call to the given incarnation as Config.Delivery says. do carries it out
 // with mu held.
 func (e *Executor) call(name, inc string, do func()) error {
 	e.mu.Lock()
@@ -294,7 +295,7 @@
 	if !e.isCurrent(inc) {
 		return rudderfork.ErrStaleIncarnation
 	}
-	switch e.fate(name) {
+	switch e.delivery(name) {
 	case RequestLost:
 		return ErrNoAnswer
 	case ResponseLost:
