--- a/bench/bench.go
+++ b/bench/bench.go
@@ -2,8 +2,8 @@
 // and feed it to the packages that decide on routing, admission and placement; others
 // run those packages in one process, or the real programs.
 //
-// The simulations run in virtual time, so their figures depend on the seeds only, not
-// on the machine.
+// The simulations run in virtual time and with fixed seeds, so their figures do not depend
+// on the speed of the machine.
 package bench
 
 import (
--- a/bench/colocation.go
+++ b/bench/colocation.go
@@ -296,8 +296,8 @@
 	type taskUsage struct {
 		id        rudderfork.TaskID
 		kind      string
-		used      float64
-		unsaved   int64
+		used      float64 // CPU in millicores
+		unsaved   int64   // units done since the last checkpoint
 		throttled bool
 	}
 	var tasks []taskUsage
--- a/bench/crashes.go
+++ b/bench/crashes.go
@@ -42,7 +42,7 @@
 	maxCrashes int  // crashes after which a task's job is cancelled; 0 leaves it to the suspicion rules of package queue
 }
 
-// crashPolicies begins with the policy of the product.
+// crashPolicies are the policies to compare; the first is the product's.
 var crashPolicies = []crashPolicy{
 	{name: "as built", reportRuns: true},
 	{name: "plain count, given up at two", maxCrashes: 2},
@@ -63,7 +63,7 @@
 	poison, poisonCrashes int // poison tasks that were started, and crashes that poison tasks caused
 	afterThird            int // most starts of one poison task after its third crash
 	innocentFailed        int // jobs without poison tasks that failed or were cancelled
-	done, doneBaseline    int // jobs without poison tasks that completed; as many in a day without poison jobs
+	done, doneBaseline    int // jobs without poison tasks that completed; their number in the same day without poison jobs
 }
 
 func (r *crashResult) add(o crashResult) {
@@ -127,6 +127,7 @@
 
 func (s *crashSim) apply(c queue.Command) queue.Result { return s.state.Apply(c, s.now) }
 
+// submit submits a job of one step.
 func (s *crashSim) submit(id string, st queue.Step) {
 	s.apply(queue.Command{Submit: &queue.Submit{Host: "h", Path: "/q/" + id, Spec: queue.Spec{Steps: []queue.Step{st}}, KeepMS: 1 << 40}})
 }
--- a/bench/fleetgroup.go
+++ b/bench/fleetgroup.go
@@ -69,6 +69,7 @@
 	return nil
 }
 
+// startReplica formats the disk of a control process and starts it; stop ends it.
 func (s *fleetSim) startReplica(ctx context.Context, r *fleetReplica, members []quorum.Member) error {
 	ctx, r.stop = context.WithCancel(ctx)
 	dir := filepath.Join(s.cfg.Dir, r.self.Name)
--- a/bench/path.go
+++ b/bench/path.go
@@ -12,7 +12,8 @@
 )
 
 // The scenario of the simulations of the request path, which is a request's way from an
-// entry through an upstream's agent to the upstream.
+// entry through an upstream's agent to the upstream. The numbers of upstreams and slots are
+// those of the users' site.
 const (
 	pathEntries       = 4
 	pathUpstreams     = 11
--- a/bench/real.go
+++ b/bench/real.go
@@ -237,7 +237,7 @@
 	err = harness.Until(ctx, "all sessions", func() error {
 		for _, f := range nodes {
 			if !f.table.Known() {
-				return fmt.Errorf("%d has no table", f.i)
+				return fmt.Errorf("node %d has no table", f.i)
 			}
 		}
 		return nil
@@ -423,7 +423,7 @@
 	err = harness.Until(ctx, "the VMs to be full", func() error {
 		j, err := op.Job(ctx, batch.ID)
 		if err == nil && j.Running < 8 {
-			err = fmt.Errorf("%d run", j.Running)
+			err = fmt.Errorf("%d tasks are running", j.Running)
 		}
 		return err
 	})
