--- a/wire/calls.go
+++ b/wire/calls.go
@@ -6,13 +6,13 @@
 type Calls[A any] struct {
 	mu      sync.Mutex
 	lastID  uint64
-	waiting map[uint64]chan A
+	waiting map[uint64]chan A // open calls by ID
 }
 
 // NewCalls returns an empty Calls.
 func NewCalls[A any]() *Calls[A] { return &Calls[A]{waiting: map[uint64]chan A{}} }
 
-// Open returns the ID of a new call and the channel of its response. The channel is closed without
+// Open returns the ID of a new call and a channel that receives its response. The channel is closed without
 // a response if the session ends first.
 func (c *Calls[A]) Open() (id uint64, answer <-chan A) {
 	ch := make(chan A, 1)
@@ -23,8 +23,7 @@
 	return c.lastID, ch
 }
 
-// Answer delivers the response of a call. It drops the response if the call is unknown or
-// forgotten.
+// Answer delivers the response to a call. It drops the response if no such call is open.
 func (c *Calls[A]) Answer(id uint64, a A) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -27,7 +27,7 @@
 const (
 	// MaxMessage is the maximum size of a message, in bytes. The largest messages are snapshots.
 	MaxMessage = 64 << 20
-	// sendTimeout bounds one write to a peer that does not read.
+	// sendTimeout bounds one write, since a peer may not read.
 	sendTimeout = 5 * time.Second
 	// DialTimeout bounds the setup of a connection.
 	DialTimeout = 2 * time.Second
@@ -49,7 +49,7 @@
 	liveness         Liveness
 	watch            watch
 	timer            *time.Timer
-	silent           atomic.Bool // closed because of silence
+	silent           atomic.Bool // the connection was closed because of silence
 	sendingKeepAlive atomic.Bool // a keep-alive is being written
 }
 
@@ -87,7 +87,8 @@
 	return c
 }
 
-// tick closes a silent connection, and sends a keep-alive on an idle one.
+// tick runs at each tick of the timer. It closes a silent connection, and sends a keep-alive on an
+// idle one.
 func (c *Conn[Out, In]) tick() {
 	silent, idle := c.watch.tick()
 	if silent {
@@ -160,9 +161,9 @@
 	}
 }
 
-// maxReadBytes bounds one read, in bytes. A reader fills the whole buffer before it returns, so
-// that with a large buffer megabytes would count as one sign of activity: a message of 5 MB at 2
-// MB/s was taken for silence of 500 ms. Pieces of 16 KiB need 33 KB/s.
+// maxReadBytes bounds one read, in bytes. A read returns only once the whole buffer is filled, so
+// that with a large buffer megabytes would count as one sign of activity: at 2 MB/s a message of
+// 5 MB was taken for silence of 500 ms. With 16 KiB a rate of 33 KB/s is enough.
 const maxReadBytes = 16 << 10
 
 // activityReader records each piece of a long message as activity. On a slow link a snapshot takes
--- a/wire/liveness.go
+++ b/wire/liveness.go
@@ -10,7 +10,7 @@
 
 // ErrSilent means that nothing was received for the connection's silence limit. Whether messages
 // sent before have arrived is unknown.
-var ErrSilent = errors.New("the other end has fallen silent")
+var ErrSilent = errors.New("nothing was received from the other end")
 
 // missedTicks is the number of ticks without a byte after which a connection is silent: one
 // keep-alive may be late, and one tick may end just before the next byte.
@@ -26,8 +26,8 @@
 // by its receiver, and a busy connection needs no keep-alives.
 //
 // It guards against connections that stay open while nothing passes, because a device on the path
-// has dropped their state. Without a bound, three replicas whose connections all fell silent had no
-// leader for the 60 s that they were watched. The cost in an idle direction is 8 bytes and the
+// has dropped their state. Without a bound, three replicas whose connections all fell silent still had
+// no leader after 60 s. The cost in an idle direction is 8 bytes and the
 // TCP/IP headers per tick.
 type Liveness struct {
 	kind  string
@@ -50,11 +50,11 @@
 // silence of the connection itself, at both ends and from its start. The nodes also expect a
 // response to each ping, heartbeat or probe.
 var (
-	// QueueSession connects fronts and agents to the leader of the queues. The limit is six
-	// heartbeats of an agent.
+	// QueueSession connects fronts and agents to the leader, for the queues. The limit is six
+	// heartbeat intervals of an agent.
 	QueueSession = NewLiveness("queues", 3*time.Second)
-	// NodeSession connects entries and agents to the leader of the table. The limit is three
-	// heartbeats at the default interval of 1 s.
+	// NodeSession connects entries and agents to the leader, for the table and the leases. The limit
+	// is three heartbeats at the default interval of 1 s.
 	NodeSession = NewLiveness("nodes", 3*time.Second)
 	// ProbeSession connects an entry to an agent. The limit is the interval of the probes of an
 	// idle agent, 3 s, and 2 s for the response.
--- a/wire/liveness_test.go
+++ b/wire/liveness_test.go
@@ -158,8 +158,8 @@
 	})
 }
 
-// fullReader fills the whole buffer on each read, like the reader of a long frame, and ends one
-// tick for each piece bytes.
+// fullReader fills the whole buffer on each read, like the reader of a long frame. For each piece
+// bytes that it returns, one tick of the watch passes.
 type fullReader struct {
 	t     *testing.T
 	w     *watch
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -19,15 +19,15 @@
 	return nil
 }
 
-// Peer is a message between control processes. It is sent by the process that dialled.
+// Peer is a message between control processes. It is sent by the process that dialled the link.
 type Peer struct {
 	Quorum    *quorum.Message `cbor:"1,keyasint,omitempty"`
-	Join      *quorum.Member  `cbor:"2,keyasint,omitempty"` // asks to add a member
+	Join      *quorum.Member  `cbor:"2,keyasint,omitempty"` // the replica that requests to become a member
 	Self      *quorum.Member  `cbor:"3,keyasint,omitempty"` // the sender; sent once, first
 	Forwarded bool            `cbor:"4,keyasint,omitempty"` // Join was forwarded by a follower
 }
 
-// NodeKind is the kind of a process that holds a session with control.
+// NodeKind is the kind of a process that has a session with the control processes.
 type NodeKind string
 
 // The kinds of node.
@@ -36,7 +36,7 @@
 	KindAgent NodeKind = "agent"
 )
 
-// ToControl is a message from an entry or agent to control.
+// ToControl is a message from an entry or agent to a control process, in a node session.
 type ToControl struct {
 	Hello     *Hello           `cbor:"1,keyasint,omitempty"`
 	Heartbeat *Heartbeat       `cbor:"2,keyasint,omitempty"`
@@ -46,7 +46,7 @@
 	Decisions []DecisionRecord `cbor:"6,keyasint,omitempty"`
 }
 
-// ToNode is a message from control to an entry or agent.
+// ToNode is a message from a control process to an entry or agent, in a node session.
 type ToNode struct {
 	Redirect   *Redirect      `cbor:"1,keyasint,omitempty"`
 	Welcome    *Welcome       `cbor:"2,keyasint,omitempty"`
@@ -59,15 +59,18 @@
 }
 
 // Hello opens a session. The failure domain and region of the sender are in Place.
+//
+// A boot ID identifies one start of an entry or agent. An incarnation, in the messages of the queue
+// session, identifies one start of a VM's executor.
 type Hello struct {
-	Version       int                 `cbor:"1,keyasint"`
+	Version       int                 `cbor:"1,keyasint"` // of the messages
 	Kind          NodeKind            `cbor:"2,keyasint"`
-	Process       string              `cbor:"3,keyasint"`
+	Process       string              `cbor:"3,keyasint"` // name of the sender
 	Place         rudderfork.Place    `cbor:"4,keyasint"`
-	Boot          string              `cbor:"5,keyasint"` // new with each start of the process
-	Admin         string              `cbor:"6,keyasint"` // host:port of its admin server
-	TableRevision rudderfork.Revision `cbor:"7,keyasint"` // of the sender's table
-	Register      *state.Register     `cbor:"8,keyasint,omitempty"`
+	Boot          string              `cbor:"5,keyasint"`           // boot ID: a random string, new with each start of the sending process
+	Admin         string              `cbor:"6,keyasint"`           // host:port of its admin server
+	TableRevision rudderfork.Revision `cbor:"7,keyasint"`           // of the sender's table
+	Register      *state.Register     `cbor:"8,keyasint,omitempty"` // registers the VM of an agent; nil for an entry
 }
 
 // Redirect says that another control process leads. Addr is empty if the leader is unknown.
@@ -77,10 +80,10 @@
 
 // Welcome accepts a session.
 type Welcome struct {
-	Epoch rudderfork.Token `cbor:"1,keyasint"` // of the VM; agents only
+	Epoch rudderfork.Token `cbor:"1,keyasint"` // of the VM, see state.VM.Epoch; 0 for an entry
 }
 
-// Update is the difference between two revisions of the table.
+// Update is the difference between two revisions of the table. From is 0 if it is the whole table.
 type Update struct {
 	From  rudderfork.Revision `cbor:"1,keyasint"`
 	To    rudderfork.Revision `cbor:"2,keyasint"`
@@ -90,13 +93,13 @@
 // UpstreamInfo is a VM that serves requests.
 type UpstreamInfo struct {
 	Place    rudderfork.Place     `cbor:"1,keyasint"`
-	Addr     string               `cbor:"2,keyasint"`
-	Boot     string               `cbor:"3,keyasint"`
+	Addr     string               `cbor:"2,keyasint"` // of its agent, for requests, host:port
+	Boot     string               `cbor:"3,keyasint"` // boot ID of its agent
 	Services []rudderfork.Service `cbor:"4,keyasint"`
-	Leaving  bool                 `cbor:"5,keyasint,omitempty"`
+	Leaving  bool                 `cbor:"5,keyasint,omitempty"` // the VM is being drained: it gets no new requests
 }
 
-// Upstreams is the complete list of live agents with services.
+// Upstreams is the complete list of the VMs with services, including those lost a short time ago.
 type Upstreams struct {
 	Revision rudderfork.Revision `cbor:"1,keyasint"`
 	List     []UpstreamInfo      `cbor:"2,keyasint"`
@@ -104,26 +107,27 @@
 
 // Assign is the complete list of leases of a VM.
 type Assign struct {
-	Epoch    rudderfork.Token    `cbor:"1,keyasint"`
-	Revision rudderfork.Revision `cbor:"2,keyasint"`
+	Epoch    rudderfork.Token    `cbor:"1,keyasint"` // of the VM
+	Revision rudderfork.Revision `cbor:"2,keyasint"` // of the last change of the VM, see state.VM.Revision
 	Leases   []rudderfork.Lease  `cbor:"3,keyasint"`
-	Draining bool                `cbor:"4,keyasint,omitempty"`
+	Draining bool                `cbor:"4,keyasint,omitempty"` // the VM is being drained: its agent refuses new requests
 }
 
-// Grant answers a Heartbeat and extends the lease of the VM. With epoch 0 it only confirms that the
-// leader is alive.
+// Grant answers a Heartbeat and extends the lease of the VM until Deadline. With epoch 0 it extends
+// no lease and only shows that the leader is alive.
 type Grant struct {
 	Epoch    rudderfork.Token `cbor:"1,keyasint"`
 	Deadline int64            `cbor:"2,keyasint"` // Unix ms
 }
 
-// Heartbeat is the heartbeat of a node. Control answers an agent's with a Grant.
+// Heartbeat is the heartbeat of an entry or agent. The leader answers with a Grant, unless the VM has
+// another epoch.
 type Heartbeat struct {
-	TableRevision rudderfork.Revision `cbor:"1,keyasint"` // of the sender's table
-	Epoch         rudderfork.Token    `cbor:"2,keyasint,omitempty"`
+	TableRevision rudderfork.Revision `cbor:"1,keyasint"`           // of the sender's table
+	Epoch         rudderfork.Token    `cbor:"2,keyasint,omitempty"` // of the VM whose lease is to be extended; 0 for no lease
 	Services      []ServiceUsage      `cbor:"3,keyasint,omitempty"`
 	Tasks         []TaskUsage         `cbor:"4,keyasint,omitempty"`
-	Leaving       bool                `cbor:"5,keyasint,omitempty"`
+	Leaving       bool                `cbor:"5,keyasint,omitempty"` // the sender shuts down, or is the agent of a VM that is being drained
 
 	// Exhausted means that throttling all tasks was not enough for the services to meet their
 	// targets.
@@ -133,22 +137,22 @@
 // ServiceUsage summarizes a service's requests at one upstream since the last heartbeat.
 type ServiceUsage struct {
 	Service  rudderfork.Service `cbor:"1,keyasint"`
-	Requests int                `cbor:"2,keyasint"`
-	MeanUS   int64              `cbor:"3,keyasint"` // time in the upstream, µs
-	TailUS   int64              `cbor:"4,keyasint"` // 95th percentile, µs
-	Refused  int                `cbor:"5,keyasint,omitempty"`
+	Requests int                `cbor:"2,keyasint"`           // requests whose time was measured
+	MeanUS   int64              `cbor:"3,keyasint"`           // mean time of a request at the upstream, µs
+	TailUS   int64              `cbor:"4,keyasint"`           // 95th percentile of the same, µs
+	Refused  int                `cbor:"5,keyasint,omitempty"` // requests that the agent refused
 	Busy     float64            `cbor:"6,keyasint,omitempty"` // share of slots in use
 }
 
 // TaskUsage is the measured usage of a task.
 type TaskUsage struct {
 	Task       rudderfork.TaskID    `cbor:"1,keyasint"`
-	Token      rudderfork.Token     `cbor:"2,keyasint"`
+	Token      rudderfork.Token     `cbor:"2,keyasint"` // of its lease
 	Used       rudderfork.Resources `cbor:"3,keyasint"`
-	Checkpoint int64                `cbor:"4,keyasint,omitempty"`
-	Progress   int64                `cbor:"5,keyasint,omitempty"` // units done
-	Throttle   int                  `cbor:"6,keyasint,omitempty"`
-	At         int64                `cbor:"7,keyasint"` // of the measurement, Unix ms
+	Checkpoint int64                `cbor:"4,keyasint,omitempty"` // units of work saved
+	Progress   int64                `cbor:"5,keyasint,omitempty"` // units of work done
+	Throttle   int                  `cbor:"6,keyasint,omitempty"` // throttle level; 0 for full speed
+	At         int64                `cbor:"7,keyasint"`           // time of the measurement, Unix ms
 }
 
 // ReportBatch reports how attempts ended. It is resent until it is acknowledged.
@@ -162,13 +166,13 @@
 	ID uint64 `cbor:"1,keyasint"`
 }
 
-// ClaimRequest requests a claim.
+// ClaimRequest requests a claim: the right to run one request at most once.
 type ClaimRequest struct {
 	ID    uint64        `cbor:"1,keyasint"`
 	Claim state.Acquire `cbor:"2,keyasint"`
 }
 
-// SettleRequest settles a claim.
+// SettleRequest settles a claim: it records the answer to the claimed request, or releases the claim.
 type SettleRequest struct {
 	ID     uint64       `cbor:"1,keyasint"`
 	Settle state.Settle `cbor:"2,keyasint"`
@@ -186,11 +190,12 @@
 type DecisionRecord struct {
 	At     int64             `cbor:"1,keyasint"` // Unix ms
 	Task   rudderfork.TaskID `cbor:"2,keyasint"`
-	What   string            `cbor:"3,keyasint"`
+	What   string            `cbor:"3,keyasint"` // the decision, as "throttled"
 	Reason string            `cbor:"4,keyasint"`
 }
 
-// ToAgent is a message from an entry to an agent, in the session beside the requests.
+// ToAgent is a message from an entry to an agent, in a probe session. The requests themselves are
+// sent over HTTP.
 type ToAgent struct {
 	Probe *Probe `cbor:"1,keyasint,omitempty"`
 	Fence *Fence `cbor:"2,keyasint,omitempty"`
@@ -200,22 +205,22 @@
 	Drained bool `cbor:"3,keyasint,omitempty"`
 }
 
-// ToEntry is a message from an agent to an entry.
+// ToEntry is a message from an agent to an entry, in a probe session.
 type ToEntry struct {
 	Load   *LoadReport `cbor:"1,keyasint,omitempty"`
 	Fenced *Fenced     `cbor:"2,keyasint,omitempty"`
 
-	// Stopping is sent unasked when the agent is about to end and accepts no more requests. Loads
-	// received after it in the same session may be older.
+	// Stopping is sent without a request when the agent is about to end and accepts no more requests.
+	// A load that is received after it in the same session may have been sent before it.
 	Stopping bool `cbor:"3,keyasint,omitempty"`
 
-	// InterimAnswers is sent unasked as the first message of a session: the agent sends interim
-	// responses while a request that asks for them is in progress (relay.SendInterim). Without it,
-	// silence of the agent means nothing.
+	// InterimAnswers is sent as the first message of a session. It says that the agent sends interim
+	// responses while a request that asks for them is in progress (relay.SendInterim). An entry that
+	// has not received it must not conclude from missing interim responses that a request has failed.
 	InterimAnswers bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Probe requests the present load.
+// Probe requests the present load of a service.
 type Probe struct {
 	Service rudderfork.Service `cbor:"1,keyasint"`
 }
@@ -232,7 +237,7 @@
 	ID    uint64           `cbor:"1,keyasint"`
 	Key   state.ClaimKey   `cbor:"2,keyasint"`
 	Token rudderfork.Token `cbor:"3,keyasint"`
-	Boot  string           `cbor:"4,keyasint"` // of the agent that the claim names
+	Boot  string           `cbor:"4,keyasint"` // boot ID of the agent that the claim names
 }
 
 // RequestState is what an agent knows of a claimed request.
@@ -243,7 +248,7 @@
 	RequestNever   RequestState = "never"   // did not run, and never will under this token
 	RequestRunning RequestState = "running" // in progress at the upstream
 	RequestDone    RequestState = "done"    // the response is known
-	RequestUnknown RequestState = "unknown"
+	RequestUnknown RequestState = "unknown" // the agent cannot tell, for example because it was started later
 )
 
 // Fenced answers a Fence.
--- a/wire/outbox_calls_test.go
+++ b/wire/outbox_calls_test.go
@@ -9,12 +9,12 @@
 func TestOutbox(t *testing.T) {
 	var o Outbox[int]
 	assert.Assert(t, !o.Connected())
-	assert.Assert(t, !o.Send(1), "there is no session")
+	assert.Assert(t, !o.Send(1), "a message was queued without a session")
 	queue := make(chan int, 1)
 	o.Open(queue)
 	assert.Assert(t, o.Connected())
 	assert.Assert(t, o.Send(2))
-	assert.Assert(t, !o.Send(3), "the queue is full")
+	assert.Assert(t, !o.Send(3), "a message was queued although the queue is full")
 	assert.Equal(t, <-queue, 2)
 	o.Close()
 	assert.Assert(t, !o.Send(4))
@@ -33,6 +33,6 @@
 	assert.Equal(t, <-answer, "one")
 	c.End()
 	_, ok := <-lost
-	assert.Assert(t, !ok, "the session ended before the answer")
+	assert.Assert(t, !ok, "a call got an answer although the session ended before")
 	c.Answer(second, "late")
 }
