--- a/disk/disk.go
+++ b/disk/disk.go
@@ -71,15 +71,15 @@
 // Store is an open data folder. It is not safe for concurrent use.
 type Store struct {
 	dir  string
-	gen  uint64
-	log  *os.File
-	size int64
-	tail *os.File
+	gen  uint64   // the generation in use
+	log  *os.File // of that generation
+	size int64    // synced length of log
+	tail *os.File // the file tail; nil until it is first written
 
 	identity Identity
-	hard     quorum.HardState
-	snap     quorum.Snapshot
-	entries  []quorum.Entry // read by Open, cleared by TakeLoaded
+	hard     quorum.HardState // as last saved
+	snap     quorum.Snapshot  // read by Open; TakeLoaded clears its data
+	entries  []quorum.Entry   // read by Open, cleared by TakeLoaded
 }
 
 // Format writes the identity of a new replica into dir, which must be missing or
@@ -136,6 +136,7 @@
 	return s, nil
 }
 
+// hasLog reports whether the folder holds the log of any generation.
 func (s *Store) hasLog() bool {
 	names, _ := filepath.Glob(filepath.Join(s.dir, "log-*"))
 	return len(names) > 0
@@ -154,7 +155,7 @@
 	return s.hard, snap, entries
 }
 
-// LogBytes returns the length of the current log file, bytes.
+// LogBytes returns the synced length of the current log file, in bytes.
 func (s *Store) LogBytes() int64 { return s.size }
 
 // Close closes the files. It does not sync, since Save and SaveSnapshot do.
@@ -219,6 +220,8 @@
 	return nil
 }
 
+// openLog opens or creates the log of a generation, which becomes the one in use. size is the log's
+// valid length.
 func (s *Store) openLog(gen uint64, size int64) error {
 	f, err := os.OpenFile(s.path("log", gen), os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
@@ -248,7 +251,7 @@
 	if s.tail == nil {
 		f, err := os.OpenFile(filepath.Join(s.dir, "tail"), os.O_RDWR|os.O_CREATE, fileMode)
 		if errors.Is(wrapFull(err), ErrFull) {
-			return nil // as for the write below
+			return nil // there is no recorded length until the next write
 		}
 		if err != nil {
 			return err
--- a/disk/disk_full_test.go
+++ b/disk/disk_full_test.go
@@ -13,8 +13,8 @@
 )
 
 // limitSpace limits the bytes that can still be written to *free until the test ends; a
-// negative value means no limit. A write that does not fit is done in part, as by the
-// kernel.
+// negative value means no limit. Of a write that does not fit, the part that fits is
+// written, as the kernel does.
 func limitSpace(t *testing.T) (free *int) {
 	t.Helper()
 	remaining := -1
@@ -91,7 +91,7 @@
 	assert.Assert(t, errors.Is(s.SaveSnapshot(newer, entries(10, 10, 1)), ErrFull))
 	remaining, err := filepath.Glob(filepath.Join(dir, "*"+tmpSuffix))
 	assert.NilError(t, err)
-	assert.Equal(t, len(remaining), 0, "%v", remaining)
+	assert.Equal(t, len(remaining), 0, "temporary files remain: %v", remaining)
 	*free = -1
 	assert.NilError(t, s.Save(quorum.Ready{Entries: entries(11, 12, 1)}))
 	assert.NilError(t, s.Close())
--- a/disk/disk_test.go
+++ b/disk/disk_test.go
@@ -76,7 +76,7 @@
 		checkEntries(t, es, entries(9, 11, 4))
 		remaining, err := filepath.Glob(filepath.Join(dir, "*-00000001"))
 		assert.NilError(t, err)
-		assert.Equal(t, len(remaining), 0, "the old generation is still there: %v", remaining)
+		assert.Equal(t, len(remaining), 0, "files of the old generation remain: %v", remaining)
 	})
 }
 
@@ -123,7 +123,7 @@
 	}
 }
 
-// filled returns a closed folder with a snapshot at index 5 and entries 6 to 10.
+// filled returns a data folder with a snapshot at index 5 and entries 6 to 10, which is not open.
 func filled(t *testing.T) (dir string) {
 	t.Helper()
 	dir, s := newStore(t)
@@ -136,6 +136,7 @@
 	return dir
 }
 
+// change replaces the content of a file by what f returns for it.
 func change(t *testing.T, path string, f func(b []byte) []byte) {
 	t.Helper()
 	b, err := os.ReadFile(path)
@@ -203,7 +204,7 @@
 		checkEntries(t, es, entries(6, 11, 1))
 		assert.NilError(t, s.Close())
 		assert.NilError(t, os.WriteFile(path, whole, fileMode))
-		s, err = Open(dir) // resets the length in the file tail
+		s, err = Open(dir) // fails if the file tail has the length with the record
 		if err == nil {
 			assert.NilError(t, s.Close())
 		} else {
@@ -225,7 +226,7 @@
 			assert.Equal(t, string(snap.Data), "state")
 			checkEntries(t, es, entries(6, 10, 1))
 			_, err = os.Stat(filepath.Join(dir, left))
-			assert.Assert(t, os.IsNotExist(err), "%s is still there", left)
+			assert.Assert(t, os.IsNotExist(err), "%s was not removed", left)
 			assert.NilError(t, s.Close())
 		})
 	}
--- a/disk/file.go
+++ b/disk/file.go
@@ -44,7 +44,7 @@
 	}
 	if _, err := writeAt(f, buf, 0); err != nil {
 		_ = f.Close()
-		_ = os.Remove(tmp) // frees the space that it took
+		_ = os.Remove(tmp) // frees its space
 		return wrapFull(err)
 	}
 	if err := f.Sync(); err != nil {
--- a/disk/load.go
+++ b/disk/load.go
@@ -55,8 +55,8 @@
 	if err := s.log.Truncate(size); err != nil {
 		return err
 	}
-	// Records that a killed process wrote and did not sync are loaded, and would be
-	// lost on a power loss. Sync them before they are acknowledged.
+	// Records that a killed process wrote and did not sync are loaded too, and would
+	// be lost on a power loss. Sync them before they are acknowledged.
 	if err := datasync(s.log); err != nil {
 		return err
 	}
@@ -84,16 +84,18 @@
 	return gen, nil
 }
 
+// generation returns the generation in a file name, such as log-00000002.
 func generation(name string) (gen uint64, ok bool) {
 	_, digits, _ := strings.Cut(filepath.Base(name), "-")
 	gen, err := strconv.ParseUint(digits, 10, 64)
 	return gen, err == nil
 }
 
+// loadSnapshot reads the snapshot of a generation. The first one has none.
 func (s *Store) loadSnapshot(gen uint64) error {
 	err := readChecksummed(s.path("snap", gen), &s.snap)
 	if errors.Is(err, fs.ErrNotExist) && gen == 1 {
-		return nil // the first generation has no snapshot
+		return nil
 	}
 	if err != nil {
 		return fmt.Errorf("snap-%08d: %w", gen, wrapCorrupt(err))
@@ -114,6 +116,8 @@
 	return binary.LittleEndian.Uint64(b), int64(binary.LittleEndian.Uint64(b[8:])), true
 }
 
+// syncedSize returns the synced length of a generation's log according to the file tail, or 0 if it
+// is not known.
 func (s *Store) syncedSize(gen uint64) int64 {
 	g, size, ok := s.readTail()
 	if !ok || g != gen {
@@ -133,7 +137,7 @@
 		payload, err := recordAt(data, off)
 		if err != nil && int64(off) >= synced {
 			// Each batch is synced before the next is written, so only the last one
-			// can be unsynced: an invalid record past the synced length is torn.
+			// can be unsynced: an invalid record past the synced length is a torn write.
 			return int64(off), nil
 		}
 		if err != nil {
@@ -196,6 +200,7 @@
 	return nil
 }
 
+// removeOthers removes the files of other generations, and temporary files.
 func (s *Store) removeOthers(gen uint64) error {
 	names, err := os.ReadDir(s.dir)
 	if err != nil {
--- a/node/client.go
+++ b/node/client.go
@@ -17,10 +17,11 @@
 // sent.
 var ErrNoControl = errors.New("control cannot be reached")
 
-// errStaleHello means that the session sent its hello before Reconnect was called.
+// errStaleHello means that the hello of the session was made before Reconnect was called.
 var errStaleHello = errors.New("the hello of the session is out of date")
 
-// ErrOutcomeUnknown means that no answer came; the request may have been carried out.
+// ErrOutcomeUnknown means that no answer, or only an error, came; the request may have been carried
+// out.
 var ErrOutcomeUnknown = errors.New("control did not answer")
 
 const (
@@ -32,15 +33,16 @@
 	outQueue = 1024
 )
 
-// Handler handles what the control process sends. Hello, Handle and the Heartbeat after an update
-// are called by the goroutine of the session, the periodic Heartbeat by another.
+// Handler describes this process and handles what the control process sends. Hello, Handle and the
+// Heartbeat after an update are called by the goroutine of Client.Serve, the periodic Heartbeat by
+// another.
 type Handler interface {
 	// Hello describes this process at the start of a session.
 	Hello() wire.Hello
 	// Heartbeat returns the state of this process, for each heartbeat.
 	Heartbeat() wire.Heartbeat
-	// Handle handles a message: a welcome, an applied update, or one without a case of its own
-	// here.
+	// Handle handles a message that the client does not handle itself, a welcome, or an update that
+	// was applied to the table.
 	Handle(m wire.ToNode)
 }
 
@@ -57,9 +59,9 @@
 	calls *wire.Calls[wire.CommandResult]
 
 	mu              sync.Mutex
-	nextIndex       int
-	endSession      context.CancelFunc
-	helloGeneration uint64 // rises with each call of Reconnect
+	nextIndex       int                // index of the next session's address, modulo their number; used only by Serve
+	endSession      context.CancelFunc // of the current session; nil if there is none
+	helloGeneration uint64             // rises with each call of Reconnect
 }
 
 // NewClient returns a client of the control processes at addrs, which sends heartbeats at the given
@@ -97,6 +99,7 @@
 // Connected reports whether a leader is connected.
 func (c *Client) Connected() bool { return c.out.Connected() }
 
+// runSession runs one session with the process at addr, until it ends.
 func (c *Client) runSession(ctx context.Context, addr string) error {
 	conn, err := wire.Dial[wire.ToControl, wire.ToNode](ctx, "ws://"+addr+"/node", wire.NodeSession)
 	if err != nil {
@@ -124,6 +127,8 @@
 	return c.read(ctx, conn, pendingSession{out, cancel, generation})
 }
 
+// read handles the messages of a session until it ends. The session becomes the current one with its
+// welcome.
 func (c *Client) read(ctx context.Context, conn *wire.Conn[wire.ToControl, wire.ToNode], s pendingSession) error {
 	for {
 		m, err := conn.ReceiveWithin(ctx, maxSilentHeartbeats*c.heartbeatInterval)
@@ -153,7 +158,7 @@
 	}
 }
 
-// prefer makes the next session go to the leader's address, if it is a configured one.
+// prefer makes the next session use the leader's address, if it is a configured one.
 func (c *Client) prefer(addr string) {
 	for i, a := range c.addrs {
 		if a == addr {
@@ -162,6 +167,7 @@
 	}
 }
 
+// write sends the queued messages and periodic heartbeats until the session ends.
 func (c *Client) write(ctx context.Context, conn *wire.Conn[wire.ToControl, wire.ToNode], out chan wire.ToControl) {
 	tick := time.NewTicker(c.heartbeatInterval)
 	defer tick.Stop()
@@ -186,6 +192,7 @@
 	return wire.ToControl{Heartbeat: &b}
 }
 
+// sendHeartbeat queues a heartbeat, unless the queue is full.
 func (c *Client) sendHeartbeat(out chan wire.ToControl) {
 	select {
 	case out <- c.heartbeatMessage():
@@ -197,7 +204,7 @@
 type pendingSession struct {
 	out             chan wire.ToControl
 	end             context.CancelFunc
-	helloGeneration uint64 // when the hello was made
+	helloGeneration uint64 // Client.helloGeneration when the hello was made
 }
 
 // open makes the session the current one, unless its hello is out of date.
@@ -224,7 +231,7 @@
 // Send queues a message. If it returns false, the message was certainly not sent.
 func (c *Client) Send(m wire.ToControl) bool { return c.out.Send(m) }
 
-// Claim requests a claim.
+// Claim requests the claim to a request; see state.Acquire.
 func (c *Client) Claim(ctx context.Context, a state.Acquire) (state.Result, error) {
 	return c.call(ctx, func(id uint64) wire.ToControl {
 		return wire.ToControl{Claim: &wire.ClaimRequest{ID: id, Claim: a}}
@@ -238,6 +245,7 @@
 	})
 }
 
+// call sends a request and waits for its answer. build makes the request of a call ID.
 func (c *Client) call(ctx context.Context, build func(id uint64) wire.ToControl) (res state.Result, err error) {
 	id, answer := c.calls.Open()
 	defer c.calls.Forget(id)
--- a/node/client_test.go
+++ b/node/client_test.go
@@ -17,7 +17,7 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// process is a node whose hello contains a registration once its worker was seen.
+// process is the handler of an agent whose hello contains a registration once its worker was seen.
 type process struct {
 	workerSeen atomic.Bool
 	onHello    func()
@@ -74,11 +74,14 @@
 	<-done
 }
 
+// update returns an update that sets one cell to value.
 func update(from, to rudderfork.Revision, value int64) wire.Update {
 	k := rudderfork.CellKey{Kind: rudderfork.RowService, Row: "s", Column: rudderfork.ColSlots}
 	return wire.Update{From: from, To: to, Cells: []rudderfork.Cell{{Key: k, Value: value, Revision: to}}}
 }
 
+// TestTableRevisionOnlyIncreases guards against a table that returns to an older revision, or that
+// lacks updates in between.
 func TestTableRevisionOnlyIncreases(t *testing.T) {
 	tab := NewTable()
 	check := func(t *testing.T, slots int64, rev rudderfork.Revision) {
@@ -87,7 +90,7 @@
 		assert.Equal(t, tab.Revision(), rev)
 	}
 	assert.Assert(t, !tab.Known())
-	assert.Assert(t, tab.Apply(wire.Update{}), "the first update is a change even if the table is empty")
+	assert.Assert(t, tab.Apply(wire.Update{}), "the first update was not reported as a change because the table is empty")
 	assert.Assert(t, tab.Known())
 	assert.Assert(t, tab.Apply(update(0, 5, 3)))
 	check(t, 3, 5)
--- a/node/table.go
+++ b/node/table.go
@@ -2,8 +2,8 @@
 // local copy of the table.
 //
 // The revision of the copy only increases. A process that has just started has no copy and serves
-// nothing until the leader of the control processes, confirmed by a quorum after the session
-// started, has sent the whole table. A restart therefore falls back neither to an older revision
+// nothing until the leader of the control processes has sent the whole table. The leader does so
+// only after a quorum has confirmed it since the session started. A restart therefore falls back neither to an older revision
 // nor to defaults. While no control process can be reached, a running process continues with its
 // copy.
 package node
@@ -21,7 +21,7 @@
 	mu       sync.RWMutex
 	cells    map[rudderfork.CellKey]rudderfork.Cell
 	revision rudderfork.Revision
-	known    bool
+	known    bool // an update was received since the process started
 }
 
 // NewTable returns a table that has not been received yet.
--- a/session/session.go
+++ b/session/session.go
@@ -1,5 +1,5 @@
 // Package session maintains the connection of a front or of a VM's agent to the
-// leader of the control processes: the queue session.
+// leader of the control processes, the queue session.
 //
 // A client has addresses of control processes from its settings, and more from the
 // control processes that it has reached. It tries them in turn until it reaches the
@@ -21,7 +21,7 @@
 )
 
 const (
-	// pingInterval is the time between pings, whose answers keep an idle session open.
+	// pingInterval is the time between two pings. Their answers keep an idle session open.
 	pingInterval = 400 * time.Millisecond
 	// receiveTimeout is the time without a message after which a session ends, three
 	// ping intervals. A client takes that long to leave a partitioned leader.
@@ -43,8 +43,8 @@
 	errNoLeader = errors.New("control process knows no leader")
 )
 
-// Handler receives the events and messages of a session. Calls come from one
-// goroutine, except that Closed may be called while the process ends.
+// Handler receives the events and messages of a session. All calls come from the
+// goroutine of Client.Serve. Closed is also called when that ends during a session.
 type Handler interface {
 	Opened(w wire.QueueWelcome) // a session with the leader has started
 	Handle(m wire.ToQueueNode)  // a message other than a pong or redirect
@@ -53,15 +53,15 @@
 
 // Client maintains the session. It is safe for concurrent use.
 type Client struct {
-	process string
-	seeds   func() []string
+	process string          // name of this process
+	seeds   func() []string // addresses from the settings
 	h       Handler
 	log     zerolog.Logger
 
 	mu          sync.Mutex
 	leaderAddr  string   // the leader, if a redirect has named it; used for one attempt
-	memberAddrs []string // control processes, as last received
-	nextIndex   int
+	memberAddrs []string // addresses of the control processes, as last received
+	nextIndex   int      // index before that of the next address to try; wraps around
 
 	out wire.Outbox[wire.FromNode]
 }
@@ -72,8 +72,8 @@
 	return &Client{process: process, seeds: seeds, h: h, log: log, nextIndex: initialIndex(process)}
 }
 
-// initialIndex returns the index of the first address to try. It depends on the process
-// name, so that the clients of a fleet without a leader spread over the control processes.
+// initialIndex returns the first value of Client.nextIndex. It depends on the process name, so that
+// the clients of a fleet do not all try the same control process first.
 func initialIndex(process string) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(process)) // never fails
@@ -122,6 +122,8 @@
 	return all[c.nextIndex%len(all)]
 }
 
+// setAddrs sets the leader's address for the next attempt, "" if it is not known, and replaces the
+// addresses of the members if there are any.
 func (c *Client) setAddrs(leader string, members []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,6 +133,7 @@
 	}
 }
 
+// session runs one session with the process at addr, until it ends.
 func (c *Client) session(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -193,6 +196,7 @@
 	return nil, errNoLeader
 }
 
+// read passes the messages of a session to the handler until the session ends.
 func (c *Client) read(ctx context.Context, conn *wire.Conn[wire.FromNode, wire.ToQueueNode]) error {
 	for {
 		m, err := conn.ReceiveWithin(ctx, receiveTimeout)
@@ -209,6 +213,7 @@
 	}
 }
 
+// write sends the queued messages and pings until the session ends.
 func write(ctx context.Context, conn *wire.Conn[wire.FromNode, wire.ToQueueNode], out chan wire.FromNode) {
 	tick := time.NewTicker(pingInterval)
 	defer tick.Stop()
