--- a/cmd/demo-queues/main.go
+++ b/cmd/demo-queues/main.go
@@ -238,7 +238,7 @@
 func (d *demo) restartExecutor() error {
 	say("the executor of side-1 crashes and restarts with the same id; it numbers its calls from 1 again")
 	began := time.Now()
-	d.site.Runners[0].RestartSameID()
+	d.site.Servers[0].RestartSameID()
 	if err := d.until("the feed's task there runs again", func() bool { return d.feedRuns() == 2 }); err != nil {
 		return err
 	}
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -58,7 +58,7 @@
 	}
 	inner, err := standin.NewSite(bin, dir, coreCount, maxLostDisks)
 	s = &site{Site: inner, dir: dir, seed: seed, checker: checks}
-	inner.Wrap = func(i int, ln net.Listener) net.Listener { return duplicatingListener{ln, s.machines[i]} }
+	inner.WrapListener = func(i int, ln net.Listener) net.Listener { return duplicatingListener{ln, s.machines[i]} }
 	return s, err
 }
 
@@ -115,7 +115,7 @@
 		}); err != nil {
 			return err
 		}
-		s.Runners[i].HangFailedCalls()
+		s.Servers[i].HangFailedCalls()
 		s.checker.setExecutorUp(i, true)
 	}
 	return nil
@@ -175,7 +175,7 @@
 		return
 	}
 	m.up = true
-	s.Runners[m.index].HangFailedCalls()
+	s.Servers[m.index].HangFailedCalls()
 	s.checker.setExecutorUp(m.index, true)
 }
 
