--- a/bench/real.go
+++ b/bench/real.go
@@ -453,12 +453,12 @@
 // waitForStart waits until a task has started for the first time and returns when that was.
 func waitForStart(ctx context.Context, c *harness.Cluster, task string) (at time.Time, err error) {
 	err = harness.Until(ctx, task+" to start", func() error {
-		us, err := c.Units()
+		us, err := c.TaskRecords()
 		if err != nil {
 			return err
 		}
 		for _, u := range us {
-			if u.Task == task && u.What == "start" {
+			if u.Task == task && u.Event == "start" {
 				at = time.UnixMicro(u.From)
 				return nil
 			}
--- a/internal/harness/caller.go
+++ b/internal/harness/caller.go
@@ -24,7 +24,7 @@
 type Caller struct {
 	base  string
 	hc    *http.Client
-	ready atomic.Bool // result of the last readiness check of the entry; see balance
+	ready atomic.Bool // result of the last readiness check of the entry; see pollReadiness
 }
 
 // Caller returns a caller of the entry with the given name.
@@ -45,21 +45,21 @@
 	return &Caller{base: "http://" + c.procs[entry].Listen() + "/svc/" + c.opt.Service, hc: &http.Client{}}
 }
 
-// balance checks the readiness of one entry until stop closes, as the platform's load
-// balancer does.
-func (c *Cluster) balance(cl *Caller, entry string, stop <-chan struct{}) {
+// pollReadiness checks the readiness of one entry, as the platform's load balancer does,
+// until stop closes.
+func (c *Cluster) pollReadiness(cl *Caller, entry string, stop <-chan struct{}) {
 	for {
 		cl.ready.Store(getOK(context.Background(), "http://"+c.procs[entry].Admin()+"/ready") == nil)
 		select {
 		case <-stop:
 			return
-		case <-time.After(balanceInterval):
+		case <-time.After(readinessInterval):
 		}
 	}
 }
 
-// balanceInterval is the time between two readiness checks of an entry.
-const balanceInterval = 50 * time.Millisecond
+// readinessInterval is the time between two readiness checks of an entry.
+const readinessInterval = 50 * time.Millisecond
 
 // Answer is the response that a caller got, or the lack of one.
 type Answer struct {
@@ -70,7 +70,7 @@
 	Err     error               // no response came, or it was incomplete
 }
 
-// Ran returns whether the request ran, as far as the answer says it.
+// Ran returns whether the request ran, as far as the answer says so.
 func (a Answer) Ran() rudderfork.Ran {
 	switch {
 	case a.Err != nil:
@@ -90,7 +90,7 @@
 	for k, v := range header {
 		req.Header.Set(k, v)
 	}
-	// The HTTP client retries requests with the canonical spelling of this header by itself.
+	// net/http retries a request on its own if this header has its canonical spelling.
 	if v := req.Header.Get("Idempotency-Key"); v != "" {
 		req.Header.Del("Idempotency-Key")
 		req.Header["idempotency-key"] = []string{v}
@@ -198,10 +198,10 @@
 // Load defines the requests that RunLoad sends.
 type Load struct {
 	Callers, PerCaller int
-	Keyed              bool
-	Prefix             string
+	Keyed              bool            // send an idempotency key with each hold
+	Prefix             string          // of the requests' IDs
 	Pause              time.Duration   // time between two requests of a caller
-	Resend             int             // most retries of a keyed hold, which end once it ran
+	MaxRetries         int             // maximum number of retries of a keyed hold that isn't known to have run
 	Stop               <-chan struct{} // callers stop when it closes
 	Balanced           bool            // use only entries that report readiness, as a load balancer does
 	Query              string          // added to each hold, as in "&ms=20"
@@ -249,7 +249,7 @@
 	for e := range cl {
 		cl[e] = c.Caller(name("e", e))
 		if l.Balanced {
-			go c.balance(cl[e], name("e", e), l.Stop)
+			go c.pollReadiness(cl[e], name("e", e), l.Stop)
 		}
 	}
 	for i := range l.Callers {
@@ -306,7 +306,7 @@
 		key = id
 	}
 	var a Answer
-	for attempt := range l.Resend + 1 {
+	for attempt := range l.MaxRetries + 1 {
 		start := time.Now()
 		a = sendOnce(ctx, pickEntry(cl, first+attempt, l.Balanced), id, key, l)
 		took := time.Since(start)
@@ -316,7 +316,7 @@
 		if key == "" {
 			return a, took // a request without a key must not be repeated
 		}
-		if attempt < l.Resend {
+		if attempt < l.MaxRetries {
 			time.Sleep(200 * time.Millisecond)
 		}
 	}
--- a/internal/harness/cluster.go
+++ b/internal/harness/cluster.go
@@ -19,15 +19,15 @@
 	Controls, Entries, Agents                 int
 	Service                                   string
 	Lease, HeartbeatInterval, ElectionTimeout time.Duration
-	SnapshotEvery                             int
+	SnapshotEvery                             int                 // log entries between two snapshots of a control process
 	WorkerFlags                               []string            // of all workers
 	AgentWorkerFlags                          map[string][]string // by name of the agent, appended to WorkerFlags
 	UpstreamFlags                             []string
-	CPU, Memory                               int // capacity of each VM's worker, in thousandths of a core and MB
-	Reserved                                  int // part of CPU that is reserved for the service
-	Picker                                    string
-	LeaveGrace                                time.Duration
-	PlatformLag                               time.Duration
+	CPU, Memory                               int           // capacity of each VM's worker, in thousandths of a core and MB
+	Reserved                                  int           // part of CPU that is reserved for the service
+	Picker                                    string        // how entries choose an upstream; setting picker
+	LeaveGrace                                time.Duration // of entries, from reporting not ready to closing the listener
+	PlatformLag                               time.Duration // delay with which the platform lists a VM as leaving
 }
 
 func (o Options) withDefaults() Options {
@@ -66,7 +66,7 @@
 	dir, bin string
 	opt      Options
 	procs    map[string]*Proc
-	order    []string
+	order    []string // keys of procs, in the order of their first start or format
 
 	mu    sync.Mutex // guards links
 	links map[string]*Link
@@ -264,13 +264,13 @@
 	return p, nil
 }
 
-// StartWith restarts a process so that it crashes at the given crash point.
-func (c *Cluster) StartWith(name, point string) error {
+// StartWithCrash restarts a process so that it crashes at the given crash point.
+func (c *Cluster) StartWithCrash(name, point string) error {
 	c.procs[name].env = []string{crash.Env + "=" + point}
 	return c.StartProc(name)
 }
 
-// format prepares the data folder of a control process with its command format.
+// format prepares the data folder of a control process with the subcommand "format".
 func (c *Cluster) format(name string) error {
 	p, err := c.newProc(name)
 	if err != nil {
--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -33,7 +33,7 @@
 	path := filepath.Join(t.TempDir(), "audit")
 	read := func(text string) (vms []string, err error) {
 		assert.NilError(t, os.WriteFile(path, []byte(text), 0o600))
-		err = readAudit(path, func(u standin.Unit) { vms = append(vms, u.VM) })
+		err = readAudit(path, func(u standin.TaskRecord) { vms = append(vms, u.VM) })
 		return vms, err
 	}
 	vms, err := read("{\"vm\":\"a\"}\n{\"vm\":\"b\"}\n{\"vm\":")
--- a/internal/harness/link.go
+++ b/internal/harness/link.go
@@ -19,23 +19,23 @@
 	connProxy *faultlink.Proxy
 }
 
-// nowhere is the target of a link before the target process has started; nothing listens
-// there.
-const nowhere = "127.0.0.1:1"
+// noListenerAddr is the target of a link before the target process has started. Nothing
+// listens there.
+const noListenerAddr = "127.0.0.1:1"
 
 var server = toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop())
 
 func newLink(name string) (*Link, error) {
-	tail, err := faultlink.New(nowhere)
+	connProxy, err := faultlink.New(noListenerAddr)
 	if err != nil {
 		return nil, err
 	}
-	p := toxiproxy.NewProxy(server, name, "127.0.0.1:0", tail.Addr())
+	p := toxiproxy.NewProxy(server, name, "127.0.0.1:0", connProxy.Addr())
 	if err := p.Start(); err != nil {
-		tail.Close()
+		connProxy.Close()
 		return nil, err
 	}
-	return &Link{p, tail}, nil
+	return &Link{p, connProxy}, nil
 }
 
 // Addr returns the address that the link listens on.
@@ -69,7 +69,8 @@
 // LoseAnswers closes each connection after n bytes of responses.
 func (l *Link) LoseAnswers(n int) { l.addToxic(false, "limit_data", fmt.Sprintf(`{"bytes": %d}`, n)) }
 
-// Heal removes all faults of the first proxy. Connections that were cut are closed.
+// Heal removes all faults except those of Blackhole and Break. Connections that were cut
+// are closed.
 func (l *Link) Heal() { l.proxy.Toxics.ResetToxics(context.Background()) }
 
 // Break closes all connections and refuses new ones until Mend.
--- a/internal/harness/proc.go
+++ b/internal/harness/proc.go
@@ -23,19 +23,20 @@
 type Proc struct {
 	Name string
 	args []string
-	bin  string
+	bin  string // path of the program
 	log  *os.File
 	env  []string // further variables for the next start
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd
-	listen string
-	admin  string
-	exited chan struct{}
-	code   int
+	listen string        // address from the log; empty before the first start
+	admin  string        // address of the admin server from the log; empty if it has none
+	exited chan struct{} // closed when the current process has ended; nil before the first start
+	code   int           // exit code of the last process that has ended
 }
 
-var field = regexp.MustCompile(`(listen|admin)=(\S+)`)
+// addrPattern matches the addresses in the log line of the start.
+var addrPattern = regexp.MustCompile(`(listen|admin)=(\S+)`)
 
 // start starts the process and waits until it logs that it has started.
 func (p *Proc) start() error {
@@ -67,7 +68,7 @@
 	case line := <-started:
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		for _, m := range field.FindAllStringSubmatch(line, -1) {
+		for _, m := range addrPattern.FindAllStringSubmatch(line, -1) {
 			if m[1] == "listen" {
 				p.listen = m[2]
 			} else {
@@ -82,7 +83,7 @@
 	}
 }
 
-// copyLog copies the log to its file and sends the line of the start to started.
+// copyLog copies the log to its file. It sends the line that reports the start to started.
 func (p *Proc) copyLog(r io.Reader, started chan<- string) {
 	sc := bufio.NewScanner(r)
 	sc.Buffer(nil, 1<<20)
--- a/internal/harness/wait.go
+++ b/internal/harness/wait.go
@@ -155,10 +155,10 @@
 	}
 }
 
-// RequestStarts returns the starts of requests from all upstreams' audits.
-func (c *Cluster) RequestStarts() (rs []standin.Run, err error) {
+// RequestStarts returns the records of started requests from all upstreams' audits.
+func (c *Cluster) RequestStarts() (rs []standin.RequestRecord, err error) {
 	for i := range c.opt.Agents {
-		err := readAudit(c.Audit(name("u", i)), func(r standin.Run) {
+		err := readAudit(c.Audit(name("u", i)), func(r standin.RequestRecord) {
 			if !r.Ended {
 				rs = append(rs, r)
 			}
@@ -183,10 +183,10 @@
 	return runs, err
 }
 
-// Units returns the lines of all workers' audits.
-func (c *Cluster) Units() (us []standin.Unit, err error) {
+// TaskRecords returns the lines of all workers' audits.
+func (c *Cluster) TaskRecords() (us []standin.TaskRecord, err error) {
 	for i := range c.opt.Agents {
-		err := readAudit(c.Audit(name("w", i)), func(u standin.Unit) { us = append(us, u) })
+		err := readAudit(c.Audit(name("w", i)), func(u standin.TaskRecord) { us = append(us, u) })
 		if err != nil {
 			return nil, err
 		}
--- a/proof/audit_test.go
+++ b/proof/audit_test.go
@@ -26,7 +26,7 @@
 }
 
 // collectAttempts builds the attempts from audit lines, sorted by their start.
-func collectAttempts(t *testing.T, us []standin.Unit) []*attempt {
+func collectAttempts(t *testing.T, us []standin.TaskRecord) []*attempt {
 	t.Helper()
 	type key struct {
 		boot, task string
@@ -37,17 +37,17 @@
 	for _, u := range us {
 		k := key{u.Boot, u.Task, u.Token}
 		a := byKey[k]
-		if u.What == "start" {
+		if u.Event == "start" {
 			assert.Assert(t, a == nil, "task %s token %d started twice on one worker", u.Task, u.Token)
-			a = &attempt{vm: u.VM, boot: u.Boot, task: u.Task, token: u.Token, from: u.From, startUnit: u.Unit, cpu: u.CPU, mem: u.Mem}
+			a = &attempt{vm: u.VM, boot: u.Boot, task: u.Task, token: u.Token, from: u.From, startUnit: u.UnitsDone, cpu: u.CPU, mem: u.Mem}
 			byKey[k] = a
 			all = append(all, a)
 		}
 		a.lastSeen = max(a.lastSeen, u.To)
-		a.lastUnit = max(a.lastUnit, u.Unit)
-		if u.What != "start" && u.What != "unit" {
+		a.lastUnit = max(a.lastUnit, u.UnitsDone)
+		if u.Event != "start" && u.Event != "unit" {
 			assert.Equal(t, a.outcome, "", "task %s token %d ended twice", u.Task, u.Token)
-			a.outcome = u.What
+			a.outcome = u.Event
 		}
 	}
 	slices.SortFunc(all, func(a, b *attempt) int { return cmp.Compare(a.from, b.from) })
--- a/proof/batch_test.go
+++ b/proof/batch_test.go
@@ -135,13 +135,13 @@
 func waitStarted(ctx context.Context, t *testing.T, c *harness.Cluster, job rudderfork.JobSpec) {
 	t.Helper()
 	assert.NilError(t, harness.Until(ctx, string(job.ID)+" to start", func() error {
-		us, err := c.Units()
+		us, err := c.TaskRecords()
 		if err != nil {
 			return err
 		}
 		started := map[string]bool{}
 		for _, u := range us {
-			if u.What == "start" && strings.HasPrefix(u.Task, string(job.ID)+"/") {
+			if u.Event == "start" && strings.HasPrefix(u.Task, string(job.ID)+"/") {
 				started[u.Task] = true
 			}
 		}
@@ -231,7 +231,7 @@
 	for _, j := range jobs {
 		assert.NilError(t, c.WaitJob(ctx, j.ID))
 	}
-	us, err := c.Units()
+	us, err := c.TaskRecords()
 	assert.NilError(t, err)
 	as = collectAttempts(t, us)
 	checkDoneOnce(ctx, t, c, jobs)
@@ -277,7 +277,7 @@
 		}
 		for _, v := range victims {
 			c.Proc(v).Kill()
-			assert.NilError(t, c.StartWith(v, h.point))
+			assert.NilError(t, c.StartWithCrash(v, h.point))
 		}
 		if h.role == "agent" {
 			waitVM(ctx, t, c, "vm1", true)
@@ -300,7 +300,7 @@
 		}
 		t.Logf("%s: %d jobs done after %v", h.point, len(jobs), time.Since(at).Round(time.Millisecond))
 	}
-	us, err := c.Units()
+	us, err := c.TaskRecords()
 	assert.NilError(t, err)
 	as = collectAttempts(t, us)
 	checkCapacity(t, as, vmCPU, vmMemory)
--- a/proof/requests_test.go
+++ b/proof/requests_test.go
@@ -69,7 +69,7 @@
 func crashFault(name, point string) fault {
 	return fault{name + " crashes at " + point, func(ctx context.Context, t *testing.T, c *harness.Cluster) {
 		c.Proc(name).Kill()
-		assert.NilError(t, c.StartWith(name, point))
+		assert.NilError(t, c.StartWithCrash(name, point))
 		waitExit(ctx, t, c, name)
 		assert.NilError(t, c.StartProc(name))
 	}}
@@ -142,7 +142,7 @@
 	load := harness.Load{Callers: 6, PerCaller: unlimited, Stop: stop, Pause: 3 * time.Millisecond, Timeout: 3 * time.Second}
 	wg.Go(func() {
 		l := load
-		l.Prefix, l.Keyed, l.Resend = "k", true, 5
+		l.Prefix, l.Keyed, l.MaxRetries = "k", true, 5
 		keyed = c.RunLoad(ctx, l)
 	})
 	wg.Go(func() {
--- a/standin/executor/executor.go
+++ b/standin/executor/executor.go
@@ -48,21 +48,21 @@
 
 	mu         sync.Mutex
 	startedAt  time.Time // of the current incarnation, by now
-	id         string
-	startMS    int64 // start time in the incarnation's name; 0 if the name has none
-	leaseEndMS int64 // by the executor's clock
-	fence      uint64
+	id         string    // of the current incarnation
+	startMS    int64     // start time in the incarnation's name; 0 if the name has none
+	leaseEndMS int64     // by the executor's clock
+	fence      uint64    // highest fencing token received by the incarnation
 	capacity   rudderfork.Resources
-	used       rudderfork.Resources
+	used       rudderfork.Resources // by the runs in progress
 	running    map[rudderfork.TaskID]*run
 	barred     map[rudderfork.TaskID]uint32 // highest run number that was stopped or has ended; it can't start again
 	ended      []rudderfork.EndedRun
-	seq        uint64
+	seq        uint64 // number of the last ended run
 	acked      uint64 // ended runs up to this number are acknowledged and no longer listed, also those that end later
 	delivery   func(call string) Delivery
 	delay      func(call string) time.Duration
 	stopTime   time.Duration
-	forgets    bool
+	forgets    bool // Config.ForgetsStops
 	delayed    []delayedCall
 	sizes      func(payload string) rudderfork.Resources
 	behave     func(ref rudderfork.RunRef, payload string) string
@@ -83,7 +83,7 @@
 	workMS   int64
 	fails    bool
 	hangs    bool
-	percent  int
+	percent  int       // speed set by Pace, in percent of full speed
 	workedMS float64   // work done, in ms at full speed
 	workedAt int64     // when workedMS was updated, by the executor's clock
 	stopAt   time.Time // when it ends after a stop; zero if it was not stopped
--- a/standin/standin.go
+++ b/standin/standin.go
@@ -1,6 +1,6 @@
-// Package standin holds the audit that the test doubles of the platform and of the
-// operators' own services write. They serve the demo and the tests; the product imports
-// none of them.
+// Package standin provides the audit files that the test doubles in its subfolders write.
+// They stand in for the platform's services and for an operator's own service, in the demo
+// and the tests. The product imports none of them.
 package standin
 
 import (
@@ -45,29 +45,29 @@
 	}
 }
 
-// Run is one line of an upstream's audit: the start or the end of a request.
-type Run struct {
+// RequestRecord is one line of an upstream's audit: the start or the end of a request.
+type RequestRecord struct {
 	VM      string `json:"vm"`
-	Request string `json:"request"`
-	Key     string `json:"key"`
-	Path    string `json:"path"`
-	At      int64  `json:"at"`    // Unix µs
-	Ended   bool   `json:"whole"` // set in the line written after the handler has returned
+	Request string `json:"request"` // id from the header Rudderfork-Request
+	Key     string `json:"key"`     // idempotency key; empty if the request has none
+	Path    string `json:"path"`    // with the query
+	At      int64  `json:"at"`      // Unix µs
+	Ended   bool   `json:"whole"`   // false in the line of the start, true in the line written after the handler has returned
 }
 
-// Unit is one line of a worker's audit: the start of an attempt at a task, a completed
+// TaskRecord is one line of a worker's audit: the start of an attempt at a task, a completed
 // unit of work, or the end of the attempt.
-type Unit struct {
+type TaskRecord struct {
 	VM    string `json:"vm"`
-	Boot  string `json:"boot"`
+	Boot  string `json:"boot"` // id of the worker's process, random at each start
 	Task  string `json:"task"`
-	Token uint64 `json:"token"`
-	// What is start, unit, done, failed, expired, stopped (with a checkpoint, or by a later
+	Token uint64 `json:"token"` // fencing token of the attempt
+	// Event is start, unit, done, failed, expired, stopped (with a checkpoint, or by a later
 	// attempt) or dropped (stopped without a checkpoint).
-	What string `json:"what"`
-	Unit int64  `json:"unit"` // units of work completed so far
-	From int64  `json:"from"` // Unix µs
-	To   int64  `json:"to"`   // Unix µs
-	CPU  int64  `json:"cpu"`  // thousandths of a core that the attempt takes
-	Mem  int64  `json:"mem"`
+	Event     string `json:"what"`
+	UnitsDone int64  `json:"unit"` // units of work completed so far
+	From      int64  `json:"from"` // start of the unit, or time of the event; Unix µs
+	To        int64  `json:"to"`   // Unix µs
+	CPU       int64  `json:"cpu"`  // thousandths of a core that the attempt takes
+	Mem       int64  `json:"mem"`  // MB that the attempt takes
 }
--- a/standin/upstream/upstream.go
+++ b/standin/upstream/upstream.go
@@ -25,11 +25,11 @@
 
 // Upstream handles requests. It is safe for concurrent use.
 type Upstream struct {
-	cfg   Config
-	audit *standin.Audit
-	runs  atomic.Int64
-	now   atomic.Int64 // requests in progress
-	peak  atomic.Int64
+	cfg        Config
+	audit      *standin.Audit
+	runs       atomic.Int64 // requests started, without feeds
+	inProgress atomic.Int64 // without feeds
+	peak       atomic.Int64 // maximum of inProgress
 
 	mu    sync.Mutex
 	seats map[string]string // idempotency key of the last hold, by seat
@@ -57,18 +57,18 @@
 func (u *Upstream) counted(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		u.runs.Add(1)
-		n := u.now.Add(1)
-		defer u.now.Add(-1)
+		n := u.inProgress.Add(1)
+		defer u.inProgress.Add(-1)
 		for p := u.peak.Load(); n > p && !u.peak.CompareAndSwap(p, n); p = u.peak.Load() {
 		}
-		run := standin.Run{
+		record := standin.RequestRecord{
 			VM: u.cfg.VM, Request: r.Header.Get("Rudderfork-Request"), Key: r.Header.Get("Idempotency-Key"),
 			Path: r.URL.RequestURI(), At: time.Now().UnixMicro(),
 		}
-		u.audit.Write(run)
+		u.audit.Write(record)
 		h(w, r)
-		run.Ended = true
-		u.audit.Write(run)
+		record.Ended = true
+		u.audit.Write(record)
 	}
 }
 
@@ -96,7 +96,7 @@
 type Hold struct {
 	Seat string `json:"seat"`
 	VM   string `json:"vm"`
-	Run  int64  `json:"run"`
+	Run  int64  `json:"run"` // number of requests started when the handler began
 	Tag  string `json:"tag"`
 }
 
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -19,7 +19,7 @@
 // Config configures a Worker.
 type Config struct {
 	VM         string
-	Unit       time.Duration        // length of one unit of work at full speed
+	Unit       time.Duration        // duration of one unit of work at full speed
 	Checkpoint int64                // units of work between two checkpoints; 0 means none
 	Lag        time.Duration        // age of the usage that is reported
 	FailAll    bool                 // every task fails at its start
@@ -33,7 +33,7 @@
 	boot  string
 
 	mu       sync.Mutex
-	deadline time.Time
+	deadline time.Time // end of the lease
 	tasks    map[rudderfork.TaskID]*task
 	fenced   map[rudderfork.TaskID]rudderfork.Token // highest token received
 }
@@ -41,8 +41,8 @@
 // task is one attempt at a task.
 type task struct {
 	api.Task
-	units int64
-	kind  string
+	units int64  // units of work in the whole task
+	kind  string // kind of the job; a kind that begins with "broken" fails at its start
 }
 
 // New returns a worker without tasks, with a random boot ID.
@@ -166,8 +166,8 @@
 	return t.Progress, t.Throttle, true
 }
 
-// finish counts a unit of work and reports whether the attempt goes on. A unit in which
-// the lease expired does not count.
+// finish counts a completed unit of work and reports whether the attempt continues. A unit
+// in which the lease expired does not count.
 func (w *Worker) finish(t *task, unit int64, from time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -205,13 +205,13 @@
 	w.recordSpan(t, string(p), at, at)
 }
 
-func (w *Worker) record(t *task, what string, from time.Time) {
-	w.recordSpan(t, what, from, time.Now())
+func (w *Worker) record(t *task, event string, from time.Time) {
+	w.recordSpan(t, event, from, time.Now())
 }
 
-func (w *Worker) recordSpan(t *task, what string, from, to time.Time) {
-	w.audit.Write(standin.Unit{
-		VM: w.cfg.VM, Boot: w.boot, Task: string(t.Task.Task), Token: uint64(t.Token), What: what, Unit: t.Progress,
+func (w *Worker) recordSpan(t *task, event string, from, to time.Time) {
+	w.audit.Write(standin.TaskRecord{
+		VM: w.cfg.VM, Boot: w.boot, Task: string(t.Task.Task), Token: uint64(t.Token), Event: event, UnitsDone: t.Progress,
 		From: from.UnixMicro(), To: to.UnixMicro(), CPU: t.Size.CPUMilli, Mem: t.Size.MemoryMB,
 	})
 }
@@ -223,11 +223,11 @@
 	if t != nil && t.Token == c.Token {
 		if t.Phase == lease.WorkerRunning {
 			t.Phase, t.Reason = lease.WorkerStopped, "stopped by request"
-			what := "dropped"
+			event := "dropped"
 			if c.Checkpoint {
-				t.Checkpoint, what = t.Progress, "stopped"
+				t.Checkpoint, event = t.Progress, "stopped"
 			}
-			w.record(t, what, time.Now())
+			w.record(t, event, time.Now())
 		}
 		return
 	}
--- a/standin/worker/worker_test.go
+++ b/standin/worker/worker_test.go
@@ -28,8 +28,8 @@
 	assert.Assert(t, !ok)
 	data, err := os.ReadFile(path)
 	assert.NilError(t, err)
-	var u standin.Unit
+	var u standin.TaskRecord
 	assert.NilError(t, json.Unmarshal(data, &u))
-	assert.Equal(t, u.What, string(lease.WorkerExpired))
+	assert.Equal(t, u.Event, string(lease.WorkerExpired))
 	assert.Equal(t, u.To, w.deadline.UnixMicro())
 }
