--- a/Makefile
+++ b/Makefile
@@ -5,7 +5,7 @@
 LINT    := github.com/golangci/golangci-lint/v2/cmd/golangci-lint@v2.15.0
 PROGRAMS := rudder-control rudder-entry rudder-agent rudderctl
 
-# Tests listed in KNOWN-RED.txt (name, cause, issue) are passed over, and printed.
+# Tests listed in KNOWN-RED.txt (name, cause, issue) are skipped and printed.
 KNOWN_RED := $(shell cut -d, -f1 KNOWN-RED.txt 2>/dev/null | paste -sd'|' -)
 SKIP      := $(if $(KNOWN_RED),-skip '^($(KNOWN_RED))$$')
 
--- a/cmd/rudder-platform/main_test.go
+++ b/cmd/rudder-platform/main_test.go
@@ -15,9 +15,9 @@
 // TOML, but restricted to what an ini parser accepts.
 const deployFile = "../../deploy/system.toml"
 
-// shares is the share of its class of machines that runs a role. All core machines run
-// the control role: with one per failure domain there are only three or four voters,
-// and five are needed to tolerate the loss of two disks.
+// shares has, for each role, the share of its class of machines that runs it. All core
+// machines run the control role: with one machine per failure domain there would be only
+// three or four voters, and five are needed to tolerate the loss of two disks.
 var shares = map[string]string{"control": "1.0", "entry": "1.0", "agent": ""}
 
 // TestDeployFile parses the command lines of the deploy file with the flags of each
--- a/cmd/rudderctl/reasons.go
+++ b/cmd/rudderctl/reasons.go
@@ -32,8 +32,8 @@
 	{name: "timeline", usage: "[flags]", synopsis: "show the events of all processes, merged", flags: timelineFlags, run: showTimeline},
 }
 
-// explain prints the explanation of the control processes or, if that fails, those of
-// the entries, which alone know the requests that they handle.
+// explain prints the explanation of the control processes. If they have none, it prints
+// those of the entries, because a request is known only to the entry that handled it.
 func explain(ctx context.Context, c *operator.Client, args []string) error {
 	e, err := c.Explain(ctx, args[0])
 	if err != nil {
--- a/cmd/rudderctl/trace.go
+++ b/cmd/rudderctl/trace.go
@@ -43,7 +43,7 @@
 		return err
 	}
 	if len(lines) == 0 {
-		return fmt.Errorf("no line names %s", args[0])
+		return fmt.Errorf("no log line contains %s", args[0])
 	}
 	slices.SortStableFunc(lines, func(a, b logLine) int { return a.at.Compare(b.at) })
 	for _, l := range lines {
--- a/internal/crash/crash.go
+++ b/internal/crash/crash.go
@@ -18,22 +18,22 @@
 // The crash points of control, of an agent that runs a task, and of an entry and an agent
 // that forward a request, each group in the order in which processes reach them.
 const (
-	ControlSave     = "control.save"     // before entries are synced
-	ControlSaved    = "control.saved"    // synced, not yet acknowledged
-	ControlApplied  = "control.applied"  // applied, no other process informed
-	ControlSnapshot = "control.snapshot" // in the middle of a snapshot
-	AgentStart      = "agent.start"      // before the worker is asked to start
-	AgentStarted    = "agent.started"    // the worker has started it
-	AgentStop       = "agent.stop"       // before the worker is asked to stop
-	AgentStopped    = "agent.stopped"    // the worker has stopped it
-	AgentReport     = "agent.report"     // the end is known, control not informed
-	AgentReported   = "agent.reported"   // reported to control, no response read
-	AgentForget     = "agent.forget"     // before the worker is asked to forget it
-	EntryClaimed    = "entry.claimed"    // the claim is held, nothing sent
-	EntrySent       = "entry.sent"       // the upstream has answered the entry
-	EntryAnswered   = "entry.answered"   // the caller has the response, control not informed
-	AgentBegun      = "agent.begun"      // the claim is used, nothing forwarded
-	AgentForwarded  = "agent.forwarded"  // the upstream has answered the agent
+	ControlSave     = "control.save"     // before entries are written and synced
+	ControlSaved    = "control.saved"    // entries are synced, but not yet acknowledged
+	ControlApplied  = "control.applied"  // an entry is applied, but its proposer has no result yet
+	ControlSnapshot = "control.snapshot" // the snapshot is written, but not the log file that follows it
+	AgentStart      = "agent.start"      // before the worker is asked to start the task
+	AgentStarted    = "agent.started"    // the worker has been asked to start the task
+	AgentStop       = "agent.stop"       // before the worker is asked to stop the task
+	AgentStopped    = "agent.stopped"    // the worker has been asked to stop the task
+	AgentReport     = "agent.report"     // before the report about the task is sent to control
+	AgentReported   = "agent.reported"   // control has acknowledged the report; the acknowledgement is not processed
+	AgentForget     = "agent.forget"     // before the worker is asked to forget the task
+	EntryClaimed    = "entry.claimed"    // the entry holds the claim, but has not sent the request
+	EntrySent       = "entry.sent"       // the upstream's response has reached the entry, but not the caller
+	EntryAnswered   = "entry.answered"   // the response is written to the caller, but not recorded by control
+	AgentBegun      = "agent.begun"      // the claim is used, but the request is not forwarded
+	AgentForwarded  = "agent.forwarded"  // the upstream's response has reached the agent, but not the entry
 )
 
 // Point kills the process if name is the selected crash point.
--- a/internal/faultlink/faultlink.go
+++ b/internal/faultlink/faultlink.go
@@ -68,8 +68,9 @@
 	}
 }
 
-// Blackhole discards all bytes, and the end, of the open connections in the given
-// directions. It can't be undone and doesn't affect new connections.
+// Blackhole discards all further bytes of the open connections in the given directions,
+// and doesn't pass on that a peer has closed. It can't be undone and doesn't affect new
+// connections.
 func (p *Proxy) Blackhole(dirs ...Direction) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -141,7 +142,7 @@
 	delete(p.conns, c)
 }
 
-// conn is a connection to the proxy and the one to its target.
+// conn is a connection from a dialer to the proxy, and the one from the proxy to its target.
 type conn struct {
 	from, to   net.Conn
 	blackholed [2]atomic.Bool // by Direction
@@ -152,7 +153,8 @@
 	_ = c.to.Close()
 }
 
-// forward copies one direction. The end of a blackholed direction is not passed on.
+// forward copies one direction until it ends, and then closes both connections. If the
+// direction is blackholed, it discards the bytes and leaves the connections open.
 func (c *conn) forward(d Direction) {
 	src, dst := c.from, c.to
 	if d == ToDialer {
--- a/internal/logging/limit.go
+++ b/internal/logging/limit.go
@@ -12,7 +12,8 @@
 	// leader of 240 VMs may start 1,100 tasks in a second; with a limit of 500 lines a
 	// third of a day's decisions are missing from the log.
 	linesPerSecond = 2_000
-	// limitNotice is the event that reports how many lines of another were suppressed.
+	// limitNotice is the event that reports how many lines of another event were
+	// suppressed.
 	limitNotice = "log_lines_limited"
 )
 
@@ -25,11 +26,11 @@
 	events map[string]*tally
 }
 
-// tally counts the lines of one event in a window of one second, which ends at until.
+// tally counts the lines of one event in a window of one second.
 type tally struct {
-	until   time.Time
-	passed  int
-	limited int
+	until   time.Time // end of the window
+	passed  int       // lines written
+	limited int       // lines suppressed
 }
 
 func newLimiter(plain zerolog.Logger, now func() time.Time) *limiter {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -30,10 +30,14 @@
 		Str("process", process).Str("vm", string(p.VM)).Str("domain", string(p.Domain)).Logger()
 }
 
+// pair returns a formatter that writes key=value.
 func pair(key string) zerolog.Formatter {
 	return func(v any) string { return key + "=" + value(v) }
 }
 
+// value formats a field's value. It quotes a text that is empty or contains a space, a
+// quote, an equals sign or a newline, unless it begins with a quote, as zerolog has then
+// quoted it already.
 func value(v any) string {
 	s := fmt.Sprint(v)
 	if b, ok := v.([]byte); ok {
@@ -54,8 +58,8 @@
 )
 
 // flushLimit bounds the time to write queued lines at the end of a process, in case
-// nobody reads them. The users' platform leaves a second after a stop, of which this
-// is a part.
+// nobody reads them. It is part of the last second before the platform kills a stopping
+// process, which the shutdown leaves unused.
 const flushLimit = 300 * time.Millisecond
 
 // NewBounded returns a logger of JSON lines that never blocks the process. The lines of
@@ -73,8 +77,8 @@
 	return plain.Hook(newLimiter(plain, time.Now)), func() { closeWithin(dw, flushLimit) }
 }
 
-// closeWithin closes c but waits no longer than limit. The error is dropped: the
-// process ends and its log is what failed.
+// closeWithin closes c but waits no longer than limit. The error of Close is dropped: the
+// process ends, and it could only be reported to the log that has failed.
 func closeWithin(c io.Closer, limit time.Duration) {
 	closed := make(chan struct{})
 	go func() {
--- a/internal/regression/regression.go
+++ b/internal/regression/regression.go
@@ -8,9 +8,8 @@
 )
 
 // Fit is a linear model fitted by recursive least squares. Coefficients are added one by
-// one, each with a prior. Fit forgets nothing by itself: the caller discounts old
-// observations with Widen. The zero value has no coefficients. It is not safe for
-// concurrent use.
+// one, each with a prior. Fit doesn't discount old observations by itself; the caller does so
+// with Widen. The zero value has no coefficients. It is not safe for concurrent use.
 type Fit struct {
 	beta []float64
 	cov  [][]float64
@@ -22,7 +21,7 @@
 // Beta returns the estimate of coefficient i.
 func (f *Fit) Beta(i int) float64 { return f.beta[i] }
 
-// Bound raises the coefficients that are below least to it.
+// Bound raises the estimates of coefficients that are below least to least.
 func (f *Fit) Bound(least float64) {
 	for i := range f.beta {
 		f.beta[i] = max(least, f.beta[i])
@@ -60,7 +59,8 @@
 	}
 }
 
-// shrink multiplies the standard error of coefficient i by a factor.
+// shrink multiplies the standard error of coefficient i by a factor, and its covariances
+// with it.
 func (f *Fit) shrink(i int, by float64) {
 	for j := range f.cov {
 		f.cov[i][j] *= by
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -1,8 +1,9 @@
 // Package stall measures how late the timers of a process fire.
 //
-// A process with a share of a core may be delayed by garbage collection, by a goroutine
-// that holds the processor, or by the operating system's scheduler. Other processes then
-// miss its heartbeats and take it for failed, and its own log shows only a gap.
+// A process that has only a share of a core may be delayed by garbage collection, by a
+// goroutine that occupies the processor, or by the operating system's scheduler. Other
+// processes then miss its heartbeats and consider it failed, while its own log shows only
+// a gap.
 package stall
 
 import (
--- a/internal/steady/steady.go
+++ b/internal/steady/steady.go
@@ -8,7 +8,7 @@
 )
 
 // clock returns the time since a fixed moment. It must advance while the system is
-// suspended: a lease ends by the clocks of the other processes too, which go on.
+// suspended: a lease also expires by the clocks of other processes, which advance meanwhile.
 type clock func() time.Duration
 
 // Clock is a wall clock: the system's wall time at its start plus the time since.
@@ -24,7 +24,7 @@
 	return &Clock{wall: wall.Round(0), start: since(), since: since}
 }
 
-// Now returns the wall time at the start plus the time since.
+// Now returns the wall time at the clock's start plus the time since.
 func (c *Clock) Now() time.Time { return c.wall.Add(c.since() - c.start) }
 
 // Now returns the wall time at the start of the process plus the time since, including
--- a/internal/steady/steady_test.go
+++ b/internal/steady/steady_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func BenchmarkGo(b *testing.B) {
+func BenchmarkMonotonicClock(b *testing.B) {
 	for b.Loop() {
 		_ = time.Since(processStart)
 	}
