--- a/cmd/demo-queues/main.go
+++ b/cmd/demo-queues/main.go
@@ -28,8 +28,8 @@
 	limit = 60 * time.Second
 	// pollInterval is the time between two checks of a condition.
 	pollInterval = 50 * time.Millisecond
-	cores        = 3
-	sides        = 2
+	coreMachines = 3
+	sideMachines = 2
 	host         = "desk.example"
 )
 
@@ -56,7 +56,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	site, err := standin.NewSite(bin, dir, cores, 1)
+	site, err := standin.NewSite(bin, dir, coreMachines, 1)
 	if err != nil {
 		return err
 	}
@@ -83,12 +83,12 @@
 // start starts the control, agent and entry processes, one per simulated VM.
 func (d *demo) start() error {
 	say("three core machines, two side machines with executors, one edge machine")
-	for i := range cores {
+	for i := range coreMachines {
 		if err := d.site.StartCore(i, true); err != nil {
 			return err
 		}
 	}
-	for range sides {
+	for range sideMachines {
 		capacity := rudderfork.Resources{CPUMilli: 4000, MemoryMB: 8000}
 		if err := d.site.StartSide(executor.Config{Now: steady.Now, Capacity: capacity}); err != nil {
 			return err
--- a/cmd/rudderctl/where.go
+++ b/cmd/rudderctl/where.go
@@ -26,12 +26,12 @@
 	TimeUS  int64  `json:"time"` // Unix µs
 	Task    string `json:"task"`
 	Run     uint32 `json:"run"`
-	How     string `json:"how"`
+	Outcome string `json:"how"` // of the run
 	Reason  string `json:"reason"`
-	Percent int    `json:"percent"`
-	Ask     string `json:"ask"`
-	Path    string `json:"path"`
-	Result  string `json:"result"`
+	Percent int    `json:"percent"` // pace of a filler
+	Request string `json:"ask"`     // kind of a client's request, such as "submit"
+	Path    string `json:"path"`    // of the request
+	Result  string `json:"result"`  // of the request; "ok" if it was accepted
 }
 
 // eventKinds maps log events to the kinds of jobtime.
@@ -42,9 +42,9 @@
 // event converts the line to an event of jobtime; ok is false if it isn't about a job.
 func (l eventLine) event() (e jobtime.Event, ok bool) {
 	e = jobtime.Event{
-		Kind: eventKinds[l.Event], At: time.UnixMicro(l.TimeUS), Run: l.Run, Outcome: queue.Outcome(l.How), Reason: l.Reason, Percent: l.Percent,
+		Kind: eventKinds[l.Event], At: time.UnixMicro(l.TimeUS), Run: l.Run, Outcome: queue.Outcome(l.Outcome), Reason: l.Reason, Percent: l.Percent,
 	}
-	if l.Event == "ask_answered" && l.Ask == "submit" && l.Result == "ok" {
+	if l.Event == "ask_answered" && l.Request == "submit" && l.Result == "ok" {
 		e.Kind, e.Job = jobtime.Submitted, rudderfork.JobID(l.Path[strings.LastIndexByte(l.Path, '/')+1:])
 		return e, e.Job != ""
 	}
--- a/internal/crash/crash.go
+++ b/internal/crash/crash.go
@@ -13,7 +13,8 @@
 // Env is the environment variable that selects the crash point.
 const Env = "RUDDER_CRASH"
 
-var at = os.Getenv(Env)
+// selected is the name of the selected crash point; empty for none.
+var selected = os.Getenv(Env)
 
 // The crash points of control, of an agent that runs a task, and of an entry and an agent
 // that forward a request, each group in the order in which processes reach them.
@@ -38,7 +39,7 @@
 
 // Point kills the process if name is the selected crash point.
 func Point(name string) {
-	if at != "" && at == name {
+	if selected != "" && selected == name {
 		_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
 		select {} // until the signal is delivered
 	}
--- a/internal/harness/caller.go
+++ b/internal/harness/caller.go
@@ -247,9 +247,9 @@
 	var wg sync.WaitGroup
 	cl := make([]*Caller, c.opt.Entries)
 	for e := range cl {
-		cl[e] = c.Caller(name("e", e))
+		cl[e] = c.Caller(procName("e", e))
 		if l.Balanced {
-			go c.pollReadiness(cl[e], name("e", e), l.Stop)
+			go c.pollReadiness(cl[e], procName("e", e), l.Stop)
 		}
 	}
 	for i := range l.Callers {
--- a/internal/harness/cluster.go
+++ b/internal/harness/cluster.go
@@ -85,31 +85,33 @@
 		return err
 	}
 	for i := range c.opt.Controls {
-		if err := c.format(name("c", i)); err != nil {
+		if err := c.format(procName("c", i)); err != nil {
 			return err
 		}
 	}
 	for i := range c.opt.Controls {
-		if err := c.StartProc(name("c", i)); err != nil {
+		if err := c.StartProc(procName("c", i)); err != nil {
 			return err
 		}
 	}
 	for i := range c.opt.Agents {
 		for _, kind := range []string{"u", "w", "a"} {
-			if err := c.StartProc(name(kind, i)); err != nil {
+			if err := c.StartProc(procName(kind, i)); err != nil {
 				return err
 			}
 		}
 	}
 	for i := range c.opt.Entries {
-		if err := c.StartProc(name("e", i)); err != nil {
+		if err := c.StartProc(procName("e", i)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func name(kind string, i int) string { return fmt.Sprintf("%s%d", kind, i+1) }
+// procName returns the name of process i of a kind, counted from 0: c1 for the first control
+// process.
+func procName(kind string, i int) string { return fmt.Sprintf("%s%d", kind, i+1) }
 
 // Close kills all processes and closes all links.
 func (c *Cluster) Close() {
@@ -201,7 +203,7 @@
 func (c *Cluster) addrs(from string) []string {
 	var as []string
 	for i := range c.opt.Controls {
-		as = append(as, c.Link(from, name("c", i)).Addr())
+		as = append(as, c.Link(from, procName("c", i)).Addr())
 	}
 	return as
 }
--- a/internal/harness/settings.go
+++ b/internal/harness/settings.go
@@ -12,7 +12,7 @@
 // settings returns the text of the INI file of a process.
 func (c *Cluster) settings(name string) string {
 	var n int
-	_, _ = fmt.Sscanf(name[1:], "%d", &n) // can't fail: func name makes all names
+	_, _ = fmt.Sscanf(name[1:], "%d", &n) // can't fail: procName makes all names
 	vm := map[byte]string{'c': "ctl", 'a': "vm", 'e': "entry"}[name[0]] + name[1:]
 	place := fmt.Sprintf("[place]\nvm = %s\ndomain = d%d\nregion = r1\nrack = k%d\n", vm, (n-1)%domains+1, (n-1)/domains+1)
 	switch name[0] {
@@ -28,7 +28,7 @@
 func (c *Cluster) controlSettings(self string) string {
 	var peers, dial []string
 	for i := range c.opt.Controls {
-		n := name("c", i)
+		n := procName("c", i)
 		peers = append(peers, n+"="+c.Link("op", n).Addr())
 		if n != self {
 			dial = append(dial, n+"="+c.Link(self, n).Addr())
--- a/internal/harness/wait.go
+++ b/internal/harness/wait.go
@@ -39,7 +39,7 @@
 // live.
 func (c *Cluster) WaitReady(ctx context.Context) error {
 	for i := range c.opt.Entries {
-		p := c.procs[name("e", i)]
+		p := c.procs[procName("e", i)]
 		if err := Until(ctx, p.Name+" to be ready", func() error { return getOK(ctx, "http://"+p.Admin()+"/ready") }); err != nil {
 			return err
 		}
@@ -158,7 +158,7 @@
 // RequestStarts returns the records of started requests from all upstreams' audits.
 func (c *Cluster) RequestStarts() (rs []standin.RequestRecord, err error) {
 	for i := range c.opt.Agents {
-		err := readAudit(c.Audit(name("u", i)), func(r standin.RequestRecord) {
+		err := readAudit(c.Audit(procName("u", i)), func(r standin.RequestRecord) {
 			if !r.Ended {
 				rs = append(rs, r)
 			}
@@ -186,7 +186,7 @@
 // TaskRecords returns the lines of all workers' audits.
 func (c *Cluster) TaskRecords() (us []standin.TaskRecord, err error) {
 	for i := range c.opt.Agents {
-		err := readAudit(c.Audit(name("w", i)), func(u standin.TaskRecord) { us = append(us, u) })
+		err := readAudit(c.Audit(procName("w", i)), func(u standin.TaskRecord) { us = append(us, u) })
 		if err != nil {
 			return nil, err
 		}
--- a/standin/executor/executor.go
+++ b/standin/executor/executor.go
@@ -46,28 +46,28 @@
 	now       func() time.Time
 	clockRate float64
 
-	mu         sync.Mutex
-	startedAt  time.Time // of the current incarnation, by now
-	id         string    // of the current incarnation
-	startMS    int64     // start time in the incarnation's name; 0 if the name has none
-	leaseEndMS int64     // by the executor's clock
-	fence      uint64    // highest fencing token received by the incarnation
-	capacity   rudderfork.Resources
-	used       rudderfork.Resources // by the runs in progress
-	running    map[rudderfork.TaskID]*run
-	barred     map[rudderfork.TaskID]uint32 // highest run number that was stopped or has ended; it can't start again
-	ended      []rudderfork.EndedRun
-	seq        uint64 // number of the last ended run
-	acked      uint64 // ended runs up to this number are acknowledged and no longer listed, also those that end later
-	delivery   func(call string) Delivery
-	delay      func(call string) time.Duration
-	stopTime   time.Duration
-	forgets    bool // Config.ForgetsStops
-	delayed    []delayedCall
-	sizes      func(payload string) rudderfork.Resources
-	behave     func(ref rudderfork.RunRef, payload string) string
-	onStart    func(rudderfork.RunRef)
-	onFinish   func(rudderfork.RunRef, string)
+	mu           sync.Mutex
+	startedAt    time.Time // of the current incarnation, by now
+	id           string    // of the current incarnation
+	startMS      int64     // start time in the incarnation's name; 0 if the name has none
+	leaseEndMS   int64     // by the executor's clock
+	fence        uint64    // highest fencing token received by the incarnation
+	capacity     rudderfork.Resources
+	used         rudderfork.Resources // by the runs in progress
+	running      map[rudderfork.TaskID]*run
+	barred       map[rudderfork.TaskID]uint32 // highest run number that was stopped or has ended; it can't start again
+	ended        []rudderfork.EndedRun
+	seq          uint64 // number of the last ended run
+	acked        uint64 // ended runs up to this number are acknowledged and no longer listed, also those that end later
+	delivery     func(call string) Delivery
+	delay        func(call string) time.Duration
+	stopTime     time.Duration
+	forgetsStops bool // Config.ForgetsStops
+	delayed      []delayedCall
+	sizes        func(payload string) rudderfork.Resources
+	behave       func(ref rudderfork.RunRef, payload string) string
+	onStart      func(rudderfork.RunRef)
+	onFinish     func(rudderfork.RunRef, string)
 }
 
 // delayedCall is a call that is carried out later.
@@ -122,7 +122,7 @@
 func New(inc string, cfg Config) *Executor {
 	e := &Executor{
 		now: cfg.Now, clockRate: cfg.ClockRate, capacity: cfg.Capacity, delivery: cfg.Delivery, delay: cfg.Delay, stopTime: cfg.StopTime,
-		forgets: cfg.ForgetsStops, sizes: cfg.Sizes, behave: cfg.Behave, onStart: cfg.OnStart, onFinish: cfg.OnFinish,
+		forgetsStops: cfg.ForgetsStops, sizes: cfg.Sizes, behave: cfg.Behave, onStart: cfg.OnStart, onFinish: cfg.OnFinish,
 	}
 	if e.clockRate == 0 {
 		e.clockRate = 1
@@ -388,7 +388,7 @@
 		e.fence = fence
 		if r := e.running[ref.Task]; r != nil && r.ref.Run <= ref.Run {
 			e.stop(r)
-		} else if e.forgets {
+		} else if e.forgetsStops {
 			return
 		}
 		e.barred[ref.Task] = max(e.barred[ref.Task], ref.Run)
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -35,7 +35,7 @@
 	mu       sync.Mutex
 	deadline time.Time // end of the lease
 	tasks    map[rudderfork.TaskID]*task
-	fenced   map[rudderfork.TaskID]rudderfork.Token // highest token received
+	fenced   map[rudderfork.TaskID]rudderfork.Token // highest fencing token received, by task
 }
 
 // task is one attempt at a task.
@@ -111,7 +111,7 @@
 		http.Error(rw, "the lease has ended", http.StatusConflict)
 		return
 	}
-	w.replace(s.Task, s.Token)
+	w.supersede(s.Task, s.Token)
 	t := &task{units: s.Units, kind: s.Kind, Task: api.Task{
 		Task: s.Task, Token: s.Token, Phase: lease.WorkerRunning, Size: s.Size,
 		Checkpoint: s.Checkpoint, Progress: s.Checkpoint,
@@ -132,7 +132,7 @@
 	}
 	for {
 		from := time.Now()
-		unit, level, ok := w.begin(t, from)
+		unit, level, ok := w.nextUnit(t, from)
 		if !ok {
 			return
 		}
@@ -141,15 +141,15 @@
 			continue
 		}
 		time.Sleep(w.cfg.Unit << level)
-		if !w.finish(t, unit, from) {
+		if !w.finishUnit(t, unit, from) {
 			return
 		}
 	}
 }
 
-// begin returns the next unit of t and the throttle level. ok is false if the attempt has
+// nextUnit returns the next unit of t and the throttle level. ok is false if the attempt has
 // ended, or ends now because its lease has expired or its work is done.
-func (w *Worker) begin(t *task, now time.Time) (unit int64, level int, ok bool) {
+func (w *Worker) nextUnit(t *task, now time.Time) (unit int64, level int, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
@@ -166,9 +166,9 @@
 	return t.Progress, t.Throttle, true
 }
 
-// finish counts a completed unit of work and reports whether the attempt continues. A unit
-// in which the lease expired does not count.
-func (w *Worker) finish(t *task, unit int64, from time.Time) bool {
+// finishUnit counts a completed unit of work and reports whether the attempt continues. A
+// unit in which the lease expired does not count.
+func (w *Worker) finishUnit(t *task, unit int64, from time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
@@ -234,13 +234,13 @@
 	if c.Token <= w.fenced[c.Task] {
 		return
 	}
-	w.replace(c.Task, c.Token)
+	w.supersede(c.Task, c.Token)
 	w.tasks[c.Task] = &task{Task: api.Task{Task: c.Task, Token: c.Token, Phase: lease.WorkerStopped, Reason: "stopped before it started"}}
 }
 
-// replace raises the fencing token of a task, so that older attempts are refused, and
+// supersede raises the fencing token of a task, so that older attempts are refused, and
 // stops one that still runs. The caller holds mu.
-func (w *Worker) replace(id rudderfork.TaskID, token rudderfork.Token) {
+func (w *Worker) supersede(id rudderfork.TaskID, token rudderfork.Token) {
 	w.fenced[id] = token
 	if old := w.tasks[id]; old != nil && old.Phase == lease.WorkerRunning {
 		w.endLocked(old, lease.WorkerStopped, "a later attempt came")
--- a/standin/worker/worker_test.go
+++ b/standin/worker/worker_test.go
@@ -24,7 +24,7 @@
 	w.deadline = time.Now().Add(-time.Hour)
 	a := &task{}
 	a.Phase = lease.WorkerRunning
-	_, _, ok := w.begin(a, time.Now())
+	_, _, ok := w.nextUnit(a, time.Now())
 	assert.Assert(t, !ok)
 	data, err := os.ReadFile(path)
 	assert.NilError(t, err)
