--- a/disk/disk_test.go
+++ b/disk/disk_test.go
@@ -54,6 +54,8 @@
 	}
 }
 
+// TestReopen checks that Open reads what was saved: the newest hard state, and the log without entries
+// that a later leader replaced.
 func TestReopen(t *testing.T) {
 	dir, s := newStore(t)
 	save(t, s, quorum.Ready{HardState: &quorum.HardState{Term: 3, Vote: "c2#1"}, Entries: entries(1, 10, 3)})
@@ -80,6 +82,8 @@
 	})
 }
 
+// TestIdentity guards against using a folder under a wrong identity: formatting one in use, or taking
+// one whose identity file was lost for empty.
 func TestIdentity(t *testing.T) {
 	dir, s := newStore(t)
 	assert.Equal(t, s.Identity().ID, quorum.MemberID("c1#1"))
--- a/node/client_test.go
+++ b/node/client_test.go
@@ -90,7 +90,7 @@
 		assert.Equal(t, tab.Revision(), rev)
 	}
 	assert.Assert(t, !tab.Known())
-	assert.Assert(t, tab.Apply(wire.Update{}), "the first update was not reported as a change because the table is empty")
+	assert.Assert(t, tab.Apply(wire.Update{}), "an empty first update was not reported as a change")
 	assert.Assert(t, tab.Known())
 	assert.Assert(t, tab.Apply(update(0, 5, 3)))
 	check(t, 3, 5)
--- a/quorum/leader.go
+++ b/quorum/leader.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// becomeLeader starts to lead in the current term. It appends an empty entry, with
+// which the entries of earlier terms are committed.
 func (n *Node) becomeLeader(now time.Time) {
 	n.role = Leader
 	n.leader = n.cfg.ID
@@ -172,6 +174,7 @@
 	return i
 }
 
+// followLeader records a message of the current term's leader, and follows it.
 func (n *Node) followLeader(leader MemberID, now time.Time) {
 	if n.role != Follower || n.leader != leader {
 		n.becomeFollower(n.hard.Term, leader, now)
--- a/quorum/members.go
+++ b/quorum/members.go
@@ -104,9 +104,9 @@
 //
 // A voter whose disk is lost never returns under its ID. It is removed as soon as
 // its next incarnation has joined, and a standby is promoted afterwards. In this
-// order an odd group needs no larger majority than before at any step: with 2f+1
-// voters, f of them lost, promoting first would need an answer of every replica
-// that is left.
+// order a group with an odd number of voters needs no larger majority than before
+// at any step. With 2f+1 voters, f of them lost, promoting first would need an
+// answer of every replica that is left.
 //
 // A silent voter may have kept its disk and can return. If it were removed before
 // its replacement is a voter, 2f voters would be left, of which the loss of f disks
--- a/quorum/node.go
+++ b/quorum/node.go
@@ -218,7 +218,7 @@
 
 // stepHigherTerm handles the higher term of a message: it adopts the term unless
 // the message is a pre-vote, a granted pre-vote, or a vote request that is refused
-// because a leader is alive. It reports whether Step goes on with the message.
+// because a leader is alive. It reports whether Step continues with the message.
 func (n *Node) stepHigherTerm(m Message, now time.Time) bool {
 	switch m.Type {
 	case MsgPreVote:
--- a/quorum/quorum.go
+++ b/quorum/quorum.go
@@ -24,7 +24,7 @@
 // at a time, allowed only after an entry of the leader's own term has committed;
 // and leadership transfer.
 //
-// Every append carries the leader's clock, and its acknowledgement echoes it.
+// Every append carries the leader's clock, and its acknowledgement repeats it.
 // QuorumContact is the newest time T such that a quorum acknowledged appends
 // sent at T or later. No other leader can have been elected before T, so a read
 // that arrived before T is current, and a lease granted until T plus its duration
--- a/replica/metrics.go
+++ b/replica/metrics.go
@@ -124,8 +124,8 @@
 			continue
 		}
 		voters++
-		at, heard := st.LastMessageAt[m.ID]
-		if m.ID == st.ID || heard && now.Sub(at) < presenceWindow {
+		at, received := st.LastMessageAt[m.ID]
+		if m.ID == st.ID || received && now.Sub(at) < presenceWindow {
 			present++
 		}
 	}
--- a/replica/shortage_test.go
+++ b/replica/shortage_test.go
@@ -7,6 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
+// TestVoterShortage checks that a shortage of voters is reported after shortageDelay, and once for
+// each shortage and term.
 func TestVoterShortage(t *testing.T) {
 	const voters = 2
 	at := time.Unix(1000, 0)
--- a/wire/liveness_test.go
+++ b/wire/liveness_test.go
@@ -79,6 +79,8 @@
 	assert.Assert(t, err != nil && !errors.Is(err, ErrSilent), "%v", err)
 }
 
+// TestSilentConnection blocks a connection that stays open, in one direction or both. The end that
+// receives nothing must close it. An idle connection must stay open.
 func TestSilentConnection(t *testing.T) {
 	t.Run("both directions", func(t *testing.T) {
 		dialled, accepted, p := connect(t)
--- a/wire/queue_messages.go
+++ b/wire/queue_messages.go
@@ -181,7 +181,7 @@
 }
 
 // EndsReport reports runs that have ended in one incarnation of the VM's executor. Seq is chosen by
-// the sender and echoed by EndsAck once the ends are committed.
+// the sender, and EndsAck repeats it once the ends are committed.
 type EndsReport struct {
 	Seq  uint64     `cbor:"1,keyasint"`
 	Ends queue.Ends `cbor:"2,keyasint"`
