--- a/wire/messages.go
+++ b/wire/messages.go
@@ -70,7 +70,7 @@
 	Boot          string              `cbor:"5,keyasint"`           // boot ID: a random string, new with each start of the sending process
 	Admin         string              `cbor:"6,keyasint"`           // host:port of its admin server
 	TableRevision rudderfork.Revision `cbor:"7,keyasint"`           // of the sender's table
-	Register      *state.Register     `cbor:"8,keyasint,omitempty"` // registers the VM of an agent; nil for an entry
+	Register      *state.Register     `cbor:"8,keyasint,omitempty"` // registers the VM of an agent; nil for an entry, or while the agent does not reach its worker
 }
 
 // Redirect says that another control process leads. Addr is empty if the leader is unknown.
@@ -80,7 +80,7 @@
 
 // Welcome accepts a session.
 type Welcome struct {
-	Epoch rudderfork.Token `cbor:"1,keyasint"` // of the VM, see state.VM.Epoch; 0 for an entry
+	Epoch rudderfork.Token `cbor:"1,keyasint"` // of the VM, see state.VM.Epoch; 0 without a registered VM
 }
 
 // Update is the difference between two revisions of the table. From is 0 if it is the whole table.
@@ -121,7 +121,7 @@
 }
 
 // Heartbeat is the heartbeat of an entry or agent. The leader answers with a Grant, unless the VM has
-// another epoch.
+// another epoch or may not be granted a lease now.
 type Heartbeat struct {
 	TableRevision rudderfork.Revision `cbor:"1,keyasint"`           // of the sender's table
 	Epoch         rudderfork.Token    `cbor:"2,keyasint,omitempty"` // of the VM whose lease is to be extended; 0 for no lease
