--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,5 @@
-# Every target works after "go mod download" alone.
+# Every target works after "go mod download" alone, except tools, lint and test: these
+# also download the modules of the formatter and the linter.
 SHELL   := /bin/bash
 GO      ?= go
 BIN     := $(CURDIR)/bin
--- a/cmd/demo/main.go
+++ b/cmd/demo/main.go
@@ -201,8 +201,7 @@
 
 // killUpstream kills an upstream. Most of the requests that follow must still be answered.
 func (d *demo) killUpstream() error {
-	// Spare the upstream that sends the feed: a response that is being sent is lost with
-	// its upstream.
+	// Don't kill the upstream that sends the feed, because the feed would be lost with it.
 	victim := "u2"
 	if d.feedVM == "vm2" {
 		victim = "u3"
--- a/internal/harness/caller.go
+++ b/internal/harness/caller.go
@@ -67,7 +67,7 @@
 	Body    []byte
 	Header  http.Header
 	Problem *rudderfork.Problem // nil for an upstream's response
-	Err     error               // no response came, or it was incomplete
+	Err     error               // no response came, or it was incomplete or malformed
 }
 
 // Ran returns whether the request ran, as far as the answer says so.
@@ -223,11 +223,11 @@
 // upstreams, Refused the requests that did not run, and Unknown the rest.
 type Calls struct {
 	Answered, Refused, Unknown int
-	Mismatched                 []string // errors of responses that do not match their request
-	FirstProblem               string   // text of the first problem or error
-	Latencies                  []time.Duration
-	NotRunIDs                  []string // requests whose last answer says that they did not run
-	AnsweredIDs                []string // requests counted in Answered
+	Mismatched                 []string        // errors of responses that do not match their request
+	FirstProblem               string          // text of the first problem or error
+	Latencies                  []time.Duration // of the last attempt of each answered request
+	NotRunIDs                  []string        // requests whose last answer says that they did not run
+	AnsweredIDs                []string        // requests counted in Answered
 }
 
 // Quantile returns the q-quantile of Latencies, or 0 if there are none.
--- a/standin/executor/executor.go
+++ b/standin/executor/executor.go
@@ -7,7 +7,7 @@
 // The payload of a task says how it behaves, in words separated by spaces:
 // "work=500ms" is its work time at full speed, "fail" makes it fail after that
 // time, and "hang" makes it run until it is stopped or the lease expires. A task
-// without a work time runs until then too.
+// without a work time behaves like one with "hang".
 package executor
 
 import (
