--- a/wire/liveness.go
+++ b/wire/liveness.go
@@ -10,7 +10,7 @@
 
 // ErrSilent means that nothing was received for the connection's silence limit. Whether messages
 // sent before have arrived is unknown.
-var ErrSilent = errors.New("nothing was received from the other end")
+var ErrSilent = errors.New("the other end has fallen silent")
 
 // missedTicks is the number of ticks without a byte after which a connection is silent: one
 // keep-alive may be late, and one tick may end just before the next byte.
