--- a/control/api.go
+++ b/control/api.go
@@ -22,7 +22,8 @@
 const (
 	// maxBodyBytes bounds the body of an operator's request.
 	maxBodyBytes = 1 << 20
-	// retryDelay is the delay in the Retry-After of a response that may be retried.
+	// retryDelay is the delay after which a client may repeat a request that was
+	// refused or whose outcome is unknown.
 	retryDelay = time.Second
 )
 
--- a/control/hub.go
+++ b/control/hub.go
@@ -33,7 +33,7 @@
 )
 
 // hub holds the sessions of entries and agents, and the leases granted to
-// agents. It accepts sessions only while its replica leads and startTerm has run
+// agents. It accepts sessions only while its replica leads and startTerm was called
 // for the current term.
 type hub struct {
 	cfg    Settings
@@ -42,20 +42,20 @@
 	log    zerolog.Logger
 	rec    rudderfork.Recorder
 
-	mu            sync.Mutex
-	term          uint64 // in which sessions are accepted
-	lessor        *lease.Lessor
-	expiring      map[rudderfork.VMID]bool // granted no lease until they register again
-	sessions      map[*session]bool
-	nodes         map[string]Node // by process
-	connections   uint64          // number of the newest connection
-	registrations map[rudderfork.VMID]*agentRegistration
+	mu             sync.Mutex
+	term           uint64 // in which sessions are accepted
+	lessor         *lease.Lessor
+	expiring       map[rudderfork.VMID]bool // VMs that are granted no lease until they register again
+	sessions       map[*session]bool
+	nodes          map[string]Node // by process name
+	lastConnNumber uint64          // number of the newest connection
+	registrations  map[rudderfork.VMID]*agentRegistration
 }
 
 // agentRegistration is the newest registration of a VM's agent.
 type agentRegistration struct {
-	connNumber uint64 // of the newest connection that registered the VM
-	inProgress bool   // its commit has not ended
+	connNumber uint64 // number of the newest connection that has begun to register the VM
+	inProgress bool   // the registration is being committed
 }
 
 // Node is an entry or agent, as operators see it.
@@ -211,26 +211,27 @@
 func (h *hub) nextConnNumber() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.connections++
-	return h.connections
+	h.lastConnNumber++
+	return h.lastConnNumber
 }
 
 var (
-	// errSuperseded means that the VM's agent has registered in a later connection.
+	// errSuperseded means that the VM's agent has registered over a later connection.
 	errSuperseded = errors.New("the VM's agent has a later session")
-	// errRegistering means that a registration of the VM is being committed in
-	// another connection.
+	// errRegistering means that a registration of the VM over another connection is
+	// being committed.
 	errRegistering = errors.New("the VM's agent is being registered in another session")
 )
 
-// beginRegistration starts the registration of a VM in a connection. It fails if
-// the VM's agent has registered in a later connection: then the hello was delayed
-// and may be of a process that has ended. It also fails while another registration
-// of the VM is being committed. The caller must call endRegistration.
+// beginRegistration starts the registration of a VM over a connection. It fails if
+// the VM's agent has registered over a later connection: then the hello was delayed
+// and may come from a process that has ended. It also fails while another
+// registration of the VM is being committed. If it succeeds, the caller must call
+// endRegistration.
 //
-// Connection numbers have the order of the agent's processes, since an agent
-// closes its connection before it opens the next, and sends its hello only after
-// the connection was accepted.
+// A later process of the agent has a higher connection number, since an agent closes
+// its connection before it opens the next, and sends its hello only after the
+// connection was accepted.
 func (h *hub) beginRegistration(vm rudderfork.VMID, connNumber uint64) (reg *agentRegistration, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -255,7 +256,7 @@
 	reg.inProgress = false
 }
 
-// superseded reports whether a VM's agent has registered in a later connection.
+// superseded reports whether a VM's agent has registered over a later connection.
 func (h *hub) superseded(vm rudderfork.VMID, connNumber uint64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -322,7 +323,8 @@
 	return ns
 }
 
-func (h *hub) count() int {
+// sessionCount returns the number of open sessions.
+func (h *hub) sessionCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.sessions)
--- a/control/hub_test.go
+++ b/control/hub_test.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	testTerm  = 5 * time.Second
-	testBound = time.Second
+	testLeaseTerm  = 5 * time.Second
+	testClockBound = time.Second
 )
 
 // nopRecorder discards events.
@@ -22,9 +22,10 @@
 func (nopRecorder) Record(rudderfork.Event) {}
 
 func newTestHub() *hub {
-	return newHub(Settings{}, nil, lease.NewLessor(testTerm, testBound), nil, zerolog.Nop(), nopRecorder{})
+	return newHub(Settings{}, nil, lease.NewLessor(testLeaseTerm, testClockBound), nil, zerolog.Nop(), nopRecorder{})
 }
 
+// checkExpire checks whether the hub regards the lease of vm1 as expired at a time.
 func checkExpire(t *testing.T, h *hub, at time.Time, want bool) {
 	t.Helper()
 	assert.Equal(t, h.tryExpire("vm1", at), want)
@@ -37,17 +38,18 @@
 	h := newTestHub()
 	h.startTerm(1, nil, t0)
 	h.allowGrants("vm1", t0)
-	checkExpire(t, h, t0.Add(testTerm+testBound), false)
-	checkExpire(t, h, t0.Add(testTerm+testBound+time.Millisecond), true)
+	checkExpire(t, h, t0.Add(testLeaseTerm+testClockBound), false)
+	checkExpire(t, h, t0.Add(testLeaseTerm+testClockBound+time.Millisecond), true)
 }
 
-// A new leader knows the VM only from the log and must assume that it holds a lease.
+// A new leader knows the VM only from the log, and must assume that the VM still holds
+// a lease of an earlier leader.
 func TestNewLeaderWaitsForEarlierLeases(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	h := newTestHub()
 	h.startTerm(1, []rudderfork.VMID{"vm1"}, t0)
-	checkExpire(t, h, t0.Add(testTerm), false)
-	checkExpire(t, h, t0.Add(testTerm+testBound+time.Millisecond), true)
+	checkExpire(t, h, t0.Add(testLeaseTerm), false)
+	checkExpire(t, h, t0.Add(testLeaseTerm+testClockBound+time.Millisecond), true)
 	t.Run("the VM gets a lease again once it has registered", func(t *testing.T) {
 		assert.Assert(t, h.expiring["vm1"])
 		h.allowGrants("vm1", t0.Add(time.Minute))
--- a/control/leader.go
+++ b/control/leader.go
@@ -19,8 +19,8 @@
 const (
 	// maxRoundInterval is the longest pause between two rounds of the leader.
 	maxRoundInterval = 250 * time.Millisecond
-	// roundDelay is the shortest pause, so that several changes are handled in one
-	// round.
+	// roundDelay is the shortest pause between two rounds, so that one round handles
+	// several changes.
 	roundDelay = 10 * time.Millisecond
 	// platformPollInterval is the time between two requests for the platform's list
 	// of VMs, and the timeout of a request.
@@ -38,7 +38,7 @@
 	rec     rudderfork.Recorder
 	hc      *http.Client
 
-	term             uint64
+	term             uint64 // for which startTerm was called; 0 while this replica doesn't lead
 	nextPlatformPoll time.Time
 }
 
--- a/control/metrics.go
+++ b/control/metrics.go
@@ -49,7 +49,7 @@
 		leads = 1
 	}
 	gauge(c.leads, leads)
-	gauge(c.sessions, float64(c.hub.count()))
+	gauge(c.sessions, float64(c.hub.sessionCount()))
 	c.rep.View(func(s *state.State) {
 		gauge(c.table, float64(s.Revision()))
 		gauge(c.claims, float64(s.ClaimCount()))
--- a/control/models.go
+++ b/control/models.go
@@ -18,31 +18,31 @@
 	mu           sync.Mutex
 	interference *interference.Model
 	usage        *usage.Model
-	reports      map[rudderfork.VMID]time.Time // when the newest was received
+	reportedAt   map[rudderfork.VMID]time.Time // when the newest usage report was received
 }
 
 // observeHeartbeat updates the models with the usage report in an agent's heartbeat.
 func (m *usageModels) observeHeartbeat(s *state.State, vm rudderfork.VMID, b wire.Heartbeat, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.reports == nil {
-		m.reports = map[rudderfork.VMID]time.Time{}
+	if m.reportedAt == nil {
+		m.reportedAt = map[rudderfork.VMID]time.Time{}
 	}
-	m.reports[vm] = now
+	m.reportedAt[vm] = now
 	shares := m.observeTasks(s, vm, b.Tasks)
-	level := 0.0
+	pressure := 0.0
 	for _, u := range b.Services {
 		if u.Requests == 0 {
 			continue
 		}
 		target := s.Value(rudderfork.CellKey{Kind: rudderfork.RowService, Row: string(u.Service), Column: rudderfork.ColTargetMS})
-		level = max(level, float64(u.TailUS)/1000/float64(target))
+		pressure = max(pressure, float64(u.TailUS)/1000/float64(target))
 		m.interference.Observe(interference.Sample{
 			Service: u.Service, At: now, Latency: time.Duration(u.MeanUS) * time.Microsecond,
 			Busy: u.Busy, Shares: shares,
 		})
 	}
-	m.usage.ObservePressure(vm, level, b.Exhausted)
+	m.usage.ObservePressure(vm, pressure, b.Exhausted)
 }
 
 // observeTasks updates the models with the usage of tasks. It returns, by kind, the
@@ -62,12 +62,12 @@
 	return shares
 }
 
-// ReportAge returns the age of the newest report of a VM. ok is false if there is
-// none.
+// ReportAge returns the age of the newest usage report of a VM. ok is false if there
+// is none.
 func (m *usageModels) ReportAge(vm rudderfork.VMID, now time.Time) (age time.Duration, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	at, ok := m.reports[vm]
+	at, ok := m.reportedAt[vm]
 	return now.Sub(at), ok
 }
 
@@ -78,8 +78,9 @@
 	m.usage.Forget(t)
 }
 
-// setSlowdowns sets in each lease by how much its kind is expected to slow the
-// services, so that the agent throttles the most harmful tasks first.
+// setSlowdowns sets in each lease the largest factor by which tasks of its kind are
+// expected to slow down one of the services, so that the agent throttles the most
+// harmful tasks first.
 func (m *usageModels) setSlowdowns(ls []rudderfork.Lease, services []rudderfork.Service, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/control/session.go
+++ b/control/session.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// outQueue is how many answers may wait for a node that reads slowly; one more
-	// ends the session.
+	// outQueue is the maximum number of answers that may wait for a node that reads
+	// slowly. If one more is queued, the session ends.
 	outQueue = 256
 	// commandTimeout bounds the commit of a command.
 	commandTimeout = 3 * time.Second
@@ -26,11 +26,11 @@
 // is newer than what was sent before, so that pushes need no queue.
 type session struct {
 	hub        *hub
-	connNumber uint64 // order of the connection, see hub.nextConnNumber
+	connNumber uint64 // see hub.nextConnNumber
 	conn       *wire.Conn[wire.ToNode, wire.ToControl]
 	hello      wire.Hello
-	epoch      rudderfork.Token // 0 without a lease
-	out        chan wire.ToNode
+	epoch      rudderfork.Token // of the VM's registration; 0 if the hello had none
+	out        chan wire.ToNode // queued answers
 	woken      wakeup.Signal
 
 	mu   sync.Mutex
@@ -40,9 +40,9 @@
 // sentRevisions holds the newest revisions that a session has sent.
 type sentRevisions struct {
 	table      rudderfork.Revision
-	upstreams  rudderfork.Revision
-	assign     rudderfork.Revision
-	updateSent bool // an update was sent; a node gets one even if it lacks nothing
+	upstreams  rudderfork.Revision // of the list of upstreams; 0 for an agent
+	assign     rudderfork.Revision // of the VM's assignments; 0 for an entry
+	updateSent bool                // an update of the table was sent; a node gets one even if its table is current
 }
 
 func receiveHello(ctx context.Context, c *wire.Conn[wire.ToNode, wire.ToControl]) (*wire.Hello, error) {
@@ -169,8 +169,8 @@
 }
 
 // unsentMessages returns messages with everything that is newer than what was
-// sent. lost is true if the VM's registration is void, so that the agent has to
-// register again.
+// sent. lost is true if the VM's registration is no longer valid, so that the agent
+// has to register again.
 func (s *session) unsentMessages() (ms []wire.ToNode, lost bool) {
 	s.hub.rep.View(func(st *state.State) {
 		s.mu.Lock()
@@ -207,7 +207,7 @@
 	return ms, lost
 }
 
-// nodeCells filters out the rows of jobs, which only control reads.
+// nodeCells returns cs without the cells of jobs, which only control processes read.
 func nodeCells(cs []rudderfork.Cell) []rudderfork.Cell {
 	var out []rudderfork.Cell
 	for _, c := range cs {
@@ -218,6 +218,7 @@
 	return out
 }
 
+// upstreams returns the list of upstreams for entries.
 func upstreams(st *state.State) []wire.UpstreamInfo {
 	var us []wire.UpstreamInfo
 	oldest := rudderfork.Millis(steady.Now().Add(-lostUpstreamRetention))
@@ -284,8 +285,8 @@
 	}
 }
 
-// commitReports commits the outcomes of attempts. The agent sends a report again
-// that is not acknowledged.
+// commitReports commits the outcomes of attempts. The agent repeats a report until
+// its assignments no longer list the attempt.
 func (s *session) commitReports(ctx context.Context, b wire.ReportBatch) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
--- a/control/settings.go
+++ b/control/settings.go
@@ -12,28 +12,28 @@
 type Settings struct {
 	Name   string
 	Place  rudderfork.Place
-	Listen string
-	Admin  string
-	Data   string
-	Group  string
+	Listen string            // address for peers, nodes and operators
+	Admin  string            // address for metrics, readiness and the timeline
+	Data   string            // folder of the log and the snapshots
+	Group  string            // name of the replication group
 	Peers  []quorum.Member   // all founding members, this process included
 	Dial   map[string]string // by peer name: the address to dial, if it differs from the one in Peers
 
 	ElectionTimeout time.Duration
-	Heartbeat       time.Duration
-	SnapshotEvery   uint64
-	LeaseTerm       time.Duration
-	ClockBound      time.Duration
-	Platform        string // address of the platform's list of VMs; "" for none
+	Heartbeat       time.Duration // interval between the leader's heartbeats to its followers
+	SnapshotEvery   uint64        // number of log entries between two snapshots
+	LeaseTerm       time.Duration // length of a lease
+	ClockBound      time.Duration // maximum difference between the clocks of two VMs
+	Platform        string        // address of the platform's list of VMs; "" for none
 }
 
 // Defaults; docs/DESIGN.md gives the reasons.
 const (
-	defaultElection  = 500 * time.Millisecond
-	defaultHeartbeat = 100 * time.Millisecond
-	defaultSnapshot  = 10_000
-	defaultLease     = 5 * time.Second
-	defaultBound     = 500 * time.Millisecond
+	defaultElectionTimeout = 500 * time.Millisecond
+	defaultHeartbeat       = 100 * time.Millisecond
+	defaultSnapshotEvery   = 10_000
+	defaultLeaseTerm       = 5 * time.Second
+	defaultClockBound      = 500 * time.Millisecond
 )
 
 // ReadSettings reads the settings of a control process.
@@ -46,11 +46,11 @@
 		Admin:           f.Addr("control", "admin"),
 		Data:            f.Text("control", "data", "a folder"),
 		Group:           f.Name("control", "group"),
-		ElectionTimeout: f.Duration("control", "election_timeout", defaultElection, 50*time.Millisecond, time.Minute),
+		ElectionTimeout: f.Duration("control", "election_timeout", defaultElectionTimeout, 50*time.Millisecond, time.Minute),
 		Heartbeat:       f.Duration("control", "heartbeat", defaultHeartbeat, 10*time.Millisecond, 10*time.Second),
-		SnapshotEvery:   uint64(f.Int("control", "snapshot_every", defaultSnapshot, 10, 10_000_000)),
-		LeaseTerm:       f.Duration("control", "lease", defaultLease, 500*time.Millisecond, time.Hour),
-		ClockBound:      f.Duration("control", "clock_bound", defaultBound, 10*time.Millisecond, time.Minute),
+		SnapshotEvery:   uint64(f.Int("control", "snapshot_every", defaultSnapshotEvery, 10, 10_000_000)),
+		LeaseTerm:       f.Duration("control", "lease", defaultLeaseTerm, 500*time.Millisecond, time.Hour),
+		ClockBound:      f.Duration("control", "clock_bound", defaultClockBound, 10*time.Millisecond, time.Minute),
 		Platform:        f.OptionalAddr("control", "platform"),
 	}
 	self := false
@@ -73,7 +73,7 @@
 	return cfg, f.Err()
 }
 
-// self returns the member that stands for this process.
+// self returns this process as a member of the group, with the given ID.
 func (s Settings) self(id quorum.MemberID) quorum.Member {
 	self := quorum.Member{ID: id, Name: s.Name}
 	for _, m := range s.Peers {
--- a/control/superseded_test.go
+++ b/control/superseded_test.go
@@ -27,7 +27,8 @@
 // waitLimit bounds the wait for a condition.
 const waitLimit = 20 * time.Second
 
-// noPeers is the sender of a replica that has no peers.
+// noPeers is the transport of a replica without peers. It discards messages and
+// events.
 type noPeers struct{ nopRecorder }
 
 func (noPeers) Send(quorum.Message)              {}
@@ -57,7 +58,7 @@
 		_ = rep.Serve(t.Context()) // returns when the test ends
 	}()
 	t.Cleanup(func() { <-served })
-	l := &leaderHub{t: t, hub: newHub(Settings{}, rep, lease.NewLessor(testTerm, testBound), &usageModels{interference: interference.New(interference.ServicePrior()), usage: usage.New(steady.Now)}, zerolog.Nop(), nopRecorder{})}
+	l := &leaderHub{t: t, hub: newHub(Settings{}, rep, lease.NewLessor(testLeaseTerm, testClockBound), &usageModels{interference: interference.New(interference.ServicePrior()), usage: usage.New(steady.Now)}, zerolog.Nop(), nopRecorder{})}
 	l.waitUntil("the replica leads", rep.Leads)
 	l.hub.startTerm(rep.Status().Term, nil, steady.Now())
 	srv := httptest.NewServer(http.HandlerFunc(l.hub.accept))
@@ -76,10 +77,10 @@
 	}, poll.WithTimeout(waitLimit), poll.WithDelay(10*time.Millisecond))
 }
 
-// agentConn is a connection of a process of the agent.
+// agentConn is a connection of one process of the agent.
 type agentConn struct {
 	l    *leaderHub
-	boot string
+	boot string // boot ID of the process
 	conn *wire.Conn[wire.ToControl, wire.ToNode]
 }
 
@@ -112,7 +113,8 @@
 	return a.receiveUntil(func(m wire.ToNode) bool { return m.Grant != nil })
 }
 
-// receiveUntil receives messages until one is as wanted; false if the session ends.
+// receiveUntil receives messages until wanted returns true for one. It returns false
+// if the session ends before.
 func (a *agentConn) receiveUntil(wanted func(m wire.ToNode) bool) bool {
 	a.l.t.Helper()
 	for {
@@ -140,29 +142,29 @@
 func TestSupersededAgentProcess(t *testing.T) {
 	t.Run("delayed hello", func(t *testing.T) {
 		l := newLeaderHub(t)
-		before, now := l.dial("boot-b"), l.dial("boot-a")
-		assert.Assert(t, now.register())
-		assert.Assert(t, !before.register())
+		earlier, later := l.dial("boot-b"), l.dial("boot-a")
+		assert.Assert(t, later.register())
+		assert.Assert(t, !earlier.register())
 		l.checkBoot("boot-a")
 	})
 	t.Run("delayed heartbeats", func(t *testing.T) {
 		l := newLeaderHub(t)
-		before := l.dial("boot-b")
-		assert.Assert(t, before.register())
-		now := l.dial("boot-a")
-		assert.Assert(t, now.register())
-		before.receiveUntil(func(m wire.ToNode) bool { return m.Grant != nil }) // the one that follows the welcome
-		assert.Assert(t, !before.sendHeartbeat())
+		earlier := l.dial("boot-b")
+		assert.Assert(t, earlier.register())
+		later := l.dial("boot-a")
+		assert.Assert(t, later.register())
+		earlier.receiveUntil(func(m wire.ToNode) bool { return m.Grant != nil }) // the one that follows the welcome
+		assert.Assert(t, !earlier.sendHeartbeat())
 		l.checkBoot("boot-a")
 	})
 	t.Run("the later process keeps its session", func(t *testing.T) {
 		l := newLeaderHub(t)
-		before, now := l.dial("boot-b"), l.dial("boot-a")
-		assert.Assert(t, now.register())
-		assert.Assert(t, !before.register())
-		assert.Assert(t, now.sendHeartbeat())
-		again := l.dial("boot-a")
-		assert.Assert(t, again.register())
-		assert.Assert(t, again.sendHeartbeat())
+		earlier, later := l.dial("boot-b"), l.dial("boot-a")
+		assert.Assert(t, later.register())
+		assert.Assert(t, !earlier.register())
+		assert.Assert(t, later.sendHeartbeat())
+		reconnected := l.dial("boot-a")
+		assert.Assert(t, reconnected.register())
+		assert.Assert(t, reconnected.sendHeartbeat())
 	})
 }
