--- a/agent/agent.go
+++ b/agent/agent.go
@@ -4,8 +4,8 @@
 // Entries send requests for the VM's upstreams to the agent. It admits them to the
 // upstream's slots, refuses those that cannot be answered in time, and runs a
 // request with a claim at most once. Control grants the agent a lease for the VM.
-// Under the lease the agent starts, throttles and stops tasks at the platform's
-// worker; it makes the last check of what the VM may run.
+// While the lease is valid, the agent starts, throttles and stops tasks at the
+// platform's worker. It makes the final check of whether a task may run on the VM.
 package agent
 
 import (
@@ -53,8 +53,8 @@
 type Process struct {
 	cfg    Settings
 	log    zerolog.Logger
-	boot   string
-	addr   string // at which entries send requests
+	boot   string // random ID of this start of the agent
+	addr   string // to which entries send requests
 	admin  string
 	table  *node.Table
 	client *node.Client
@@ -104,9 +104,9 @@
 }
 
 // Run serves until ctx is cancelled. Then it refuses new requests, finishes those
-// in progress, feeds included, waits until entries send no more, and closes its
-// connections. Tasks run on at the worker until their lease ends; an agent that is
-// restarted by then takes them over.
+// in progress, including feeds (responses that stay open), waits until entries send
+// no more, and closes its connections. Tasks run on at the worker until their lease
+// ends; an agent that is restarted by then takes them over.
 func (p *Process) Run(ctx context.Context) (err error) {
 	defer errs.Annotate(&err, "agent %s", p.cfg.Name)
 	return daemon.Run(ctx, p.sup, p.srv, p.ln, func(context.Context) error {
--- a/agent/claim.go
+++ b/agent/claim.go
@@ -17,13 +17,13 @@
 type activeClaim struct {
 	key     state.ClaimKey
 	token   rudderfork.Token
-	boot    string
+	boot    string // boot ID of the agent for which the claim was granted
 	expires time.Time
 
 	front       *front
-	state       wire.RequestState
-	capture     *relay.Capture
-	status      int
+	state       wire.RequestState // RequestUnknown until setNotRun or setDone is called
+	capture     *relay.Capture    // body of the upstream's answer; nil before
+	status      int               // of the upstream's answer, like contentType
 	contentType string
 }
 
@@ -56,7 +56,8 @@
 	}
 }
 
-// captureAnswer returns the capture to which the body of the answer is copied.
+// captureAnswer records status and content type of the upstream's answer. It returns
+// the capture to which the body is to be copied, or nil without a claim.
 func (c *activeClaim) captureAnswer(resp *http.Response) *relay.Capture {
 	if c == nil {
 		return nil
--- a/agent/entries.go
+++ b/agent/entries.go
@@ -14,13 +14,14 @@
 // entrySession is the session of one entry.
 type entrySession = wire.Conn[wire.ToEntry, wire.ToAgent]
 
-// entries holds the sessions of entries. When the agent stops it tells them; each
-// answers once it has no request in transit to this agent, and is then drained.
+// entries holds the sessions of entries. When the agent stops, it tells each entry.
+// An entry answers once it has no request in transit to this agent; its session is
+// then marked as drained.
 type entries struct {
 	stopping chan struct{} // closed when the agent stops
 
 	mu      sync.Mutex
-	drained map[*entrySession]bool // by open session
+	drained map[*entrySession]bool // by open session: whether it is drained
 }
 
 func newEntries() *entries {
@@ -78,8 +79,8 @@
 // conns tracks the connections that carry requests; sessions are not among them.
 type conns struct {
 	mu       sync.Mutex
-	active   map[net.Conn]bool // those that read, serve or answer a request
-	unusedAt time.Time         // when all count as unused if no state changes
+	active   map[net.Conn]bool // those with a request that is being read, served or answered
+	unusedAt time.Time         // connUnusedAfter after the last state change of a connection
 }
 
 func newConns() *conns { return &conns{active: map[net.Conn]bool{}} }
@@ -105,7 +106,8 @@
 	return len(c.active) == 0
 }
 
-// unused reports whether no connection is active or was within connUnusedAfter.
+// unused reports whether no connection is active, and none was opened or used within
+// connUnusedAfter.
 func (c *conns) unused(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/agent/forward.go
+++ b/agent/forward.go
@@ -58,8 +58,8 @@
 	f.event("answered", r, resp.Status)
 }
 
-// forwardFailed answers a request to which the upstream did not answer. The request
-// is known not to have run only if no connection was made.
+// forwardFailed responds to a request that the upstream has not answered. The request
+// is known not to have run only if no connection to the upstream could be made.
 func (f *front) forwardFailed(w http.ResponseWriter, r *http.Request, c *activeClaim, err error) {
 	if relay.NotSent(err) {
 		c.setNotRun()
--- a/agent/front.go
+++ b/agent/front.go
@@ -31,7 +31,7 @@
 
 	mu       sync.Mutex
 	stopping string // the reason; "" if the agent isn't stopping
-	draining bool
+	draining bool   // control drains the VM
 	claims   *claim.Store
 	requests int // in progress
 }
@@ -166,8 +166,8 @@
 	})
 }
 
-// retryDelay is the delay until a retry after a refusal for which no queue gives an
-// estimate.
+// retryDelay is the delay after which an entry or a client may retry, for refusals
+// for which the admission queue gives no estimate.
 const retryDelay = 500 * time.Millisecond
 
 func (f *front) request(w http.ResponseWriter, r *http.Request) {
@@ -253,7 +253,8 @@
 	return l
 }
 
-// session serves the session of one entry: it answers probes and fences.
+// session serves the session of one entry: it answers probes of the load, and fences
+// off claimed requests.
 func (f *front) session(w http.ResponseWriter, r *http.Request) {
 	conn, err := wire.Accept[wire.ToEntry, wire.ToAgent](w, r, wire.ProbeSession)
 	if err != nil {
@@ -298,6 +299,9 @@
 	}
 }
 
+// fence returns the state of a claimed request. A request that has not come here yet
+// will be refused. The state is unknown if the claim was for an earlier start of the
+// agent, since the store of claims is lost when the agent ends.
 func (f *front) fence(q wire.Fence) *wire.Fenced {
 	out := &wire.Fenced{ID: q.ID, State: wire.RequestUnknown}
 	if q.Boot != f.boot {
@@ -321,7 +325,7 @@
 }
 
 // pressure returns the highest ratio of tail latency to target among the services,
-// in the newest window.
+// each in its last complete window.
 func (f *front) pressure() float64 {
 	worst := 0.0
 	for _, s := range f.services {
--- a/agent/service.go
+++ b/agent/service.go
@@ -44,14 +44,14 @@
 	queue    *admission.Queue
 	waiters  map[uint64]chan admission.Decision
 	nextID   uint64
-	feeds    int
+	feeds    int // open feeds
 	maxFeeds int
 
-	samples        []time.Duration // since the last heartbeat
-	refused        int
-	busySum        float64 // sum of the slots in use, one sample per request
-	busySamples    int
-	window         []time.Duration // in the current pressure window
+	samples        []time.Duration // latencies since the last heartbeat
+	refused        int             // requests refused since the last heartbeat
+	busySum        float64         // sum of the slots in use, one sample per request since the last heartbeat
+	busySamples    int             // number of samples in busySum
+	window         []time.Duration // latencies in the current pressure window
 	windowStart    time.Time
 	windowPressure float64 // of the last complete window
 }
@@ -105,9 +105,9 @@
 // admitted is a request that holds a slot, or a connection for a feed.
 type admitted struct {
 	s        *service
-	id       uint64 // 0 for a feed
-	started  time.Time
-	headerAt time.Time
+	id       uint64    // 0 for a feed
+	started  time.Time // when the request was sent to the upstream
+	headerAt time.Time // when the upstream's response headers came; zero if none have come
 }
 
 // admit waits for a slot; a feed gets a connection at once or is refused.
@@ -145,6 +145,7 @@
 	return &admitted{s: s}, nil
 }
 
+// resolve returns the result of admit for a decision of the queue.
 func (s *service) resolve(id uint64, d admission.Decision) (*admitted, *refusal) {
 	if d.Verdict == admission.Start {
 		return &admitted{s: s, id: id}, nil
@@ -190,7 +191,8 @@
 	}
 }
 
-// release returns the slot and records the latency of the upstream.
+// release returns the slot, or the connection of a feed. It records the latency of the
+// upstream if there was a response.
 func (a *admitted) release() {
 	s := a.s
 	s.mu.Lock()
@@ -221,6 +223,8 @@
 	}
 }
 
+// closeWindow computes the pressure of the current window and starts the next one. The
+// caller must hold s.mu.
 func (s *service) closeWindow(now time.Time) {
 	target := time.Duration(s.table.Service(s.name, rudderfork.ColTargetMS)) * time.Millisecond
 	s.windowPressure = 0
--- a/agent/settings.go
+++ b/agent/settings.go
@@ -16,11 +16,11 @@
 	Admin             string
 	Control           []string
 	HeartbeatInterval time.Duration
-	DrainLimit        time.Duration
+	DrainLimit        time.Duration // for requests in progress to end, when the agent stops
 	Upstreams         []UpstreamAddr
-	Worker            string // address of the platform's worker; "" for none
-	Capacity          rudderfork.Resources
-	Reserved          rudderfork.Resources // for services
+	Worker            string               // address of the platform's worker; "" for none
+	Capacity          rudderfork.Resources // of the VM
+	Reserved          rudderfork.Resources // part of Capacity that is kept for services
 }
 
 // UpstreamAddr says where a service's upstream listens on this VM.
@@ -30,8 +30,8 @@
 }
 
 const (
-	defaultHeartbeat = time.Second
-	defaultDrain     = 4 * time.Hour
+	defaultHeartbeatInterval = time.Second
+	defaultDrainLimit        = 4 * time.Hour
 )
 
 // ReadSettings reads the settings of an agent.
@@ -44,8 +44,8 @@
 		Advertise:         f.OptionalAddr("agent", "advertise"),
 		Admin:             f.Addr("agent", "admin"),
 		Control:           f.Addrs("agent", "control"),
-		HeartbeatInterval: f.Duration("agent", "beat", defaultHeartbeat, 50*time.Millisecond, time.Minute),
-		DrainLimit:        f.Duration("agent", "drain_limit", defaultDrain, time.Second, 48*time.Hour),
+		HeartbeatInterval: f.Duration("agent", "beat", defaultHeartbeatInterval, 50*time.Millisecond, time.Minute),
+		DrainLimit:        f.Duration("agent", "drain_limit", defaultDrainLimit, time.Second, 48*time.Hour),
 		Worker:            f.OptionalAddr("worker", "addr"),
 	}
 	if f.Optional("agent", "upstreams", "") != "" {
--- a/agent/stop_test.go
+++ b/agent/stop_test.go
@@ -55,7 +55,8 @@
 // Record implements rudderfork.Recorder.
 func (c *eventCounter) Record(rudderfork.Event) { c.n.Add(1) }
 
-// runningAgent is an agent that serves without control, and so without a table.
+// runningAgent is an agent without control processes. So it never gets a table, and
+// refuses all requests.
 type runningAgent struct {
 	p        *Process
 	listener *pipeListener
@@ -125,8 +126,8 @@
 	return resp.StatusCode, resp.Header
 }
 
-// An agent that stops must not close a connection before the answer on it was read,
-// and must answer requests that arrive meanwhile with a complete refusal.
+// An agent that stops must not close a connection before the answer on it was written
+// completely, and must answer requests that arrive meanwhile with a complete refusal.
 func TestStopWaitsForUnreadAnswer(t *testing.T) {
 	r := newRunningAgent(t)
 	c := r.dial(t)
--- a/agent/tasks.go
+++ b/agent/tasks.go
@@ -22,13 +22,13 @@
 const (
 	// busyPollInterval is the time between two polls of the worker.
 	busyPollInterval = 250 * time.Millisecond
-	// idlePollInterval is the same while the VM has no tasks.
+	// idlePollInterval is the time between two polls while the VM has no tasks.
 	idlePollInterval = time.Second
-	// reportRetryDelay is the delay before a report is sent again that control has
-	// not acted on.
+	// reportRetryDelay is the delay before a report is repeated. Reports are repeated
+	// until the assignments of control no longer list the attempt.
 	reportRetryDelay = 500 * time.Millisecond
-	// workerTimeout is how long after its last answer the worker counts as lost. The
-	// agent then requests no lease, so that the tasks of the VM are freed.
+	// workerTimeout is how long the worker counts as reachable after an answer. After
+	// that the agent requests no lease, so that control frees the tasks of the VM.
 	workerTimeout = 2 * time.Second
 )
 
@@ -45,11 +45,11 @@
 	mu               sync.Mutex
 	holder           *lease.Holder
 	throttler        throttle.Controller
-	levels           map[rudderfork.TaskID]int
-	renewedDeadline  time.Time // the newest deadline that the worker has confirmed
-	workerAnsweredAt time.Time // time of the worker's last answer
-	reportID         uint64
-	decisions        []wire.DecisionRecord
+	levels           map[rudderfork.TaskID]int      // throttle levels that were set last
+	renewedDeadline  time.Time                      // the newest deadline that the worker has confirmed
+	workerAnsweredAt time.Time                      // time of the worker's last answer
+	reportID         uint64                         // ID of the newest batch of reports
+	decisions        []wire.DecisionRecord          // not yet sent to control
 	nextReportAt     map[lease.AttemptRef]time.Time // when to send a report again
 }
 
@@ -120,11 +120,11 @@
 // round renews the deadline at the worker, reads its attempts and carries out the
 // next actions. It reports whether the VM is busy or the worker did not answer.
 func (t *tasks) round(ctx context.Context) (busy bool) {
-	seen := t.workerReachable()
+	wasReachable := t.workerReachable()
 	t.renew(ctx)
 	boot, list, err := t.worker.List(ctx)
 	if err != nil {
-		if seen && !t.workerReachable() {
+		if wasReachable && !t.workerReachable() {
 			t.log.Warn().Err(err).Msg("worker_gone")
 			t.client.Reconnect() // the new hello has no registration, so no more leases are granted
 		}
@@ -137,7 +137,7 @@
 	actions := t.holder.NextActions(steady.Now())
 	deadline := t.holder.Deadline()
 	t.mu.Unlock()
-	if !seen {
+	if !wasReachable {
 		t.log.Info().Msg("worker_seen")
 		t.client.Reconnect() // the new hello has the registration
 	}
@@ -160,6 +160,7 @@
 	}
 }
 
+// act carries out the actions. It sends the reports that are due in one batch.
 func (t *tasks) act(ctx context.Context, actions []lease.Action, deadline time.Time) {
 	var reports []rudderfork.Report
 	for _, a := range actions {
@@ -187,7 +188,8 @@
 			crash.Point(crash.AgentStarted)
 		}
 		if err != nil {
-			// The next round reads the resulting state.
+			// The next round reads the attempts at the worker again and repeats what is
+			// still needed.
 			t.log.Warn().Err(err).Msg("worker_call_failed")
 		}
 	}
@@ -198,8 +200,8 @@
 	}
 }
 
-// reportDue reports whether a report has to be sent: it was not sent yet, or at
-// least reportRetryDelay ago.
+// reportDue reports whether a report has to be sent now: it was not sent yet, or was
+// last sent at least reportRetryDelay ago. It then counts as sent.
 func (t *tasks) reportDue(r rudderfork.Report) bool {
 	ref, now := lease.AttemptRef{Task: r.Task, Token: r.Token}, steady.Now()
 	if now.Before(t.nextReportAt[ref]) {
@@ -213,7 +215,8 @@
 	t.rec.Record(rudderfork.Event{Kind: kind, Subject: string(task), Text: text})
 }
 
-// throttle sets the throttle levels of the tasks from the pressure of the services.
+// throttle sets the throttle levels of the tasks according to the pressure of the
+// services.
 // The caller must hold t.mu.
 func (t *tasks) throttle() {
 	running := t.holder.Running()
@@ -242,11 +245,11 @@
 // heartbeat returns a heartbeat with the usage of tasks, and sends the decisions
 // recorded since the last one.
 func (t *tasks) heartbeat() wire.Heartbeat {
-	seen := t.workerReachable()
+	reachable := t.workerReachable()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var b wire.Heartbeat
-	if seen {
+	if reachable {
 		b.Epoch = t.holder.Epoch()
 	}
 	for _, r := range t.holder.Running() {
