--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -14,8 +14,8 @@
 	"rudderfork.example/rudderfork/relay"
 )
 
-// maxProblem bounds the body of an agent's refusal, in bytes.
-const maxProblem = 64 << 10
+// maxProblemBytes bounds the body of an agent's refusal, in bytes.
+const maxProblemBytes = 64 << 10
 
 // attempt is one attempt to send a request to one upstream. It ends with a response,
 // or with a problem that says whether the request ran.
@@ -27,7 +27,7 @@
 	problem *rudderfork.Problem
 	final   bool // another upstream would give the same result
 	watcher *interimWatcher
-	silent  bool // no interim responses of the agent were received
+	silent  bool // given up because the agent's interim responses were missing
 }
 
 // send forwards the request to a VM's agent. cl is nil for a request without a claim.
@@ -87,7 +87,8 @@
 	c.body.attach(req)
 }
 
-// setFailure records the problem of an attempt that got no response.
+// setFailure records the problem of an attempt that got no response, and reports the
+// attempt to the picker.
 func (a *attempt) setFailure(err error) {
 	c := a.c
 	switch {
@@ -97,7 +98,7 @@
 		c.h.metrics.silent.Inc()
 		c.h.log.Warn().Str("request", c.id).Str("node_vm", string(a.vm)).Msg("request_silent")
 		a.problem = problem.New(http.StatusBadGateway, "upstream-failed", "the agent of "+string(a.vm)+" fell silent before an answer came", rudderfork.RanUnknown)
-		a.problem.RetryAt = steady.Now().Add(retryPause)
+		a.problem.RetryAt = steady.Now().Add(retryDelay)
 	case relay.NotSent(err):
 		c.pool.done(a.vm, 0, true)
 		a.problem = c.unavailable("unreachable", "the upstream "+string(a.vm)+" cannot be reached")
@@ -107,28 +108,29 @@
 			relay.CloseIdleAfter(c.h.fleet.hc, err)
 		}
 		a.problem = problem.New(http.StatusGatewayTimeout, "deadline", "no answer came by the deadline", rudderfork.RanUnknown)
-		a.problem.RetryAt = steady.Now().Add(retryPause)
+		a.problem.RetryAt = steady.Now().Add(retryDelay)
 		a.final = true
 	default:
 		c.pool.done(a.vm, 0, c.r.Context().Err() == nil)
 		a.problem = problem.New(http.StatusBadGateway, "upstream-failed", "the connection to "+string(a.vm)+" broke before an answer came", rudderfork.RanUnknown)
-		a.problem.RetryAt = steady.Now().Add(retryPause)
+		a.problem.RetryAt = steady.Now().Add(retryDelay)
 	}
 }
 
-// setRefusal records the problem of an attempt that the agent refused.
+// setRefusal records the problem of an attempt that the agent refused, and reports the
+// attempt to the picker.
 func (a *attempt) setRefusal(resp *http.Response) {
 	defer a.watcher.cancel(nil)
 	defer resp.Body.Close()
 	a.problem = &rudderfork.Problem{}
-	err := json.NewDecoder(io.LimitReader(resp.Body, maxProblem)).Decode(a.problem)
+	err := json.NewDecoder(io.LimitReader(resp.Body, maxProblemBytes)).Decode(a.problem)
 	if err != nil || a.problem.Ran == "" {
 		a.problem = problem.New(http.StatusBadGateway, "upstream-failed", "the agent's refusal broke off", rudderfork.RanUnknown)
 	}
 	a.final = a.problem.Status == http.StatusBadRequest || a.problem.Status == http.StatusNotFound
 	kind := a.problem.Type
-	broken := kind == problem.TypeBase+"upstream-down" || kind == problem.TypeBase+"upstream-failed"
-	a.c.pool.done(a.vm, 0, broken) // the time of a refusal says nothing about the upstream's latency
+	failed := kind == problem.TypeBase+"upstream-down" || kind == problem.TypeBase+"upstream-failed"
+	a.c.pool.done(a.vm, 0, failed) // the time of a refusal says nothing about the upstream's latency
 }
 
 // close ends an attempt that got a response, and reports it to the picker. It must be
--- a/entry/body.go
+++ b/entry/body.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// maxReplay bounds a body that is kept for retries, in bytes.
-	maxReplay = 64 << 10
-	// maxKeyed bounds the body of a request with an idempotency key, in bytes. Such a
+	// maxReplayBytes bounds a body that is kept for retries, in bytes.
+	maxReplayBytes = 64 << 10
+	// maxKeyedBytes bounds the body of a request with an idempotency key, in bytes. Such a
 	// body is read whole, because its digest is part of the claim.
-	maxKeyed = 1 << 20
+	maxKeyedBytes = 1 << 20
 )
 
-// body is a request's body. Short bodies are kept in memory, long ones can be sent
-// only once.
+// body is a request's body. A body of known length up to maxReplayBytes is kept in
+// memory. Any other can be sent only once, unless buffer has read it.
 type body struct {
 	src      io.ReadCloser
-	length   int64
+	length   int64 // in bytes; -1 if unknown
 	kept     []byte
-	whole    bool // kept holds all of it
+	whole    bool // kept holds the whole body
 	streamed bool // the body has been passed to an attempt without being kept
 }
 
@@ -29,8 +29,8 @@
 	b := &body{src: r.Body, length: r.ContentLength}
 	if r.ContentLength == 0 || r.Body == nil {
 		b.whole = true
-	} else if r.ContentLength > 0 && r.ContentLength <= maxReplay {
-		// A body that is cut off fails when it is sent.
+	} else if r.ContentLength > 0 && r.ContentLength <= maxReplayBytes {
+		// If the body is cut off, sending it fails with the same error.
 		if kept, err := io.ReadAll(r.Body); err == nil {
 			b.kept, b.whole = kept, true
 		} else {
@@ -47,16 +47,16 @@
 func (e *errReader) Read([]byte) (int, error) { return 0, e.err }
 
 // buffer reads the whole body into memory. It returns errTooLarge if the body is larger
-// than maxKeyed.
+// than maxKeyedBytes.
 func (b *body) buffer() error {
 	if b.whole {
 		return nil
 	}
-	kept, err := io.ReadAll(io.LimitReader(b.src, maxKeyed+1))
+	kept, err := io.ReadAll(io.LimitReader(b.src, maxKeyedBytes+1))
 	if err != nil {
 		return err
 	}
-	if len(kept) > maxKeyed {
+	if len(kept) > maxKeyedBytes {
 		return errTooLarge
 	}
 	b.kept, b.whole, b.length = kept, true, int64(len(kept))
@@ -65,8 +65,9 @@
 
 var errTooLarge = errors.New("the body is too large")
 
-// replayable reports whether the body can be sent, for the first time or again.
-func (b *body) replayable() bool { return b.whole || !b.streamed }
+// canSend reports whether an attempt can send the body: it is kept, or has not been
+// passed to an earlier attempt.
+func (b *body) canSend() bool { return b.whole || !b.streamed }
 
 // attach sets the body of a request. It never sets GetBody, so that net/http's client
 // cannot repeat the request by itself.
--- a/entry/claimed.go
+++ b/entry/claimed.go
@@ -19,15 +19,16 @@
 )
 
 const (
-	// claimTimeout bounds the wait for control's answer.
+	// claimTimeout bounds the wait for control's answer to a claim or a settlement.
 	claimTimeout = 3 * time.Second
-	// settleTries is how often the outcome is sent to control until it is accepted.
-	settleTries = 10
-	// settlePause is the pause between two such tries, and between two queries of an
-	// agent.
+	// maxSettleAttempts bounds the attempts to report the outcome of a claimed request to
+	// control.
+	maxSettleAttempts = 10
+	// settlePause is the pause between two such attempts, and between two queries of an
+	// agent for the state of a request.
 	settlePause = 300 * time.Millisecond
-	// maxKey bounds a caller's idempotency key, in bytes.
-	maxKey = 256
+	// maxKeyBytes bounds a caller's idempotency key, in bytes.
+	maxKeyBytes = 256
 )
 
 // claimed is a request with an idempotency key for which this entry holds the claim.
@@ -70,17 +71,17 @@
 		}
 		if last.problem.Type == problem.TypeBase+"claim-used" {
 			// Another entry has fenced this token off and taken over the claim.
-			c.fail(c.running("another entry works on this key"))
+			c.fail(c.keyInUse("another entry works on this key"))
 			return
 		}
 		if last.silent && c.resolveSilence(last, cl.claim) {
 			return // answered
 		}
 		if last.problem.Ran != rudderfork.RanNo {
-			break // the claim stays; a repeated request finds out what became of this one
+			break // the claim stays held; a repeated request queries the agent for the outcome
 		}
 		acq.After = cl.claim.Token // the request did not run: the next attempt takes over the claim
-		if c.ctx.Err() != nil || !c.mayRetry(last) {
+		if c.ctx.Err() != nil || !c.tryRetry(last) {
 			break
 		}
 	}
@@ -92,12 +93,12 @@
 
 // newAcquire reads the whole body and returns the command that acquires the claim.
 func (c *call) newAcquire(key string) (*state.Acquire, *rudderfork.Problem) {
-	if len(key) > maxKey {
-		return nil, problem.New(http.StatusBadRequest, "malformed", fmt.Sprintf("Idempotency-Key is longer than %d bytes", maxKey), rudderfork.RanNo)
+	if len(key) > maxKeyBytes {
+		return nil, problem.New(http.StatusBadRequest, "malformed", fmt.Sprintf("Idempotency-Key is longer than %d bytes", maxKeyBytes), rudderfork.RanNo)
 	}
 	err := c.body.buffer()
 	if errors.Is(err, errTooLarge) {
-		return nil, problem.New(http.StatusRequestEntityTooLarge, "too-large", fmt.Sprintf("the body of a request with a key is larger than %d bytes", maxKeyed), rudderfork.RanNo)
+		return nil, problem.New(http.StatusRequestEntityTooLarge, "too-large", fmt.Sprintf("the body of a request with a key is larger than %d bytes", maxKeyedBytes), rudderfork.RanNo)
 	}
 	if err != nil {
 		return nil, problem.New(http.StatusBadRequest, "malformed", "the body broke off", rudderfork.RanNo)
@@ -119,7 +120,8 @@
 		c.fail(c.unavailable("no-upstream", "the upstream has left"))
 		return nil, true
 	}
-	// Two rounds suffice: the second takes over a claim that the first has found.
+	// Two rounds suffice: if the first finds a claim whose request did not run, the second
+	// takes it over.
 	for range 2 {
 		acq.VM, acq.Boot = vm, info.Boot
 		ctx, cancel := context.WithTimeout(c.ctx, claimTimeout)
@@ -140,13 +142,13 @@
 			return nil, true
 		}
 	}
-	c.fail(c.running("another entry works on this key"))
+	c.fail(c.keyInUse("another entry works on this key"))
 	return nil, true
 }
 
-// claimUnavailable returns the problem for a claim that control did not answer. This
-// entry has sent the request to no upstream, but a request with the same key may be
-// running elsewhere, or may have run.
+// claimUnavailable returns the problem for a claim that control did not grant because it
+// could not be reached or did not answer. This entry has sent the request to no
+// upstream, but a request with the same key may be running elsewhere, or may have run.
 func (c *call) claimUnavailable(err error) *rudderfork.Problem {
 	p := c.unavailable("no-claim", "control cannot be asked for the right to run it once; it was not sent now, but may have run before")
 	if errors.Is(err, node.ErrOutcomeUnknown) {
@@ -155,16 +157,16 @@
 	return p
 }
 
-// running returns the problem for a request whose key is in use.
-func (c *call) running(detail string) *rudderfork.Problem {
+// keyInUse returns the problem for a request whose key is in use.
+func (c *call) keyInUse(detail string) *rudderfork.Problem {
 	p := problem.New(http.StatusConflict, "still-running", detail, rudderfork.RanUnknown)
-	p.RetryAt = steady.Now().Add(retryPause)
+	p.RetryAt = steady.Now().Add(retryDelay)
 	return p
 }
 
 // takeOver handles a claim that an earlier request with the same key acquired. It
-// returns true if that request certainly did not run; acq then takes the claim over.
-// Else the caller was answered.
+// returns true if that request certainly did not run; acq is then changed so that it
+// takes over the claim. Otherwise takeOver answers the caller and returns false.
 func (c *call) takeOver(acq *state.Acquire, held *state.Claim) bool {
 	if string(held.Digest) != string(acq.Digest) {
 		c.fail(problem.New(http.StatusUnprocessableEntity, "key-reused", "the key was used for another request", rudderfork.RanNo))
@@ -184,19 +186,19 @@
 		c.h.settle(state.Settle{Key: held.Key, Token: held.Token, Answer: answer})
 		c.replay(answer)
 	case wire.RequestRunning:
-		c.fail(c.running("a request with this key is still running"))
+		c.fail(c.keyInUse("a request with this key is still running"))
 	default:
 		p := problem.New(http.StatusBadGateway, "unknown", "a request with this key was sent to "+string(held.VM)+", and whether it ran cannot be known now", rudderfork.RanUnknown)
-		p.RetryAt = steady.Now().Add(retryPause)
+		p.RetryAt = steady.Now().Add(retryDelay)
 		c.fail(p)
 	}
 	return false
 }
 
-// stateQueryTimeout bounds how long queries of an agent may fail after its connections
-// have gone silent. It covers the time until the session is recognised as silent (4/3
-// of wire.ProbeSession's limit of 5 s) and a new one is open, after redialPause and
-// within wire.DialTimeout (2 s).
+// stateQueryTimeout is how long queries of an agent are repeated although they fail,
+// after its connections have gone silent. It covers the time until the session is
+// recognised as silent (at most 4/3 of wire.ProbeSession's limit of 5 s) and a new one
+// is open, after redialPause and within wire.DialTimeout (2 s).
 const stateQueryTimeout = 10 * time.Second
 
 // resolveSilence queries the agent, over its session, for the state of a request whose
@@ -281,11 +283,11 @@
 	c.h.settle(state.Settle{Key: cl.claim.Key, Token: cl.claim.Token, NotRun: true})
 }
 
-// settle reports to control in the background how a claimed request ended. If control
-// cannot be reached, the agent still has the result.
+// settle reports the outcome of a claimed request to control, in the background. If
+// control cannot be reached, the agent still has the outcome.
 func (h *handler) settle(s state.Settle) {
 	h.fleet.settlements.Go(func() {
-		for range settleTries {
+		for range maxSettleAttempts {
 			ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 			_, err := h.client.Settle(ctx, s)
 			cancel()
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -38,8 +38,8 @@
 	// closes first: a request that is sent while the entry closes the connection may
 	// or may not be read.
 	idleTimeout = 3 * time.Minute
-	// maxHeader bounds a caller's headers, in bytes.
-	maxHeader = 64 << 10
+	// maxHeaderBytes bounds a caller's headers, in bytes.
+	maxHeaderBytes = 64 << 10
 )
 
 // Process is an entry, ready to serve.
@@ -71,7 +71,7 @@
 	p.fleet = newFleet(cfg, log)
 	m := newMetrics()
 	h := newHandler(cfg, p.table, p.client, p.fleet, m, ring, log)
-	p.srv = &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader}
+	p.srv = &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	adm := admin.New(adminLn, ring, p.ready)
 	m.register(adm.Registry(), p.table)
 	adm.Handle("GET /explain", h.explain)
@@ -96,15 +96,16 @@
 	return nil
 }
 
-// Run serves until ctx ends. Then it first reports that it is not ready, so that the
-// load balancer sends no new requests, still serves those that come meanwhile, and
-// returns when all requests in progress have ended, feeds included.
+// Run serves until ctx ends. Then it reports that it is not ready, so that the load
+// balancer sends no new requests, but still serves those that come within LeaveGrace.
+// It returns when all requests in progress have ended, including feeds (responses that
+// stay open), or after DrainLimit.
 func (p *Process) Run(ctx context.Context) (err error) {
 	defer errs.Annotate(&err, "entry %s", p.cfg.Name)
 	return daemon.Run(ctx, p.sup, p.srv, p.ln, p.stop)
 }
 
-// stop drains the entry: it reports not ready and waits for the requests in progress.
+// stop drains the entry: it makes ready fail and waits for the requests in progress.
 func (p *Process) stop(ctx context.Context) error {
 	p.log.Info().Msg("stopping")
 	p.leaving.Store(true)
@@ -112,7 +113,7 @@
 	ctx, cancel := context.WithTimeout(ctx, p.cfg.DrainLimit)
 	defer cancel()
 	err := p.srv.Shutdown(ctx)
-	p.fleet.waitSettled()
+	p.fleet.waitForSettlements()
 	p.log.Info().AnErr("error", err).Msg("stopped")
 	return err
 }
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -19,24 +19,24 @@
 const (
 	// dialTimeout bounds the time to open a connection to an agent.
 	dialTimeout = time.Second
-	// maxIdle bounds the number of idle connections to one agent.
-	maxIdle = 64
+	// maxIdleConns bounds the number of idle connections to one agent.
+	maxIdleConns = 64
 	// idleConnTimeout bounds how long a connection to an agent is kept idle.
 	idleConnTimeout = time.Minute
-	// probeBusy and probeIdle are the intervals between probes of an agent, with and
-	// without requests in the last second.
-	probeBusy = 200 * time.Millisecond
-	probeIdle = 3 * time.Second
+	// busyProbeInterval and idleProbeInterval are the intervals between probes of an
+	// agent, with and without requests for the service in the last second.
+	busyProbeInterval = 200 * time.Millisecond
+	idleProbeInterval = 3 * time.Second
 	// retriesPerRequest is how many retries each request adds to the retry budget.
 	retriesPerRequest = 0.1
 )
 
 // The names of pickers in the settings.
 const (
-	pickerProbing    = "probing"
-	pickerRandom     = "random"
-	pickerRoundRobin = "round-robin"
-	pickerLeast      = "least-in-flight"
+	pickerProbing       = "probing"
+	pickerRandom        = "random"
+	pickerRoundRobin    = "round-robin"
+	pickerLeastInFlight = "least-in-flight"
 )
 
 // newPicker returns the picker that the settings name, or nil if there is none of that
@@ -49,7 +49,7 @@
 		return routing.NewRandom(seed)
 	case pickerRoundRobin:
 		return &routing.RoundRobin{}
-	case pickerLeast:
+	case pickerLeastInFlight:
 		return &routing.LeastInFlight{}
 	}
 	return nil
@@ -67,7 +67,7 @@
 	pools       map[rudderfork.Service]*pool
 	links       map[rudderfork.VMID]*agentLink
 	ctx         context.Context //nolint:containedctx // the context of Serve, for links that are opened later
-	settlements sync.WaitGroup  // settlements in progress
+	settlements sync.WaitGroup  // reports to control in progress, see handler.settle
 }
 
 // pool holds the upstreams of one service.
@@ -82,7 +82,7 @@
 	return &fleet{
 		cfg: cfg, log: log,
 		hc: &http.Transport{
-			DisableCompression: true, MaxIdleConnsPerHost: maxIdle, IdleConnTimeout: idleConnTimeout,
+			DisableCompression: true, MaxIdleConnsPerHost: maxIdleConns, IdleConnTimeout: idleConnTimeout,
 			DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		},
 		infos: map[rudderfork.VMID]wire.UpstreamInfo{}, pools: map[rudderfork.Service]*pool{},
@@ -103,8 +103,9 @@
 	return ctx.Err()
 }
 
-// waitSettled waits for the settlements in progress.
-func (f *fleet) waitSettled() { f.settlements.Wait() }
+// waitForSettlements waits until the outcomes of claimed requests were reported to
+// control, or the attempts to report them have ended.
+func (f *fleet) waitForSettlements() { f.settlements.Wait() }
 
 func (f *fleet) empty() bool {
 	f.mu.Lock()
@@ -112,7 +113,7 @@
 	return len(f.infos) == 0
 }
 
-// set replaces the list of upstreams, unless the new list is older.
+// set replaces the list of upstreams, unless u is older than the current list.
 func (f *fleet) set(u wire.Upstreams) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -241,8 +242,8 @@
 	p.budget.AddRequest(p.lastRequestAt)
 }
 
-// mayRetry takes a retry from the budget.
-func (p *pool) mayRetry() bool {
+// tryRetry takes a retry from the budget. It returns false if there is none.
+func (p *pool) tryRetry() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.budget.TryRetry(steady.Now())
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -25,9 +25,9 @@
 // pathPrefix starts the path of every request: /svc/SERVICE/path.
 const pathPrefix = "/svc/"
 
-// retryPause is the time after which a caller may retry, for refusals that are not due
-// to a queue.
-const retryPause = 500 * time.Millisecond
+// retryDelay is the delay after which a caller may retry, for problems for which the
+// agent gives no time.
+const retryDelay = 500 * time.Millisecond
 
 // handler serves the requests of callers.
 type handler struct {
@@ -55,7 +55,7 @@
 	pool     *pool
 	url      *url.URL // path and query for the upstream
 	deadline time.Time
-	feed     bool
+	feed     bool // the response stays open, see relay.IsFeed
 	body     *body
 
 	// A keyed request may have run before, with the same key. knownNotRun is set once
@@ -93,7 +93,7 @@
 // parse reads the service, key, deadline and body of a request.
 func (h *handler) parse(w http.ResponseWriter, r *http.Request) (c *call, p *rudderfork.Problem) {
 	c = &call{h: h, w: w, r: r, ctx: r.Context(), id: r.Header.Get(relay.HeaderRequest), feed: relay.IsFeed(r.Header)}
-	if c.id == "" || len(c.id) > maxID {
+	if c.id == "" || len(c.id) > maxIDBytes {
 		c.id = rand.Text()
 	}
 	c.keyed = r.Header.Get(relay.HeaderKey) != "" && !relay.IsSafe(r.Method)
@@ -121,8 +121,8 @@
 	return c, nil
 }
 
-// maxID bounds a caller's request id, in bytes.
-const maxID = 128
+// maxIDBytes bounds a caller's request id, in bytes.
+const maxIDBytes = 128
 
 // unavailable returns the problem for a request that this entry has sent to no
 // upstream.
@@ -132,7 +132,7 @@
 		ran = rudderfork.RanUnknown
 	}
 	p := problem.New(http.StatusServiceUnavailable, kind, detail, ran)
-	p.RetryAt = steady.Now().Add(retryPause)
+	p.RetryAt = steady.Now().Add(retryDelay)
 	return p
 }
 
@@ -169,15 +169,16 @@
 		}
 		last = a
 		retryable := a.problem.Ran == rudderfork.RanNo || repeatable
-		if !retryable || !c.body.replayable() || c.ctx.Err() != nil || !c.mayRetry(a) {
+		if !retryable || !c.body.canSend() || c.ctx.Err() != nil || !c.tryRetry(a) {
 			break
 		}
 	}
 	c.giveUp(last)
 }
 
-// pick chooses an upstream whose agent is not stopping. The request counts as in
-// flight to that agent until link.release is called; link may be nil.
+// pick chooses an upstream whose agent is not stopping, other than those in tried. The
+// request counts as in flight to that agent until link.release is called; link may be
+// nil.
 func (c *call) pick(tried []rudderfork.VMID) (vm rudderfork.VMID, link *agentLink, reason string, ok bool) {
 	tried = slices.Clone(tried)
 	for {
@@ -206,13 +207,13 @@
 // maxAttempts bounds the attempts for one request.
 const maxAttempts = 3
 
-// mayRetry reports whether another attempt after a makes sense, and takes it from the
-// retry budget.
-func (c *call) mayRetry(a *attempt) bool {
+// tryRetry reports whether another attempt may follow a: its result may differ, and the
+// retry budget has a retry, which is taken.
+func (c *call) tryRetry(a *attempt) bool {
 	if a.final {
 		return false
 	}
-	ok := c.pool.mayRetry()
+	ok := c.pool.tryRetry()
 	if ok {
 		c.h.metrics.retries.WithLabelValues(string(c.service)).Inc()
 		c.event("retry", a.problem.Detail)
--- a/entry/signs.go
+++ b/entry/interim.go
@@ -13,13 +13,13 @@
 	"rudderfork.example/rudderfork/relay"
 )
 
-// errNoInterim means that no interim responses came for a request, though its agent
-// sends them.
+// errNoInterim means that the interim responses to a request did not come, or stopped,
+// though its agent sends them.
 var errNoInterim = errors.New("no interim responses came from the agent")
 
-// interimWatcher watches for interim responses to one attempt, until the headers of the
-// final response have come, and cancels the attempt if too many in a row are missing.
-// It is safe for concurrent use.
+// interimWatcher watches for interim responses to one attempt until the headers of the
+// final response have come. It cancels the attempt if relay.MaxMissedInterim in a row
+// are missing. It is safe for concurrent use.
 type interimWatcher struct {
 	supported func() bool // whether the agent has reported that it sends interim responses
 	cancel    context.CancelCauseFunc
@@ -27,7 +27,7 @@
 	mu           sync.Mutex
 	timer        *time.Timer
 	ended        bool // watching has ended
-	silent       bool // the attempt was given up
+	silent       bool // the attempt was cancelled because the agent was silent
 	received     bool // an interim response has come since the last tick
 	everReceived bool // an interim response has come
 	awaitingBody bool // the entry is waiting for more of the body from the caller
@@ -59,7 +59,8 @@
 	w.received, w.everReceived = true, true
 }
 
-// handleTimer ends an interval, and cancels the attempt if the agent is silent.
+// handleTimer is called at the end of each interval. It cancels the attempt if the agent
+// is silent.
 func (w *interimWatcher) handleTimer() {
 	supported := w.supported()
 	w.mu.Lock()
@@ -89,7 +90,8 @@
 	return w.missed >= relay.MaxMissedInterim
 }
 
-// stop ends watching, and reports whether the attempt was given up.
+// stop ends watching, and reports whether the attempt was cancelled because the agent
+// was silent.
 func (w *interimWatcher) stop() (silent bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -107,7 +109,8 @@
 	return w.missed > 0 || !supported && !w.everReceived
 }
 
-// setAwaitingBody records whether the entry is waiting for the caller.
+// setAwaitingBody records whether the entry is waiting for more of the body from the
+// caller.
 func (w *interimWatcher) setAwaitingBody(v bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/entry/signs_test.go
+++ b/entry/interim_test.go
@@ -14,21 +14,21 @@
 
 // assertNeverSilent asserts that an attempt goes on through many intervals without an
 // interim response.
-func assertNeverSilent(t *testing.T, s *interimWatcher, given bool) {
+func assertNeverSilent(t *testing.T, s *interimWatcher, supported bool) {
 	t.Helper()
 	for range 10 * relay.MaxMissedInterim {
-		assert.Assert(t, !s.tick(given))
+		assert.Assert(t, !s.tick(supported))
 	}
 }
 
 // assertSilentAfterMax asserts that an attempt is given up after MaxMissedInterim
 // intervals, and not before.
-func assertSilentAfterMax(t *testing.T, s *interimWatcher, given bool) {
+func assertSilentAfterMax(t *testing.T, s *interimWatcher, supported bool) {
 	t.Helper()
 	for range relay.MaxMissedInterim - 1 {
-		assert.Assert(t, !s.tick(given))
+		assert.Assert(t, !s.tick(supported))
 	}
-	assert.Assert(t, s.tick(given))
+	assert.Assert(t, s.tick(supported))
 }
 
 func TestTick(t *testing.T) {
--- a/entry/link.go
+++ b/entry/link.go
@@ -34,7 +34,7 @@
 	services []rudderfork.Service
 	cancel   context.CancelFunc
 
-	calls *wire.Calls[wire.Fenced]
+	calls *wire.Calls[wire.Fenced] // fence queries that wait for an answer
 
 	mu             sync.Mutex
 	out            chan wire.ToAgent // nil without a session
@@ -101,7 +101,8 @@
 	l.sendDrained()
 }
 
-// clearStopping records that an agent that accepts requests is at the address (again).
+// clearStopping records that the agent at the address accepts requests, for example
+// because it was restarted.
 func (l *agentLink) clearStopping() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,7 +119,7 @@
 	select {
 	case l.out <- wire.ToAgent{Drained: true}:
 	default:
-		l.fleet.log.Warn().Str("node_vm", string(l.vm)).Msg("quiet_not_said") // the agent then ends without the message
+		l.fleet.log.Warn().Str("node_vm", string(l.vm)).Msg("quiet_not_said") // the agent then stops after its entryDrainTimeout
 	}
 }
 
@@ -139,13 +140,13 @@
 	l.interim = true
 }
 
-// wentSilent reports whether err ended a session because the agent answered no probe,
-// or sent nothing at all.
+// wentSilent reports whether err, which ended a session, means that the agent answered
+// no probe or sent nothing at all.
 func wentSilent(err error) bool {
 	return errors.Is(err, wire.ErrSilent) || errors.Is(err, context.DeadlineExceeded)
 }
 
-// report passes a load on to the pickers of all services of the agent.
+// report passes a load on to the pickers of all services that the agent serves.
 func (l *agentLink) report(load rudderfork.Load) {
 	for _, p := range l.fleet.poolsOf(l.services) {
 		p.observe(l.vm, load)
@@ -171,7 +172,7 @@
 	}()
 	stopping := false // the agent has reported it in this session
 	for {
-		m, err := c.ReceiveWithin(ctx, probeIdle+probeTimeout)
+		m, err := c.ReceiveWithin(ctx, idleProbeInterval+probeTimeout)
 		if err != nil {
 			return err
 		}
@@ -194,11 +195,12 @@
 	}
 }
 
-// write sends the messages of out, and probes: more often while there are requests.
+// write sends the messages of out, and probes of the load, which are more frequent while
+// there are requests.
 func (l *agentLink) write(ctx context.Context, c *wire.Conn[wire.ToAgent, wire.ToEntry], out chan wire.ToAgent) {
-	tick := time.NewTicker(probeBusy)
+	tick := time.NewTicker(busyProbeInterval)
 	defer tick.Stop()
-	var probed time.Time
+	var lastProbeAt time.Time
 	for {
 		select {
 		case <-ctx.Done():
@@ -210,13 +212,13 @@
 		case <-tick.C:
 			now := steady.Now()
 			for s, p := range l.fleet.poolsOf(l.services) {
-				if !p.busy(now) && now.Sub(probed) < probeIdle {
+				if !p.busy(now) && now.Sub(lastProbeAt) < idleProbeInterval {
 					continue
 				}
 				if c.Send(ctx, wire.ToAgent{Probe: &wire.Probe{Service: s}}) != nil {
 					return
 				}
-				probed = now
+				lastProbeAt = now
 			}
 		}
 	}
--- a/entry/link_test.go
+++ b/entry/link_test.go
@@ -77,9 +77,9 @@
 	})
 }
 
-// TestSilentSession guards against a silent session that isn't recognised as silent, so
-// that the idle connections of requests stay open. The session then ends by the time-out
-// of a probe, which is shorter than the connection's own limit.
+// TestSilentSession guards against a silent session that isn't recognised as such; the
+// idle connections for requests to the agent would then stay open. The session ends by
+// the time-out for answers to probes, which is shorter than wire.ProbeSession allows.
 func TestSilentSession(t *testing.T) {
 	opened := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -15,7 +15,7 @@
 	Admin             string
 	Control           []string
 	HeartbeatInterval time.Duration
-	LeaveGrace        time.Duration // from reporting not ready to closing the listener
+	LeaveGrace        time.Duration // from reporting that it is not ready to closing the listener
 	DrainLimit        time.Duration // for requests in progress to end
 	Timeout           time.Duration // for requests without a deadline
 	Picker            string        // "probing", or one of the simple strategies for comparison
@@ -23,8 +23,8 @@
 
 const (
 	defaultHeartbeatInterval = time.Second
-	defaultGrace             = 3 * time.Second
-	defaultDrain             = 4 * time.Hour
+	defaultLeaveGrace        = 3 * time.Second
+	defaultDrainLimit        = 4 * time.Hour
 	defaultTimeout           = 30 * time.Second
 )
 
@@ -38,8 +38,8 @@
 		Admin:             f.Addr("entry", "admin"),
 		Control:           f.Addrs("entry", "control"),
 		HeartbeatInterval: f.Duration("entry", "beat", defaultHeartbeatInterval, 50*time.Millisecond, time.Minute),
-		LeaveGrace:        f.Duration("entry", "leave_grace", defaultGrace, 0, time.Minute),
-		DrainLimit:        f.Duration("entry", "drain_limit", defaultDrain, time.Second, 48*time.Hour),
+		LeaveGrace:        f.Duration("entry", "leave_grace", defaultLeaveGrace, 0, time.Minute),
+		DrainLimit:        f.Duration("entry", "drain_limit", defaultDrainLimit, time.Second, 48*time.Hour),
 		Timeout:           f.Duration("entry", "timeout", defaultTimeout, 100*time.Millisecond, time.Hour),
 		Picker:            f.Optional("entry", "picker", pickerProbing),
 	}
--- a/entry/silence_test.go
+++ b/entry/silence_test.go
@@ -33,7 +33,7 @@
 	v := newVM(t, c, "vm1")
 	s := &testSite{vm: v, link: newLink(t, v.addr)}
 	c.list(v.info(s.link.Addr()))
-	s.entry = newEntryWithin(t, c, noTimeout)
+	s.entry = newEntryWithTimeout(t, c, noTimeout)
 	wait(t, func() bool { return s.entry.knows(1) })
 	// The agent refuses requests until it knows its table.
 	wait(t, func() bool { return s.entry.post("/warm").status == http.StatusOK })
@@ -118,8 +118,9 @@
 	})
 }
 
-// TestSilentUpstream silences the kept connections between an agent and its upstream,
-// where a slow upstream cannot be told from a silent connection.
+// TestSilentUpstream silences the kept connections between an agent and its upstream.
+// There are no interim responses there, so a slow upstream cannot be distinguished from
+// a silent connection. A request with a key must not use a kept connection.
 func TestSilentUpstream(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
--- a/entry/stop_test.go
+++ b/entry/stop_test.go
@@ -33,15 +33,17 @@
 	heartbeatInterval = 100 * time.Millisecond
 	tickets           = rudderfork.Service("tickets")
 	heldPath          = "/held"
-	// minAgentReads is how many messages the stopping agent must have sent on the
-	// entry's session before the request reaches it. By then it has checked more than
-	// once whether it is idle, while no request has come on its connections.
+	// minAgentReads is how often data of the stopping agent must have been read on the
+	// entry's session before the request is forwarded to it. By then the agent has
+	// checked more than once whether it is idle, while no request has come on its
+	// connections.
 	minAgentReads = 4
 )
 
-// TestStopWithRequestOnItsWay stops an agent while a request to it has left the entry and
-// not yet reached the agent. The request runs once, at the other VM.
-func TestStopWithRequestOnItsWay(t *testing.T) {
+// TestStopWithRequestInTransit stops an agent while a request to it has left the entry but
+// not yet reached the agent. The agent must wait for the request and refuse it, so that it
+// runs exactly once, at the other VM.
+func TestStopWithRequestInTransit(t *testing.T) {
 	for _, kept := range []bool{true, false} {
 		t.Run(fmt.Sprint("kept=", kept), func(t *testing.T) {
 			c := newControl(t)
@@ -61,9 +63,9 @@
 			c.list(first.info(link.addr()), second.info(second.addr))
 			wait(t, func() bool { return e.knows(2) })
 
-			told := link.agentReads.Load()
+			readsBefore := link.agentReads.Load()
 			first.stop()
-			wait(t, func() bool { return first.ended() || link.agentReads.Load() >= told+minAgentReads })
+			wait(t, func() bool { return first.ended() || link.agentReads.Load() >= readsBefore+minAgentReads })
 			close(held.release)
 			a := within(t, answered)
 			assert.Equal(t, a.status, http.StatusOK, a.body)
@@ -120,8 +122,8 @@
 	return lines
 }
 
-// started returns the address on which the process listens.
-func (l *logBuffer) started(t *testing.T) string {
+// listenAddr returns the address at which the process listens, as its log says.
+func (l *logBuffer) listenAddr(t *testing.T) string {
 	t.Helper()
 	lines := l.lines("started")
 	assert.Equal(t, len(lines), 1)
@@ -155,7 +157,7 @@
 	}
 }
 
-// control is a fake of the control process, with one table and a list of upstreams.
+// control is a fake control process, with an empty table and a list of upstreams.
 type control struct {
 	addr string
 
@@ -278,7 +280,7 @@
 		Upstreams: []agent.UpstreamAddr{{Service: tickets, Addr: v.link.Addr()}},
 	}, zerolog.New(logs))
 	assert.NilError(t, err)
-	v.addr = logs.started(t)
+	v.addr = logs.listenAddr(t)
 	v.boot = fmt.Sprint(logs.lines("started")[0]["boot"])
 	v.process = run(t, p.Run)
 	return v
@@ -335,26 +337,26 @@
 
 func newEntry(t *testing.T, c *control) *testEntry {
 	t.Helper()
-	return newEntryWithin(t, c, waitLimit)
+	return newEntryWithTimeout(t, c, waitLimit)
 }
 
-// newEntryWithin starts an entry with a time-out for requests without a deadline.
-func newEntryWithin(t *testing.T, c *control, timeout time.Duration) *testEntry {
+// newEntryWithTimeout starts an entry with a time-out for requests without a deadline.
+func newEntryWithTimeout(t *testing.T, c *control, timeout time.Duration) *testEntry {
 	t.Helper()
-	d := &testEntry{logs: &logBuffer{}}
+	e := &testEntry{logs: &logBuffer{}}
 	p, err := entry.New(entry.Settings{
 		Name: "e1", Listen: "127.0.0.1:0", Admin: "127.0.0.1:0", Control: []string{c.addr}, HeartbeatInterval: heartbeatInterval,
 		DrainLimit: waitLimit, Timeout: timeout, Picker: "probing",
-	}, zerolog.New(d.logs))
+	}, zerolog.New(e.logs))
 	assert.NilError(t, err)
-	d.addr = d.logs.started(t)
-	d.process = run(t, p.Run)
-	return d
+	e.addr = e.logs.listenAddr(t)
+	e.process = run(t, p.Run)
+	return e
 }
 
 // knows reports whether the entry has logged a list of n upstreams.
-func (d *testEntry) knows(n int) bool {
-	for _, l := range d.logs.lines("upstreams") {
+func (e *testEntry) knows(n int) bool {
+	for _, l := range e.logs.lines("upstreams") {
 		if fmt.Sprint(l["upstreams"]) == fmt.Sprint(n) {
 			return true
 		}
@@ -363,11 +365,11 @@
 }
 
 // post sends a request that is not repeatable.
-func (d *testEntry) post(path string) answer { return d.send(http.MethodPost, path, "") }
+func (e *testEntry) post(path string) answer { return e.send(http.MethodPost, path, "") }
 
 // send sends a request, with an idempotency key if key is not empty.
-func (d *testEntry) send(method, path, key string) answer {
-	req, err := http.NewRequest(method, "http://"+d.addr+"/svc/"+string(tickets)+path, nil)
+func (e *testEntry) send(method, path, key string) answer {
+	req, err := http.NewRequest(method, "http://"+e.addr+"/svc/"+string(tickets)+path, nil)
 	if err != nil {
 		return answer{body: err.Error()}
 	}
@@ -409,7 +411,7 @@
 	ln         net.Listener
 	target     string
 	held       chan heldRequest
-	agentReads atomic.Int64 // reads from the agent on sessions of entries
+	agentReads atomic.Int64 // how often data of the agent was read on sessions of entries
 }
 
 // heldRequest is a request that has left the entry and not reached the agent.
@@ -430,7 +432,7 @@
 			if err != nil {
 				return
 			}
-			go l.carry(c)
+			go l.forward(c)
 		}
 	}()
 	return l
@@ -438,8 +440,8 @@
 
 func (l *slowLink) addr() string { return l.ln.Addr().String() }
 
-// carry forwards one connection in both directions.
-func (l *slowLink) carry(c net.Conn) {
+// forward forwards one connection in both directions.
+func (l *slowLink) forward(c net.Conn) {
 	defer c.Close()
 	to, err := net.Dial("tcp", l.target)
 	if err != nil {
--- a/relay/signs.go
+++ b/relay/interim.go
@@ -13,31 +13,31 @@
 const (
 	// InterimInterval is the interval between two interim responses.
 	InterimInterval = time.Second
-	// MaxMissedInterim is how many intervals in a row without an interim response mean
-	// that the connection is silent: one response may be late, and one interval may
-	// end just before the next response. With InterimInterval it equals the limit of
-	// the nodes' sessions (wire.NodeSession), and a request is given up after 3 s at
-	// least and 4 s at most.
+	// MaxMissedInterim is the number of intervals in a row without an interim response
+	// after which the connection counts as silent: one response may be late, and one
+	// interval may end just before the next response. Together with InterimInterval it
+	// gives the same limit as that of the nodes' sessions (wire.NodeSession): a request
+	// is given up after 3 s at least and 4 s at most.
 	MaxMissedInterim = 3
 )
 
 // InterimWriter is an http.ResponseWriter that sends interim responses until the
-// final status is written. It is safe for use by one handler. The interim responses
-// are written by another goroutine, so the handler's headers are kept apart until
-// the final status.
+// final status is written. It is for use by one handler. Another goroutine writes the
+// interim responses, so the handler's headers are kept in a separate map until the
+// final status is written.
 type InterimWriter struct {
 	w      http.ResponseWriter
 	header http.Header
 
 	mu    sync.Mutex
-	ended bool // the final status was written, or the handler has returned
+	ended bool // the final status was written, or end was called
 	timer *time.Timer
 }
 
 // SendInterim returns a writer that sends interim responses if the request has
 // HeaderInterim, else w. stop must be called before the handler returns. A request
-// with an Expect header gets none: net/http's server writes "100 Continue" itself,
-// at a time that the handler does not control.
+// with an Expect header gets no interim responses: net/http's server writes
+// "100 Continue" itself, at a time that the handler does not control.
 func SendInterim(w http.ResponseWriter, r *http.Request) (out http.ResponseWriter, stop func()) {
 	if r.Header.Get(HeaderInterim) == "" || r.Header.Get("Expect") != "" {
 		return w, func() {}
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -34,7 +34,7 @@
 	// Between entry and agent only.
 	HeaderService = "Rudderfork-Service"
 	HeaderClaim   = "Rudderfork-Claim"   // fencing token of the claim
-	HeaderBoot    = "Rudderfork-Boot"    // boot id, one for each start, of the agent that the claim names
+	HeaderBoot    = "Rudderfork-Boot"    // boot ID of the agent that the claim names; each start has its own
 	HeaderExpires = "Rudderfork-Expires" // expiry of the claim, Unix ms
 	HeaderLoad    = "Rudderfork-Load"    // on responses: see EncodeLoad
 	HeaderInterim = "Rudderfork-Signs"   // "yes": requests interim responses (SendInterim)
@@ -49,8 +49,8 @@
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// copyBuffer is the size of the buffer of one copy, in bytes. Nothing more of a
-// body is held in memory.
+// copyBuffer is the size of the buffer through which a body is copied, in bytes. No
+// more of the body is held in memory.
 const copyBuffer = 16 << 10
 
 // CopyHeader copies all headers except hop-by-hop and internal ones.
@@ -94,8 +94,8 @@
 func writeResponse(w http.ResponseWriter, resp *http.Response, tee io.Writer, stall time.Duration) {
 	CopyHeader(w.Header(), resp.Header)
 	rc := http.NewResponseController(w)
-	setTimeout := func(d time.Duration) { _ = rc.SetWriteDeadline(after(d)) } // fails if the connection is closed
-	defer setTimeout(0)                                                       // the connection may be reused
+	setTimeout := func(d time.Duration) { _ = rc.SetWriteDeadline(deadlineAfter(d)) } // fails if the connection is closed
+	defer setTimeout(0)                                                               // the connection may be reused
 	setTimeout(stall)
 	w.WriteHeader(resp.StatusCode)
 	stream := resp.ContentLength < 0
@@ -163,7 +163,8 @@
 }
 
 // EncodeLoad returns a load as the value of HeaderLoad: requests in flight, queued
-// requests, slots, latency in microseconds, and 1 if the upstream is leaving.
+// requests, slots, latency in microseconds, and 1 if the upstream is leaving. The
+// value doesn't contain Down.
 func EncodeLoad(l rudderfork.Load) string {
 	leaving := 0
 	if l.Leaving {
@@ -172,7 +173,7 @@
 	return fmt.Sprintf("%d %d %d %d %d", l.InFlight, l.Queued, l.Slots, l.Latency.Microseconds(), leaving)
 }
 
-// DecodeLoad is the inverse of EncodeLoad; ok is false if s is malformed.
+// DecodeLoad decodes a load that EncodeLoad has encoded. ok is false if s is malformed.
 func DecodeLoad(s string) (l rudderfork.Load, ok bool) {
 	var us int64
 	var leaving int
--- a/relay/stall.go
+++ b/relay/stall.go
@@ -10,7 +10,8 @@
 
 const (
 	// bodyStall bounds the wait for the next bytes of a request's body. It equals the
-	// default time-out of requests at entries: a slower body would miss it anyway.
+	// default time-out of requests at entries: with a longer wait the request would time
+	// out anyway.
 	bodyStall = 30 * time.Second
 	// writeStall bounds the wait until the next piece of a response (copyBuffer) is
 	// accepted. A reader of a feed may pause for that long when the buffers of the
@@ -19,9 +20,9 @@
 	writeStall = time.Minute
 )
 
-// LimitBodyReads sets a deadline on each read of a request's body. The server does not
-// notice otherwise that the connection no longer delivers anything. stop must be
-// called before the handler returns.
+// LimitBodyReads sets a deadline on each read of a request's body. Otherwise the server
+// would not notice that the connection no longer delivers anything. stop must be called
+// before the handler returns.
 func LimitBodyReads(w http.ResponseWriter, r *http.Request) (stop func()) {
 	return limitBodyReads(w, r, bodyStall)
 }
@@ -44,7 +45,7 @@
 
 	mu    sync.Mutex
 	whole bool // the body was read to its end
-	ended bool // the handler returns; the server sets the connection's deadlines from now on
+	ended bool // stop was called; the server sets the connection's deadlines from now on
 }
 
 // Read implements io.Reader. An HTTP client that sends this body may call it even
@@ -68,7 +69,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.ended {
-		_ = b.rc.SetReadDeadline(after(d)) // an error means that the connection is closed
+		_ = b.rc.SetReadDeadline(deadlineAfter(d)) // an error means that the connection is closed
 	}
 }
 
@@ -79,13 +80,13 @@
 	defer b.mu.Unlock()
 	b.ended = true
 	if !b.whole {
-		_ = b.rc.SetReadDeadline(after(b.stall)) // as in setTimeout
+		_ = b.rc.SetReadDeadline(deadlineAfter(b.stall)) // as in setTimeout
 	}
 }
 
-// after returns the socket deadline d from now, and the zero time (no deadline) if d
+// deadlineAfter returns the socket deadline d from now, and the zero time (no deadline) if d
 // is 0. Sockets compare deadlines with the monotonic clock.
-func after(d time.Duration) (t time.Time) {
+func deadlineAfter(d time.Duration) (t time.Time) {
 	if d == 0 {
 		return t
 	}
