--- a/front/front.go
+++ b/front/front.go
@@ -30,7 +30,7 @@
 	calls *wire.Calls[wire.QueueResponse]
 
 	mu          sync.Mutex
-	opened      chan struct{} // closed while a session is open
+	opened      chan struct{} // closed when a session opens, and replaced when the session ends
 	sessionOpen bool
 }
 
@@ -83,17 +83,17 @@
 // its response.
 var errNoResponse = errors.New("the session ended before the response")
 
-// Do sends a request to the leader and returns its response. leaderTimeout bounds the
-// waits for a session as long as no leader may have accepted the request. The deadline of
-// ctx bounds the whole call.
-func (c *Client) Do(ctx context.Context, a wire.QueueRequest, leaderTimeout time.Duration) (ans wire.QueueResponse) {
+// Do sends a request to the leader and returns its response. leaderTimeout is the time
+// after which Do no longer waits for a session, unless a leader may have accepted the
+// request. The deadline of ctx bounds the whole call.
+func (c *Client) Do(ctx context.Context, req wire.QueueRequest, leaderTimeout time.Duration) (resp wire.QueueResponse) {
 	giveUpAt := steady.Now().Add(leaderTimeout)
 	unsure := false
 	for {
 		if !c.awaitSession(ctx, giveUpAt, unsure) {
 			return wire.QueueResponse{Unsure: unsure, NotTaken: !unsure, Text: "no leader could be reached in time"}
 		}
-		got, sent, err := c.try(ctx, a)
+		got, sent, err := c.try(ctx, req)
 		unsure = unsure || sent && err != nil || got.Unsure
 		switch {
 		case err != nil, got.Unsure, got.NotTaken:
@@ -104,8 +104,9 @@
 	}
 }
 
-// awaitSession waits for a session. It returns false if the request is given up: ctx has
-// ended, or giveUpAt has passed and unsure is false.
+// awaitSession waits for a session. It returns false if the request is to be given up:
+// ctx has ended, or giveUpAt has passed and unsure is false. unsure means that a leader
+// may have accepted the request.
 func (c *Client) awaitSession(ctx context.Context, giveUpAt time.Time, unsure bool) bool {
 	if ctx.Err() != nil {
 		return false
@@ -127,20 +128,20 @@
 }
 
 // try sends the request once. sent reports whether it may have reached the leader.
-func (c *Client) try(ctx context.Context, a wire.QueueRequest) (ans wire.QueueResponse, sent bool, err error) {
+func (c *Client) try(ctx context.Context, req wire.QueueRequest) (resp wire.QueueResponse, sent bool, err error) {
 	id, answer := c.calls.Open()
 	defer c.calls.Forget(id)
-	a.ID = id
-	if !c.session.Send(wire.FromNode{Request: &a}) {
-		return ans, false, errNoResponse
+	req.ID = id
+	if !c.session.Send(wire.FromNode{Request: &req}) {
+		return resp, false, errNoResponse
 	}
 	select {
-	case ans, ok := <-answer:
+	case resp, ok := <-answer:
 		if !ok {
-			return ans, true, errNoResponse
+			return resp, true, errNoResponse
 		}
-		return ans, true, nil
+		return resp, true, nil
 	case <-ctx.Done():
-		return ans, true, ctx.Err()
+		return resp, true, ctx.Err()
 	}
 }
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -16,8 +16,8 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// leader responds to requests by calling answer; if that returns nil, it ends the
-// session.
+// leader is a fake leader. It responds to each request with what answer returns for it;
+// if that is nil, it ends the session instead.
 type leader struct {
 	addr     string
 	sessions atomic.Int64
@@ -68,7 +68,7 @@
 }
 
 // do sends a request through a client of the given leaders.
-func do(t *testing.T, limit, patience time.Duration, addrs ...string) wire.QueueResponse {
+func do(t *testing.T, timeout, leaderTimeout time.Duration, addrs ...string) wire.QueueResponse {
 	t.Helper()
 	c := New("front", func() []string { return addrs }, zerolog.Nop())
 	ctx, cancel := context.WithCancel(t.Context())
@@ -76,9 +76,9 @@
 	wg.Go(func() { _ = c.Serve(ctx) })
 	defer wg.Wait()
 	defer cancel()
-	callCtx, cancelCall := context.WithTimeout(ctx, limit)
+	callCtx, cancelCall := context.WithTimeout(ctx, timeout)
 	defer cancelCall()
-	return c.Do(callCtx, wire.QueueRequest{Submit: &queue.Submit{Path: "/q/j"}}, patience)
+	return c.Do(callCtx, wire.QueueRequest{Submit: &queue.Submit{Path: "/q/j"}}, leaderTimeout)
 }
 
 const (
