--- a/operator/operator.go
+++ b/operator/operator.go
@@ -30,7 +30,7 @@
 const (
 	// callTimeout bounds one call to one control process.
 	callTimeout = 5 * time.Second
-	// retryDelay is the delay after all control processes have failed.
+	// retryDelay is the delay before all control processes are tried again.
 	retryDelay = 100 * time.Millisecond
 	// maxAnswerBytes bounds the part of an answer that is read.
 	maxAnswerBytes = 64 << 20
@@ -55,8 +55,8 @@
 	body         []byte
 }
 
-// do sends q until a leader answers it or ctx is cancelled. A request whose outcome
-// is unknown is sent again: all changes carry an id or can be repeated.
+// do sends q until a leader answers it or ctx is cancelled. If the outcome of a request
+// is unknown, it is sent again: all changes carry an id or can be repeated.
 func (c *Client) do(ctx context.Context, q request, out any) (err error) {
 	defer errs.Annotate(&err, "%s %s", q.method, q.path)
 	for {
@@ -75,7 +75,8 @@
 	}
 }
 
-// try sends q to one process. retry is true if another process should be tried.
+// try sends q to one process. retry is true if q should be sent again, to another
+// process if there is one.
 func (c *Client) try(ctx context.Context, addr string, q request, out any) (retry bool, err error) {
 	req, err := http.NewRequestWithContext(ctx, q.method, "http://"+addr+q.path, bytes.NewReader(q.body))
 	if err != nil {
@@ -211,7 +212,7 @@
 	return vms, err
 }
 
-// Drain starts or ends the drain of a VM.
+// Drain starts the drain of a VM, or ends it if off is true.
 func (c *Client) Drain(ctx context.Context, vm rudderfork.VMID, off bool) error {
 	return c.post(ctx, "/v1/vms/"+url.PathEscape(string(vm))+"/drain", map[string]bool{"off": off}, nil)
 }
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -15,8 +15,8 @@
 	"rudderfork.example/rudderfork/operator"
 )
 
-// fakeControl answers each read of a cell with its own value if it leads, and else
-// with a redirect.
+// fakeControl is a fake control process. It answers each read of a cell with value if
+// it leads, and else with a redirect.
 type fakeControl struct {
 	value int64
 	leads atomic.Bool
--- a/operator/queues.go
+++ b/operator/queues.go
@@ -10,8 +10,8 @@
 	"rudderfork.example/rudderfork/scheduler"
 )
 
-// PutQueues replaces the document of queues. A document of an older version has no
-// effect.
+// PutQueues replaces the document that configures the queues. A document of an older
+// version has no effect.
 func (c *Client) PutQueues(ctx context.Context, d queue.Document) error {
 	return c.send(ctx, http.MethodPut, "/v1/queues", d)
 }
@@ -52,13 +52,14 @@
 	return list, c.do(ctx, request{method: http.MethodGet, path: "/v1/queue-suspects"}, &list)
 }
 
-// Evacuations returns the failure domains in which no task is started.
+// Evacuations returns the failure domains that are being evacuated. No task is started
+// in them.
 func (c *Client) Evacuations(ctx context.Context) (list []scheduler.EvacuationView, err error) {
 	return list, c.do(ctx, request{method: http.MethodGet, path: evacuationsPath}, &list)
 }
 
-// Evacuate starts the evacuation of a failure domain, in which no task is started then,
-// or ends it.
+// Evacuate starts the evacuation of a failure domain, or ends it if end is true. Until it
+// ends, no task is started in the domain.
 func (c *Client) Evacuate(ctx context.Context, domain string, end bool) error {
 	method := http.MethodPut
 	if end {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -25,7 +25,7 @@
 type File struct {
 	path      string
 	ini       *ini.File
-	requested map[string]bool // by section NUL key
+	requested map[string]bool // keys that were requested, as section + "\x00" + key
 	errs      []error
 }
 
@@ -69,7 +69,8 @@
 	return def
 }
 
-// Text returns a required text. The error for a missing one says what is valid.
+// Text returns a required text. valid says which texts are valid, for the error if the
+// key is missing or empty.
 func (f *File) Text(section, key, valid string) string {
 	v, ok := f.value(section, key)
 	if !ok {
@@ -219,6 +220,7 @@
 	return err
 }
 
+// keysOf returns the requested keys of a section, for an error text.
 func (f *File) keysOf(section string) string {
 	var keys []string
 	for sectionKey := range f.requested {
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -5,7 +5,7 @@
 //	POST /start     start an attempt; a repetition with the same token has no effect
 //	POST /renew     set the deadline at which all attempts are stopped
 //	POST /stop      checkpoint and stop an attempt, and refuse its start from now on
-//	POST /throttle  throttle an attempt, from 0 (full speed) to 3 (standstill)
+//	POST /throttle  set the throttle level of an attempt, from 0 (full speed) to 3 (paused)
 //	POST /forget    delete the record of an attempt that has ended
 package worker
 
@@ -30,8 +30,9 @@
 // maxAnswerBytes bounds the part of an answer that is read.
 const maxAnswerBytes = 16 << 20
 
-// Task is an attempt as the worker reports it. Checkpoint and Progress are in units
-// of work; At is the time at which Used was measured, in Unix milliseconds.
+// Task is an attempt as the worker reports it. Checkpoint (saved) and Progress (done)
+// are in units of work, Throttle is the throttle level, Reason says why the attempt has
+// ended, and At is the time at which Used was measured, in Unix milliseconds.
 type Task struct {
 	Task       rudderfork.TaskID    `json:"task"`
 	Token      rudderfork.Token     `json:"token"`
@@ -63,6 +64,7 @@
 }
 
 // Change is the body of the other POST requests; each uses some of the fields.
+// Checkpoint asks for a checkpoint before a stop, Level is a throttle level, and
 // Deadline is in Unix milliseconds.
 type Change struct {
 	Task       rudderfork.TaskID `json:"task,omitempty"`
