--- a/agent/agent.go
+++ b/agent/agent.go
@@ -2,8 +2,9 @@
 // upstreams and its worker.
 //
 // Entries send requests for the VM's upstreams to the agent. It admits them to the
-// upstream's slots, refuses those that cannot be answered in time, and runs a
-// request with a claim at most once. Control grants the agent a lease for the VM.
+// upstream's slots (one for each request that may run at the same time), refuses
+// those that cannot be answered in time, and runs a request with a claim at most
+// once. Control grants the agent a lease for the VM.
 // While the lease is valid, the agent starts, throttles and stops tasks at the
 // platform's worker. It makes the final check of whether a task may run on the VM.
 package agent
@@ -145,7 +146,8 @@
 	return true
 }
 
-// Hello implements node.Handler.
+// Hello implements node.Handler. While the worker is unreachable, the hello has no
+// registration, so that control grants the VM no lease.
 func (p *Process) Hello() wire.Hello {
 	h := wire.Hello{Kind: wire.KindAgent, Process: p.cfg.Name, Place: p.cfg.Place, Boot: p.boot, Admin: p.admin}
 	if p.tasks.workerReachable() {
@@ -159,10 +161,10 @@
 
 // Heartbeat implements node.Handler.
 func (p *Process) Heartbeat() wire.Heartbeat {
-	b := p.tasks.heartbeat()
-	b.Services = p.front.usage()
-	b.Leaving = p.front.isLeaving()
-	return b
+	hb := p.tasks.heartbeat()
+	hb.Services = p.front.usage()
+	hb.Leaving = p.front.isLeaving()
+	return hb
 }
 
 // Handle implements node.Handler.
--- a/agent/front.go
+++ b/agent/front.go
@@ -18,7 +18,8 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// front serves requests and sessions of entries.
+// front serves requests and sessions of entries. It has nothing to do with package
+// front.
 type front struct {
 	cfg      Settings
 	boot     string
--- a/agent/tasks.go
+++ b/agent/tasks.go
@@ -248,19 +248,19 @@
 	reachable := t.workerReachable()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var b wire.Heartbeat
+	var hb wire.Heartbeat
 	if reachable {
-		b.Epoch = t.holder.Epoch()
+		hb.Epoch = t.holder.Epoch()
 	}
 	for _, r := range t.holder.Running() {
-		b.Tasks = append(b.Tasks, wire.TaskUsage{
+		hb.Tasks = append(hb.Tasks, wire.TaskUsage{
 			Task: r.Task, Token: r.Token, Used: r.Used, Checkpoint: r.Checkpoint, Progress: r.Progress,
 			Throttle: r.Throttle, At: r.At,
 		})
 	}
-	b.Exhausted = t.throttler.Exhausted(steady.Now())
+	hb.Exhausted = t.throttler.Exhausted(steady.Now())
 	if len(t.decisions) > 0 && t.client.Send(wire.ToControl{Decisions: t.decisions}) {
 		t.decisions = nil
 	}
-	return b
+	return hb
 }
--- a/control/control.go
+++ b/control/control.go
@@ -4,9 +4,9 @@
 //
 // All replicas run the same code. A follower replicates the log and redirects
 // nodes and operators to the leader. The leader expires leases, plans placements
-// and evictions, and pushes the table, the list of upstreams and the assignments
-// to the nodes. Each of its decisions is a command: it takes effect once it is
-// committed, and is checked again when it is applied.
+// and evictions, and pushes the table of cells, the list of upstreams and the
+// assignments to the nodes. Each of its decisions is a command: it takes effect once
+// it is committed, and is checked again when it is applied.
 package control
 
 import (
--- a/control/hub.go
+++ b/control/hub.go
@@ -180,6 +180,8 @@
 	})
 }
 
+// accept serves the connection of a node. It receives the hello, and then either
+// redirects the node to the leader or runs its session.
 func (h *hub) accept(w http.ResponseWriter, r *http.Request) {
 	connNumber := h.nextConnNumber()
 	c, err := wire.Accept[wire.ToNode, wire.ToControl](w, r, wire.NodeSession)
--- a/control/leader.go
+++ b/control/leader.go
@@ -87,6 +87,8 @@
 	}
 }
 
+// startTerm starts a term of leadership, in which each live VM may still hold a lease
+// of an earlier leader.
 func (l *leader) startTerm(term uint64) {
 	var vms []rudderfork.VMID
 	l.rep.View(func(s *state.State) {
@@ -122,6 +124,8 @@
 	}
 }
 
+// plan commits the evictions and placements of one round of planning, and which jobs
+// are blocked.
 func (l *leader) plan(ctx context.Context) {
 	var p placement.Plan
 	l.rep.View(func(s *state.State) { p = l.planner.PlanRound(s, steady.Now()) })
--- a/control/models.go
+++ b/control/models.go
@@ -22,16 +22,16 @@
 }
 
 // observeHeartbeat updates the models with the usage report in an agent's heartbeat.
-func (m *usageModels) observeHeartbeat(s *state.State, vm rudderfork.VMID, b wire.Heartbeat, now time.Time) {
+func (m *usageModels) observeHeartbeat(s *state.State, vm rudderfork.VMID, hb wire.Heartbeat, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.reportedAt == nil {
 		m.reportedAt = map[rudderfork.VMID]time.Time{}
 	}
 	m.reportedAt[vm] = now
-	shares := m.observeTasks(s, vm, b.Tasks)
+	shares := m.observeTasks(s, vm, hb.Tasks)
 	pressure := 0.0
-	for _, u := range b.Services {
+	for _, u := range hb.Services {
 		if u.Requests == 0 {
 			continue
 		}
@@ -42,7 +42,7 @@
 			Busy: u.Busy, Shares: shares,
 		})
 	}
-	m.usage.ObservePressure(vm, pressure, b.Exhausted)
+	m.usage.ObservePressure(vm, pressure, hb.Exhausted)
 }
 
 // observeTasks updates the models with the usage of tasks. It returns, by kind, the
--- a/control/session.go
+++ b/control/session.go
@@ -248,20 +248,20 @@
 	}
 }
 
-func (s *session) handleHeartbeat(b wire.Heartbeat) {
+func (s *session) handleHeartbeat(hb wire.Heartbeat) {
 	var newest rudderfork.Revision
 	s.hub.rep.View(func(st *state.State) {
 		newest = st.Revision()
 		if s.hello.Kind == wire.KindAgent {
-			s.hub.models.observeHeartbeat(st, s.hello.Place.VM, b, steady.Now())
+			s.hub.models.observeHeartbeat(st, s.hello.Place.VM, hb, steady.Now())
 		}
 	})
-	s.hub.recordHeartbeat(s.hello.Process, b.TableRevision, newest)
+	s.hub.recordHeartbeat(s.hello.Process, hb.TableRevision, newest)
 	if s.epoch == 0 {
 		s.enqueue(wire.ToNode{Grant: &wire.Grant{}})
 		return
 	}
-	if b.Epoch == s.epoch {
+	if hb.Epoch == s.epoch {
 		s.grant()
 	}
 }
@@ -305,6 +305,8 @@
 	s.enqueue(wire.ToNode{ReportsAck: &wire.ReportsAck{ID: b.ID}})
 }
 
+// commitCommand commits a command that the node has requested under id, and sends the
+// result.
 func (s *session) commitCommand(ctx context.Context, id uint64, c state.Command) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -48,7 +48,7 @@
 	}
 	c.prepare(req, cl)
 	req, a.watcher = watchInterim(req, func() bool { return c.h.fleet.link(vm).sendsInterim() })
-	resp, err := c.h.fleet.hc.RoundTrip(req)
+	resp, err := c.h.fleet.transport.RoundTrip(req)
 	if a.silent = a.watcher.stop(); a.silent && err == nil {
 		err = errors.Join(errNoInterim, resp.Body.Close()) // the response came while the attempt was being given up
 	}
@@ -94,7 +94,7 @@
 	switch {
 	case a.silent:
 		c.pool.done(a.vm, 0, true)
-		relay.CloseIdleAfter(c.h.fleet.hc, errNoInterim)
+		relay.CloseIdleAfter(c.h.fleet.transport, errNoInterim)
 		c.h.metrics.silent.Inc()
 		c.h.log.Warn().Str("request", c.id).Str("node_vm", string(a.vm)).Msg("request_silent")
 		a.problem = problem.New(http.StatusBadGateway, "upstream-failed", "the agent of "+string(a.vm)+" fell silent before an answer came", rudderfork.RanUnknown)
@@ -105,7 +105,7 @@
 	case deadlinePassed(err):
 		c.pool.done(a.vm, steady.Now().Sub(a.start), false)
 		if a.watcher.maybeSilent() {
-			relay.CloseIdleAfter(c.h.fleet.hc, err)
+			relay.CloseIdleAfter(c.h.fleet.transport, err)
 		}
 		a.problem = problem.New(http.StatusGatewayTimeout, "deadline", "no answer came by the deadline", rudderfork.RanUnknown)
 		a.problem.RetryAt = steady.Now().Add(retryDelay)
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -57,9 +57,9 @@
 
 // fleet holds the upstreams of all services, with the links to their agents.
 type fleet struct {
-	cfg Settings
-	log zerolog.Logger
-	hc  *http.Transport
+	cfg       Settings
+	log       zerolog.Logger
+	transport *http.Transport
 
 	mu          sync.Mutex
 	revision    rudderfork.Revision
@@ -81,7 +81,7 @@
 func newFleet(cfg Settings, log zerolog.Logger) *fleet {
 	return &fleet{
 		cfg: cfg, log: log,
-		hc: &http.Transport{
+		transport: &http.Transport{
 			DisableCompression: true, MaxIdleConnsPerHost: maxIdleConns, IdleConnTimeout: idleConnTimeout,
 			DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		},
--- a/entry/interim.go
+++ b/entry/interim.go
@@ -78,8 +78,8 @@
 
 // tick ends an interval and reports whether the agent has been silent for too long. An
 // interval does not count if the agent sends no interim responses, nor while the body
-// is awaited from the caller: the headers may then still be in the client's buffer.
-// Once an interim response has come, every interval counts. w.mu is held.
+// is awaited from the caller: the headers may then still be in the buffer of net/http's
+// client. Once an interim response has come, every interval counts. w.mu is held.
 func (w *interimWatcher) tick(supported bool) (silent bool) {
 	if w.received || !w.everReceived && (w.awaitingBody || !supported) {
 		w.missed = 0
--- a/entry/link.go
+++ b/entry/link.go
@@ -59,7 +59,7 @@
 			l.report(rudderfork.Load{Down: true})
 		}
 		if wentSilent(err) {
-			relay.CloseIdleAfter(l.fleet.hc, err) // connections of requests have most likely gone silent too
+			relay.CloseIdleAfter(l.fleet.transport, err) // connections of requests have most likely gone silent too
 		}
 		steady.Pause(ctx, redialPause)
 	}
--- a/entry/stop_test.go
+++ b/entry/stop_test.go
@@ -81,7 +81,7 @@
 		if cond() {
 			return poll.Success()
 		}
-		return poll.Continue("not yet")
+		return poll.Continue("condition not met yet")
 	}, poll.WithTimeout(waitLimit), poll.WithDelay(time.Millisecond))
 }
 
--- a/relay/interim.go
+++ b/relay/interim.go
@@ -42,56 +42,56 @@
 	if r.Header.Get(HeaderInterim) == "" || r.Header.Get("Expect") != "" {
 		return w, func() {}
 	}
-	s := &InterimWriter{w: w, header: http.Header{}}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.timer = time.AfterFunc(InterimInterval, s.send)
-	return s, s.end
+	iw := &InterimWriter{w: w, header: http.Header{}}
+	iw.mu.Lock()
+	defer iw.mu.Unlock()
+	iw.timer = time.AfterFunc(InterimInterval, iw.send)
+	return iw, iw.end
 }
 
 // send sends one interim response and schedules the next.
-func (s *InterimWriter) send() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.ended {
+func (iw *InterimWriter) send() {
+	iw.mu.Lock()
+	defer iw.mu.Unlock()
+	if iw.ended {
 		return
 	}
-	s.w.WriteHeader(http.StatusProcessing)
-	s.timer.Reset(InterimInterval)
+	iw.w.WriteHeader(http.StatusProcessing)
+	iw.timer.Reset(InterimInterval)
 }
 
 // end stops the interim responses.
-func (s *InterimWriter) end() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.ended = true
-	s.timer.Stop()
+func (iw *InterimWriter) end() {
+	iw.mu.Lock()
+	defer iw.mu.Unlock()
+	iw.ended = true
+	iw.timer.Stop()
 }
 
 // Header implements http.ResponseWriter.
-func (s *InterimWriter) Header() http.Header { return s.header }
+func (iw *InterimWriter) Header() http.Header { return iw.header }
 
 // WriteHeader implements http.ResponseWriter, for the final status only. Later calls
 // are ignored.
-func (s *InterimWriter) WriteHeader(status int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.ended {
+func (iw *InterimWriter) WriteHeader(status int) {
+	iw.mu.Lock()
+	defer iw.mu.Unlock()
+	if iw.ended {
 		return
 	}
-	s.ended = true
-	s.timer.Stop()
-	for k, vs := range s.header {
-		s.w.Header()[k] = vs
+	iw.ended = true
+	iw.timer.Stop()
+	for k, vs := range iw.header {
+		iw.w.Header()[k] = vs
 	}
-	s.w.WriteHeader(status)
+	iw.w.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
-func (s *InterimWriter) Write(p []byte) (int, error) {
-	s.WriteHeader(http.StatusOK)
-	return s.w.Write(p)
+func (iw *InterimWriter) Write(p []byte) (int, error) {
+	iw.WriteHeader(http.StatusOK)
+	return iw.w.Write(p)
 }
 
 // Unwrap returns the wrapped writer, for http.ResponseController.
-func (s *InterimWriter) Unwrap() http.ResponseWriter { return s.w }
+func (iw *InterimWriter) Unwrap() http.ResponseWriter { return iw.w }
