--- a/agent/agent.go
+++ b/agent/agent.go
@@ -52,18 +52,18 @@
 
 // Process is an agent, ready to serve.
 type Process struct {
-	cfg    Settings
-	log    zerolog.Logger
-	boot   string // random ID of this start of the agent
-	addr   string // to which entries send requests
-	admin  string
-	table  *node.Table
-	client *node.Client
-	front  *front
-	tasks  *tasks
-	srv    *http.Server
-	ln     net.Listener
-	sup    *suture.Supervisor
+	cfg      Settings
+	log      zerolog.Logger
+	boot     string // random ID of this start of the agent
+	addr     string // to which entries send requests
+	admin    string
+	table    *node.Table
+	client   *node.Client
+	requests *requestServer
+	tasks    *tasks
+	srv      *http.Server
+	ln       net.Listener
+	sup      *suture.Supervisor
 }
 
 // New opens the listeners.
@@ -80,15 +80,15 @@
 	}
 	p.table = node.NewTable()
 	p.client = node.NewClient(cfg.Control, cfg.HeartbeatInterval, p.table, p, log)
-	p.front = newFront(cfg, p.boot, p.table, log, ring)
-	p.tasks = newTasks(cfg, p.client, p.front, log, ring)
-	p.srv = &http.Server{Handler: p.front.handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ConnState: p.front.conns.handleState}
+	p.requests = newRequestServer(cfg, p.boot, p.table, log, ring)
+	p.tasks = newTasks(cfg, p.client, p.requests, log, ring)
+	p.srv = &http.Server{Handler: p.requests.handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ConnState: p.requests.conns.handleState}
 	adm := admin.New(adminLn, ring, p.ready)
 	adm.Registry().MustRegister(newCollector(p))
 	p.sup = daemon.Supervisor("agent", log)
 	p.sup.Add(p.client)
 	p.sup.Add(p.tasks)
-	p.sup.Add(p.front)
+	p.sup.Add(p.requests)
 	p.sup.Add(adm)
 	log.Info().Str("listen", ln.Addr().String()).Str("admin", p.admin).Str("boot", p.boot).Msg("started")
 	return p, nil
@@ -98,7 +98,7 @@
 	switch {
 	case !p.table.Known():
 		return errors.New("the table is not known yet")
-	case p.front.isLeaving():
+	case p.requests.isLeaving():
 		return errors.New("leaving")
 	}
 	return nil
@@ -124,13 +124,13 @@
 // whether the request ran.
 func (p *Process) drain() {
 	p.log.Info().Msg("stopping")
-	p.front.stopAccepting("the agent is stopping")
+	p.requests.stopAccepting("the agent is stopping")
 	limit := steady.Now().Add(p.cfg.DrainLimit)
-	if !waitUntil(p.front.idle, limit) {
-		p.log.Warn().Int("in_progress", p.front.inProgress()).Msg("stopped_with_requests")
+	if !waitUntil(p.requests.idle, limit) {
+		p.log.Warn().Int("in_progress", p.requests.inProgress()).Msg("stopped_with_requests")
 		return
 	}
-	if !waitUntil(p.front.noneInTransit, steady.Now().Add(entryDrainTimeout)) {
+	if !waitUntil(p.requests.noneInTransit, steady.Now().Add(entryDrainTimeout)) {
 		p.log.Warn().Msg("stopped_before_entries_were_quiet")
 	}
 }
@@ -162,19 +162,19 @@
 // Heartbeat implements node.Handler.
 func (p *Process) Heartbeat() wire.Heartbeat {
 	hb := p.tasks.heartbeat()
-	hb.Services = p.front.usage()
-	hb.Leaving = p.front.isLeaving()
+	hb.Services = p.requests.usage()
+	hb.Leaving = p.requests.isLeaving()
 	return hb
 }
 
 // Handle implements node.Handler.
 func (p *Process) Handle(m wire.ToNode) {
 	if m.Update != nil {
-		p.front.tableChanged()
+		p.requests.tableChanged()
 		return
 	}
 	if m.Assign != nil {
-		p.front.setDraining(m.Assign.Draining)
+		p.requests.setDraining(m.Assign.Draining)
 	}
 	p.tasks.handle(m)
 }
--- a/agent/claim.go
+++ b/agent/claim.go
@@ -20,7 +20,7 @@
 	boot    string // boot ID of the agent for which the claim was granted
 	expires time.Time
 
-	front       *front
+	server      *requestServer
 	state       wire.RequestState // RequestUnknown until setNotRun or setDone is called
 	capture     *relay.Capture    // body of the upstream's answer; nil before
 	status      int               // of the upstream's answer, like contentType
@@ -76,16 +76,16 @@
 
 // recordResult stores the outcome of the request in the store of claims.
 func (c *activeClaim) recordResult() {
-	c.front.mu.Lock()
-	defer c.front.mu.Unlock()
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
 	switch c.state {
 	case wire.RequestNever:
-		c.front.claims.NotRun(c.key, c.token)
+		c.server.claims.NotRun(c.key, c.token)
 	case wire.RequestDone:
-		c.front.claims.Done(c.key, c.token, &state.Answer{
+		c.server.claims.Done(c.key, c.token, &state.Answer{
 			Status: c.status, ContentType: c.contentType, Body: c.capture.Body(), Partial: c.capture.Partial(),
 		})
 	default:
-		c.front.claims.Unknown(c.key, c.token)
+		c.server.claims.Unknown(c.key, c.token)
 	}
 }
--- a/agent/forward.go
+++ b/agent/forward.go
@@ -19,11 +19,11 @@
 type onceBody struct{ io.ReadCloser }
 
 // forward sends an admitted request to the upstream and copies its answer back.
-func (f *front) forward(ctx context.Context, w http.ResponseWriter, r *http.Request, s *service, adm *admitted, c *activeClaim) {
+func (rs *requestServer) forward(ctx context.Context, w http.ResponseWriter, r *http.Request, s *service, adm *admitted, c *activeClaim) {
 	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+s.addr+r.URL.RequestURI(), nil)
 	if err != nil {
 		c.setNotRun()
-		f.refuse(w, r, http.StatusBadRequest, "malformed", err.Error(), time.Time{})
+		rs.refuse(w, r, http.StatusBadRequest, "malformed", err.Error(), time.Time{})
 		return
 	}
 	relay.CopyHeader(req.Header, r.Header)
@@ -37,7 +37,7 @@
 	resp, err := s.transport(c != nil).RoundTrip(req)
 	if err != nil {
 		relay.CloseIdleAfter(s.pooled, err)
-		f.forwardFailed(w, r, c, err)
+		rs.forwardFailed(w, r, c, err)
 		return
 	}
 	defer resp.Body.Close()
@@ -46,8 +46,8 @@
 		crash.Point(crash.AgentForwarded)
 	}
 	resp.Header.Del(problem.Header) // only agents and entries may say whether a request ran
-	w.Header().Set(relay.HeaderLoad, relay.EncodeLoad(f.load(s)))
-	f.closeConnIfStopping(w)
+	w.Header().Set(relay.HeaderLoad, relay.EncodeLoad(rs.load(s)))
+	rs.closeConnIfStopping(w)
 	cp := c.captureAnswer(resp)
 	if cp == nil {
 		relay.WriteResponse(w, resp, nil)
@@ -55,16 +55,16 @@
 		relay.WriteResponse(w, resp, cp)
 	}
 	c.setDone()
-	f.event("answered", r, resp.Status)
+	rs.event("answered", r, resp.Status)
 }
 
 // forwardFailed responds to a request that the upstream has not answered. The request
 // is known not to have run only if no connection to the upstream could be made.
-func (f *front) forwardFailed(w http.ResponseWriter, r *http.Request, c *activeClaim, err error) {
+func (rs *requestServer) forwardFailed(w http.ResponseWriter, r *http.Request, c *activeClaim, err error) {
 	if relay.NotSent(err) {
 		c.setNotRun()
 		w.Header().Set(relay.HeaderLoad, relay.EncodeLoad(rudderfork.Load{Down: true}))
-		f.refuse(w, r, http.StatusServiceUnavailable, "upstream-down", "the upstream does not listen", steady.Now().Add(retryDelay))
+		rs.refuse(w, r, http.StatusServiceUnavailable, "upstream-down", "the upstream does not listen", steady.Now().Add(retryDelay))
 		return
 	}
 	status, kind := http.StatusBadGateway, "upstream-failed"
@@ -75,5 +75,5 @@
 	p.Request = r.Header.Get(relay.HeaderRequest)
 	p.RetryAt = steady.Now().Add(retryDelay)
 	problem.Write(w, p)
-	f.event("failed", r, err.Error())
+	rs.event("failed", r, err.Error())
 }
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -33,7 +33,7 @@
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
-	for name, s := range c.p.front.services {
+	for name, s := range c.p.requests.services {
 		l, p := s.load(), s.pressure()
 		s.mu.Lock()
 		feeds := s.feeds
--- a/agent/front.go
+++ b/agent/requests.go
@@ -18,9 +18,8 @@
 	"rudderfork.example/rudderfork/wire"
 )
 
-// front serves requests and sessions of entries. It has nothing to do with package
-// front.
-type front struct {
+// requestServer serves the requests and the sessions of entries.
+type requestServer struct {
 	cfg      Settings
 	boot     string
 	table    *node.Table
@@ -30,40 +29,41 @@
 	entries  *entries
 	conns    *conns
 
-	mu       sync.Mutex
-	stopping string // the reason; "" if the agent isn't stopping
-	draining bool   // control drains the VM
-	claims   *claim.Store
-	requests int // in progress
+	mu             sync.Mutex
+	stopping       string // the reason; "" if the agent isn't stopping
+	draining       bool   // control drains the VM
+	claims         *claim.Store
+	activeRequests int // in progress
 }
 
-func newFront(cfg Settings, boot string, t *node.Table, log zerolog.Logger, rec rudderfork.Recorder) *front {
-	f := &front{
+func newRequestServer(cfg Settings, boot string, t *node.Table, log zerolog.Logger, rec rudderfork.Recorder) *requestServer {
+	rs := &requestServer{
 		cfg: cfg, boot: boot, table: t, log: log, rec: rec,
 		services: map[rudderfork.Service]*service{}, claims: claim.New(),
 		entries: newEntries(), conns: newConns(),
 	}
 	for _, u := range cfg.Upstreams {
-		f.services[u.Service] = newService(u, t)
+		rs.services[u.Service] = newService(u, t)
 	}
-	return f
+	return rs
 }
 
-func (f *front) handler() http.Handler {
+func (rs *requestServer) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /rudderfork/session", f.session)
-	mux.HandleFunc("/", f.request)
+	mux.HandleFunc("GET /rudderfork/session", rs.session)
+	mux.HandleFunc("/", rs.request)
 	return mux
 }
 
-// String names the service in the supervisor's log.
-func (f *front) String() string { return "front" }
+// String names the service in the supervisor's log. The name is kept for operators who
+// search logs.
+func (rs *requestServer) String() string { return "front" }
 
 // Serve implements suture.Service: it refuses queued requests that can no longer
 // meet their deadline.
-func (f *front) Serve(ctx context.Context) error {
+func (rs *requestServer) Serve(ctx context.Context) error {
 	var wg sync.WaitGroup
-	for _, s := range f.services {
+	for _, s := range rs.services {
 		wg.Go(func() { s.expireLoop(ctx) })
 	}
 	wg.Wait()
@@ -71,59 +71,61 @@
 	return ctx.Err()
 }
 
-func (f *front) tableChanged() {
-	for _, s := range f.services {
+func (rs *requestServer) tableChanged() {
+	for _, s := range rs.services {
 		s.setLimits()
 	}
 }
 
 // stopAccepting makes the agent refuse all new requests, and tells the entries. It
 // must be called only once.
-func (f *front) stopAccepting(reason string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.stopping = reason
-	close(f.entries.stopping)
+func (rs *requestServer) stopAccepting(reason string) {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	rs.stopping = reason
+	close(rs.entries.stopping)
 }
 
-func (f *front) setDraining(v bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.draining = v
+func (rs *requestServer) setDraining(v bool) {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	rs.draining = v
 }
 
-func (f *front) isLeaving() bool { return f.leavingReason() != "" }
+func (rs *requestServer) isLeaving() bool { return rs.leavingReason() != "" }
 
-func (f *front) leavingReason() string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.stopping == "" && f.draining {
+func (rs *requestServer) leavingReason() string {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	if rs.stopping == "" && rs.draining {
 		return "the VM is leaving"
 	}
-	return f.stopping
+	return rs.stopping
 }
 
-func (f *front) inProgress() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.requests
+func (rs *requestServer) inProgress() int {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	return rs.activeRequests
 }
 
 // idle reports whether no request is in progress and all answers have been written
 // completely.
-func (f *front) idle() bool { return f.inProgress() == 0 && f.conns.idle() }
+func (rs *requestServer) idle() bool { return rs.inProgress() == 0 && rs.conns.idle() }
 
 // noneInTransit reports, after stopAccepting, whether no request can be in transit:
 // every entry with a session is drained, and no connection was used for
 // connUnusedAfter.
-func (f *front) noneInTransit() bool { return f.entries.allDrained() && f.conns.unused(steady.Now()) }
+func (rs *requestServer) noneInTransit() bool {
+	return rs.entries.allDrained() && rs.conns.unused(steady.Now())
+}
 
 // closeConnIfStopping closes the connection after this answer if the agent is
 // stopping, so that no request can follow on it.
-func (f *front) closeConnIfStopping(w http.ResponseWriter) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.stopping != "" {
+func (rs *requestServer) closeConnIfStopping(w http.ResponseWriter) {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	if rs.stopping != "" {
 		w.Header().Set("Connection", "close")
 	}
 }
@@ -131,39 +133,39 @@
 // beginRequest counts a request, or returns the reason to refuse it if the agent is
 // leaving. Check and count happen under one lock, so that a stopping agent doesn't
 // overlook a request.
-func (f *front) beginRequest() (reason string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (rs *requestServer) beginRequest() (reason string) {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
 	switch {
-	case f.stopping != "":
-		return f.stopping
-	case f.draining:
+	case rs.stopping != "":
+		return rs.stopping
+	case rs.draining:
 		return "the VM is leaving"
 	}
-	f.requests++
+	rs.activeRequests++
 	return ""
 }
 
-func (f *front) endRequest() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.requests--
+func (rs *requestServer) endRequest() {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	rs.activeRequests--
 }
 
 // refuse answers with a problem that says that the request did not run.
-func (f *front) refuse(w http.ResponseWriter, r *http.Request, status int, kind, detail string, retryAt time.Time) {
+func (rs *requestServer) refuse(w http.ResponseWriter, r *http.Request, status int, kind, detail string, retryAt time.Time) {
 	p := problem.New(status, kind, detail, rudderfork.RanNo)
 	p.RetryAt = retryAt
 	p.Request = r.Header.Get(relay.HeaderRequest)
-	p.Version = f.table.Revision()
-	f.closeConnIfStopping(w)
+	p.Version = rs.table.Revision()
+	rs.closeConnIfStopping(w)
 	problem.Write(w, p)
-	f.event("refused", r, detail)
+	rs.event("refused", r, detail)
 }
 
-func (f *front) event(kind string, r *http.Request, text string) {
-	f.rec.Record(rudderfork.Event{
-		Kind: kind, Subject: r.Header.Get(relay.HeaderRequest), Revision: f.table.Revision(), Text: text,
+func (rs *requestServer) event(kind string, r *http.Request, text string) {
+	rs.rec.Record(rudderfork.Event{
+		Kind: kind, Subject: r.Header.Get(relay.HeaderRequest), Revision: rs.table.Revision(), Text: text,
 	})
 }
 
@@ -171,62 +173,62 @@
 // for which the admission queue gives no estimate.
 const retryDelay = 500 * time.Millisecond
 
-func (f *front) request(w http.ResponseWriter, r *http.Request) {
+func (rs *requestServer) request(w http.ResponseWriter, r *http.Request) {
 	w, stop := relay.SendInterim(w, r)
 	defer stop()
 	defer relay.LimitBodyReads(w, r)()
-	s := f.services[rudderfork.Service(r.Header.Get(relay.HeaderService))]
+	s := rs.services[rudderfork.Service(r.Header.Get(relay.HeaderService))]
 	if s == nil {
-		f.refuse(w, r, http.StatusNotFound, "no-service", "no such service here", time.Time{})
+		rs.refuse(w, r, http.StatusNotFound, "no-service", "no such service here", time.Time{})
 		return
 	}
-	if reason := f.beginRequest(); reason != "" {
+	if reason := rs.beginRequest(); reason != "" {
 		w.Header().Set(relay.HeaderLoad, relay.EncodeLoad(rudderfork.Load{Leaving: true}))
-		f.refuse(w, r, http.StatusServiceUnavailable, "leaving", reason, steady.Now().Add(retryDelay))
+		rs.refuse(w, r, http.StatusServiceUnavailable, "leaving", reason, steady.Now().Add(retryDelay))
 		return
 	}
-	defer f.endRequest()
-	if !f.table.Known() {
-		f.refuse(w, r, http.StatusServiceUnavailable, "no-table", "the table is not known here yet", steady.Now().Add(retryDelay))
+	defer rs.endRequest()
+	if !rs.table.Known() {
+		rs.refuse(w, r, http.StatusServiceUnavailable, "no-table", "the table is not known here yet", steady.Now().Add(retryDelay))
 		return
 	}
 	c, err := parseClaim(r)
 	if err != nil {
-		f.refuse(w, r, http.StatusBadRequest, "malformed", err.Error(), time.Time{})
+		rs.refuse(w, r, http.StatusBadRequest, "malformed", err.Error(), time.Time{})
 		return
 	}
 	if c == nil {
-		f.serve(w, r, s, nil)
+		rs.serve(w, r, s, nil)
 		return
 	}
-	f.serveClaimed(w, r, s, c)
+	rs.serveClaimed(w, r, s, c)
 }
 
 // serveClaimed runs a request with a claim if its token was not used before.
-func (f *front) serveClaimed(w http.ResponseWriter, r *http.Request, s *service, c *activeClaim) {
-	if c.boot != f.boot {
-		f.refuse(w, r, http.StatusConflict, "other-boot", "the claim names an earlier start of this agent", time.Time{})
+func (rs *requestServer) serveClaimed(w http.ResponseWriter, r *http.Request, s *service, c *activeClaim) {
+	if c.boot != rs.boot {
+		rs.refuse(w, r, http.StatusConflict, "other-boot", "the claim names an earlier start of this agent", time.Time{})
 		return
 	}
-	f.mu.Lock()
-	err := f.claims.Begin(c.key, c.token, c.expires, steady.Now())
-	f.mu.Unlock()
+	rs.mu.Lock()
+	err := rs.claims.Begin(c.key, c.token, c.expires, steady.Now())
+	rs.mu.Unlock()
 	if err != nil {
-		f.refuse(w, r, http.StatusConflict, "claim-used", err.Error(), time.Time{})
+		rs.refuse(w, r, http.StatusConflict, "claim-used", err.Error(), time.Time{})
 		return
 	}
 	crash.Point(crash.AgentBegun)
-	c.front = f
+	c.server = rs
 	defer c.recordResult() // also when copying the answer is aborted
-	f.serve(w, r, s, c)
+	rs.serve(w, r, s, c)
 }
 
 // serve admits a request and forwards it to the upstream.
-func (f *front) serve(w http.ResponseWriter, r *http.Request, s *service, c *activeClaim) {
+func (rs *requestServer) serve(w http.ResponseWriter, r *http.Request, s *service, c *activeClaim) {
 	deadline, err := relay.Deadline(r.Header)
 	if err != nil {
 		c.setNotRun()
-		f.refuse(w, r, http.StatusBadRequest, "malformed", err.Error(), time.Time{})
+		rs.refuse(w, r, http.StatusBadRequest, "malformed", err.Error(), time.Time{})
 		return
 	}
 	ctx := r.Context()
@@ -238,39 +240,39 @@
 	adm, ref := s.admit(ctx, r, deadline)
 	if ref != nil {
 		c.setNotRun()
-		w.Header().Set(relay.HeaderLoad, relay.EncodeLoad(f.load(s)))
-		f.refuse(w, r, http.StatusServiceUnavailable, ref.kind, ref.reason, ref.retryAt)
+		w.Header().Set(relay.HeaderLoad, relay.EncodeLoad(rs.load(s)))
+		rs.refuse(w, r, http.StatusServiceUnavailable, ref.kind, ref.reason, ref.retryAt)
 		return
 	}
 	defer adm.release()
-	f.event("admitted", r, "")
-	f.forward(ctx, w, r, s, adm, c)
+	rs.event("admitted", r, "")
+	rs.forward(ctx, w, r, s, adm, c)
 }
 
 // load returns the load of a service as reported to entries.
-func (f *front) load(s *service) rudderfork.Load {
+func (rs *requestServer) load(s *service) rudderfork.Load {
 	l := s.load()
-	l.Leaving = f.isLeaving()
+	l.Leaving = rs.isLeaving()
 	return l
 }
 
 // session serves the session of one entry: it answers probes of the load, and fences
 // off claimed requests.
-func (f *front) session(w http.ResponseWriter, r *http.Request) {
+func (rs *requestServer) session(w http.ResponseWriter, r *http.Request) {
 	conn, err := wire.Accept[wire.ToEntry, wire.ToAgent](w, r, wire.ProbeSession)
 	if err != nil {
-		f.log.Warn().Err(err).Msg("entry_refused")
+		rs.log.Warn().Err(err).Msg("entry_refused")
 		return
 	}
 	defer conn.Close()
-	f.entries.add(conn)
-	defer f.entries.remove(conn)
+	rs.entries.add(conn)
+	defer rs.entries.remove(conn)
 	if conn.Send(r.Context(), wire.ToEntry{InterimAnswers: true}) != nil {
 		return // the entry opens another session
 	}
 	go func() {
-		if err := f.entries.announceStop(r.Context(), conn); err != nil {
-			f.log.Warn().Err(err).Msg("entry_not_told")
+		if err := rs.entries.announceStop(r.Context(), conn); err != nil {
+			rs.log.Warn().Err(err).Msg("entry_not_told")
 			conn.Close() // the entry opens another session and is told there
 		}
 	}()
@@ -283,13 +285,13 @@
 		switch {
 		case m.Probe != nil:
 			out.Load = &wire.LoadReport{Service: m.Probe.Service, Load: rudderfork.Load{Down: true}}
-			if s := f.services[m.Probe.Service]; s != nil {
-				out.Load.Load = f.load(s)
+			if s := rs.services[m.Probe.Service]; s != nil {
+				out.Load.Load = rs.load(s)
 			}
 		case m.Fence != nil:
-			out.Fenced = f.fence(*m.Fence)
+			out.Fenced = rs.fence(*m.Fence)
 		case m.Drained:
-			f.entries.setDrained(conn)
+			rs.entries.setDrained(conn)
 			continue
 		default:
 			continue
@@ -303,23 +305,23 @@
 // fence returns the state of a claimed request. A request that has not come here yet
 // will be refused. The state is unknown if the claim was for an earlier start of the
 // agent, since the store of claims is lost when the agent ends.
-func (f *front) fence(q wire.Fence) *wire.Fenced {
+func (rs *requestServer) fence(q wire.Fence) *wire.Fenced {
 	out := &wire.Fenced{ID: q.ID, State: wire.RequestUnknown}
-	if q.Boot != f.boot {
+	if q.Boot != rs.boot {
 		return out
 	}
-	window := f.table.Service(q.Key.Service, rudderfork.ColClaimWindow)
+	window := rs.table.Service(q.Key.Service, rudderfork.ColClaimWindow)
 	expires := steady.Now().Add(time.Duration(window) * time.Second)
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	out.State, out.Answer = f.claims.Fence(q.Key, q.Token, expires, steady.Now())
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	out.State, out.Answer = rs.claims.Fence(q.Key, q.Token, expires, steady.Now())
 	return out
 }
 
 // usage returns the usage of each service since the last call.
-func (f *front) usage() []wire.ServiceUsage {
+func (rs *requestServer) usage() []wire.ServiceUsage {
 	var us []wire.ServiceUsage
-	for _, s := range f.services {
+	for _, s := range rs.services {
 		us = append(us, s.usage())
 	}
 	return us
@@ -327,9 +329,9 @@
 
 // pressure returns the highest ratio of tail latency to target among the services,
 // each in its last complete window.
-func (f *front) pressure() float64 {
+func (rs *requestServer) pressure() float64 {
 	worst := 0.0
-	for _, s := range f.services {
+	for _, s := range rs.services {
 		worst = max(worst, s.pressure())
 	}
 	return worst
--- a/agent/stop_test.go
+++ b/agent/stop_test.go
@@ -74,7 +74,7 @@
 	assert.NilError(t, err)
 	r := &runningAgent{p: p, events: &eventCounter{}, ended: make(chan error, 1)}
 	r.listener = &pipeListener{p.ln, make(chan net.Conn), make(chan struct{})}
-	p.ln, p.front.rec = r.listener, r.events
+	p.ln, p.requests.rec = r.listener, r.events
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
 	t.Cleanup(cancel)
@@ -132,9 +132,9 @@
 	r := newRunningAgent(t)
 	c := r.dial(t)
 	sendRequest(t, c)
-	waitFor(t, func() bool { return r.events.n.Load() == 1 && r.p.front.inProgress() == 0 })
+	waitFor(t, func() bool { return r.events.n.Load() == 1 && r.p.requests.inProgress() == 0 })
 	r.stop()
-	waitFor(t, func() bool { return r.p.front.isLeaving() })
+	waitFor(t, func() bool { return r.p.requests.isLeaving() })
 	for range 3 {
 		late := r.dial(t)
 		sendRequest(t, late)
--- a/agent/tasks.go
+++ b/agent/tasks.go
@@ -34,13 +34,13 @@
 
 // tasks reconciles the attempts at the worker with the leases that control grants.
 type tasks struct {
-	cfg    Settings
-	client *node.Client
-	front  *front
-	worker *worker.Client // nil without a worker
-	log    zerolog.Logger
-	rec    rudderfork.Recorder
-	woken  wakeup.Signal
+	cfg      Settings
+	client   *node.Client
+	requests *requestServer
+	worker   *worker.Client // nil without a worker
+	log      zerolog.Logger
+	rec      rudderfork.Recorder
+	woken    wakeup.Signal
 
 	mu               sync.Mutex
 	holder           *lease.Holder
@@ -53,9 +53,9 @@
 	nextReportAt     map[lease.AttemptRef]time.Time // when to send a report again
 }
 
-func newTasks(cfg Settings, c *node.Client, f *front, log zerolog.Logger, rec rudderfork.Recorder) *tasks {
+func newTasks(cfg Settings, c *node.Client, rs *requestServer, log zerolog.Logger, rec rudderfork.Recorder) *tasks {
 	t := &tasks{
-		cfg: cfg, client: c, front: f, log: log, rec: rec, woken: wakeup.New(),
+		cfg: cfg, client: c, requests: rs, log: log, rec: rec, woken: wakeup.New(),
 		holder: lease.NewHolder(cfg.Capacity.Sub(cfg.Reserved)), levels: map[rudderfork.TaskID]int{},
 		nextReportAt: map[lease.AttemptRef]time.Time{},
 	}
@@ -220,7 +220,7 @@
 // The caller must hold t.mu.
 func (t *tasks) throttle() {
 	running := t.holder.Running()
-	p := t.front.pressure()
+	p := t.requests.pressure()
 	t.throttler.Observe(p, len(running), steady.Now())
 	var ts []throttle.Task
 	for _, r := range running {
