--- a/agent/requests.go
+++ b/agent/requests.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// stopAccepting makes the agent refuse all new requests, and tells the entries. It
+// stopAccepting makes the agent refuse all new requests, and announces the stop to the entries. It
 // must be called only once.
 func (rs *requestServer) stopAccepting(reason string) {
 	rs.mu.Lock()
@@ -273,7 +273,7 @@
 	go func() {
 		if err := rs.entries.announceStop(r.Context(), conn); err != nil {
 			rs.log.Warn().Err(err).Msg("entry_not_told")
-			conn.Close() // the entry opens another session and is told there
+			conn.Close() // the entry opens another session and gets the message there
 		}
 	}()
 	for {
--- a/agent/service.go
+++ b/agent/service.go
@@ -153,7 +153,7 @@
 	return nil, &refusal{"overload", d.Reason, d.RetryAt}
 }
 
-// abandon withdraws a queued request whose caller has gone or whose deadline has
+// abandon withdraws a queued request whose caller has disconnected or whose deadline has
 // passed.
 func (s *service) abandon(id uint64, ch chan admission.Decision) (*admitted, *refusal) {
 	s.mu.Lock()
--- a/entry/interim.go
+++ b/entry/interim.go
@@ -117,7 +117,7 @@
 	w.awaitingBody = v
 }
 
-// watchedBody is the body of a watched request. It tells the watcher about reads that
+// watchedBody is the body of a watched request. It reports to the watcher the reads that
 // wait for the caller.
 type watchedBody struct {
 	io.ReadCloser
--- a/entry/link.go
+++ b/entry/link.go
@@ -39,7 +39,7 @@
 	mu             sync.Mutex
 	out            chan wire.ToAgent // nil without a session
 	stopping       bool              // the agent has reported that it is stopping: no request is sent there
-	drainRequested bool              // the agent has asked, in this session, to be told when no request is in flight
+	drainRequested bool              // the agent has asked, in this session, for a message when no request is in flight
 	interim        bool              // the agent has reported, in this session, that it sends interim responses
 	inFlight       int               // requests for which the agent was chosen and has not yet responded
 }
--- a/entry/silence_test.go
+++ b/entry/silence_test.go
@@ -34,7 +34,7 @@
 	s := &testSite{vm: v, link: newLink(t, v.addr)}
 	c.list(v.info(s.link.Addr()))
 	s.entry = newEntryWithTimeout(t, c, noTimeout)
-	wait(t, func() bool { return s.entry.knows(1) })
+	wait(t, func() bool { return s.entry.hasUpstreams(1) })
 	// The agent refuses requests until it knows its table.
 	wait(t, func() bool { return s.entry.post("/warm").status == http.StatusOK })
 	return s
--- a/entry/stop_test.go
+++ b/entry/stop_test.go
@@ -51,7 +51,7 @@
 			link := newSlowLink(t, first.addr)
 			c.list(first.info(link.addr()))
 			e := newEntry(t, c)
-			wait(t, func() bool { return e.knows(1) && link.agentReads.Load() > 0 })
+			wait(t, func() bool { return e.hasUpstreams(1) && link.agentReads.Load() > 0 })
 			if kept {
 				assert.Equal(t, e.post("/warm").status, http.StatusOK)
 			}
@@ -61,7 +61,7 @@
 			held := within(t, link.held)
 			assert.Equal(t, held.used, kept)
 			c.list(first.info(link.addr()), second.info(second.addr))
-			wait(t, func() bool { return e.knows(2) })
+			wait(t, func() bool { return e.hasUpstreams(2) })
 
 			readsBefore := link.agentReads.Load()
 			first.stop()
@@ -354,8 +354,8 @@
 	return e
 }
 
-// knows reports whether the entry has logged a list of n upstreams.
-func (e *testEntry) knows(n int) bool {
+// hasUpstreams reports whether the entry has logged a list of n upstreams.
+func (e *testEntry) hasUpstreams(n int) bool {
 	for _, l := range e.logs.lines("upstreams") {
 		if fmt.Sprint(l["upstreams"]) == fmt.Sprint(n) {
 			return true
--- a/relay/interim.go
+++ b/relay/interim.go
@@ -8,7 +8,7 @@
 
 // An agent sends interim responses (RFC 9110, section 15.2) of status 102 (RFC 2518,
 // section 10.1) while a request is in progress and has no final response yet, so
-// that the entry can tell a slow request from a broken connection. A request that
+// that the entry can distinguish a slow request from a broken connection. A request that
 // takes less than InterimInterval gets none.
 const (
 	// InterimInterval is the interval between two interim responses.
