--- a/scheduler/evacuation_test.go
+++ b/scheduler/evacuation_test.go
@@ -77,7 +77,7 @@
 	return views
 }
 
-// TestStartsLeft checks that starts are allowed for StartWindow or the lease, whichever is shorter,
+// TestStartTimeLeft checks that starts are allowed for StartWindow or the lease, whichever is shorter,
 // counted from the same time.
 func TestStartTimeLeft(t *testing.T) {
 	for _, c := range []struct {
